--- /dev/null
+++ b/crates/fleet-wire/tests/golden.rs
@@ -0,0 +1,99 @@
+//! Golden bytes of the questions that tools ask a member, and of the answers: tools and members may be of different
+//! versions. The files under `golden/` never change.
+
+use std::net::{SocketAddr, UdpSocket};
+use std::thread;
+use std::time::Duration;
+
+use mothwinch_fleet::packet::Summary;
+use mothwinch_fleet::word::Word;
+use mothwinch_fleet::{Body, Packet, Record, Said, Standing};
+use mothwinch_fleet_wire::{ask, look};
+use mothwinch_shared::{BudgetLook, Look, Message};
+
+const LONG: Duration = Duration::from_secs(20);
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+fn record(name: &str, life: u64) -> Record {
+    Record {
+        name: name.into(),
+        site: "north".into(),
+        at: SocketAddr::from(([192, 0, 2, 17], 7946)),
+        serves: None,
+        word: Word { life, incarnation: 3, said: Said::Up, standing: Standing::Present },
+        by: 0,
+    }
+}
+fn answer(body: Body, news: Vec<Record>) -> Packet {
+    Packet { fleet: "billing".into(), from: Some(record("me", 2)), body, news }
+}
+fn page(seq: u32, more: bool, member: &str) -> Packet {
+    let summary = Summary {
+        conclusion: "whole".into(),
+        for_ms: 1,
+        digest: 2,
+        present: 3,
+        lost: 4,
+        health: 5,
+        dropped: 6,
+    };
+    answer(Body::Answer { seq, more, summary }, vec![record(member, 9)])
+}
+fn held() -> Look {
+    let budget = BudgetLook {
+        name: "calls".into(),
+        total: 1,
+        floor: (2, true),
+        leased: (3, 4),
+        in_use: (5, 6),
+        holders: vec![("h".into(), 7, 8)],
+        counted: 9,
+    };
+    Look { granter: Some("g".into()), budgets: vec![budget], gathered: None }
+}
+fn member() -> UdpSocket {
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
+    socket.set_read_timeout(Some(LONG)).expect("a time");
+    socket
+}
+
+/// Pages are asked for by the last name of the one before. A question may be asked again under a later number, so only the
+/// first is compared as bytes, and each is answered.
+#[test]
+fn question_about_members_is_stable() {
+    let socket = member();
+    let at = socket.local_addr().expect("an address");
+    let tool = thread::spawn(move || ask(at, "billing", LONG));
+    let mut bytes = [0; 1400];
+    let mut first = None;
+    socket.set_read_timeout(Some(Duration::from_millis(20))).expect("a time");
+    while !tool.is_finished() {
+        let Ok((n, from)) = socket.recv_from(&mut bytes) else { continue };
+        first.get_or_insert_with(|| hex(&bytes[..n]));
+        let asked = Packet::decode(&bytes[..n], "billing").expect("a datagram");
+        let Body::Query { seq, after } = asked.body else { panic!("no question") };
+        let more = after.is_empty();
+        let told = page(seq, more, if more { "n1" } else { "n2" });
+        socket.send_to(&told.encode(), from).expect("sent");
+    }
+    assert_eq!(first.as_deref(), Some(include_str!("golden/query.txt").trim()));
+    let told = tool.join().expect("the tool").expect("an answer");
+    assert_eq!(told.members, [record("n1", 9), record("n2", 9)]);
+    assert_eq!(told.me, record("me", 2));
+}
+
+#[test]
+fn question_about_budgets_is_stable() {
+    let socket = member();
+    let at = socket.local_addr().expect("an address");
+    let tool = thread::spawn(move || look(at, "billing", LONG));
+    let mut bytes = [0; 1400];
+    let (n, from) = socket.recv_from(&mut bytes).expect("a question");
+    assert_eq!(hex(&bytes[..n]), include_str!("golden/look.txt").trim());
+    let told = answer(Body::Carried(Message::Looked(1, held()).encode()), vec![]).encode();
+    assert_eq!(hex(&told), include_str!("golden/looked.txt").trim());
+    socket.send_to(&told, from).expect("sent");
+    assert_eq!(tool.join().expect("the tool").expect("an answer"), (record("me", 2), held()));
+}
