--- /dev/null
+++ b/tests/golden_config.rs
@@ -0,0 +1,33 @@
+//! The node's configuration file, its `PROXY_*` variables and the inventory: every key and variable, and the errors.
+
+#[path = "common/golden.rs"]
+mod golden;
+
+use std::net::TcpListener;
+
+use golden::check_groups;
+use mothwinch_stand_ins::{command, config, until, Database, Executor, List, Node, Scratch};
+use serde_json::json;
+
+#[test]
+fn each_key_of_the_configuration_is_read_and_each_fault_is_one_line() {
+    check_groups("config.json");
+}
+
+#[test]
+fn each_variable_of_the_inventory_is_read_and_each_fault_names_line_and_field() {
+    check_groups("inventory.json");
+}
+
+#[test]
+fn the_variable_for_the_admin_address_wins_over_the_file() {
+    let taken = TcpListener::bind("127.0.0.1:0").expect("loopback");
+    let peers = (Executor::start(), Database::start(), List::start());
+    let mut text = config(peers.0.address, peers.1.address, peers.2.address);
+    text["admin"] = json!(taken.local_addr().expect("bound"));
+    let file = Scratch::new("config.json", &text.to_string());
+    let mut command = command(&file);
+    command.env("PROXY_ADMIN", "127.0.0.1:0");
+    let node = Node::run(command, peers, file);
+    until("the admin address of the variable is in use", || node.logged("door").is_some());
+}
