--- /dev/null
+++ b/tests/golden_cli.rs
@@ -0,0 +1,201 @@
+//! The command lines, the JSON that commands print, and the admin commands with their answers.
+
+#[path = "common/golden.rs"]
+mod golden;
+
+use std::collections::BTreeMap;
+use std::io::{Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::time::Duration;
+
+use golden::{data, run, shape, Folder};
+use mothwinch_fleet::word::Word;
+use mothwinch_fleet::{Conclusion, Record, Said, Standing};
+use mothwinch_fleet_cli::{state, All, Shown, Status};
+use mothwinch_rig::{Plan, Rig};
+use mothwinch_service::{Answer, Call, State, Unheard};
+use mothwinch_shared::{Judgement, Look};
+use mothwinch_stand_ins::Node;
+use serde_json::{json, Value};
+
+/// The names in a help text by section, with their defaults, and its line of usage; descriptions are left out.
+fn names(help: &str) -> BTreeMap<String, Vec<String>> {
+    let mut sections: BTreeMap<String, Vec<String>> = BTreeMap::new();
+    let mut section = String::new();
+    for line in help.lines() {
+        if let Some(usage) = line.strip_prefix("Usage: ") {
+            let own = usage.split_once(' ').map_or(usage, |(_, rest)| rest);
+            sections.insert("usage".into(), vec![own.into()]);
+        } else if let Some(title) = line.strip_suffix(':').filter(|_| !line.starts_with(' ')) {
+            section = title.to_lowercase();
+        } else if line.starts_with(' ') && !section.is_empty() {
+            let line = line.trim();
+            let name = line.split("  ").next().unwrap_or(line);
+            let default = line.rfind("[default: ").map_or(String::new(), |at| format!(" {}", &line[at..]));
+            sections.entry(section.clone()).or_default().push(format!("{name}{default}"));
+        }
+    }
+    sections
+}
+
+/// The names of a command and of all commands under it, by the words that call them.
+fn commands(words: &[String], into: &mut BTreeMap<String, BTreeMap<String, Vec<String>>>) {
+    let args: Vec<String> = words.iter().cloned().chain(["-h".to_string()]).collect();
+    let ended = run(&Folder::new().0, &args, &BTreeMap::new());
+    assert_eq!(ended.code, Some(0), "{words:?}: {}", ended.err);
+    let found = names(&ended.out);
+    for command in found.get("commands").into_iter().flatten().filter(|c| *c != "help") {
+        let longer: Vec<String> = words.iter().chain([command]).cloned().collect();
+        commands(&longer, into);
+    }
+    into.insert(words.join(" "), found);
+}
+
+#[test]
+fn every_command_has_its_arguments_flags_and_defaults() {
+    let mut found = BTreeMap::new();
+    commands(&[], &mut found);
+    let found = json!(found);
+    assert_eq!(found, data::<Value>("command_lines.json"), "found {found}");
+}
+
+/// Three members that share a budget, counts and judgements; the one that grants the budget is asked.
+#[test]
+fn the_json_of_the_fleet_commands_has_its_fields_and_types() {
+    const MOST: Duration = Duration::from_secs(40);
+    let mut rig = Rig::new(3).expect("sockets");
+    for n in 0..3 {
+        let fleet = "period_ms: 200, keepers: ['n0', 'n1', 'n2'], counts: true, judgements: true, \
+                     budgets: { ledger: { total: 18, floors: { n0: 1, n1: 1, n2: 1 } } },";
+        rig.plan(Plan { fleet: fleet.into(), open: true, ..Plan::node(n) }).expect("sockets");
+    }
+    rig.seeds(&["n0"]);
+    rig.names().iter().for_each(|name| rig.start(name));
+    rig.up(&["n0", "n1", "n2"]);
+    rig.settle(MOST);
+    let want: BTreeMap<String, Value> = data("fleet_json.json");
+    for (words, want) in &want {
+        let found = |rig: &Rig| {
+            // The member that grants knows the holders of the budget.
+            let name = rig.granter("n0")?;
+            let at = rig.node(&name).logged("fleet")?.to_string();
+            let file = rig.fleet_file_of(&name).display().to_string();
+            let args =
+                words.split(' ').map(String::from).chain(["--at".into(), at, file]).collect::<Vec<_>>();
+            let ended = run(&Folder::new().0, &args, &BTreeMap::new());
+            serde_json::from_str(&ended.out).ok().map(|value: Value| shape(&value))
+        };
+        let fits = rig.wait(words, MOST, |rig| found(rig).as_ref() == Some(want));
+        assert!(fits.is_some(), "{words}: found {:?}", found(&rig).map(|v| v.to_string()));
+    }
+}
+
+/// What a settled fleet doesn't show: a member without an answer, one that serves nothing, and views that differ.
+#[test]
+fn missing_answers_and_differences_have_their_place_in_the_json() {
+    let member = Shown {
+        state: "up",
+        site: "milano".into(),
+        life: 7,
+        incarnation: 2,
+        at: SocketAddr::from(([127, 0, 0, 1], 7946)),
+        serves: None,
+    };
+    let status = Status {
+        seen_by: "n0".into(),
+        conclusion: "part".into(),
+        for_ms: 5,
+        digest: "00ff".into(),
+        present: 1,
+        lost: 2,
+        health: 3,
+        dropped: 4,
+        members: BTreeMap::from([("n0".into(), member)]),
+    };
+    let holders = BTreeMap::from([("gone".to_string(), vec!["n0".to_string()])]);
+    let found = json!({
+        "status": All {
+            views: BTreeMap::from([("n0".into(), Some(status)), ("n1".into(), None)]),
+            same: false,
+            differ: BTreeMap::from([("n1".into(), holders)]),
+        },
+        "state": Look::default(),
+    });
+    assert_eq!(found, data::<Value>("fleet_json_gaps.json"), "found {found}");
+}
+
+#[test]
+fn states_and_conclusions_have_their_names_in_the_json() {
+    let state = |said, standing| {
+        let word = Word { life: 1, incarnation: 0, said, standing };
+        let at = SocketAddr::from(([127, 0, 0, 1], 7946));
+        state(&Record { name: "n0".into(), site: "milano".into(), at, serves: None, word, by: 0 })
+    };
+    let mut states = Vec::new();
+    for said in [Said::Joining, Said::Up, Said::Quiesced, Said::Leaving, Said::Left] {
+        states.push([Standing::Present, Standing::Suspected, Standing::Gone].map(|s| state(said, s)));
+    }
+    let conclusions = [Conclusion::Whole, Conclusion::Part, Conclusion::Alone].map(Conclusion::name);
+    let dependency = [
+        Judgement::Unknown,
+        Judgement::Sound,
+        Judgement::Slow,
+        Judgement::Unsure,
+        Judgement::OnlyHere,
+        Judgement::Down,
+    ];
+    let found = json!({"states": states, "conclusions": conclusions, "dependency": dependency});
+    assert_eq!(found, data::<Value>("fleet_names.json"), "found {found}");
+}
+
+/// Each line by a caller of its own to one node that serves; characters stand for bytes of the same number.
+#[test]
+fn each_admin_command_has_its_answer_to_the_byte() {
+    let node = Node::start_with(None, |config| config["admin"] = json!("127.0.0.1:0"));
+    for (line, want) in data::<Vec<(String, String)>>("admin.json") {
+        assert_eq!(ask(node.door(), &line), want, "{line:?}");
+    }
+}
+
+fn ask(admin: SocketAddr, line: &str) -> String {
+    let mut stream = TcpStream::connect(admin).expect("it listens");
+    stream.set_read_timeout(Some(Duration::from_secs(15))).expect("a timeout");
+    stream.write_all(&line.chars().map(|c| c as u8).collect::<Vec<_>>()).expect("written");
+    if !line.ends_with('\n') {
+        stream.shutdown(Shutdown::Write).expect("ended");
+    }
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).expect("an answer");
+    answer
+}
+
+#[test]
+fn each_admin_command_has_its_answer_in_each_state() {
+    let states = [
+        ("starting", State::Starting { quiesced: false }),
+        ("starting, quiesced", State::Starting { quiesced: true }),
+        ("serving", State::Serving),
+        ("quiesced", State::Quiesced),
+        ("leaving", State::Leaving { replaced: false, quiesced: false }),
+        ("leaving, quiesced", State::Leaving { replaced: false, quiesced: true }),
+        ("replaced", State::Leaving { replaced: true, quiesced: false }),
+        ("replaced, quiesced", State::Leaving { replaced: true, quiesced: true }),
+    ];
+    let mut found: BTreeMap<&str, BTreeMap<&str, [String; 2]>> = BTreeMap::new();
+    for (name, before) in states {
+        for line in ["health", "quiesce", "resume"] {
+            let mut state = before;
+            let answer = Call::parse(line.as_bytes()).expect("a command").carry_out(&mut state);
+            found.entry(name).or_default().insert(line, [answer.to_string(), state.to_string()]);
+        }
+    }
+    let found = json!(found);
+    assert_eq!(found, data::<Value>("admin_states.json"), "found {found}");
+}
+
+#[test]
+fn each_reason_for_which_a_line_is_no_admin_command_has_its_answer() {
+    use Unheard::{Crowded, Cut, Late, TooLong, Unknown};
+    let found = [Unknown, TooLong, Cut, Late, Crowded].map(|why| Answer::Unheard(why).to_string());
+    assert_eq!(found.to_vec(), data::<Vec<String>>("admin_errors.json"));
+}
