--- a/crates/cells-cli/src/lib.rs
+++ b/crates/cells-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! `mothwinch cells`: what operators ask of the file of cells before anything happens by it.
+//! `protocol-gateway cells`: what operators ask of the file of cells before anything happens by it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -6,9 +6,9 @@
 use std::fmt::{self, Write as _};
 use std::path::{Path, PathBuf};
 
+use cells::map::{CellMap, Migration, Place};
+use cells::{FileError, Layout, LayoutError};
 use clap::{Args, Subcommand};
-use mothwinch_cells::map::{CellMap, Migration, Place};
-use mothwinch_cells::{FileError, Layout, LayoutError};
 
 /// The commands.
 #[derive(Debug, Subcommand)]
--- a/crates/cells-model/src/lib.rs
+++ b/crates/cells-model/src/lib.rs
@@ -1,11 +1,11 @@
 //! The move of a tenant as a model for `stateright`: a coordinator, a source and a target, clients with one settlement
-//! each, and a network that loses, doubles and reorders. The machines are the crate `mothwinch-cells`' own.
+//! each, and a network that loses, doubles and reorders. The machines are the crate `cells`' own.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use std::collections::BTreeSet;
 
-use mothwinch_cells::moves::{Event, Fence, Gate, Holding, Key, Life, Move, NodeId, Order, Report, Step};
+use cells::moves::{Event, Fence, Gate, Holding, Key, Life, Move, NodeId, Order, Report, Step};
 use stateright::{Model, Property};
 
 /// The node that serves the tenant before the move, and the one after it.
--- a/crates/cells-model/tests/moves.rs
+++ b/crates/cells-model/tests/moves.rs
@@ -1,7 +1,7 @@
 //! The check itself: the protocol holds under everything the model can do to it, and each flaw put into it is found.
 
-use mothwinch_cells::moves::Step;
-use mothwinch_cells_model::{every_move_can_end, Flaw, Moving};
+use cells::moves::Step;
+use cells_model::{every_move_can_end, Flaw, Moving};
 use stateright::{Checker, Model};
 
 /// One settlement tried three times, a crash anywhere, any message lost, doubled or late.
--- a/crates/cells/benches/lookup.rs
+++ b/crates/cells/benches/lookup.rs
@@ -2,10 +2,10 @@
 
 use std::hint::black_box;
 
+use cells::file::{CellSpec, NodeSpec, Placement, TenantSpec};
+use cells::map::CellMap;
+use cells::Layout;
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use mothwinch_cells::file::{CellSpec, NodeSpec, Placement, TenantSpec};
-use mothwinch_cells::map::CellMap;
-use mothwinch_cells::Layout;
 
 fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
--- a/crates/cells/tests/file.rs
+++ b/crates/cells/tests/file.rs
@@ -1,7 +1,7 @@
 //! The operators' file: what it says, and what is said of one that can't be used.
 
-use mothwinch_cells::file::Placement;
-use mothwinch_cells::Layout;
+use cells::file::Placement;
+use cells::Layout;
 
 const GOOD: &str = r#"// Cells of the test fleet.
 {
--- a/crates/cells/tests/map.rs
+++ b/crates/cells/tests/map.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use mothwinch_cells::file::{CellSpec, NodeSpec, Placement, TenantSpec};
-use mothwinch_cells::map::{CellMap, Place, Published};
-use mothwinch_cells::{Layout, LayoutError};
+use cells::file::{CellSpec, NodeSpec, Placement, TenantSpec};
+use cells::map::{CellMap, Place, Published};
+use cells::{Layout, LayoutError};
 use quickcheck::{Gen, QuickCheck};
 
 const SITES: [&str; 3] = ["bergamo-est", "brescia-sud", "milano-lambrate"];
--- a/crates/cells/tests/member.rs
+++ b/crates/cells/tests/member.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use mothwinch_cells::file::{CellSpec, NodeSpec};
-use mothwinch_cells::map::CellMap;
-use mothwinch_cells::member::{Spill, SpillPolicy, Verdict};
-use mothwinch_cells::Layout;
+use cells::file::{CellSpec, NodeSpec};
+use cells::map::CellMap;
+use cells::member::{Spill, SpillPolicy, Verdict};
+use cells::Layout;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
--- a/crates/connections/tests/room.rs
+++ b/crates/connections/tests/room.rs
@@ -1,5 +1,5 @@
 //! Which connections go when slots run short.
-use mothwinch_connections::{Bounds, Go, Room, Unused};
+use connections::{Bounds, Go, Room, Unused};
 use std::time::{Duration, Instant};
 
 /// Guards the slots: those told to go before the silent, the silent before the used, of the used the longest idle,
--- a/crates/connections/tests/states.rs
+++ b/crates/connections/tests/states.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use mothwinch_connections::{Bounds, Breach, Due, Session, Unused};
+use connections::{Bounds, Breach, Due, Session, Unused};
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 
 /// Runs `check` on sequences of steps, from a fixed seed: the same verdict every time.
--- a/crates/rig/src/demo.rs
+++ b/crates/fault-testbed/src/demo.rs
@@ -1,4 +1,4 @@
-//! `mothwinch demo`: a router, a few nodes with stand-ins, a trickle of requests, and a table that follows what happens.
+//! `protocol-gateway demo`: a router, a few nodes with stand-ins, a trickle of requests, and a table that follows what happens.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write as _};
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 use clap::Args;
-use mothwinch_fleet_cli::state;
-use mothwinch_fleet_wire::Told;
-use mothwinch_stand_ins::Front;
+use fleet_cli::state;
+use fleet_runtime::Told;
+use test_doubles::Front;
 
 use crate::rig::{Plan, Rig};
 
@@ -81,10 +81,13 @@
     rig.start_router(ROUTER, true);
     let all: Vec<String> = rig.names();
     rig.up(&all.iter().map(String::as_str).collect::<Vec<_>>());
-    println!("router at {}; `mothwinch fleet status` asks any of these:", rig.node(ROUTER).address);
+    println!("router at {}; `protocol-gateway fleet status` asks any of these:", rig.node(ROUTER).address);
     for name in &all {
         if let Some(at) = rig.node(name).logged("fleet") {
-            println!("  {name}: mothwinch fleet status {} --at {at}", rig.fleet_file_of(name).display());
+            println!(
+                "  {name}: protocol-gateway fleet status {} --at {at}",
+                rig.fleet_file_of(name).display()
+            );
         }
     }
     let counts = Arc::new(Counts::default());
--- a/crates/rig/src/rig.rs
+++ b/crates/fault-testbed/src/rig.rs
@@ -9,10 +9,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use mothwinch_fleet_wire::{ask, look, Told};
-use mothwinch_shared::Look;
-use mothwinch_stand_ins::{command, config, lock, until, Database, Executor, Front, List, Node, Scratch};
+use fleet_runtime::{ask, look, Told};
 use serde_json::{json, Value};
+use shared_state::Look;
+use test_doubles::{command, config, lock, until, Database, Executor, Front, List, Node, Scratch};
 
 use crate::links::Links;
 use crate::switch::Switch;
--- a/crates/rig/src/script.rs
+++ b/crates/fault-testbed/src/script.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use mothwinch_cells::FileError;
+use cells::FileError;
 use serde::Deserialize;
 use serde_json::json;
 
@@ -248,7 +248,7 @@
                 let sees = |rig: &Rig| {
                     let told = rig.told(who);
                     told.is_some_and(|t| {
-                        t.members.iter().any(|r| *r.name == **whom && mothwinch_fleet_cli::state(r) == state)
+                        t.members.iter().any(|r| *r.name == **whom && fleet_cli::state(r) == state)
                     })
                 };
                 rig.wait(&what, Duration::from_millis(*ms), sees).ok_or(what.clone())?;
--- a/crates/rig/src/switch.rs
+++ b/crates/fault-testbed/src/switch.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use mothwinch_stand_ins::lock;
+use test_doubles::lock;
 
 use crate::links::{Links, Stream};
 use crate::owner::owner;
--- a/crates/rig/tests/links.rs
+++ b/crates/fault-testbed/tests/links.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use mothwinch_rig::links::Stream;
-use mothwinch_rig::script::Script;
-use mothwinch_rig::{Links, Switch};
+use fault_testbed::links::Stream;
+use fault_testbed::script::Script;
+use fault_testbed::{Links, Switch};
 use proptest::prelude::*;
 
 proptest! {
--- a/crates/rig/tests/owner.rs
+++ b/crates/fault-testbed/tests/owner.rs
@@ -1,5 +1,5 @@
 //! Whose a connection is.
-use mothwinch_rig::owner::owner;
+use fault_testbed::owner::owner;
 use std::net::{TcpListener, TcpStream};
 
 #[test]
--- a/crates/fleet-cli/src/lib.rs
+++ b/crates/fleet-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! `mothwinch fleet`: what any one member of a fleet sees, what all see and where they differ, and whether a fleet's file
+//! `protocol-gateway fleet`: what any one member of a fleet sees, what all see and where they differ, and whether a fleet's file
 //! can be used.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 use clap::{Args, Subcommand};
-use mothwinch_fleet::{Record, Said, Standing};
-use mothwinch_fleet_wire::{ask, look, AskError, Config, ConfigError, Told};
-use mothwinch_shared::Look;
+use fleet_runtime::{ask, look, AskError, Config, ConfigError, Told};
+use membership::{Record, Said, Standing};
 use serde::Serialize;
+use shared_state::Look;
 
 /// The commands.
 #[derive(Debug, Subcommand)]
--- a/crates/fleet-wire/src/allowance.rs
+++ b/crates/fleet-runtime/src/allowance.rs
@@ -6,7 +6,7 @@
 
 use arc_swap::ArcSwap;
 use mio::Waker;
-use mothwinch_shared::{Spend, Terms, Units};
+use shared_state::{Spend, Terms, Units};
 
 /// A budget as the one who spends it holds it.
 #[derive(Clone)]
--- a/crates/fleet-wire/src/ask.rs
+++ b/crates/fleet-runtime/src/ask.rs
@@ -5,9 +5,9 @@
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-use mothwinch_fleet::packet::{Summary, LONGEST};
-use mothwinch_fleet::{Body, Name, Packet, Record};
-use mothwinch_shared::{Look, Message};
+use membership::packet::{Summary, LONGEST};
+use membership::{Body, Name, Packet, Record};
+use shared_state::{Look, Message};
 
 /// What a member told of its view.
 #[derive(Clone, Debug)]
--- a/crates/fleet-wire/src/config.rs
+++ b/crates/fleet-runtime/src/config.rs
@@ -6,11 +6,11 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use mothwinch_cells::FileError;
-use mothwinch_fleet::packet::NAME;
-use mothwinch_fleet::{Name, Settings};
-use mothwinch_shared::Plan;
+use cells::FileError;
+use membership::packet::NAME;
+use membership::{Name, Settings};
 use serde::Deserialize;
+use shared_state::Plan;
 
 /// What a member is told of its fleet.
 #[derive(Clone, Debug)]
--- a/crates/fleet-wire/src/shares.rs
+++ b/crates/fleet-runtime/src/shares.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use arc_swap::ArcSwap;
-use mothwinch_shared::{Condition, Gathered, Judgement, Live, Window};
+use shared_state::{Condition, Gathered, Judgement, Live, Window};
 
 /// What is known of the fleet's counts and of the ledger.
 #[derive(Clone, Debug)]
--- a/crates/fleet-wire/src/shell.rs
+++ b/crates/fleet-runtime/src/shell.rs
@@ -10,16 +10,16 @@
 
 use arc_swap::ArcSwap;
 use crossbeam_channel::{bounded, Receiver, Sender};
+use membership::packet::LONGEST;
+use membership::{word, Body, Conclusion, Malformed, Name, Out, Packet, Record, Said, Standing, View};
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Token, Waker};
-use mothwinch_fleet::packet::LONGEST;
-use mothwinch_fleet::{word, Body, Conclusion, Malformed, Name, Out, Packet, Record, Said, Standing, View};
-use mothwinch_shared::{
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use shared_state::{
     judge, Budgets, Gathering, Judge, Judgement, Look, Message, Out as Shared, Pace, Plan, Said as Gathers,
     Spend, Terms, LEDGER,
 };
-use rand::{RngExt, SeedableRng};
-use rand_chacha::ChaCha8Rng;
 use slog::{debug, info, warn, Logger};
 
 use crate::allowance::{Allowance, Usage};
--- a/crates/fleet-wire/tests/file.rs
+++ b/crates/fleet-runtime/tests/file.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mothwinch_fleet_wire::Config;
+use fleet_runtime::Config;
 
 const GOOD: &str = r#"{
   version: 1,
--- a/crates/lab/src/budgets.rs
+++ b/crates/fleet-simulation/src/budgets.rs
@@ -5,10 +5,10 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-use mothwinch_fleet::Name;
-use mothwinch_shared::{Budgets, Message, Out, Plan, Terms};
+use membership::Name;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use shared_state::{Budgets, Message, Out, Plan, Terms};
 
 /// How nodes share a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/lab/src/gathering.rs
+++ b/crates/fleet-simulation/src/gathering.rs
@@ -5,12 +5,12 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use mothwinch_fleet::Name;
-use mothwinch_shared::{
-    judge, Cells, Gathering, Judge, Judgement, Live, Message, Pace, Said, Tally, Window, LEDGER,
-};
+use membership::Name;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use shared_state::{
+    judge, Cells, Gathering, Judge, Judgement, Live, Message, Pace, Said, Tally, Window, LEDGER,
+};
 
 /// One step of the drawn time.
 const STEP: Duration = Duration::from_millis(10);
--- a/crates/lab/src/main.rs
+++ b/crates/fleet-simulation/src/main.rs
@@ -1,17 +1,17 @@
-//! Measurements on drawn fleets, as tables: `cargo run --release -p mothwinch-lab -- help`.
+//! Measurements on drawn fleets, as tables: `cargo run --release -p fleet-simulation -- help`.
 #![forbid(unsafe_code)]
 
 use std::time::Duration;
 
 use clap::{Parser, Subcommand};
-use mothwinch_lab::budgets::{Play, Report, Way, World};
-use mothwinch_lab::gathering::{Broken, Play as Gathered, Report as GatherReport, World as GatherWorld};
-use mothwinch_lab::plays::{play, sized, wrongly, Case, CASES};
-use mothwinch_lab::{FocaPeer, Heartbeats, Peer, PlainSwim, ViewPeer};
+use fleet_simulation::budgets::{Play, Report, Way, World};
+use fleet_simulation::gathering::{Broken, Play as Gathered, Report as GatherReport, World as GatherWorld};
+use fleet_simulation::plays::{play, sized, wrongly, Case, CASES};
+use fleet_simulation::{FocaPeer, Heartbeats, Peer, PlainSwim, ViewPeer};
 
 /// Drawn fleets, measured.
 #[derive(Parser)]
-#[command(name = "mothwinch-lab")]
+#[command(name = "fleet-simulation")]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -197,8 +197,9 @@
     let first = middle(all.iter().filter_map(|o| o.detected.map(|d| d.0)).collect());
     let last = middle(all.iter().filter_map(|o| o.detected.map(|d| d.1)).collect());
     let joined = middle(all.iter().filter_map(|o| o.joined).collect());
-    let mean =
-        |f: fn(&mothwinch_lab::plays::Sized) -> f64| all.iter().map(f).sum::<f64>() / all.len().max(1) as f64;
+    let mean = |f: fn(&fleet_simulation::plays::Sized) -> f64| {
+        all.iter().map(f).sum::<f64>() / all.len().max(1) as f64
+    };
     println!(
         "| {nodes} | {} | {} | {} / {} | {} / {} | {:.1} | {:.0} | {} |",
         P::NAME,
@@ -303,7 +304,7 @@
                     size::<Heartbeats>(nodes, plays);
                 }
             }
-            println!("a member takes about {} bytes and its name", mothwinch_fleet::View::bytes_a_member());
+            println!("a member takes about {} bytes and its name", membership::View::bytes_a_member());
         }
         Command::Gather { plays, nodes, sizes } => gather(nodes, plays, &sizes),
         Command::Budgets { plays, nodes } => budgets(plays, nodes),
--- a/crates/lab/src/views.rs
+++ b/crates/fleet-simulation/src/views.rs
@@ -3,8 +3,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use mothwinch_fleet::word::{self, Word};
-use mothwinch_fleet::{Name, Out, Packet, Record, Said, Settings, Standing, View};
+use membership::word::{self, Word};
+use membership::{Name, Out, Packet, Record, Said, Settings, Standing, View};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/lab/tests/budgets.rs
+++ b/crates/fleet-simulation/tests/budgets.rs
@@ -1,8 +1,8 @@
-//! Budgets in drawn fleets: a fixed small set. `mothwinch-lab budgets` plays more, beside the baselines.
+//! Budgets in drawn fleets: a fixed small set. `fleet-simulation budgets` plays more, beside the baselines.
 
 use std::time::Duration;
 
-use mothwinch_lab::budgets::{Play, Way, World};
+use fleet_simulation::budgets::{Play, Way, World};
 
 fn play() -> Play {
     Play::default()
--- a/crates/lab/tests/drawn.rs
+++ b/crates/fleet-simulation/tests/drawn.rs
@@ -1,10 +1,10 @@
-//! The hard cases on drawn fleets of the shipped view: a fixed small set. `mothwinch-lab hard` plays more of them, beside
+//! The hard cases on drawn fleets of the shipped view: a fixed small set. `fleet-simulation hard` plays more of them, beside
 //! the baselines.
 
 use std::time::Duration;
 
-use mothwinch_lab::plays::{play, sized, whole, wrongly, CASES};
-use mothwinch_lab::{Fleet, Network, PlainSwim, ViewPeer};
+use fleet_simulation::plays::{play, sized, whole, wrongly, CASES};
+use fleet_simulation::{Fleet, Network, PlainSwim, ViewPeer};
 
 #[test]
 fn views_settle_after_every_hard_case_and_give_nobody_up_wrongly() {
@@ -22,7 +22,7 @@
 /// Guards the plays themselves: without what the view adds, sides that gave each other up never meet again.
 #[test]
 fn plain_swim_does_not_heal() {
-    let outcome = play::<PlainSwim>(mothwinch_lab::plays::Case::Halves, 12, 1);
+    let outcome = play::<PlainSwim>(fleet_simulation::plays::Case::Halves, 12, 1);
     assert_eq!(outcome.settled, None);
 }
 
--- a/crates/lab/tests/gathering.rs
+++ b/crates/fleet-simulation/tests/gathering.rs
@@ -1,8 +1,8 @@
-//! Counts and judgements in drawn fleets: a fixed small set. `mothwinch-lab gather` plays more, and other sizes.
+//! Counts and judgements in drawn fleets: a fixed small set. `fleet-simulation gather` plays more, and other sizes.
 
 use std::time::Duration;
 
-use mothwinch_lab::gathering::{Broken, Play, Report, World};
+use fleet_simulation::gathering::{Broken, Play, Report, World};
 
 fn play(faults: bool, broken: Broken) -> Play {
     let loss = if faults { 0.2 } else { 0.0 };
--- a/crates/keys/tests/life.rs
+++ b/crates/idempotency/tests/life.rs
@@ -1,5 +1,5 @@
 //! The life of a key against a model that knows all tries: at most one run of a key in a window, every try one end.
-use mothwinch_keys::{End, Found, Joined, Micros, Table, NEVER};
+use idempotency::{End, Found, Joined, Micros, Table, NEVER};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::HashMap;
 
--- a/crates/service/tests/parts.rs
+++ b/crates/lifecycle/tests/parts.rs
@@ -1,6 +1,6 @@
 //! Two processes that divide a node's parts, by the shipped decision, under random looks, kills and orders.
 
-use mothwinch_service::{parts, share, Beside, State, Step, PARTS};
+use lifecycle::{parts, share, Beside, State, Step, PARTS};
 use quickcheck::QuickCheck;
 
 #[derive(Clone, Copy)]
--- a/crates/service/tests/states.rs
+++ b/crates/lifecycle/tests/states.rs
@@ -1,6 +1,6 @@
 //! The states and the door's line under random steps.
 
-use mothwinch_service::{Call, Line, Report, State, Step, Unheard};
+use lifecycle::{Call, Line, Report, State, Step, Unheard};
 use quickcheck::{Gen, QuickCheck};
 
 const STEPS: [Step; 5] = [
--- a/crates/fleet-model/src/lib.rs
+++ b/crates/membership-model/src/lib.rs
@@ -1,13 +1,13 @@
 //! What members hold of each other as a model for `stateright`: members that crash and start again, also with a clock that
 //! went back, accuse whom they like, and a network that loses, doubles and delays words. What becomes of a word is decided
-//! by the shipped functions of [`mothwinch_fleet::word`].
+//! by the shipped functions of [`membership::word`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use std::collections::BTreeSet;
 
-use mothwinch_fleet::word::{accuse, give_up, life, of_me, take, OfMe, Take, Word};
-use mothwinch_fleet::{Said, Standing};
+use membership::word::{accuse, give_up, life, of_me, take, OfMe, Take, Word};
+use membership::{Said, Standing};
 use stateright::{Model, Property};
 
 /// A fault put into the decisions on purpose, to show that the check finds it.
--- a/crates/fleet-model/tests/views.rs
+++ b/crates/membership-model/tests/views.rs
@@ -1,6 +1,6 @@
 //! The check itself: it holds under everything the model can do, and each flaw put into it is found.
 
-use mothwinch_fleet_model::{Flaw, Views};
+use membership_model::{Flaw, Views};
 use stateright::{Checker, Model};
 
 fn views() -> Views {
--- a/crates/fleet/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use mothwinch_fleet::word::Word;
-use mothwinch_fleet::{Body, Conclusion, Malformed, Out, Packet, Record, Said, Settings, Standing, View};
+use membership::word::Word;
+use membership::{Body, Conclusion, Malformed, Out, Packet, Record, Said, Settings, Standing, View};
 use proptest::prelude::*;
 
 fn at(id: u16) -> SocketAddr {
--- a/crates/fleet/tests/words.rs
+++ b/crates/membership/tests/words.rs
@@ -1,7 +1,7 @@
 //! Which of two words holds, in any order and however often they come.
 
-use mothwinch_fleet::word::{accuse, give_up, life, of_me, take, OfMe, Take, Word};
-use mothwinch_fleet::{Said, Standing};
+use membership::word::{accuse, give_up, life, of_me, take, OfMe, Take, Word};
+use membership::{Said, Standing};
 use proptest::prelude::*;
 
 fn word() -> impl Strategy<Value = Word> {
--- a/crates/coordinator/src/decide.rs
+++ b/crates/migration-coordinator/src/decide.rs
@@ -1,13 +1,13 @@
-//! What the coordinator does next. Each move is a [`Move`] of the crate `mothwinch-cells`; here is which moves run, under
+//! What the coordinator does next. Each move is a [`Move`] of the crate `cells`; here is which moves run, under
 //! which epochs, to whom their orders go, when they are sent again, and when a move is given up.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::time::Duration;
 
-use mothwinch_cells::map::{CellMap, Name, Place};
-use mothwinch_cells::moves::{Epoch, Event, Move, MoveError, MoveId, NodeId, Order, Report, Step};
-use mothwinch_cells::LayoutError;
+use cells::map::{CellMap, Name, Place};
+use cells::moves::{Epoch, Event, Move, MoveError, MoveId, NodeId, Order, Report, Step};
+use cells::LayoutError;
 use serde::{Deserialize, Serialize};
 
 /// How long the coordinator waits for what.
@@ -221,7 +221,7 @@
     /// once no move of that tenant is in hand.
     pub fn joined(&mut self, node: &str, now: Duration) -> Vec<Act> {
         let Some(cell) = self.map.node(node).map(|n| n.cell.clone()) else { return Vec::new() };
-        let here = |(tenant, home): (&Name, &mothwinch_cells::Home)| {
+        let here = |(tenant, home): (&Name, &cells::Home)| {
             home.place
                 .cells()
                 .contains(&cell)
--- a/crates/coordinator/src/journal.rs
+++ b/crates/migration-coordinator/src/journal.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::path::Path;
 
-use mothwinch_cells::map::{Name, Place};
+use cells::map::{Name, Place};
 use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition};
 
 use crate::decide::{Kept, Record, Work};
--- a/crates/coordinator/tests/fleet.rs
+++ b/crates/migration-coordinator/tests/fleet.rs
@@ -5,17 +5,17 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use mothwinch_cells::file::{CellSpec, NodeSpec, Placement, TenantSpec};
-use mothwinch_cells::map::{CellMap, Name, Place};
-use mothwinch_cells::moves::{Fence, Gate, Holding, Key, Life, Order, Report, Step};
-use mothwinch_cells::Layout;
-use mothwinch_coordinator::{Act, Coordinator, Journal, JournalError, Patience, Refused};
+use cells::file::{CellSpec, NodeSpec, Placement, TenantSpec};
+use cells::map::{CellMap, Name, Place};
+use cells::moves::{Fence, Gate, Holding, Key, Life, Order, Report, Step};
+use cells::Layout;
+use migration_coordinator::{Act, Coordinator, Journal, JournalError, Patience, Refused};
 
 /// A file of this test's own that goes with the value.
 struct Scratch(PathBuf);
 impl Scratch {
     fn new(name: &str) -> Scratch {
-        let path = std::env::temp_dir().join(format!("mothwinch-{}-{name}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("protocol-gateway-{}-{name}", std::process::id()));
         let _ = std::fs::remove_file(&path);
         Scratch(path)
     }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use mothwinch_cells::{FileError, Layout};
-use mothwinch_fleet_wire as fleet;
+use cells::{FileError, Layout};
+use fleet_runtime as fleet;
 use serde::Deserialize;
 
 /// A class of requests.
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -1,4 +1,4 @@
-//! The router's loop: clients on one side, nodes on the other, one thread. Decisions are the crate `mothwinch-routing`'s
+//! The router's loop: clients on one side, nodes on the other, one thread. Decisions are the crate `routing`'s
 //! and the membership's; here are sockets and timers.
 
 use std::cmp::Reverse;
@@ -9,13 +9,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use cells::map::{CellMap, Name};
+use connections::{Bounds, Breach, Due, Go, Room, Session};
+use fleet_runtime as fleet;
+use membership::Said;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
-use mothwinch_cells::map::{CellMap, Name};
-use mothwinch_connections::{Bounds, Breach, Due, Go, Room, Session};
-use mothwinch_fleet::Said;
-use mothwinch_fleet_wire as fleet;
-use mothwinch_routing::{After, End, Presence, Refusal, Request, Route, Router, Rules, Ticket};
+use routing::{After, End, Presence, Refusal, Request, Route, Router, Rules, Ticket};
 use slog::{debug, info, o, warn, Logger};
 
 use crate::config::Config;
@@ -186,7 +186,7 @@
         self.handle.clone()
     }
 
-    fn take_layout(&mut self, layout: &mothwinch_cells::Layout) -> Result<(), mothwinch_cells::LayoutError> {
+    fn take_layout(&mut self, layout: &cells::Layout) -> Result<(), cells::LayoutError> {
         let (map, moves) = self.map.next(layout)?;
         if !moves.is_empty() {
             warn!(self.log, "tenants stay where they live until they are moved"; "tenants" => moves.len());
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,5 +1,5 @@
-//! `mothwinch route`: clients speak JSON-RPC to it as they would to a node, and it carries each request to a node of the
-//! tenant's cell. Which node, whether a request waits, is refused or tried again is decided in `mothwinch-routing`; this
+//! `protocol-gateway route`: clients speak JSON-RPC to it as they would to a node, and it carries each request to a node of the
+//! tenant's cell. Which node, whether a request waits, is refused or tried again is decided in `routing`; this
 //! crate has the sockets: one readiness loop over clients and nodes.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/router/src/nodes.rs
+++ b/crates/router/src/nodes.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mothwinch_cells::map::{CellMap, Name};
-use mothwinch_fleet::{Conclusion, Standing};
-use mothwinch_fleet_wire::{Handle, Seen};
-use mothwinch_routing::{Checks, Presence};
+use cells::map::{CellMap, Name};
+use fleet_runtime::{Handle, Seen};
+use membership::{Conclusion, Standing};
+use routing::{Checks, Presence};
 
 /// Between two health checks of a node.
 pub const BEAT: Duration = Duration::from_millis(200);
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use mothwinch_router::{Config, ConfigError, Handle, RouterLoop};
-use mothwinch_routing::Rules;
+use router::{Config, ConfigError, Handle, RouterLoop};
+use routing::Rules;
 use serde_json::{json, Value};
 use slog::{o, Discard, Logger};
 
@@ -91,7 +91,7 @@
 impl Fleet {
     /// Two cells of three nodes and a router in front.
     fn start(name: &str) -> Fleet {
-        let dir = std::env::temp_dir().join(format!("mothwinch-router-{}-{name}", std::process::id()));
+        let dir = std::env::temp_dir().join(format!("protocol-gateway-router-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&dir).expect("a folder");
         let names = ["a0", "a1", "a2", "b0", "b1", "b2"];
         let nodes: BTreeMap<String, Node> = names.iter().map(|n| (n.to_string(), Node::start(n))).collect();
--- a/crates/router/tests/upstream.rs
+++ b/crates/router/tests/upstream.rs
@@ -1,5 +1,5 @@
 //! What is open on a connection to a node.
-use mothwinch_router::upstream::Upstream;
+use router::upstream::Upstream;
 
 /// Guards the single effect: what was not handed to the machine never ran, what was may have.
 #[test]
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use mothwinch_cells::map::Name;
+use cells::map::Name;
 
 /// The budgets of all tenants, for a bounded number of them.
 #[derive(Debug)]
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use mothwinch_cells::map::{CellMap, Name, Node};
+use cells::map::{CellMap, Name, Node};
 
 pub use budget::Budget;
 pub use outlier::{Outlier, Outliers, Standing};
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use mothwinch_cells::map::Name;
+use cells::map::Name;
 
 /// What leaves a node out, and how it comes back.
 #[derive(Clone, Debug)]
--- a/crates/routing/src/presence.rs
+++ b/crates/routing/src/presence.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use mothwinch_cells::map::{Name, Node};
+use cells::map::{Name, Node};
 
 /// How a node stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -3,13 +3,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use mothwinch_cells::file::{CellSpec, NodeSpec, Placement, TenantSpec};
-use mothwinch_cells::map::CellMap;
-use mothwinch_cells::Layout;
-use mothwinch_routing::{
+use cells::file::{CellSpec, NodeSpec, Placement, TenantSpec};
+use cells::map::CellMap;
+use cells::Layout;
+use quickcheck::{Arbitrary, Gen, QuickCheck};
+use routing::{
     After, Budget, Checks, End, Presence, Refusal, Request, Route, Router, Rules, Standing, Ticket,
 };
-use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
--- a/crates/shared-model/src/lib.rs
+++ b/crates/shared-state-model/src/lib.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use mothwinch_fleet::Name;
-use mothwinch_shared::{Ask, Book, Grant, Part, Terms};
+use membership::Name;
+use shared_state::{Ask, Book, Grant, Part, Terms};
 use stateright::{Model, Property};
 
 /// A fault put into the machines' use on purpose, to show that the check finds it.
--- a/crates/shared-model/tests/sharing.rs
+++ b/crates/shared-state-model/tests/sharing.rs
@@ -1,6 +1,6 @@
 //! The check itself: the total holds under everything the model can do, and each flaw put into it is found.
 
-use mothwinch_shared_model::{Flaw, Sharing};
+use shared_state_model::{Flaw, Sharing};
 use stateright::{Checker, HasDiscoveries, Model};
 
 fn sharing() -> Sharing {
--- a/crates/shared/src/book.rs
+++ b/crates/shared-state/src/book.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use mothwinch_fleet::Name;
+use membership::Name;
 
 use crate::part::{Ask, Grant};
 use crate::Terms;
--- a/crates/shared/src/budgets.rs
+++ b/crates/shared-state/src/budgets.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use mothwinch_fleet::Name;
+use membership::Name;
 use serde::{Deserialize, Serialize};
 
 use crate::book::Book;
--- a/crates/shared/src/election.rs
+++ b/crates/shared-state/src/election.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use mothwinch_fleet::Name;
+use membership::Name;
 use serde::{Deserialize, Serialize};
 
 use crate::Terms;
--- a/crates/shared/src/gather.rs
+++ b/crates/shared-state/src/gather.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use mothwinch_fleet::word::hash;
-use mothwinch_fleet::Name;
+use membership::word::hash;
+use membership::Name;
 use serde::{Deserialize, Serialize};
 
 use crate::cells::{Cells, Change, CELLS};
--- a/crates/shared/tests/gathering.rs
+++ b/crates/shared-state/tests/gathering.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use mothwinch_fleet::Name;
-use mothwinch_shared::evidence::Found;
-use mothwinch_shared::{
+use membership::Name;
+use shared_state::evidence::Found;
+use shared_state::{
     judge, Cells, Condition, Gathering, Judge, Judgement, Live, Pace, Said, Tally, Window, LEDGER,
 };
 use Condition::{Failing, Slow, Sound};
--- a/crates/shared/tests/replacement.rs
+++ b/crates/shared-state/tests/replacement.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use mothwinch_fleet::Name;
-use mothwinch_shared::{Budgets, Message, Out, Plan, Term, Terms, Vote};
+use membership::Name;
+use shared_state::{Budgets, Message, Out, Plan, Term, Terms, Vote};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -427,7 +427,7 @@
 
 impl Scratch {
     pub fn new(name: &str, text: &str) -> Scratch {
-        let own = format!("mothwinch-{}-{:?}", std::process::id(), thread::current().id());
+        let own = format!("protocol-gateway-{}-{:?}", std::process::id(), thread::current().id());
         let dir = std::env::temp_dir().join(own.replace(['(', ')'], ""));
         std::fs::create_dir_all(&dir).expect("a folder");
         let path = dir.join(name);
@@ -451,15 +451,15 @@
 /// The program: this process itself where it is the program, else the one that was built beside the test. Measurements may
 /// name an earlier build, to compare with.
 pub fn program() -> std::path::PathBuf {
-    if let Ok(program) = std::env::var("MOTHWINCH_PROGRAM") {
+    if let Ok(program) = std::env::var("GATEWAY_PROGRAM") {
         return program.into();
     }
     let own = std::env::current_exe().expect("this process has a program");
-    if own.file_name().is_some_and(|name| name == "mothwinch") {
+    if own.file_name().is_some_and(|name| name == "protocol-gateway") {
         return own;
     }
     // Tests stand in target/PROFILE/deps, the program in target/PROFILE.
-    own.ancestors().nth(2).expect("a folder above").join("mothwinch")
+    own.ancestors().nth(2).expect("a folder above").join("protocol-gateway")
 }
 
 /// The program's command line under this configuration.
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,6 +1,6 @@
 //! A backend that never saw the wire: one server, a few requests, and what the module says of them.
 
-use mothwinch::*;
+use protocol_gateway::*;
 
 fn settings(class: Class) -> Settings {
     Settings {
--- a/examples/repeat.rs
+++ b/examples/repeat.rs
@@ -2,8 +2,8 @@
 //! same key with another body. Build the program first: `cargo build && cargo run --example repeat`.
 #![forbid(unsafe_code)]
 
-use mothwinch_stand_ins::{unbase64, Node};
 use serde_json::{json, Value};
+use test_doubles::{unbase64, Node};
 
 const TOKEN: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
--- a/src/bin/mothwinch-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -3,7 +3,7 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use mothwinch::wire::Host;
+use protocol_gateway::wire::Host;
 
 fn main() -> ExitCode {
     // The wire carries a panic's message; the backtrace would only repeat it.
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,29 +8,29 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use cells_cli::Cells;
 use clap::{Parser, Subcommand};
 use crossbeam_channel::{after, bounded, never, select, Receiver, Sender};
-use mothwinch::amqp::Amqp;
-use mothwinch::inventory::{self, InventoryError};
-use mothwinch::member::Member;
-use mothwinch::net::jsonrpc::Front;
-use mothwinch::net::{database, door, executor, membership, spawn, take_address, Address};
-use mothwinch::node::config::{Config, ConfigError};
-use mothwinch::node::confinement::CellsError;
-use mothwinch::node::{Board, Confinement, Fleet as Counting, Limits, Module, Msg, Peers};
-use mothwinch::seat::{Parts, Standing};
-use mothwinch_cells_cli::Cells;
-use mothwinch_fleet_cli::Fleet;
-use mothwinch_fleet_wire as fleet;
-use mothwinch_router::{Config as Router, ConfigError as RouterError, RouterLoop};
-use mothwinch_routing::Rules;
-use mothwinch_service::{Beside, State, Step, PARTS};
+use fleet_cli::Fleet;
+use fleet_runtime as fleet;
+use lifecycle::{Beside, State, Step, PARTS};
+use protocol_gateway::amqp::Amqp;
+use protocol_gateway::inventory::{self, InventoryError};
+use protocol_gateway::member::Member;
+use protocol_gateway::net::jsonrpc::Front;
+use protocol_gateway::net::{database, door, executor, membership, spawn, take_address, Address};
+use protocol_gateway::node::config::{Config, ConfigError};
+use protocol_gateway::node::confinement::CellsError;
+use protocol_gateway::node::{Board, Confinement, Fleet as Counting, Limits, Module, Msg, Peers};
+use protocol_gateway::seat::{Parts, Standing};
+use router::{Config as Router, ConfigError as RouterError, RouterLoop};
+use routing::Rules;
 use slog::{info, o, warn, Drain, Logger};
 use socket2::Socket;
 
 /// A billing node; with a command, what stands around one. PROXY_CONFIG names the node's configuration.
 #[derive(Parser)]
-#[command(name = "mothwinch", version, args_conflicts_with_subcommands = true)]
+#[command(name = "protocol-gateway", version, args_conflicts_with_subcommands = true)]
 struct Cli {
     /// The broker queues to consume from, in .yaml, .yml or .csv.
     #[arg(long, value_name = "FILE")]
@@ -60,7 +60,7 @@
         file: PathBuf,
     },
     /// Show the program at work: a router and a few nodes with stand-ins on loopback, and what they see of each other.
-    Demo(mothwinch_rig::demo::Demo),
+    Demo(fault_testbed::demo::Demo),
     /// Carry requests to the nodes of each tenant's cell. SIGHUP reads the file of cells again.
     Route {
         /// The router's file, in JSON5.
@@ -73,32 +73,28 @@
     let cli = Cli::parse();
     let done = match &cli.command {
         None => serve(&cli).map_err(|e| e.to_string()),
-        Some(Command::Cells(command)) => {
-            mothwinch_cells_cli::run(command).map_err(|e| e.to_string()).map(|text| {
-                print!("{text}");
-                ExitCode::SUCCESS
-            })
-        }
-        Some(Command::Fleet(command)) => {
-            mothwinch_fleet_cli::run(command).map_err(|e| e.to_string()).map(|text| {
-                print!("{text}");
-                ExitCode::SUCCESS
-            })
-        }
-        Some(Command::Faults { file }) => mothwinch_rig::script::Script::read(file)
+        Some(Command::Cells(command)) => cells_cli::run(command).map_err(|e| e.to_string()).map(|text| {
+            print!("{text}");
+            ExitCode::SUCCESS
+        }),
+        Some(Command::Fleet(command)) => fleet_cli::run(command).map_err(|e| e.to_string()).map(|text| {
+            print!("{text}");
+            ExitCode::SUCCESS
+        }),
+        Some(Command::Faults { file }) => fault_testbed::script::Script::read(file)
             .and_then(|play| play.play(true))
             .map(|_| ExitCode::SUCCESS)
             .map_err(|e| e.to_string()),
         Some(Command::Demo(demo)) => {
             signals(&Limits::new(64)).map_err(|e| e.to_string()).and_then(|signals| {
                 let ended = || signals.leave.try_recv().is_ok();
-                mothwinch_rig::demo::run(demo, ended).map(|()| ExitCode::SUCCESS).map_err(|e| e.to_string())
+                fault_testbed::demo::run(demo, ended).map(|()| ExitCode::SUCCESS).map_err(|e| e.to_string())
             })
         }
         Some(Command::Route { file }) => route(file).map_err(|e| e.to_string()),
     };
     done.unwrap_or_else(|e| {
-        eprintln!("mothwinch: {e}");
+        eprintln!("protocol-gateway: {e}");
         ExitCode::FAILURE
     })
 }
--- a/src/member.rs
+++ b/src/member.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use mothwinch_fleet::Said;
-use mothwinch_fleet_wire as fleet;
-use mothwinch_service::State;
+use fleet_runtime as fleet;
+use lifecycle::State;
+use membership::Said;
 use slog::{info, o, warn, Logger};
 
 use crate::net::database::Guard;
--- a/src/net/database.rs
+++ b/src/net/database.rs
@@ -15,9 +15,9 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::{bounded, Receiver, Sender, TryRecvError};
+use fleet_runtime::{Allowance, Shares};
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token, Waker};
-use mothwinch_fleet_wire::{Allowance, Shares};
 use slog::{debug, warn, Logger};
 
 use super::{spawn, Address};
--- a/src/net/door.rs
+++ b/src/net/door.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::Sender;
+use lifecycle::{Answer, Call, Line, Unheard};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
-use mothwinch_service::{Answer, Call, Line, Unheard};
 use slog::{info, warn, Logger};
 
 use super::spawn;
--- a/src/net/jsonrpc/events.rs
+++ b/src/net/jsonrpc/events.rs
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use connections::{Breach, Due, Go, Room, Session};
 use crossbeam_channel::{unbounded, Receiver, Sender};
+use lifecycle::share;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Poll, Token, Waker};
-use mothwinch_connections::{Breach, Due, Go, Room, Session};
-use mothwinch_service::share;
 use slog::{debug, info, warn, Logger};
 
 use super::message::{self, Incoming};
--- a/src/net/jsonrpc/mod.rs
+++ b/src/net/jsonrpc/mod.rs
@@ -1,6 +1,6 @@
 //! The platform's front: JSON-RPC 2.0, one message a line. One thread accepts, reads, frames, answers and keeps the
 //! timers of all connections, see `events`; a connection's states, and who goes when slots run short, are decided in the
-//! crate `mothwinch-connections`. Two threads a connection, as the house style has it, cost a starved node all its
+//! crate `connections`. Two threads a connection, as the house style has it, cost a starved node all its
 //! time in task switches: `docs/front.md` has the figures.
 //!
 //! Slots are for those that use them. A connection on which nothing sensible comes is closed soon, one that breaks the
--- a/src/net/membership.rs
+++ b/src/net/membership.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use crossbeam_channel::{after, select, Receiver};
-use mothwinch_service as service;
+use lifecycle as service;
 use slog::{warn, Logger};
 
 use crate::node::{Board, Limits};
@@ -20,7 +20,7 @@
 
 /// Reports until its mailbox is gone, what the state of the process asks for: see [`State::report`].
 ///
-/// [`State::report`]: mothwinch_service::State::report
+/// [`State::report`]: lifecycle::State::report
 pub fn run(
     mut to: SocketAddr,
     name: &str,
--- a/src/node/confinement.rs
+++ b/src/node/confinement.rs
@@ -3,8 +3,8 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use mothwinch_cells::map::{CellMap, Name, Published};
-use mothwinch_cells::{FileError, Layout};
+use cells::map::{CellMap, Name, Published};
+use cells::{FileError, Layout};
 
 /// Why cells can't be put in force.
 #[derive(Debug)]
@@ -14,7 +14,7 @@
     /// The file can't be used.
     File(FileError),
     /// The file can't follow the one in force.
-    Layout(PathBuf, mothwinch_cells::LayoutError),
+    Layout(PathBuf, cells::LayoutError),
     /// This node is not in the file.
     NotInFile(PathBuf, String),
 }
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mothwinch_connections::Bounds;
+use connections::Bounds;
 
 use crate::wire::Site;
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -13,8 +13,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use crossbeam_channel::{bounded, Receiver, Sender};
-use mothwinch_service::{Refused, State, Step, PARTS};
-use mothwinch_shared::Live;
+use lifecycle::{Refused, State, Step, PARTS};
+use shared_state::Live;
 
 use crate::interface::{RequestId, Time};
 pub use confinement::Confinement;
--- a/src/node/module.rs
+++ b/src/node/module.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::{at, never, select, tick, Receiver};
-use mothwinch_keys::{Found, Joined, Table, NEVER};
-use mothwinch_service::PARTS;
+use idempotency::{Found, Joined, Table, NEVER};
+use lifecycle::PARTS;
 use slog::{debug, info, warn, Logger};
 
 use super::request::{Answer, Arrival, Failure, Outcome, Reply, Rid};
--- a/src/node/request_table.rs
+++ b/src/node/request_table.rs
@@ -5,7 +5,7 @@
 use std::hash::{BuildHasher, Hash};
 use std::time::Instant;
 
-use mothwinch_keys::Table;
+use idempotency::Table;
 
 use super::request::{Body, Reply, Rid};
 use crate::interface::{ClassId, RequestId};
@@ -66,7 +66,7 @@
 }
 
 /// What came of a run, as the table of keys keeps it.
-pub(super) type End = mothwinch_keys::End<Body>;
+pub(super) type End = idempotency::End<Body>;
 
 /// Digests of keys and bodies under seeds of this process: a long key costs no more than a short one.
 pub(super) struct Digests(RandomState, RandomState);
--- a/src/seat.rs
+++ b/src/seat.rs
@@ -6,7 +6,7 @@
 use std::io::{self, Read, Seek, Write};
 use std::path::{Path, PathBuf};
 
-use mothwinch_service::{parts, word, Beside, State, PARTS, WORD};
+use lifecycle::{parts, word, Beside, State, PARTS, WORD};
 use slog::{info, warn, Logger};
 
 /// Where this process stands among those of its node.
--- a/tests/commands.rs
+++ b/tests/commands.rs
@@ -6,7 +6,8 @@
 struct Files(PathBuf);
 impl Files {
     fn new(name: &str) -> Files {
-        let dir = std::env::temp_dir().join(format!("mothwinch-commands-{}-{name}", std::process::id()));
+        let dir =
+            std::env::temp_dir().join(format!("protocol-gateway-commands-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&dir).expect("a folder");
         Files(dir)
     }
@@ -23,7 +24,7 @@
 }
 
 fn run(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_mothwinch"))
+    Command::new(env!("CARGO_BIN_EXE_protocol-gateway"))
         .args(args)
         .env_remove("PROXY_CONFIG")
         .output()
@@ -48,7 +49,7 @@
     let (well, shown, _) = told(&run(&["cells", "show", &cells, "--tenant", "solpiana"]));
     assert!(well && shown.starts_with("solpiana: cell oglio, nodes n"), "{shown}");
     let router = files.put("router.json5", ROUTER);
-    assert!(mothwinch_router::Config::read(router.as_ref()).is_ok());
+    assert!(router::Config::read(router.as_ref()).is_ok());
 }
 
 /// Guards statement week: a plan says what would move, and changes nothing.
@@ -84,11 +85,11 @@
     ] {
         let (well, out, error) = told(&run(&args));
         assert!(!well && out.is_empty() && error.lines().count() == 1, "{args:?}: {error}");
-        assert!(error.starts_with("mothwinch: ") && error.contains(want), "{args:?}: {error}");
+        assert!(error.starts_with("protocol-gateway: ") && error.contains(want), "{args:?}: {error}");
     }
     // Words that are no command: how they are used, and 2.
     assert_eq!(run(&["cells", "sing"]).status.code(), Some(2));
     // Without a configuration there is no node.
     let (well, _, error) = told(&run(&[]));
-    assert!(!well && error == "mothwinch: PROXY_CONFIG is not set\n", "{error}");
+    assert!(!well && error == "protocol-gateway: PROXY_CONFIG is not set\n", "{error}");
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Settings and short-hands shared by the tests.
 #![allow(dead_code)]
 
-use mothwinch::*;
+use protocol_gateway::*;
 
 pub fn class(effect: Effect) -> Class {
     Class {
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,17 +1,17 @@
 //! What comes between two lines of the program: bytes, connections and signals in the very moment in which it shuts, moves or
 //! ends something. The front is stepped by the test, so that each comes exactly there; `docs/crossings.md` has the list.
 use crossbeam_channel::{bounded, Receiver};
-use mothwinch::net::jsonrpc::{Core, Events};
-use mothwinch::node::{Answer, Arrival, Body, Limits, Msg, Outcome};
-use mothwinch::wire::Site;
-use mothwinch::Span;
-use mothwinch_stand_ins::*;
+use protocol_gateway::net::jsonrpc::{Core, Events};
+use protocol_gateway::node::{Answer, Arrival, Body, Limits, Msg, Outcome};
+use protocol_gateway::wire::Site;
+use protocol_gateway::Span;
 use serde_json::{json, Value};
 use slog::{o, Discard, Logger};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use test_doubles::*;
 
 const REFUSED: i64 = -32002;
 
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -128,7 +128,7 @@
 
 /// Prints a row for each number of idle connections: threads, descriptors, memory, and processor time over two seconds
 /// in which every connection asks once, beside one front end that is at work. `docs/front.md` keeps the rows and the
-/// command; `MOTHWINCH_PROGRAM` names an earlier build to compare with.
+/// command; `GATEWAY_PROGRAM` names an earlier build to compare with.
 #[test]
 #[ignore = "a measurement"]
 fn what_idle_connections_cost() {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,11 +5,11 @@
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
-use mothwinch_fleet::word::Word;
-use mothwinch_fleet::{Body, Packet, Record, Said, Standing};
-use mothwinch_rig::{Plan, Rig};
-use mothwinch_stand_ins::until;
+use fault_testbed::{Plan, Rig};
+use membership::word::Word;
+use membership::{Body, Packet, Record, Said, Standing};
 use serde_json::json;
+use test_doubles::until;
 
 /// The most that any fleet here may take to settle.
 const MOST: Duration = Duration::from_secs(40);
@@ -325,7 +325,7 @@
     let status = |rig: &Rig, more: &[&str]| {
         let file = rig.fleet_file_of("n0");
         let at = rig.node("n0").logged("fleet").expect("logged").to_string();
-        let mut command = std::process::Command::new(mothwinch_stand_ins::program());
+        let mut command = std::process::Command::new(test_doubles::program());
         command.args(["fleet", "status", "--at", &at]).args(more).arg(file);
         let out = command.output().expect("it runs");
         assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
@@ -472,7 +472,7 @@
 /// Guards `run` on the platform: without a file there is no thread, socket or byte of it.
 #[test]
 fn without_a_file_there_is_nothing_of_it() {
-    let node = mothwinch_stand_ins::Node::start();
+    let node = test_doubles::Node::start();
     let threads = format!("/proc/{}/task", node.process.id());
     let names: Vec<String> = std::fs::read_dir(threads)
         .expect("a list")
@@ -515,8 +515,8 @@
 #[test]
 #[ignore = "a measurement"]
 fn what_the_view_costs_in_a_fleet_of_256() {
-    use mothwinch_fleet_wire as wire;
-    use mothwinch_stand_ins::{Node, Scratch};
+    use fleet_runtime as wire;
+    use test_doubles::{Node, Scratch};
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let config = |name: usize, seed: std::net::SocketAddr| {
         let text = format!(
@@ -576,13 +576,13 @@
 #[test]
 fn a_play_from_a_file_cuts_and_stalls_streams() {
     let file = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/plays/streams.json5");
-    let play = mothwinch_rig::script::Script::read(&file).expect("it can be used");
+    let play = fault_testbed::script::Script::read(&file).expect("it can be used");
     let rig = play.play(false).unwrap_or_else(|e| panic!("{e}"));
     let timeline = rig.timeline();
     for event in ["\"cut\"", "\"stall\"", "\"served\""] {
         assert!(timeline.contains(event), "{event} is missing: {timeline}");
     }
     let text = std::fs::read_to_string(&file).expect("readable").replace("router: true", "router: false");
-    let refused = mothwinch_rig::script::Script::parse("play", &text).expect_err("nobody to ask");
+    let refused = fault_testbed::script::Script::parse("play", &text).expect_err("nobody to ask");
     assert!(refused.to_string().contains("steps[2]"), "{refused}");
 }
--- a/tests/frames.rs
+++ b/tests/frames.rs
@@ -5,7 +5,7 @@
 use amq_protocol::protocol::connection::{self, AMQPMethod as Method};
 use amq_protocol::protocol::AMQPClass;
 use amq_protocol::types::{AMQPValue, FieldTable, ShortString};
-use mothwinch::amqp::codec;
+use protocol_gateway::amqp::codec;
 
 fn short(text: &str) -> ShortString {
     ShortString::try_new(text).expect("short")
--- a/tests/gathered.rs
+++ b/tests/gathered.rs
@@ -5,9 +5,9 @@
 use std::thread;
 use std::time::Duration;
 
-use mothwinch_rig::{Plan, Rig};
-use mothwinch_shared::{GatheredLook, Judgement};
-use mothwinch_stand_ins::Front;
+use fault_testbed::{Plan, Rig};
+use shared_state::{GatheredLook, Judgement};
+use test_doubles::Front;
 
 const MOST: Duration = Duration::from_secs(40);
 
@@ -39,7 +39,7 @@
 }
 fn state(rig: &Rig, by: &str, of: &str) -> Option<&'static str> {
     let told = rig.told(by)?;
-    told.members.iter().find(|r| *r.name == *of).map(mothwinch_fleet_cli::state)
+    told.members.iter().find(|r| *r.name == *of).map(fleet_cli::state)
 }
 
 /// Clients at one node that send the same as fast as it is answered, until the value goes.
--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 use std::process::Command;
 
-use mothwinch::inventory::{read, InventoryError, Queue};
-use mothwinch::node::Limits;
-use mothwinch::wire::Site;
+use protocol_gateway::inventory::{read, InventoryError, Queue};
+use protocol_gateway::node::Limits;
+use protocol_gateway::wire::Site;
 use stand_ins::{command, config, settings, Scratch};
 
 fn env(name: &str) -> Option<String> {
@@ -147,7 +147,9 @@
     let said = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(1));
     assert!(said.contains("i.yaml:1: class: missing") && said.lines().count() == 1, "{said}");
-    let output =
-        Command::new(env!("CARGO_BIN_EXE_mothwinch")).arg("--nonsense").output().expect("the program starts");
+    let output = Command::new(env!("CARGO_BIN_EXE_protocol-gateway"))
+        .arg("--nonsense")
+        .output()
+        .expect("the program starts");
     assert_eq!(output.status.code(), Some(2));
 }
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -1,7 +1,7 @@
 //! Classes that are run by key, callers that tell how long they wait and that they leave, and calls that are left out, with
 //! the program among its stand-ins.
-use mothwinch_stand_ins::*;
 use serde_json::{json, Value};
+use test_doubles::*;
 
 const REFUSED: i64 = -32002;
 const TOKEN: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use crossbeam_channel::{bounded, Receiver};
-use mothwinch::net::{database, Address, Lines};
-use mothwinch::node::{Answer, Body, Call, CallResult, Failure, Limits, Msg, Outcome, Reply, Rid};
-use mothwinch::RequestId;
+use protocol_gateway::net::{database, Address, Lines};
+use protocol_gateway::node::{Answer, Body, Call, CallResult, Failure, Limits, Msg, Outcome, Reply, Rid};
+use protocol_gateway::RequestId;
 use slog::{o, Discard, Logger};
 use stand_ins::{unix_ms, until, Database};
 
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,7 +1,7 @@
 //! The mechanism and its guards, each through the module's face.
 mod common;
 use common::*;
-use mothwinch::*;
+use protocol_gateway::*;
 
 #[test]
 fn settings_that_contradict_themselves_are_told_apart() {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,9 +1,9 @@
 //! The four rules under arbitrary legal sequences of events, judged from the actions alone. Seeds are fixed.
 mod common;
 use common::*;
-use mothwinch::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
+use protocol_gateway::*;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, PartialEq, Debug)]
--- a/tests/shared.rs
+++ b/tests/shared.rs
@@ -5,8 +5,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use mothwinch_rig::{Plan, Rig};
-use mothwinch_stand_ins::{until, Front};
+use fault_testbed::{Plan, Rig};
+use test_doubles::{until, Front};
 
 const MOST: Duration = Duration::from_secs(40);
 const TOTAL: usize = 18;
--- a/tests/sketch.rs
+++ b/tests/sketch.rs
@@ -1,9 +1,9 @@
 //! Properties of the sketch, on fixed seeds.
 use std::collections::BTreeMap;
 
-use mothwinch::Sketch;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use protocol_gateway::Sketch;
 
 fn check(cases: u32, test: impl Fn(u64, Vec<u64>) -> Result<(), TestCaseError>) {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
--- a/tests/stand_ins/broker.rs
+++ b/tests/stand_ins/broker.rs
@@ -15,7 +15,7 @@
 use amq_protocol::protocol::AMQPClass;
 use amq_protocol::types::{AMQPValue, FieldTable, ShortString};
 use crossbeam_channel::{unbounded, RecvTimeoutError};
-use mothwinch::amqp::codec;
+use protocol_gateway::amqp::codec;
 
 use super::{lock, serve, Scratch};
 
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -3,4 +3,4 @@
 
 pub mod broker;
 
-pub use mothwinch_stand_ins::*;
+pub use test_doubles::*;
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -11,9 +11,9 @@
 use amq_protocol::protocol::confirm::{self, AMQPMethod as Confirm};
 use amq_protocol::protocol::AMQPClass;
 use amq_protocol::types::ShortString;
-use mothwinch::amqp::{Consumer, Settings, State, Step};
-use mothwinch::node::{Answer, Body, Failure, Outcome};
-use mothwinch::Span;
+use protocol_gateway::amqp::{Consumer, Settings, State, Step};
+use protocol_gateway::node::{Answer, Body, Failure, Outcome};
+use protocol_gateway::Span;
 use quickcheck::{Arbitrary, Gen};
 use steps::check_steps;
 
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,5 +1,5 @@
 //! The adapter: shapes in, shapes out, and one plain line about what is malformed.
-use mothwinch::wire::Host;
+use protocol_gateway::wire::Host;
 use serde_json::{json, Value};
 
 fn facts() -> Value {
