--- a/crates/cells-cli/src/lib.rs
+++ b/crates/cells-cli/src/lib.rs
@@ -1,6 +1,4 @@
 //! `protocol-gateway cells`: what operators ask of the file of cells before anything happens by it.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write as _};
--- a/crates/cells-model/src/lib.rs
+++ b/crates/cells-model/src/lib.rs
@@ -1,7 +1,5 @@
 //! The move of a tenant as a model for `stateright`: a coordinator, a source and a target, clients with one settlement
 //! each, and a network that loses, doubles and reorders. The machines are the crate `cells`' own.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use std::collections::BTreeSet;
 
@@ -183,23 +181,20 @@
             acts.push(Act::GiveUp);
         }
         for node in [SOURCE, TARGET] {
-            match &state.fences[node as usize] {
-                Some(fence) => {
-                    if state.crashes < self.crashes {
-                        acts.push(Act::Crash(node));
-                    }
-                    if node == SOURCE && fence.leased {
-                        acts.push(Act::LeaseRunsOut(node));
-                    }
-                    let certain = !fence.leased && fence.holding != Holding::Elsewhere;
-                    if node == SOURCE && (certain || self.flaw == Some(Flaw::FenceTooSoon)) {
-                        acts.push(Act::Fenced(node));
-                    }
+            if let Some(fence) = &state.fences[node as usize] {
+                if state.crashes < self.crashes {
+                    acts.push(Act::Crash(node));
+                }
+                if node == SOURCE && fence.leased {
+                    acts.push(Act::LeaseRunsOut(node));
                 }
-                None => {
-                    acts.push(Act::Restart(node));
+                let certain = !fence.leased && fence.holding != Holding::Elsewhere;
+                if node == SOURCE && (certain || self.flaw == Some(Flaw::FenceTooSoon)) {
                     acts.push(Act::Fenced(node));
                 }
+            } else {
+                acts.push(Act::Restart(node));
+                acts.push(Act::Fenced(node));
             }
         }
         for (n, client) in state.clients.iter().enumerate() {
--- a/crates/cells/benches/lookup.rs
+++ b/crates/cells/benches/lookup.rs
@@ -60,7 +60,7 @@
         });
         if tenants == 1_000 {
             group.bench_function("stranger", |b| {
-                b.iter(|| map.cell_of(black_box("somebody-else"), None).map(|c| c.nodes.len()))
+                b.iter(|| map.cell_of(black_box("somebody-else"), None).map(|c| c.nodes.len()));
             });
         }
     }
--- a/crates/cells/src/file.rs
+++ b/crates/cells/src/file.rs
@@ -331,7 +331,7 @@
                     }
                 }
                 '{' | '[' => {
-                    path.push(Some(std::mem::take(&mut name)).filter(|_| c == '{' || !path.is_empty()))
+                    path.push(Some(std::mem::take(&mut name)).filter(|_| c == '{' || !path.is_empty()));
                 }
                 '}' | ']' => {
                     path.pop();
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -2,8 +2,6 @@
 //!
 //! All of it decides and none of it acts: times and messages come in, actions go out, so the same code runs in the
 //! node, in the router, in the coordinator and under the model checker. `docs/cells.md` has the design.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod file;
 pub mod map;
--- a/crates/cells/src/map.rs
+++ b/crates/cells/src/map.rs
@@ -277,7 +277,7 @@
         for (tenant, to) in next.wanted(layout)? {
             match self.homes.get(&tenant) {
                 None => {
-                    next.homes.insert_mut(tenant, Home { place: to, since: self.epoch + 1, by_hand: false })
+                    next.homes.insert_mut(tenant, Home { place: to, since: self.epoch + 1, by_hand: false });
                 }
                 Some(home) => {
                     if let Some(gone) = home.place.cells().iter().find(|cell| !next.cells.contains_key(*cell))
--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -1,7 +1,5 @@
 //! Connections that carry one message a line, without their sockets: the states of one ([`Session`]), and which of many
 //! go when slots run short ([`Room`]). The node's front and the router's run the same code.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod room;
 mod session;
--- a/crates/fault-testbed/src/lib.rs
+++ b/crates/fault-testbed/src/lib.rs
@@ -4,8 +4,6 @@
 //! - [`Switch`]: the sockets that carry it out.
 //! - [`Rig`]: the processes with their stand-ins, and what is awaited of them.
 //! - [`script`]: the same from a file.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod demo;
 pub mod links;
--- a/crates/fault-testbed/src/rig.rs
+++ b/crates/fault-testbed/src/rig.rs
@@ -18,7 +18,7 @@
 use crate::switch::Switch;
 
 /// The name of a rig's fleet.
-pub const FLEET: &str = "rig";
+pub(crate) const FLEET: &str = "rig";
 /// The ledger's name on links.
 const LEDGER: &str = "ledger";
 /// How long one question to a process may take.
--- a/crates/fleet-cli/src/lib.rs
+++ b/crates/fleet-cli/src/lib.rs
@@ -1,7 +1,5 @@
 //! `protocol-gateway fleet`: what any one member of a fleet sees, what all see and where they differ, and whether a fleet's file
 //! can be used.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{self, Write as _};
--- a/crates/fleet-runtime/src/lib.rs
+++ b/crates/fleet-runtime/src/lib.rs
@@ -1,7 +1,5 @@
 //! The fleet's view on a real socket: one UDP socket and one thread carry out what [`membership::View`] decides, and
 //! publish what it sees. The file that puts it in force is read here, and tools ask from here.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod allowance;
 mod ask;
--- a/crates/fleet-simulation/src/baselines.rs
+++ b/crates/fleet-simulation/src/baselines.rs
@@ -90,7 +90,7 @@
 
 /// A member as `foca` knows it: its number, and what it raises to come back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Who {
+pub(crate) struct Who {
     id: u32,
     life: u64,
 }
--- a/crates/fleet-simulation/src/budgets.rs
+++ b/crates/fleet-simulation/src/budgets.rs
@@ -215,7 +215,7 @@
             let Ok(to) = to[1..].parse::<usize>() else { continue };
             self.report.messages += 1;
             let doubled = self.rng.random::<f64>() < self.play.loss / 2.0;
-            for _ in 0..1 + usize::from(doubled) {
+            for _ in 0..=usize::from(doubled) {
                 // Mostly quick, now and then very late.
                 let late = if self.rng.random::<f64>() < 0.02 { 4000 } else { 5 };
                 let way = Duration::from_micros(self.rng.random_range(200..late * 1000));
--- a/crates/fleet-simulation/src/lib.rs
+++ b/crates/fleet-simulation/src/lib.rs
@@ -1,7 +1,5 @@
 //! A drawn fleet: many nodes in one process over a network and a clock that are drawn, the same for the same seed. The
 //! views in it are the shipped ones; beside them stand baselines to measure against.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod baselines;
 pub mod budgets;
--- a/crates/fleet-simulation/src/main.rs
+++ b/crates/fleet-simulation/src/main.rs
@@ -1,5 +1,4 @@
 //! Measurements on drawn fleets, as tables: `cargo run --release -p fleet-simulation -- help`.
-#![forbid(unsafe_code)]
 
 use std::time::Duration;
 
@@ -90,7 +89,7 @@
 
 /// Plays run side by side; each has its own seed, so the order does not matter.
 fn side_by_side<T: Send>(plays: u64, one: impl Fn(u64) -> T + Sync) -> Vec<T> {
-    let threads = std::thread::available_parallelism().map_or(1, |n| n.get()) as u64;
+    let threads = std::thread::available_parallelism().map_or(1, std::num::NonZero::get) as u64;
     let mut done: Vec<(u64, T)> = std::thread::scope(|scope| {
         let workers: Vec<_> = (0..threads.min(plays))
             .map(|w| {
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -5,7 +5,6 @@
 //! from the arrival of the try that ran; a repeat is told by its own arrival, however late it is read, so an entry stays
 //! for as long after its window as a try may lie unread. While a try runs, every other joins it, whatever the window says:
 //! two must not run at once. No entry whose try ran goes before its time; when there is no room, new keys are turned away.
-#![forbid(unsafe_code)]
 
 use std::collections::{BTreeSet, HashMap};
 
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,8 +1,6 @@
 //! What decides over a node in service, without I/O, clock or threads: its states ([`State`]), the calls at the
 //! operators' door ([`Call`], [`Line`]), what one process makes of another beside it
 //! ([`Beside`]), and how the two divide what the node may have ([`parts`]).
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod beside;
 mod call;
--- a/crates/membership-model/src/lib.rs
+++ b/crates/membership-model/src/lib.rs
@@ -1,8 +1,6 @@
 //! What members hold of each other as a model for `stateright`: members that crash and start again, also with a clock that
 //! went back, accuse whom they like, and a network that loses, doubles and delays words. What becomes of a word is decided
 //! by the shipped functions of [`membership::word`].
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use std::collections::BTreeSet;
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -8,8 +8,6 @@
 //! - [`word`]: what is said of a member, and which of two words holds.
 //! - [`View`]: one node's view, by time and datagrams.
 //! - [`packet`]: datagrams as values, and their bytes.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod packet;
 mod probe;
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -58,7 +58,7 @@
             datagram: 1200,
             exchange: Duration::from_millis(500),
             pages: 24,
-            revive: Duration::from_millis(1000),
+            revive: Duration::from_secs(1),
             forget: Duration::from_secs(3600),
             tombstones: 1024,
             members: 8192,
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -10,7 +10,7 @@
 use crate::word::{hash, Name, Record, Said, Standing, Word};
 
 /// Buckets of names by which two views find what differs: the sums of all fit one datagram.
-pub const BUCKETS: usize = 64;
+pub(crate) const BUCKETS: usize = 64;
 
 /// A member as it is held.
 #[derive(Clone, Debug)]
@@ -56,75 +56,72 @@
 }
 
 impl Table {
-    pub fn new() -> Table {
+    pub(crate) fn new() -> Table {
         Table { sums: vec![0; BUCKETS], ..Table::default() }
     }
-    pub fn get(&self, name: &str) -> Option<&Member> {
+    pub(crate) fn get(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
-    pub fn get_mut(&mut self, name: &str) -> Option<&mut Member> {
+    pub(crate) fn get_mut(&mut self, name: &str) -> Option<&mut Member> {
         self.members.get_mut(name)
     }
-    pub fn all(&self) -> impl Iterator<Item = &Member> {
+    pub(crate) fn all(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
-    pub fn after(&self, name: &str) -> impl Iterator<Item = &Member> {
+    pub(crate) fn after(&self, name: &str) -> impl Iterator<Item = &Member> {
         use std::ops::Bound::{Excluded, Unbounded};
         self.members.range::<str, _>((Excluded(name), Unbounded)).map(|(_, m)| m)
     }
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.members.len()
     }
-    pub fn present(&self) -> &[Name] {
+    pub(crate) fn present(&self) -> &[Name] {
         &self.present
     }
     /// Members gone without a word.
-    pub fn lost(&self) -> usize {
+    pub(crate) fn lost(&self) -> usize {
         self.lost
     }
-    pub fn sums(&self) -> &[u64] {
+    pub(crate) fn sums(&self) -> &[u64] {
         &self.sums
     }
-    pub fn digest(&self) -> u64 {
+    pub(crate) fn digest(&self) -> u64 {
         self.sums.iter().fold(0, |all, sum| all.rotate_left(1) ^ sum)
     }
     /// The names of the buckets whose sums differ from those.
-    pub fn differing(&self, sums: &[u64]) -> impl Iterator<Item = &Member> + '_ {
+    pub(crate) fn differing(&self, sums: &[u64]) -> impl Iterator<Item = &Member> + '_ {
         let differs: Vec<bool> = self.sums.iter().zip(sums).map(|(a, b)| a != b).collect();
         self.members.values().filter(move |m| differs.get(bucket(&m.record.name)).copied().unwrap_or(false))
     }
 
     /// Holds a record from now on, and has it told if it is news.
-    pub fn put(&mut self, record: Record, now: Duration, news: bool) {
+    pub(crate) fn put(&mut self, record: Record, now: Duration, news: bool) {
         let name = record.name.clone();
         let at = bucket(&name);
         self.sums[at] ^= part(&record);
         let is = record.word;
-        let was = match self.members.get_mut(&name) {
-            Some(member) => {
-                let was = member.record.word;
-                self.sums[at] ^= part(&member.record);
-                if (was.standing, was.said) != (is.standing, is.said) {
-                    member.since = now;
-                }
-                if is.standing != Standing::Suspected {
-                    member.suspicion = None;
-                }
-                member.record = record;
-                Some(was)
+        let was = if let Some(member) = self.members.get_mut(&name) {
+            let was = member.record.word;
+            self.sums[at] ^= part(&member.record);
+            if (was.standing, was.said) != (is.standing, is.said) {
+                member.since = now;
             }
-            None => {
-                let member = Member { record, suspicion: None, since: now, heard: None, news: None };
-                self.members.insert(name.clone(), member);
-                None
+            if is.standing != Standing::Suspected {
+                member.suspicion = None;
             }
+            member.record = record;
+            Some(was)
+        } else {
+            let member = Member { record, suspicion: None, since: now, heard: None, news: None };
+            self.members.insert(name.clone(), member);
+            None
         };
         self.count(was, Some(is), &name);
         if news {
             self.tell(&name);
         }
     }
-    pub fn remove(&mut self, name: &str) {
+    pub(crate) fn remove(&mut self, name: &str) {
         let Some((key, member)) = self.members.remove_entry(name) else { return };
         self.sums[bucket(name)] ^= part(&member.record);
         if let Some((told, order)) = member.news {
@@ -149,12 +146,12 @@
         self.left = self.left + left(is) - left(was);
     }
     /// The gone of either kind.
-    pub fn tombstones(&self) -> usize {
+    pub(crate) fn tombstones(&self) -> usize {
         self.lost + self.left
     }
 
     /// This member is news again.
-    pub fn tell(&mut self, name: &Name) {
+    pub(crate) fn tell(&mut self, name: &Name) {
         self.counter += 1;
         // The newest first: the order counts down.
         let order = u64::MAX - self.counter;
@@ -164,11 +161,11 @@
         }
         self.hot.insert((0, order, name.clone()));
     }
-    pub fn has_news(&self) -> bool {
+    pub(crate) fn has_news(&self) -> bool {
         !self.hot.is_empty()
     }
     /// News that fits so many bytes, the least told first and the newest among those; each piece ends after `tellings`.
-    pub fn news(&mut self, bytes: usize, tellings: u8, but: &str) -> Vec<Record> {
+    pub(crate) fn news(&mut self, bytes: usize, tellings: u8, but: &str) -> Vec<Record> {
         let mut left = bytes;
         let mut taken = Vec::new();
         let mut records = Vec::new();
@@ -200,7 +197,7 @@
     }
 
     /// Forgets the gone that have been so for `forget`, and the oldest of them past `most`.
-    pub fn forget(&mut self, now: Duration, forget: Duration, most: usize) {
+    pub(crate) fn forget(&mut self, now: Duration, forget: Duration, most: usize) {
         if self.tombstones() == 0 {
             return;
         }
@@ -219,7 +216,7 @@
         }
     }
     /// How a member is served by what it says.
-    pub fn said(&self, name: &str) -> Option<Said> {
+    pub(crate) fn said(&self, name: &str) -> Option<Said> {
         self.get(name).map(|m| m.record.word.said)
     }
 }
--- a/crates/migration-coordinator/src/lib.rs
+++ b/crates/migration-coordinator/src/lib.rs
@@ -1,7 +1,5 @@
 //! The coordinator of moves: [`Coordinator`] decides, without I/O, clock or threads; [`Journal`] keeps what it decided
 //! on disk, written before anything that follows from it is sent.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod decide;
 mod journal;
--- a/crates/migration-coordinator/tests/fleet.rs
+++ b/crates/migration-coordinator/tests/fleet.rs
@@ -238,7 +238,7 @@
                 if self.coordinator.is_none() {
                     self.start_coordinator();
                 }
-                self.act(|c, now| c.tick(now));
+                self.act(migration_coordinator::Coordinator::tick);
             }
             6..=8 if load => self.client(),
             _ => self.work(),
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,8 +4,6 @@
 //! [`Action`]s. It reads no clock, starts no thread and draws no randomness beyond the seed handed to it.
 //! A `Policy` is `Send`; one server drives it through `&mut self`, while [`Sketch`] counts through `&self`
 //! and may be read from any thread.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod interface;
 mod logic;
--- a/crates/policy/src/logic.rs
+++ b/crates/policy/src/logic.rs
@@ -6,7 +6,10 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicI32, Ordering::Relaxed};
 
-use crate::interface::*;
+use crate::interface::{
+    Action, Below, CallEnd, CallerId, Class, Effect, Event, FreeValue, Gauges, Request, RequestId, RunEnd,
+    Settings, SettingsError, Span, Stopping, TenantId, Time,
+};
 
 /// Rows and columns of the sketch: two tenants share every cell once in 2^50 pairs.
 const ROWS: usize = 5;
@@ -350,7 +353,7 @@
                     self.set.calls_out = calls_out.unwrap_or(self.set.calls_out);
                 }
                 Event::Others(servers, counts) => {
-                    (self.seen.counted, self.seen.others) = (*servers, counts.clone())
+                    (self.seen.counted, self.seen.others) = (*servers, counts.clone());
                 }
                 Event::Replaced(left) => self.seen.leaving = Some((NEVER, now + *left)),
                 Event::Wake(gauges) => self.gauge(gauges),
@@ -460,11 +463,11 @@
         self.seen.dirty = true;
         if r.repeats.is_some() {
             // It may have run here: it is served from that run or failed, and never refused.
-            if c.effect != Effect::Once {
+            if c.effect == Effect::Once {
+                self.fail(r.id, out);
+            } else {
                 self.move_to(r.id, Phase::Joined);
                 out.push(Action::Join(r.id));
-            } else {
-                self.fail(r.id, out);
             }
             return;
         }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,8 +1,6 @@
 //! `protocol-gateway route`: clients speak JSON-RPC to it as they would to a node, and it carries each request to a node of the
 //! tenant's cell. Which node, whether a request waits, is refused or tried again is decided in `routing`; this
 //! crate has the sockets: one readiness loop over clients and nodes.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod config;
 mod message;
--- a/crates/router/src/message.rs
+++ b/crates/router/src/message.rs
@@ -5,7 +5,7 @@
 
 /// A request as it came.
 #[derive(Deserialize)]
-pub struct Call<'a> {
+pub(crate) struct Call<'a> {
     #[serde(default)]
     jsonrpc: &'a str,
     #[serde(default)]
@@ -18,7 +18,7 @@
 
 /// What the router needs of a request's fields; a node checks the rest.
 #[derive(Deserialize)]
-pub struct Fields<'a> {
+pub(crate) struct Fields<'a> {
     /// Unix milliseconds at which it came to the machine.
     pub t0: f64,
     pub acct: Option<&'a str>,
@@ -27,17 +27,17 @@
 
 impl<'a> Call<'a> {
     /// Reads a line; none where it is no message of this protocol.
-    pub fn read(line: &'a [u8]) -> Option<Call<'a>> {
+    pub(crate) fn read(line: &'a [u8]) -> Option<Call<'a>> {
         serde_json::from_slice(line).ok().filter(|call: &Call<'_>| call.jsonrpc == "2.0")
     }
-    pub fn fields(&self) -> Option<Fields<'a>> {
+    pub(crate) fn fields(&self) -> Option<Fields<'a>> {
         serde_json::from_str(self.params?.get()).ok()
     }
 }
 
 /// What a node said.
 #[derive(Deserialize)]
-pub struct Said<'a> {
+pub(crate) struct Said<'a> {
     #[serde(default)]
     pub id: Option<u64>,
     #[serde(default)]
@@ -50,7 +50,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-pub struct Told {
+pub(crate) struct Told {
     pub ready: Option<bool>,
     pub hint: Option<f64>,
     #[serde(rename = "final")]
@@ -64,14 +64,14 @@
 }
 
 /// The code of a refusal: the try never ran.
-pub const REFUSED: i64 = -32002;
+pub(crate) const REFUSED: i64 = -32002;
 
 impl<'a> Said<'a> {
-    pub fn read(line: &'a [u8]) -> Option<Said<'a>> {
+    pub(crate) fn read(line: &'a [u8]) -> Option<Said<'a>> {
         serde_json::from_slice(line).ok()
     }
     /// The error's code, if it is one, and what is told beside.
-    pub fn told(&self) -> (Option<i64>, Told) {
+    pub(crate) fn told(&self) -> (Option<i64>, Told) {
         if let Some(error) = self.error {
             return match serde_json::from_str::<Fault>(error.get()) {
                 Ok(fault) => (Some(fault.code), fault.data),
@@ -82,7 +82,7 @@
         (None, told.unwrap_or_default())
     }
     /// The same answer under another number.
-    pub fn under(&self, id: u64) -> String {
+    pub(crate) fn under(&self, id: u64) -> String {
         match (self.error, self.result) {
             (Some(error), _) => format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"error\":{}}}\n", error.get()),
             (None, result) => {
@@ -94,7 +94,7 @@
 }
 
 /// An error of the router's own.
-pub fn error(id: Option<u64>, code: i64, message: &str, backoff: Option<u64>) -> String {
+pub(crate) fn error(id: Option<u64>, code: i64, message: &str, backoff: Option<u64>) -> String {
     let id = id.map_or("null".to_string(), |id| id.to_string());
     let data = backoff.map(|ms| format!(",\"data\":{{\"backoff\":{ms}}}")).unwrap_or_default();
     let message = serde_json::to_string(message).unwrap_or_default();
--- a/crates/router/src/nodes.rs
+++ b/crates/router/src/nodes.rs
@@ -12,11 +12,11 @@
 use routing::{Checks, Presence};
 
 /// Between two health checks of a node.
-pub const BEAT: Duration = Duration::from_millis(200);
+pub(crate) const BEAT: Duration = Duration::from_millis(200);
 /// How long a good answer to one holds.
-const HOLDS: Duration = Duration::from_millis(1000);
+const HOLDS: Duration = Duration::from_secs(1);
 
-pub struct Nodes {
+pub(crate) struct Nodes {
     checks: Checks,
     view: Option<(Handle, Arc<Seen>)>,
     /// Where they are by the file of cells, and where they are now.
@@ -26,7 +26,7 @@
 }
 
 impl Nodes {
-    pub fn new() -> Nodes {
+    pub(crate) fn new() -> Nodes {
         Nodes {
             checks: Checks::new(HOLDS),
             view: None,
@@ -35,15 +35,15 @@
             logged: BTreeMap::new(),
         }
     }
-    pub fn join(&mut self, handle: Handle) {
+    pub(crate) fn join(&mut self, handle: Handle) {
         let seen = handle.seen();
         self.view = Some((handle, seen));
     }
-    pub fn view(&self) -> Option<&Handle> {
+    pub(crate) fn view(&self) -> Option<&Handle> {
         self.view.as_ref().map(|(handle, _)| handle)
     }
     /// The nodes of a map.
-    pub fn take_map(&mut self, map: &CellMap) {
+    pub(crate) fn take_map(&mut self, map: &CellMap) {
         self.by_file =
             map.cells().flat_map(|c| &c.nodes).filter_map(|n| Some((n.name.clone(), n.address?))).collect();
         self.resolve();
@@ -56,7 +56,7 @@
             self.by_file.iter().map(|(name, at)| (name.clone(), says(name).unwrap_or(*at))).collect();
     }
     /// Takes what the view sees now.
-    pub fn look(&mut self, now: Duration) {
+    pub(crate) fn look(&mut self, now: Duration) {
         let Some((handle, before)) = &mut self.view else { return };
         let seen = handle.seen();
         if Arc::ptr_eq(before, &seen) {
@@ -66,7 +66,7 @@
         if self.by_view().is_none() && was.conclusion != Conclusion::Alone {
             // It hears nobody from now on. Who was there before goes on until a check says otherwise.
             for name in self.by_file.keys() {
-                if was.member(name).is_some_and(|r| r.takes_requests()) {
+                if was.member(name).is_some_and(membership::Record::takes_requests) {
                     self.checks.heard(name, true, now);
                 }
             }
@@ -77,15 +77,15 @@
         self.view.as_ref().map(|(_, seen)| &**seen).filter(|seen| seen.conclusion != Conclusion::Alone)
     }
     /// Whether nodes have to be asked one by one.
-    pub fn asks(&self) -> bool {
+    pub(crate) fn asks(&self) -> bool {
         self.by_view().is_none()
     }
     /// A health check was answered.
-    pub fn checked(&mut self, node: &Name, ready: bool, now: Duration) {
+    pub(crate) fn checked(&mut self, node: &Name, ready: bool, now: Duration) {
         self.checks.heard(node, ready, now);
     }
     /// How a node stands.
-    pub fn presence(&self, node: &str, now: Duration) -> Presence {
+    pub(crate) fn presence(&self, node: &str, now: Duration) -> Presence {
         let Some(seen) = self.by_view() else { return self.checks.presence(node, now) };
         match seen.member(node).filter(|r| r.takes_requests()) {
             Some(r) if r.word.standing == Standing::Suspected => Presence::Doubtful,
@@ -94,7 +94,7 @@
         }
     }
     /// Nodes that stand otherwise than when this was last asked.
-    pub fn changed(&mut self, now: Duration) -> Vec<(Name, Presence)> {
+    pub(crate) fn changed(&mut self, now: Duration) -> Vec<(Name, Presence)> {
         let names: Vec<Name> = self.by_file.keys().cloned().collect();
         let is: Vec<(Name, Presence)> =
             names.into_iter().map(|n| (n.clone(), self.presence(&n, now))).collect();
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,8 +1,6 @@
 //! Decisions of a router in front of the nodes: which node of a tenant's cell a request goes to, whether it waits, is
 //! refused or tried again, and which nodes are left out for a while. Times, random draws and events come in; what to do
 //! goes out. One value decides for all cells of one router.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod budget;
 mod outlier;
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -34,7 +34,7 @@
             in_a_row: 5,
             part: 0.5,
             memory: 32,
-            first: Duration::from_millis(1000),
+            first: Duration::from_secs(1),
             longest: Duration::from_secs(30),
             forgive: Duration::from_secs(60),
             probe: Duration::from_secs(2),
--- a/crates/shared-state-model/src/lib.rs
+++ b/crates/shared-state-model/src/lib.rs
@@ -1,8 +1,6 @@
 //! Shared budgets as a model for `stateright`: holders that ask, begin calls, crash and start again, a granter that is
 //! followed by another, and a network that loses, doubles and delays. The book and the parts are the shipped ones. Who
 //! reigns is given: one granter after the other, as the election promises.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/shared-state/src/cells.rs
+++ b/crates/shared-state/src/cells.rs
@@ -12,7 +12,7 @@
 /// Cells in all.
 pub const CELLS: usize = ROWS * COLUMNS;
 /// What one cell counts at the most, so that all of them fit a datagram: three bytes each.
-pub const MOST: u32 = (1 << 21) - 1;
+pub(crate) const MOST: u32 = (1 << 21) - 1;
 
 /// A cell and what it counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/shared-state/src/election.rs
+++ b/crates/shared-state/src/election.rs
@@ -1,4 +1,4 @@
-//! Who grants: a lease on being the granter, given by a majority of the keepers (as PaxosLease does). Keepers keep nothing
+//! Who grants: a lease on being the granter, given by a majority of the keepers (as `PaxosLease` does). Keepers keep nothing
 //! on a disk: one that started anew says nothing until all that it may have promised before has run out.
 
 use std::collections::BTreeSet;
--- a/crates/shared-state/src/gather.rs
+++ b/crates/shared-state/src/gather.rs
@@ -18,7 +18,7 @@
 /// The service below that all nodes share.
 pub const LEDGER: u8 = 0;
 /// Services of which evidence is told.
-pub const SERVICES: usize = 4;
+pub(crate) const SERVICES: usize = 4;
 
 /// Times and sizes, the same on all nodes.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -14,8 +14,6 @@
 //!
 //! All safety of budgets rests on clocks that run at rates within [`Terms::drift_ppm`] of each other, and on nothing else: not on a
 //! detector of failures, not on a message that arrives, not on what a clock shows.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod book;
 mod budgets;
--- a/crates/shared-state/src/terms.rs
+++ b/crates/shared-state/src/terms.rs
@@ -21,11 +21,11 @@
 impl Default for Terms {
     fn default() -> Terms {
         Terms {
-            lease: Duration::from_millis(5000),
+            lease: Duration::from_secs(5),
             ask: Duration::from_millis(400),
             least: Duration::from_millis(50),
             longest: Duration::from_millis(1500),
-            reign: Duration::from_millis(2000),
+            reign: Duration::from_secs(2),
             drift_ppm: 10_000,
         }
     }
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for all that a node talks to, on loopback, and the node itself as a process. What a run does is told
 //! by the request's body: `serve`, `fail`, `bad`, `hang`, or `call:BODY` to make a call with that body first.
-#![forbid(unsafe_code)]
+#![allow(missing_docs)]
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,6 +1,9 @@
 //! A backend that never saw the wire: one server, a few requests, and what the module says of them.
 
-use protocol_gateway::*;
+use protocol_gateway::{
+    Below, CallerId, Class, ClassId, Effect, Event, FreeValue, Policy, Request, RequestId, Settings,
+    SettingsError, Span, Stopping, Tenant, TenantId, Time,
+};
 
 fn settings(class: Class) -> Settings {
     Settings {
--- a/examples/repeat.rs
+++ b/examples/repeat.rs
@@ -1,6 +1,5 @@
 //! A node with a class that is run by key, among stand-ins on loopback: a request, its repeat on another connection, and the
 //! same key with another body. Build the program first: `cargo build && cargo run --example repeat`.
-#![forbid(unsafe_code)]
 
 use serde_json::{json, Value};
 use test_doubles::{unbase64, Node};
--- a/src/amqp/connection.rs
+++ b/src/amqp/connection.rs
@@ -77,7 +77,7 @@
 }
 
 impl Connection {
-    pub fn new(
+    pub(super) fn new(
         number: u64,
         queues: Vec<Queue>,
         shared: Arc<Shared>,
@@ -88,7 +88,7 @@
         Connection { number, queues, shared, mailbox, inbox, log, random, life: 0, unsettled: 0 }
     }
 
-    pub fn run(mut self) {
+    pub(super) fn run(mut self) {
         let limits = self.shared.limits.clone();
         let mut backoff = Backoff::new(limits.reconnect, limits.amqp_reconnect_most);
         while !self.leaving() {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// SplitMix64.
+    /// `SplitMix64`.
     fn next_random(&mut self) -> u64 {
         self.random = self.random.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.random;
--- a/src/amqp/consumer.rs
+++ b/src/amqp/consumer.rs
@@ -16,19 +16,19 @@
 /// The AMQP class that carries content.
 const BASIC: u16 = 60;
 /// Marks a copy that was handed back unrun, with how often that has happened.
-pub const HANDED_BACK: &str = "x-mothwinch-handed-back";
+pub(super) const HANDED_BACK: &str = "x-mothwinch-handed-back";
 /// The publish that a copy went out as, so that one that comes back unroutable is known.
 const COPY: &str = "x-mothwinch-copy";
 /// How an answer ended: `served`, `refused` or `failed`.
-pub const STATUS: &str = "x-mothwinch-status";
+pub(super) const STATUS: &str = "x-mothwinch-status";
 /// Why it failed.
-pub const REASON: &str = "x-mothwinch-reason";
+pub(super) const REASON: &str = "x-mothwinch-reason";
 /// How many milliseconds to stay away before the next try.
-pub const RETRY_AFTER: &str = "x-mothwinch-retry-after-ms";
+pub(super) const RETRY_AFTER: &str = "x-mothwinch-retry-after-ms";
 /// Whether the request may be tried again at all without risk of a second run.
-pub const MAY_RETRY: &str = "x-mothwinch-may-retry";
+pub(super) const MAY_RETRY: &str = "x-mothwinch-may-retry";
 /// The free value.
-pub const HINT: &str = "x-mothwinch-hint";
+pub(super) const HINT: &str = "x-mothwinch-hint";
 
 /// Where a channel stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -311,8 +311,11 @@
             }
         };
         let tag = deliver.delivery_tag;
-        let message_id =
-            properties.message_id().as_ref().map(|id| id.to_string()).filter(|id| !id.is_empty());
+        let message_id = properties
+            .message_id()
+            .as_ref()
+            .map(std::string::ToString::to_string)
+            .filter(|id| !id.is_empty());
         let malformed = match () {
             () if too_long => Some("message too long"),
             () if self.set.once && message_id.is_none() => Some("no message_id on what must not run twice"),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,8 +7,6 @@
 //!
 //! [`node`] is the core that drives it on real time and knows no wire; [`net`] holds the platform's wires and
 //! [`amqp`] the queues', which an [`inventory`] names.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod amqp;
 pub mod inventory;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,4 @@
 //! The billing node: reads its configuration, starts the actors, and leaves when told to.
-#![forbid(unsafe_code)]
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -28,7 +27,7 @@
 use slog::{info, o, warn, Drain, Logger};
 use socket2::Socket;
 
-/// A billing node; with a command, what stands around one. PROXY_CONFIG names the node's configuration.
+/// A billing node; with a command, what stands around one. `PROXY_CONFIG` names the node's configuration.
 #[derive(Parser)]
 #[command(name = "protocol-gateway", version, args_conflicts_with_subcommands = true)]
 struct Cli {
--- a/src/net/door.rs
+++ b/src/net/door.rs
@@ -94,7 +94,7 @@
             }
             acceptable |= events.iter().any(|e| e.token() == LISTENER);
             // Who has something to say is heard before a newcomer may take its place.
-            for Token(number) in events.iter().map(|e| e.token()).filter(|t| *t != LISTENER) {
+            for Token(number) in events.iter().map(mio::event::Event::token).filter(|t| *t != LISTENER) {
                 self.hear(number);
             }
             if acceptable {
--- a/src/net/jsonrpc/events.rs
+++ b/src/net/jsonrpc/events.rs
@@ -135,7 +135,7 @@
         let told = self.poll.poll(&mut polled, wait);
         let now = Instant::now();
         if told.is_ok() {
-            for event in polled.iter() {
+            for event in &polled {
                 match event.token() {
                     LISTENER => self.acceptable = Some(now),
                     MAILBOX => {}
--- a/src/net/jsonrpc/message.rs
+++ b/src/net/jsonrpc/message.rs
@@ -10,16 +10,16 @@
 use crate::{CallerId, ClassId, Effect, Span, Time};
 
 /// A refusal: this try never ran.
-pub const REFUSED: i32 = -32002;
+pub(super) const REFUSED: i32 = -32002;
 /// A failure: it may have run.
-pub const FAILED: i32 = -32000;
+pub(super) const FAILED: i32 = -32000;
 const PARSE: i32 = -32700;
 const INVALID_REQUEST: i32 = -32600;
 const NO_METHOD: i32 = -32601;
 const INVALID_PARAMS: i32 = -32602;
 
 /// What a line asks for.
-pub enum Incoming {
+pub(super) enum Incoming {
     /// A health check.
     Alive(u64),
     /// A request to be served.
@@ -34,7 +34,7 @@
 
 /// The fields of a request.
 #[derive(Deserialize)]
-pub struct Params {
+pub(super) struct Params {
     rid: String,
     t0: f64,
     peer: u64,
@@ -57,7 +57,7 @@
 
 impl Params {
     /// The request for the core, or nothing where a field is out of its range.
-    pub fn arrival(self, class: ClassId, site: &Site, reply: Reply) -> Arrival {
+    pub(super) fn arrival(self, class: ClassId, site: &Site, reply: Reply) -> Arrival {
         let acct = self.acct.filter(|name| !name.is_empty());
         Arrival {
             // Both are checked as the line is read.
@@ -104,7 +104,7 @@
 }
 
 /// Reads a line.
-pub fn read(line: &[u8], site: &Site) -> Incoming {
+pub(super) fn read(line: &[u8], site: &Site) -> Incoming {
     let malformed = |id: Option<u64>, code, text: &str| {
         let error = json!({"code": code, "message": text});
         Incoming::Malformed(json!({"jsonrpc": "2.0", "id": id, "error": error}).to_string() + "\n")
@@ -186,7 +186,7 @@
 }
 
 /// The line of an answer.
-pub fn answer(id: u64, answer: &Answer) -> String {
+pub(super) fn answer(id: u64, answer: &Answer) -> String {
     let hint = answer.hint;
     match &answer.outcome {
         Outcome::Served(body) => {
@@ -213,18 +213,18 @@
 }
 
 /// The line of a health answer.
-pub fn health(id: u64, ready: bool, hint: Option<f64>) -> String {
+pub(super) fn health(id: u64, ready: bool, hint: Option<f64>) -> String {
     write(id, Some(Served { body: None, ready: Some(ready), hint }), None)
 }
 
 /// The refusal of a request for which there is no place on its connection.
-pub fn crowded(id: u64) -> String {
+pub(super) fn crowded(id: u64) -> String {
     let message = "refused: too many requests are open on this connection";
     write(id, None, Some(Fault { code: REFUSED, message, data: Data::default() }))
 }
 
 /// The last line to a peer that breaks the protocol's bounds on a connection. It answers no request.
-pub fn breach(what: &str) -> String {
+pub(super) fn breach(what: &str) -> String {
     let error = json!({"code": INVALID_REQUEST, "message": what});
     json!({"jsonrpc": "2.0", "id": null, "error": error}).to_string() + "\n"
 }
@@ -233,4 +233,4 @@
 const CANCEL: &str = "cancelRequest";
 
 /// The notification after which a connection gets no new request.
-pub const FAREWELL: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n";
+pub(super) const FAREWELL: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n";
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's wires, on std::net with small-stack threads: an actor for each peer.
+//! The platform's wires, on `std::net` with small-stack threads: an actor for each peer.
 
 pub mod database;
 pub mod door;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -16,10 +16,10 @@
 use lifecycle::{Refused, State, Step, PARTS};
 use shared_state::Live;
 
-use policy::{RequestId, Time};
 pub use confinement::Confinement;
 pub use limits::Limits;
 pub use module::Module;
+use policy::{RequestId, Time};
 pub use request::{Answer, Arrival, Body, Failure, Outcome, Reply, Rid};
 
 /// The system's Unix clock, which all due times are told in.
--- a/src/node/module.rs
+++ b/src/node/module.rs
@@ -18,9 +18,11 @@
 use super::{
     unix_now, Board, Call, CallResult, Confinement, Limits, Msg, Peers, RunExit, Seldom, ToExecutor,
 };
-use policy::*;
-use policy::Policy;
 use crate::wire::Site;
+use policy::Policy;
+use policy::{
+    Action, CallEnd, ClassId, Effect, Event, Gauges, Request, RequestId, RunEnd, Settings, Span, Time,
+};
 
 /// The module keeps a tenth of memory and places free.
 const MARGIN: f64 = 1.1;
--- a/src/node/request_table.rs
+++ b/src/node/request_table.rs
@@ -27,7 +27,7 @@
 
 impl Stage {
     /// A word for the log.
-    pub fn word(&self) -> &'static str {
+    pub(super) fn word(&self) -> &'static str {
         match self {
             Stage::Held => "held",
             Stage::Joined => "joined",
@@ -60,7 +60,7 @@
 
 impl Entry {
     /// Whether it was ever sent to run: then it is not refused, as that would say that it never ran.
-    pub fn ran(&self) -> bool {
+    pub(super) fn ran(&self) -> bool {
         !matches!(self.stage, Stage::Held | Stage::Joined)
     }
 }
@@ -73,7 +73,7 @@
 
 impl Digests {
     /// The digest of a value.
-    pub fn of(&self, value: impl Hash) -> u128 {
+    pub(super) fn of(&self, value: impl Hash) -> u128 {
         let one = |s: &RandomState| u128::from(s.hash_one(&value));
         one(&self.0) << 64 | one(&self.1)
     }
@@ -88,13 +88,13 @@
 }
 
 impl RequestTable {
-    pub fn new(keys: Table<Body>) -> RequestTable {
+    pub(super) fn new(keys: Table<Body>) -> RequestTable {
         let digests = Digests(RandomState::new(), RandomState::new());
         RequestTable { entries: HashMap::new(), by_rid: HashMap::new(), next: 1, digests, keys }
     }
 
     /// Enters a request; with the digest of its key and of its body, if it is the first to bring it, and when it arrived.
-    pub fn enter(&mut self, entry: Entry, first: Option<(u128, u128, i64)>) -> RequestId {
+    pub(super) fn enter(&mut self, entry: Entry, first: Option<(u128, u128, i64)>) -> RequestId {
         let id = RequestId(self.next);
         self.next += 1;
         if let Some((key, body, arrived)) = first {
@@ -107,7 +107,7 @@
 
     /// Takes out a request that is over, and tells who waited for what came of one that never ran. The key of one that was
     /// ever sent to run stays in the table.
-    pub fn remove(&mut self, id: RequestId) -> Vec<RequestId> {
+    pub(super) fn remove(&mut self, id: RequestId) -> Vec<RequestId> {
         let Some(entry) = self.entries.remove(&id) else { return Vec::new() };
         self.by_rid.remove(&entry.rid);
         if entry.repeats.is_some() {
@@ -118,23 +118,23 @@
         waiting.into_iter().map(RequestId).collect()
     }
 
-    pub fn find(&self, rid: Rid) -> Option<RequestId> {
+    pub(super) fn find(&self, rid: Rid) -> Option<RequestId> {
         self.by_rid.get(&rid).copied()
     }
-    pub fn get(&mut self, id: RequestId) -> Option<&mut Entry> {
+    pub(super) fn get(&mut self, id: RequestId) -> Option<&mut Entry> {
         self.entries.get_mut(&id)
     }
     /// Requests held, with a run that someone waits for, and with one that nobody does.
-    pub fn counts(&self) -> (usize, usize, usize) {
+    pub(super) fn counts(&self) -> (usize, usize, usize) {
         let held = self.entries.values().filter(|e| !e.ran()).count();
         let ghosts = self.entries.values().filter(|e| e.ran() && e.reply.is_none()).count();
         (held, self.entries.len() - held - ghosts, ghosts)
     }
     /// Kilobytes that the platform books for all of them, where a run takes `run_factor` times what is held.
-    pub fn booked_kb(&self, run_factor: f64) -> f64 {
+    pub(super) fn booked_kb(&self, run_factor: f64) -> f64 {
         self.entries.values().map(|e| e.held_kb * if e.ran() { run_factor } else { 1.0 }).sum()
     }
-    pub fn all(&mut self) -> impl Iterator<Item = &mut Entry> {
+    pub(super) fn all(&mut self) -> impl Iterator<Item = &mut Entry> {
         self.entries.values_mut()
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -6,8 +6,11 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use policy::*;
 use policy::Policy;
+use policy::{
+    Action, Below, CallEnd, CallerId, Class, ClassId, Effect, Event, FreeValue, Gauges, Request, RequestId,
+    RunEnd, Settings, Span, Stopping, Tenant, TenantId, Time,
+};
 
 #[derive(Deserialize)]
 struct BatchIn {
@@ -329,7 +332,8 @@
             Ok(()) => actions.into_iter().map(step).collect(),
             Err(cause) => {
                 let text = cause.downcast_ref::<String>().cloned();
-                let text = text.or_else(|| cause.downcast_ref::<&str>().map(|s| s.to_string()));
+                let text =
+                    text.or_else(|| cause.downcast_ref::<&str>().map(std::string::ToString::to_string));
                 vec![StepOut::InternalError { body_text: text.unwrap_or_else(|| "panic".into()) }]
             }
         })
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use protocol_gateway::*;
 
-pub fn class(effect: Effect) -> Class {
+pub(crate) fn class(effect: Effect) -> Class {
     Class {
         aim: Span::from_ms(2000.0),
         deadline: Span::from_ms(6000.0),
@@ -18,7 +18,7 @@
 }
 
 /// Three classes, one of each effect: 0 repeatable, 1 by key, 2 once. Two tenants.
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         cores: 2,
         round: Span::from_ms(2.0),
@@ -52,7 +52,7 @@
     }
 }
 
-pub fn request(id: u64, class: usize) -> Request {
+pub(crate) fn request(id: u64, class: usize) -> Request {
     Request {
         id: RequestId(id),
         class: ClassId(class),
@@ -70,36 +70,36 @@
 }
 
 /// A policy and its clock in milliseconds.
-pub struct Server {
+pub(crate) struct Server {
     pub policy: Policy,
     pub now: f64,
 }
 
 impl Server {
-    pub fn new(settings: Settings) -> Server {
+    pub(crate) fn new(settings: Settings) -> Server {
         Server { policy: Policy::new(settings, 7).expect("settings are sound"), now: 1000.0 }
     }
-    pub fn at(&mut self, ms: f64, events: &[Event]) -> Vec<Action> {
+    pub(crate) fn at(&mut self, ms: f64, events: &[Event]) -> Vec<Action> {
         self.now = ms;
         let mut out = Vec::new();
         self.policy.handle(Time((ms * 1e3) as i64), events, &mut out);
         out
     }
-    pub fn read(&mut self, ids: std::ops::Range<u64>, class: usize) -> Vec<Action> {
+    pub(crate) fn read(&mut self, ids: std::ops::Range<u64>, class: usize) -> Vec<Action> {
         let events: Vec<Event> = ids.map(|id| Event::Read(request(id, class))).collect();
         self.at(self.now, &events)
     }
 }
 
-pub fn runs(actions: &[Action]) -> Vec<u64> {
+pub(crate) fn runs(actions: &[Action]) -> Vec<u64> {
     actions.iter().filter_map(|a| if let Action::Run(id) = a { Some(id.0) } else { None }).collect()
 }
-pub fn refused(actions: &[Action]) -> Vec<u64> {
+pub(crate) fn refused(actions: &[Action]) -> Vec<u64> {
     actions.iter().filter_map(|a| if let Action::Refuse { id, .. } = a { Some(id.0) } else { None }).collect()
 }
-pub fn failed(actions: &[Action]) -> Vec<u64> {
+pub(crate) fn failed(actions: &[Action]) -> Vec<u64> {
     actions.iter().filter_map(|a| if let Action::Fail(id) = a { Some(id.0) } else { None }).collect()
 }
-pub fn calls(actions: &[Action]) -> Vec<u64> {
+pub(crate) fn calls(actions: &[Action]) -> Vec<u64> {
     actions.iter().filter_map(|a| if let Action::Call(id, _) = a { Some(id.0) } else { None }).collect()
 }
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -65,7 +65,7 @@
     let floods: Vec<_> = (0..100).map(|n| flood(&node, n, 200)).collect();
     let (mut asked, mut worst, mut peak) = (0, 0, node.usage());
     let mut answers: VecDeque<Value> = VecDeque::new();
-    while !floods.iter().all(|flood| flood.is_finished()) || asked < 50 {
+    while !floods.iter().all(std::thread::JoinHandle::is_finished) || asked < 50 {
         let begun = unix_ms();
         // The one it had, and a new one, as front ends open them.
         for front in [&mut front, &mut node.front()] {
--- a/tests/stand_ins/broker.rs
+++ b/tests/stand_ins/broker.rs
@@ -19,12 +19,12 @@
 
 use super::{lock, serve, Scratch};
 
-pub const READS: &str = "reads";
-pub const POSTS: &str = "posts";
+pub(crate) const READS: &str = "reads";
+pub(crate) const POSTS: &str = "posts";
 
 /// A message, in a queue or as a reply.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Message {
+pub(crate) struct Message {
     pub body: String,
     pub properties: AMQPProperties,
     pub redelivered: bool,
@@ -32,7 +32,7 @@
 
 impl Message {
     /// A request with an id of its own that wants its answer at `answers`.
-    pub fn new(body: &str) -> Message {
+    pub(crate) fn new(body: &str) -> Message {
         let short = |text: String| ShortString::try_new(text).expect("short");
         let properties = AMQPProperties::default()
             .with_message_id(short(format!("key of {body}")))
@@ -41,33 +41,33 @@
         Message { body: body.into(), properties, redelivered: false }
     }
     /// The same without a place to send the answer to.
-    pub fn without_reply(body: &str) -> Message {
+    pub(crate) fn without_reply(body: &str) -> Message {
         let id = Message::new(body).properties.message_id().clone().expect("an id");
         let properties = AMQPProperties::default().with_message_id(id);
         Message { body: body.into(), properties, redelivered: false }
     }
-    pub fn redelivered(mut self) -> Message {
+    pub(crate) fn redelivered(mut self) -> Message {
         self.redelivered = true;
         self
     }
-    pub fn header(&self, name: &str) -> Option<&AMQPValue> {
+    pub(crate) fn header(&self, name: &str) -> Option<&AMQPValue> {
         self.properties.headers().as_ref()?.inner().get(name)
     }
     /// A header that holds a text.
-    pub fn text(&self, name: &str) -> String {
+    pub(crate) fn text(&self, name: &str) -> String {
         match self.header(name) {
             Some(AMQPValue::LongString(text)) => text.to_string(),
             _ => String::new(),
         }
     }
-    pub fn correlation(&self) -> String {
-        self.properties.correlation_id().as_ref().map(|id| id.to_string()).unwrap_or_default()
+    pub(crate) fn correlation(&self) -> String {
+        self.properties.correlation_id().as_ref().map(std::string::ToString::to_string).unwrap_or_default()
     }
 }
 
 /// What the broker has seen. Tests read it under the lock.
 #[derive(Default)]
-pub struct Seen {
+pub(crate) struct Seen {
     pub ready: HashMap<String, VecDeque<Message>>,
     pub replies: Vec<Message>,
     pub dead: Vec<Message>,
@@ -92,20 +92,20 @@
 }
 
 #[derive(Clone)]
-pub struct Broker {
+pub(crate) struct Broker {
     pub address: SocketAddr,
     seen: Arc<Mutex<Seen>>,
 }
 
 impl Broker {
-    pub fn start() -> Broker {
+    pub(crate) fn start() -> Broker {
         let seen = Arc::new(Mutex::new(Seen::default()));
         let shared = seen.clone();
         let address = serve(move |stream| Link::new(stream, shared.clone()).run());
         Broker { address, seen }
     }
     /// An inventory with a queue of reads and one of posts at this broker.
-    pub fn inventory(&self, prefetch: u16) -> Scratch {
+    pub(crate) fn inventory(&self, prefetch: u16) -> Scratch {
         let text = format!(
             "all:\n  vars: {{host: 127.0.0.1, port: {}, vhost: billing, username: guest, prefetch: {prefetch},\n         \
              password_env: TEST_AMQP_PASSWORD, tenant: alpenergia}}\n  hosts:\n    \
@@ -114,14 +114,14 @@
         );
         Scratch::new("inventory.yaml", &text)
     }
-    pub fn publish(&self, queue: &str, message: Message) {
+    pub(crate) fn publish(&self, queue: &str, message: Message) {
         self.with(|seen| seen.ready.entry(queue.into()).or_default().push_back(message));
     }
-    pub fn with<T>(&self, look: impl FnOnce(&mut Seen) -> T) -> T {
+    pub(crate) fn with<T>(&self, look: impl FnOnce(&mut Seen) -> T) -> T {
         look(&mut lock(&self.seen))
     }
     /// Breaks all links.
-    pub fn break_links(&self) {
+    pub(crate) fn break_links(&self) {
         self.with(|seen| {
             for link in seen.links.drain(..) {
                 let _ = link.shutdown(Shutdown::Both);
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -1,6 +1,6 @@
 //! The stand-ins of `crates/stand-ins`, and a broker, which needs this crate's own codec.
 #![allow(dead_code, unused_imports)]
 
-pub mod broker;
+pub(crate) mod broker;
 
-pub use test_doubles::*;
+pub(crate) use test_doubles::*;
