--- a/crates/cells-cli/src/lib.rs
+++ b/crates/cells-cli/src/lib.rs
@@ -74,25 +74,37 @@
 
 /// The layout that a file asks for.
 fn read(path: &Path) -> Result<Layout, CellsError> {
-    let text = std::fs::read_to_string(path).map_err(|e| CellsError::Unreadable(path.to_path_buf(), e))?;
+    let text =
+        std::fs::read_to_string(path).map_err(|e| CellsError::Unreadable(path.to_path_buf(), e))?;
     Layout::parse(&path.display().to_string(), &text).map_err(CellsError::File)
 }
 
 fn next(map: &CellMap, path: &Path) -> Result<(CellMap, Vec<Migration>), CellsError> {
-    map.next(&read(path)?).map_err(|e| CellsError::Layout(path.to_path_buf(), e))
+    map.next(&read(path)?)
+        .map_err(|e| CellsError::Layout(path.to_path_buf(), e))
 }
 
 /// Runs a command; what it tells.
 pub fn run(command: &Cells) -> Result<String, CellsError> {
     match command {
         Cells::Check(file) => read(&file.path).map(|_| String::new()),
-        Cells::Show { file, tenant: None, .. } => Ok(show(&next(&CellMap::default(), &file.path)?.0)),
-        Cells::Show { file, tenant: Some(tenant), subject } => {
+        Cells::Show {
+            file, tenant: None, ..
+        } => Ok(show(&next(&CellMap::default(), &file.path)?.0)),
+        Cells::Show {
+            file,
+            tenant: Some(tenant),
+            subject,
+        } => {
             let map = next(&CellMap::default(), &file.path)?.0;
             let none = || CellsError::NoSuchTenant(tenant.clone());
             let cell = map.cell_of(tenant, subject.as_deref()).ok_or_else(none)?;
             let nodes: Vec<&str> = map.shard(cell, tenant).iter().map(|n| &*n.name).collect();
-            Ok(format!("{tenant}: cell {}, nodes {}\n", cell.name, nodes.join(" ")))
+            Ok(format!(
+                "{tenant}: cell {}, nodes {}\n",
+                cell.name,
+                nodes.join(" ")
+            ))
         }
         Cells::Plan { now, changed, all } => {
             let before = next(&CellMap::default(), now)?.0;
@@ -105,12 +117,19 @@
 fn show(map: &CellMap) -> String {
     let mut tenants: BTreeMap<&str, usize> = BTreeMap::new();
     for (_, home) in map.tenants() {
-        home.place.cells().iter().for_each(|cell| *tenants.entry(cell).or_default() += 1);
+        home.place
+            .cells()
+            .iter()
+            .for_each(|cell| *tenants.entry(cell).or_default() += 1);
     }
     let mut text = String::new();
     for cell in map.cells() {
         let count = tenants.get(&*cell.name).copied().unwrap_or(0);
-        let neighbours = if cell.neighbours.is_empty() { "none".into() } else { cell.neighbours.join(" ") };
+        let neighbours = if cell.neighbours.is_empty() {
+            "none".into()
+        } else {
+            cell.neighbours.join(" ")
+        };
         // Writing to a string can't fail.
         let _ = writeln!(
             text,
@@ -119,8 +138,15 @@
             cell.weight()
         );
         for node in &cell.nodes {
-            let at = node.address.map(|at| format!(" at {at}")).unwrap_or_default();
-            let _ = writeln!(text, "  {}: site {}, weight {}{at}", node.name, node.site, node.weight);
+            let at = node
+                .address
+                .map(|at| format!(" at {at}"))
+                .unwrap_or_default();
+            let _ = writeln!(
+                text,
+                "  {}: site {}, weight {}{at}",
+                node.name, node.site, node.weight
+            );
         }
     }
     text
@@ -136,13 +162,21 @@
                     let _ = writeln!(text, "node {} joins cell {}", node.name, cell.name);
                 }
                 Some(old) if *old != cell.name => {
-                    let _ = writeln!(text, "node {} goes from cell {old} to cell {}", node.name, cell.name);
+                    let _ = writeln!(
+                        text,
+                        "node {} goes from cell {old} to cell {}",
+                        node.name, cell.name
+                    );
                 }
                 Some(_) => {}
             }
         }
     }
-    for node in before.cells().flat_map(|c| &c.nodes).filter(|n| after.node(&n.name).is_none()) {
+    for node in before
+        .cells()
+        .flat_map(|c| &c.nodes)
+        .filter(|n| after.node(&n.name).is_none())
+    {
         let _ = writeln!(text, "node {} leaves cell {}", node.name, node.cell);
     }
     let mut ways: BTreeMap<(String, String), usize> = BTreeMap::new();
--- a/crates/cells-model/src/lib.rs
+++ b/crates/cells-model/src/lib.rs
@@ -150,7 +150,12 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<State> {
-        let Ok(work) = Move::new(7, EPOCH + 1, BTreeSet::from([SOURCE]), BTreeSet::from([TARGET])) else {
+        let Ok(work) = Move::new(
+            7,
+            EPOCH + 1,
+            BTreeSet::from([SOURCE]),
+            BTreeSet::from([TARGET]),
+        ) else {
             return Vec::new();
         };
         let client = Client {
@@ -175,8 +180,18 @@
     }
 
     fn actions(&self, state: &State, acts: &mut Vec<Act>) {
-        acts.extend(state.orders.iter().map(|(node, order)| Act::Order(*node, order.clone())));
-        acts.extend(state.reports.iter().map(|(node, report)| Act::Report(*node, report.clone())));
+        acts.extend(
+            state
+                .orders
+                .iter()
+                .map(|(node, order)| Act::Order(*node, order.clone())),
+        );
+        acts.extend(
+            state
+                .reports
+                .iter()
+                .map(|(node, report)| Act::Report(*node, report.clone())),
+        );
         if !state.work.over() {
             acts.push(Act::GiveUp);
         }
@@ -201,7 +216,11 @@
             match client.at {
                 At::Idle if client.tries < self.tries => {
                     // Any router: one that has heard of the commit, one that has not.
-                    let newest = if state.work.step >= Step::Commit { state.work.epoch } else { EPOCH };
+                    let newest = if state.work.step >= Step::Commit {
+                        state.work.epoch
+                    } else {
+                        EPOCH
+                    };
                     for epoch in EPOCH..=newest {
                         acts.extend([SOURCE, TARGET].map(|node| Act::Try(n, node, epoch)));
                     }
@@ -268,7 +287,9 @@
             }
             Act::Arrives(n) => {
                 let client = &mut state.clients[n];
-                let At::Sent(node, epoch) = client.at else { return None };
+                let At::Sent(node, epoch) = client.at else {
+                    return None;
+                };
                 let Some(fence) = state.fences[node as usize].as_mut() else {
                     client.at = At::Idle;
                     return Some(state);
@@ -293,7 +314,10 @@
             Act::Refused(n, node, life) => {
                 let client = &mut state.clients[n];
                 client.pending.remove(&(node, life));
-                if let Some(fence) = state.fences[node as usize].as_mut().filter(|f| f.life == life) {
+                if let Some(fence) = state.fences[node as usize]
+                    .as_mut()
+                    .filter(|f| f.life == life)
+                {
                     fence.never_ran(n as Key);
                 }
                 if client.at == At::InHand(node, life) {
@@ -308,7 +332,10 @@
             }
             Act::Answers(n, node, life) => {
                 let client = &mut state.clients[n];
-                if let Some(fence) = state.fences[node as usize].as_mut().filter(|f| f.life == life) {
+                if let Some(fence) = state.fences[node as usize]
+                    .as_mut()
+                    .filter(|f| f.life == life)
+                {
                     fence.ran(n as Key);
                 }
                 client.acked = true;
@@ -326,16 +353,20 @@
             Property::always("what was acknowledged was made", |_, s: &State| {
                 s.clients.iter().all(|c| !c.acked || c.runs == 1)
             }),
-            Property::always("one side serves", |_, s: &State| !(s.serves(SOURCE) && s.serves(TARGET))),
+            Property::always("one side serves", |_, s: &State| {
+                !(s.serves(SOURCE) && s.serves(TARGET))
+            }),
             Property::sometimes("a move is done", |_, s: &State| s.work.step == Step::Done),
-            Property::sometimes("a move is given up", |_, s: &State| s.work.step == Step::Aborted),
+            Property::sometimes("a move is given up", |_, s: &State| {
+                s.work.step == Step::Aborted
+            }),
             Property::sometimes("a retry hears that it may have run", |_, s: &State| {
                 s.clients.iter().any(|c| c.doubted)
             }),
             Property::sometimes("the target makes a settlement", |_, s: &State| {
-                s.clients
-                    .iter()
-                    .any(|c| c.acked && matches!(s.fences[1].as_ref(), Some(f) if f.keys.contains_key(&0)))
+                s.clients.iter().any(|c| {
+                    c.acked && matches!(s.fences[1].as_ref(), Some(f) if f.keys.contains_key(&0))
+                })
             }),
         ]
     }
@@ -364,12 +395,17 @@
         at += 1;
     }
     let mut ends = vec![false; states.len()];
-    let mut todo: Vec<usize> = (0..states.len()).filter(|n| states[*n].work.over()).collect();
+    let mut todo: Vec<usize> = (0..states.len())
+        .filter(|n| states[*n].work.over())
+        .collect();
     while let Some(n) = todo.pop() {
         if !std::mem::replace(&mut ends[n], true) {
             todo.extend(before[n].iter().copied().filter(|n| !ends[*n]));
         }
     }
-    let stuck = ends.iter().position(|ends| !ends).map(|n| states[n].clone());
+    let stuck = ends
+        .iter()
+        .position(|ends| !ends)
+        .map(|n| states[n].clone());
     (states.len(), stuck)
 }
--- a/crates/cells/benches/lookup.rs
+++ b/crates/cells/benches/lookup.rs
@@ -10,23 +10,39 @@
 fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    line.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0)
+    line.and_then(|line| line.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0)
 }
 
 fn layout(tenants: usize) -> Layout {
-    let mut layout = Layout { slack: 0.25, shard: 2, strangers: true, ..Layout::default() };
+    let mut layout = Layout {
+        slack: 0.25,
+        shard: 2,
+        strangers: true,
+        ..Layout::default()
+    };
     for n in 0..16 {
-        layout.cells.insert(format!("cell-{n:02}").into(), CellSpec::default());
+        layout
+            .cells
+            .insert(format!("cell-{n:02}").into(), CellSpec::default());
     }
     for n in 0..64 {
-        let spec =
-            NodeSpec { site: format!("site-{}", n % 3).into(), weight: 1.0, address: None, cell: None };
+        let spec = NodeSpec {
+            site: format!("site-{}", n % 3).into(),
+            weight: 1.0,
+            address: None,
+            cell: None,
+        };
         layout.nodes.insert(format!("n{n:02}").into(), spec);
     }
     for n in 0..tenants {
-        layout
-            .tenants
-            .insert(format!("tenant-{n:07}").into(), TenantSpec { share: 1.0, placement: Placement::Free });
+        layout.tenants.insert(
+            format!("tenant-{n:07}").into(),
+            TenantSpec {
+                share: 1.0,
+                placement: Placement::Free,
+            },
+        );
     }
     layout
 }
@@ -36,9 +52,16 @@
     for tenants in [1_000, 10_000, 100_000, 1_000_000] {
         let layout = layout(tenants);
         let before = resident_kb();
-        let Ok((map, _)) = CellMap::default().next(&layout) else { continue };
-        println!("{tenants} tenants: {} kB", resident_kb().saturating_sub(before));
-        let names: Vec<String> = (0..1024).map(|n| format!("tenant-{:07}", n * 7919 % tenants)).collect();
+        let Ok((map, _)) = CellMap::default().next(&layout) else {
+            continue;
+        };
+        println!(
+            "{tenants} tenants: {} kB",
+            resident_kb().saturating_sub(before)
+        );
+        let names: Vec<String> = (0..1024)
+            .map(|n| format!("tenant-{:07}", n * 7919 % tenants))
+            .collect();
         let mut n = 0;
         let mut next = || {
             n = (n + 1) % names.len();
@@ -54,13 +77,19 @@
         group.bench_function(BenchmarkId::new("cell and shard", tenants), |b| {
             b.iter_batched(
                 &mut next,
-                |name| map.cell_of(black_box(&name), None).map(|c| map.shard(c, &name).len()),
+                |name| {
+                    map.cell_of(black_box(&name), None)
+                        .map(|c| map.shard(c, &name).len())
+                },
                 criterion::BatchSize::SmallInput,
             );
         });
         if tenants == 1_000 {
             group.bench_function("stranger", |b| {
-                b.iter(|| map.cell_of(black_box("somebody-else"), None).map(|c| c.nodes.len()));
+                b.iter(|| {
+                    map.cell_of(black_box("somebody-else"), None)
+                        .map(|c| c.nodes.len())
+                });
             });
         }
     }
--- a/crates/cells/src/file.rs
+++ b/crates/cells/src/file.rs
@@ -48,7 +48,13 @@
 impl NodeSpec {
     pub(crate) fn node(&self, name: &Name, cell: &Name) -> Node {
         let (site, cell) = (self.site.clone(), cell.clone());
-        Node { name: name.clone(), site, weight: self.weight, address: self.address, cell }
+        Node {
+            name: name.clone(),
+            site,
+            weight: self.weight,
+            address: self.address,
+            cell,
+        }
     }
 }
 
@@ -175,7 +181,10 @@
             });
         }
         if read.version != 1 {
-            return Err(error(&["version"], format!("{} is not known here: 1 is", read.version)));
+            return Err(error(
+                &["version"],
+                format!("{} is not known here: 1 is", read.version),
+            ));
         }
         if !(0.0..=10.0).contains(&read.slack) {
             return Err(error(&["slack"], "is not from 0 to 10".into()));
@@ -201,7 +210,10 @@
         let mut addresses = BTreeMap::new();
         for (name, node) in &read.nodes {
             if !(node.weight > 0.0 && node.weight <= 1000.0) {
-                return Err(error(&["nodes", name, "weight"], "is not above 0 and at most 1000".into()));
+                return Err(error(
+                    &["nodes", name, "weight"],
+                    "is not above 0 and at most 1000".into(),
+                ));
             }
             if node.site.is_empty() {
                 return Err(error(&["nodes", name, "site"], "is empty".into()));
@@ -210,7 +222,10 @@
                 name_of_cell(&["nodes", name, "cell"], cell)?;
             }
             if let Some(other) = node.address.and_then(|at| addresses.insert(at, name)) {
-                return Err(error(&["nodes", name, "address"], format!("is that of {other} too")));
+                return Err(error(
+                    &["nodes", name, "address"],
+                    format!("is that of {other} too"),
+                ));
             }
         }
         let mut tenants = BTreeMap::new();
@@ -239,17 +254,38 @@
                 (None, Some(shards)) => Placement::Split(shards),
                 (None, None) => Placement::Free,
             };
-            tenants.insert(name.clone(), TenantSpec { share: tenant.share, placement });
+            tenants.insert(
+                name.clone(),
+                TenantSpec {
+                    share: tenant.share,
+                    placement,
+                },
+            );
         }
-        let cells = read.cells.into_iter().map(|(name, c)| (name, CellSpec { neighbours: c.neighbours }));
-        let spec =
-            |n: FileNode| NodeSpec { site: n.site, weight: n.weight, address: n.address, cell: n.cell };
+        let cells = read.cells.into_iter().map(|(name, c)| {
+            (
+                name,
+                CellSpec {
+                    neighbours: c.neighbours,
+                },
+            )
+        });
+        let spec = |n: FileNode| NodeSpec {
+            site: n.site,
+            weight: n.weight,
+            address: n.address,
+            cell: n.cell,
+        };
         let layout = Layout {
             shard: read.shard,
             slack: read.slack,
             strangers: read.strangers,
             cells: cells.collect(),
-            nodes: read.nodes.into_iter().map(|(name, node)| (name, spec(node))).collect(),
+            nodes: read
+                .nodes
+                .into_iter()
+                .map(|(name, node)| (name, spec(node)))
+                .collect(),
             tenants,
         };
         // What only shows when all is put together.
@@ -286,7 +322,10 @@
 
 impl Lines {
     fn of(text: &str) -> Lines {
-        let mut lines = Lines { fields: BTreeMap::new(), twice: None };
+        let mut lines = Lines {
+            fields: BTreeMap::new(),
+            twice: None,
+        };
         // The names of the objects that are open, and the name that was read last; a list has no names.
         let mut path: Vec<Option<String>> = Vec::new();
         let mut name = String::new();
@@ -296,7 +335,9 @@
         while let Some(c) = chars.next() {
             match c {
                 '\n' => line += 1,
-                '/' if chars.peek() == Some(&'/') => while chars.next_if(|c| *c != '\n').is_some() {},
+                '/' if chars.peek() == Some(&'/') => {
+                    while chars.next_if(|c| *c != '\n').is_some() {}
+                }
                 '/' if chars.peek() == Some(&'*') => {
                     let mut before = ' ';
                     chars.next();
@@ -326,12 +367,16 @@
                 }
                 ':' => {
                     let field = Lines::join(&path, &name);
-                    if lines.fields.insert(field.clone(), named_on).is_some() && lines.twice.is_none() {
+                    if lines.fields.insert(field.clone(), named_on).is_some()
+                        && lines.twice.is_none()
+                    {
                         lines.twice = Some((field, named_on));
                     }
                 }
                 '{' | '[' => {
-                    path.push(Some(std::mem::take(&mut name)).filter(|_| c == '{' || !path.is_empty()));
+                    path.push(
+                        Some(std::mem::take(&mut name)).filter(|_| c == '{' || !path.is_empty()),
+                    );
                 }
                 '}' | ']' => {
                     path.pop();
@@ -343,7 +388,9 @@
                     name.clear();
                     named_on = line;
                     name.push(c);
-                    while let Some(c) = chars.next_if(|c| !c.is_whitespace() && !",:{}[]/\"'".contains(*c)) {
+                    while let Some(c) =
+                        chars.next_if(|c| !c.is_whitespace() && !",:{}[]/\"'".contains(*c))
+                    {
                         name.push(c);
                     }
                 }
@@ -352,16 +399,25 @@
         lines
     }
     fn join(path: &[Option<String>], name: &str) -> String {
-        let outer = path.iter().flatten().map(String::as_str).filter(|name| !name.is_empty());
+        let outer = path
+            .iter()
+            .flatten()
+            .map(String::as_str)
+            .filter(|name| !name.is_empty());
         outer.chain([name]).collect::<Vec<_>>().join(".")
     }
     /// The line of a field, or of the nearest that holds it.
     fn at(&self, field: &[&str]) -> Option<usize> {
-        (1..=field.len()).rev().find_map(|n| self.fields.get(&field[..n].join("."))).copied()
+        (1..=field.len())
+            .rev()
+            .find_map(|n| self.fields.get(&field[..n].join(".")))
+            .copied()
     }
     /// The last field that begins on this line or before it.
     fn field(&self, line: usize) -> String {
         let before = self.fields.iter().filter(|(_, on)| **on <= line);
-        before.max_by_key(|(field, on)| (**on, field.len())).map_or(String::new(), |(field, _)| field.clone())
+        before
+            .max_by_key(|(field, on)| (**on, field.len()))
+            .map_or(String::new(), |(field, _)| field.clone())
     }
 }
--- a/crates/cells/src/map.rs
+++ b/crates/cells/src/map.rs
@@ -54,7 +54,11 @@
     }
     /// How many sites its nodes stand at.
     pub fn sites(&self) -> usize {
-        self.nodes.iter().map(|n| &n.site).collect::<BTreeSet<_>>().len()
+        self.nodes
+            .iter()
+            .map(|n| &n.site)
+            .collect::<BTreeSet<_>>()
+            .len()
     }
 }
 
@@ -129,7 +133,9 @@
         match self {
             LayoutError::NoCells => f.write_str("there are no cells"),
             LayoutError::NoNodes(cell) => write!(f, "cell {cell} has no nodes"),
-            LayoutError::OneSite(cell, site) => write!(f, "all nodes of cell {cell} stand at {site}"),
+            LayoutError::OneSite(cell, site) => {
+                write!(f, "all nodes of cell {cell} stand at {site}")
+            }
             LayoutError::NoSuchCell(who, cell) => {
                 write!(f, "{who} names the cell {cell}, which is not there")
             }
@@ -138,7 +144,10 @@
             }
             LayoutError::NoRoom(tenant) => write!(f, "{tenant} fits in no cell beside the others"),
             LayoutError::Inhabited(cell, tenant) => {
-                write!(f, "cell {cell} is to go, but {tenant} lives in it: move it first")
+                write!(
+                    f,
+                    "cell {cell} is to go, but {tenant} lives in it: move it first"
+                )
             }
         }
     }
@@ -153,7 +162,10 @@
 /// How far from being chosen a candidate of this weight is for this key: the least is first. Weighted rendezvous: an
 /// exponential variate of rate `weight`, so that each is first for its share of the keys, whoever else stands.
 fn distance(key: u64, candidate: &str, weight: f64, seed: u64) -> f64 {
-    let hash = xxh3_64_with_seed(candidate.as_bytes(), key ^ seed.wrapping_mul(0x9E37_79B9_7F4A_7C15));
+    let hash = xxh3_64_with_seed(
+        candidate.as_bytes(),
+        key ^ seed.wrapping_mul(0x9E37_79B9_7F4A_7C15),
+    );
     // The upper 53 bits, never 0: a number above 0 and at most 1.
     let unit = ((hash >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
     -unit.ln() / weight.max(f64::MIN_POSITIVE)
@@ -203,7 +215,10 @@
     }
     /// A node, with the cell it lives in.
     pub fn node(&self, name: &str) -> Option<&Node> {
-        self.cells.values().flat_map(|c| &c.nodes).find(|n| &*n.name == name)
+        self.cells
+            .values()
+            .flat_map(|c| &c.nodes)
+            .find(|n| &*n.name == name)
     }
     /// Where a declared tenant lives.
     pub fn home(&self, tenant: &str) -> Option<&Home> {
@@ -220,7 +235,9 @@
         match self.homes.get(tenant).map(|home| &home.place) {
             Some(Place::One(cell)) => self.cells.get(cell),
             Some(Place::Split(cells)) => {
-                let Some(subject) = subject else { return self.cells.get(cells.first()?) };
+                let Some(subject) = subject else {
+                    return self.cells.get(cells.first()?);
+                };
                 let key = key_of(subject, OF_SUBJECT);
                 // All alike: the weights of their nodes change more often than subjects should move.
                 cells
@@ -230,7 +247,9 @@
             }
             None if self.strangers => {
                 let key = key_of(tenant, OF_CELL);
-                self.cells.values().min_by(|a, b| nearer(key, OF_CELL, (&a.name, 1.0), (&b.name, 1.0)))
+                self.cells
+                    .values()
+                    .min_by(|a, b| nearer(key, OF_CELL, (&a.name, 1.0), (&b.name, 1.0)))
             }
             None => None,
         }
@@ -242,7 +261,11 @@
         let key = key_of(tenant, OF_NODE);
         let mut nodes: Vec<&Node> = cell.nodes.iter().collect();
         nodes.sort_by(|a, b| nearer(key, OF_NODE, (&a.name, a.weight), (&b.name, b.weight)));
-        let most = if self.shard == 0 { nodes.len() } else { self.shard.min(nodes.len()) };
+        let most = if self.shard == 0 {
+            nodes.len()
+        } else {
+            self.shard.min(nodes.len())
+        };
         if most > 1 && nodes[..most].iter().all(|n| n.site == nodes[0].site) {
             if let Some(other) = nodes.iter().position(|n| n.site != nodes[0].site) {
                 nodes.swap(most - 1, other);
@@ -261,7 +284,11 @@
             return Err(LayoutError::NoCells);
         }
         let cells = self.place_nodes(layout)?;
-        let mut next = CellMap { shard: layout.shard, strangers: layout.strangers, ..self.clone() };
+        let mut next = CellMap {
+            shard: layout.shard,
+            strangers: layout.strangers,
+            ..self.clone()
+        };
         for gone in self.cells.keys().filter(|name| !cells.contains_key(*name)) {
             next.cells.remove_mut(gone);
         }
@@ -271,21 +298,40 @@
             }
         }
         let mut migrations = Vec::new();
-        for gone in self.homes.keys().filter(|name| !layout.tenants.contains_key(*name)) {
+        for gone in self
+            .homes
+            .keys()
+            .filter(|name| !layout.tenants.contains_key(*name))
+        {
             next.homes.remove_mut(gone);
         }
         for (tenant, to) in next.wanted(layout)? {
             match self.homes.get(&tenant) {
                 None => {
-                    next.homes.insert_mut(tenant, Home { place: to, since: self.epoch + 1, by_hand: false });
+                    next.homes.insert_mut(
+                        tenant,
+                        Home {
+                            place: to,
+                            since: self.epoch + 1,
+                            by_hand: false,
+                        },
+                    );
                 }
                 Some(home) => {
-                    if let Some(gone) = home.place.cells().iter().find(|cell| !next.cells.contains_key(*cell))
+                    if let Some(gone) = home
+                        .place
+                        .cells()
+                        .iter()
+                        .find(|cell| !next.cells.contains_key(*cell))
                     {
                         return Err(LayoutError::Inhabited(gone.clone(), tenant));
                     }
                     if home.place != to {
-                        migrations.push(Migration { tenant, from: home.place.clone(), to });
+                        migrations.push(Migration {
+                            tenant,
+                            from: home.place.clone(),
+                            to,
+                        });
                     }
                 }
             }
@@ -306,28 +352,52 @@
         since: Option<u64>,
         by_hand: bool,
     ) -> Result<CellMap, LayoutError> {
-        if let Some(gone) = to.cells().iter().find(|cell| !self.cells.contains_key(*cell)) {
+        if let Some(gone) = to
+            .cells()
+            .iter()
+            .find(|cell| !self.cells.contains_key(*cell))
+        {
             return Err(LayoutError::NoSuchCell(tenant.into(), gone.clone()));
         }
         let epoch = since.unwrap_or(0).max(self.epoch + 1);
-        let home = Home { place: to, since: since.unwrap_or(epoch), by_hand };
-        Ok(CellMap { epoch, homes: self.homes.insert(tenant.into(), home), ..self.clone() })
+        let home = Home {
+            place: to,
+            since: since.unwrap_or(epoch),
+            by_hand,
+        };
+        Ok(CellMap {
+            epoch,
+            homes: self.homes.insert(tenant.into(), home),
+            ..self.clone()
+        })
     }
 
     fn place_nodes(&self, layout: &Layout) -> Result<BTreeMap<Name, Cell>, LayoutError> {
         let empty = |(name, cell): (&Name, &crate::file::CellSpec)| {
-            let cell = Cell { name: name.clone(), nodes: Vec::new(), neighbours: cell.neighbours.clone() };
+            let cell = Cell {
+                name: name.clone(),
+                nodes: Vec::new(),
+                neighbours: cell.neighbours.clone(),
+            };
             (name.clone(), cell)
         };
         let mut cells: BTreeMap<Name, Cell> = layout.cells.iter().map(empty).collect();
         for cell in cells.values() {
-            if let Some(gone) = cell.neighbours.iter().find(|n| !layout.cells.contains_key(*n)) {
+            if let Some(gone) = cell
+                .neighbours
+                .iter()
+                .find(|n| !layout.cells.contains_key(*n))
+            {
                 return Err(LayoutError::NoSuchCell(cell.name.clone(), gone.clone()));
             }
         }
         let mut free: BTreeMap<&Name, Vec<(&Name, &crate::file::NodeSpec)>> = BTreeMap::new();
         for (name, spec) in &layout.nodes {
-            let lived = || self.node(name).map(|n| n.cell.clone()).filter(|c| layout.cells.contains_key(c));
+            let lived = || {
+                self.node(name)
+                    .map(|n| n.cell.clone())
+                    .filter(|c| layout.cells.contains_key(c))
+            };
             match spec.cell.clone().or_else(lived) {
                 Some(cell) => {
                     let Some(to) = cells.get_mut(&cell) else {
@@ -340,9 +410,16 @@
         }
         // The sites in turn, so that what is placed one after the other spreads.
         let most = free.values().map(Vec::len).max().unwrap_or(0);
-        for (name, spec) in (0..most).flat_map(|n| free.values().filter_map(move |site| site.get(n))) {
+        for (name, spec) in
+            (0..most).flat_map(|n| free.values().filter_map(move |site| site.get(n)))
+        {
             // The lightest cell for its part, of those the one with the fewest of this site.
-            let rank = |c: &Cell| (c.weight(), c.nodes.iter().filter(|n| n.site == spec.site).count());
+            let rank = |c: &Cell| {
+                (
+                    c.weight(),
+                    c.nodes.iter().filter(|n| n.site == spec.site).count(),
+                )
+            };
             let to = cells.values_mut().min_by(|a, b| {
                 let (a, b) = (rank(a), rank(b));
                 a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))
@@ -355,7 +432,9 @@
         let sites: BTreeSet<&Name> = layout.nodes.values().map(|n| &n.site).collect();
         for cell in cells.values_mut() {
             cell.nodes.sort_by(|a, b| a.name.cmp(&b.name));
-            let Some(first) = cell.nodes.first() else { return Err(LayoutError::NoNodes(cell.name.clone())) };
+            let Some(first) = cell.nodes.first() else {
+                return Err(LayoutError::NoNodes(cell.name.clone()));
+            };
             if sites.len() > 1 && cell.nodes.len() > 1 && cell.sites() == 1 {
                 return Err(LayoutError::OneSite(cell.name.clone(), first.site.clone()));
             }
@@ -367,13 +446,26 @@
     /// first: each goes to the nearest cell that has room for its share. A cell has room for its part by weight and
     /// `slack` more.
     fn wanted(&self, layout: &Layout) -> Result<Vec<(Name, Place)>, LayoutError> {
-        let weights: Vec<(&Name, f64)> = self.cells.values().map(|c| (&c.name, c.weight())).collect();
+        let weights: Vec<(&Name, f64)> =
+            self.cells.values().map(|c| (&c.name, c.weight())).collect();
         let all: f64 = weights.iter().map(|(_, weight)| weight).sum();
-        let declared: f64 = layout.tenants.values().map(|t| t.share).sum::<f64>().max(f64::MIN_POSITIVE);
-        let mut room: Vec<f64> =
-            weights.iter().map(|(_, weight)| weight / all * (1.0 + layout.slack)).collect();
+        let declared: f64 = layout
+            .tenants
+            .values()
+            .map(|t| t.share)
+            .sum::<f64>()
+            .max(f64::MIN_POSITIVE);
+        let mut room: Vec<f64> = weights
+            .iter()
+            .map(|(_, weight)| weight / all * (1.0 + layout.slack))
+            .collect();
         let index = |cell: &Name| weights.iter().position(|(name, _)| *name == cell);
-        let stays = |name: &Name| self.homes.get(name).filter(|home| home.by_hand).map(|home| &home.place);
+        let stays = |name: &Name| {
+            self.homes
+                .get(name)
+                .filter(|home| home.by_hand)
+                .map(|home| &home.place)
+        };
         let fixed = |name: &Name, p: &Placement| *p != Placement::Free || stays(name).is_some();
         let mut tenants: Vec<_> = layout.tenants.iter().collect();
         tenants.sort_by(|(a, s), (b, t)| {
@@ -397,11 +489,18 @@
                 (Placement::Cell(cell), _) => Place::One(cell.clone()),
                 (_, Some(place)) => place.clone(),
                 (Placement::Split(shards), None) if *shards > near.len() => {
-                    return Err(LayoutError::TooManyShards(name.clone(), *shards, near.len()));
-                }
-                (Placement::Split(shards), None) => {
-                    Place::Split(near.iter().take(*shards).map(|(_, i)| weights[*i].0.clone()).collect())
+                    return Err(LayoutError::TooManyShards(
+                        name.clone(),
+                        *shards,
+                        near.len(),
+                    ));
                 }
+                (Placement::Split(shards), None) => Place::Split(
+                    near.iter()
+                        .take(*shards)
+                        .map(|(_, i)| weights[*i].0.clone())
+                        .collect(),
+                ),
                 (Placement::Free, None) => {
                     let Some((_, i)) = near.iter().find(|(_, i)| room[*i] + 1e-9 >= share) else {
                         return Err(LayoutError::NoRoom(name.clone()));
@@ -440,7 +539,13 @@
     /// Puts a newer map in force; false where it is not newer, and nothing changes.
     pub fn publish(&self, map: CellMap) -> bool {
         let map = Arc::new(map);
-        let before = self.0.rcu(|old| if map.epoch > old.epoch { map.clone() } else { old.clone() });
+        let before = self.0.rcu(|old| {
+            if map.epoch > old.epoch {
+                map.clone()
+            } else {
+                old.clone()
+            }
+        });
         map.epoch > before.epoch
     }
 }
--- a/crates/cells/src/member.rs
+++ b/crates/cells/src/member.rs
@@ -60,7 +60,10 @@
 
 impl Default for SpillPolicy {
     fn default() -> SpillPolicy {
-        SpillPolicy { most: 0.1, back: Duration::from_secs(20) }
+        SpillPolicy {
+            most: 0.1,
+            back: Duration::from_secs(20),
+        }
     }
 }
 
@@ -77,7 +80,11 @@
 impl Spill {
     /// A cell that is whole.
     pub fn new(policy: SpillPolicy) -> Spill {
-        Spill { policy, missing: 0.0, whole_since: None }
+        Spill {
+            policy,
+            missing: 0.0,
+            whole_since: None,
+        }
     }
     /// The cell was looked at.
     pub fn look(&mut self, verdict: Verdict, now: Duration) {
@@ -99,7 +106,13 @@
         let faded = self.whole_since.map_or(1.0, |since| {
             1.0 - now.saturating_sub(since).as_secs_f64() / self.policy.back.as_secs_f64().max(1e-9)
         });
-        let bound = if cell > 0.0 { self.policy.most * neighbour / cell } else { 0.0 };
-        (self.missing * faded.clamp(0.0, 1.0)).min(bound).clamp(0.0, 1.0)
+        let bound = if cell > 0.0 {
+            self.policy.most * neighbour / cell
+        } else {
+            0.0
+        };
+        (self.missing * faded.clamp(0.0, 1.0))
+            .min(bound)
+            .clamp(0.0, 1.0)
     }
 }
--- a/crates/cells/src/moves.rs
+++ b/crates/cells/src/moves.rs
@@ -90,7 +90,12 @@
 impl Fence {
     /// A node that serves the tenant as of this epoch, and always has.
     pub fn serving(life: Life, epoch: Epoch) -> Fence {
-        Fence { holding: Holding::Serves, epoch, leased: true, ..Fence::started(life) }
+        Fence {
+            holding: Holding::Serves,
+            epoch,
+            leased: true,
+            ..Fence::started(life)
+        }
     }
     /// A node that has just started: it knows nothing and serves nobody until it has been told.
     pub fn started(life: Life) -> Fence {
@@ -117,7 +122,9 @@
         match self.holding {
             Holding::Serves if self.leased && epoch <= self.epoch => {}
             // A router that knows more than this node: the tenant may have moved on.
-            Holding::Serves | Holding::Frozen | Holding::Preparing => return Gate::Moving(self.epoch),
+            Holding::Serves | Holding::Frozen | Holding::Preparing => {
+                return Gate::Moving(self.epoch)
+            }
             Holding::Elsewhere => return Gate::NotHere(self.epoch),
         }
         if let Some(key) = key {
@@ -157,7 +164,9 @@
     /// A word from the coordinator, and what is answered. What is older than what is known, meant for another life, or
     /// of another move than the one in hand changes nothing and is answered with what is known.
     pub fn hear(&mut self, order: &Order) -> Report {
-        let Order { by, life, epoch, .. } = *order;
+        let Order {
+            by, life, epoch, ..
+        } = *order;
         if life == self.life && epoch >= self.epoch {
             let mine = self.by == by;
             let next = match (&order.what, self.holding) {
@@ -172,7 +181,9 @@
                 // It started anew since: it knows nothing of what it ran, and the coordinator must hear so.
                 (What::Freeze, Holding::Elsewhere) => Some(Holding::Elsewhere),
                 (What::Serve, Holding::Preparing) if mine => Some(Holding::Serves),
-                (What::Release, Holding::Preparing | Holding::Frozen) if mine => Some(Holding::Elsewhere),
+                (What::Release, Holding::Preparing | Holding::Frozen) if mine => {
+                    Some(Holding::Elsewhere)
+                }
                 (What::Release, Holding::Elsewhere) => Some(Holding::Elsewhere),
                 (What::Resume, Holding::Frozen) if mine => Some(Holding::Serves),
                 (What::Resume, Holding::Serves) if epoch > self.epoch => Some(Holding::Serves),
@@ -188,8 +199,22 @@
                 (self.holding, self.epoch, self.by) = (next, epoch, by);
             }
         }
-        let Fence { life, holding, epoch, by, doubtful, .. } = *self;
-        Report { life, epoch, by, holding, keys: self.keys.clone(), doubtful }
+        let Fence {
+            life,
+            holding,
+            epoch,
+            by,
+            doubtful,
+            ..
+        } = *self;
+        Report {
+            life,
+            epoch,
+            by,
+            holding,
+            keys: self.keys.clone(),
+            doubtful,
+        }
     }
 
     /// Takes in what others know: what ran, ran.
@@ -384,9 +409,15 @@
     /// What is to be sent now, and again until it is answered: an order for each node that this step waits for.
     pub fn orders(&self) -> Vec<(NodeId, Order)> {
         let epoch = self.epoch + u64::from(self.step == Step::Abort);
-        let hand_over = |doubtful| What::Prepare { keys: self.keys.clone(), doubtful };
+        let hand_over = |doubtful| What::Prepare {
+            keys: self.keys.clone(),
+            doubtful,
+        };
         let what = |node: NodeId| match self.step {
-            Step::Prepare => What::Prepare { keys: BTreeMap::new(), doubtful: false },
+            Step::Prepare => What::Prepare {
+                keys: BTreeMap::new(),
+                doubtful: false,
+            },
             Step::Freeze => What::Freeze,
             Step::HandOver => hand_over(self.doubtful),
             // It may have served in its last life, and what it ran then is lost.
@@ -397,7 +428,17 @@
         };
         let life = |node| self.lives.get(&node).copied().unwrap_or(0);
         self.waits_for()
-            .map(|node| (node, Order { by: self.id, life: life(node), epoch, what: what(node) }))
+            .map(|node| {
+                (
+                    node,
+                    Order {
+                        by: self.id,
+                        life: life(node),
+                        epoch,
+                        what: what(node),
+                    },
+                )
+            })
             .collect()
     }
 
@@ -411,7 +452,10 @@
         };
         let sources = self.from.iter().filter(move |_| sources);
         let targets = self.to.iter().filter(move |_| targets);
-        sources.chain(targets).copied().filter(|n| !self.answered.contains(n) && !self.fenced.contains(n))
+        sources
+            .chain(targets)
+            .copied()
+            .filter(|n| !self.answered.contains(n) && !self.fenced.contains(n))
     }
 
     /// Something happened. True where the move has changed, and so must be written before anything more is sent.
@@ -431,7 +475,9 @@
             Event::Fenced(_) => {}
             // Once it is decided, it goes through: a target may serve already. Where a source was lost there is nobody
             // to go back to.
-            Event::GiveUp if self.step < Step::Commit && self.fenced.is_empty() => self.go(Step::Abort),
+            Event::GiveUp if self.step < Step::Commit && self.fenced.is_empty() => {
+                self.go(Step::Abort)
+            }
             Event::GiveUp => {}
         }
         while !self.over() && self.waits_for().next().is_none() {
@@ -463,7 +509,10 @@
         if !self.waits_for().any(|n| n == node) {
             return;
         }
-        let (target, epoch) = (self.to.contains(&node), self.epoch + u64::from(self.step == Step::Abort));
+        let (target, epoch) = (
+            self.to.contains(&node),
+            self.epoch + u64::from(self.step == Step::Abort),
+        );
         let (mine, current) = (report.by == self.id, report.epoch == epoch);
         if self.from.is_empty() && self.step == Step::Prepare && report.holding == Holding::Serves {
             // It serves already, by a move that told it all.
@@ -520,7 +569,8 @@
 
     /// Whether a target knows all that the sources told, doubts included.
     fn tells_all(&self, report: &Report, doubtful: bool) -> bool {
-        let knows = |(key, ours): (&Key, &Known)| report.keys.get(key).is_some_and(|theirs| theirs >= ours);
+        let knows =
+            |(key, ours): (&Key, &Known)| report.keys.get(key).is_some_and(|theirs| theirs >= ours);
         report.doubtful >= doubtful && self.keys.iter().all(knows)
     }
 
--- a/crates/cells/tests/file.rs
+++ b/crates/cells/tests/file.rs
@@ -30,9 +30,20 @@
 #[test]
 fn a_file_says_what_it_says() {
     let layout = Layout::parse("cells.json5", GOOD).expect("a layout");
-    assert_eq!((layout.shard, layout.slack, layout.cells.len(), layout.nodes.len()), (2, 0.25, 2, 4));
+    assert_eq!(
+        (
+            layout.shard,
+            layout.slack,
+            layout.cells.len(),
+            layout.nodes.len()
+        ),
+        (2, 0.25, 2, 4)
+    );
     assert_eq!(layout.tenants["solpiana"].placement, Placement::Split(2));
-    assert_eq!(layout.tenants["alpenergia"].placement, Placement::Cell("valle".into()));
+    assert_eq!(
+        layout.tenants["alpenergia"].placement,
+        Placement::Cell("valle".into())
+    );
     assert_eq!(layout.nodes["n2"].weight, 2.0);
     assert_eq!(layout.nodes["n1"].address.map(|a| a.port()), Some(6565));
 }
@@ -41,21 +52,57 @@
 #[test]
 fn each_fault_is_told_with_its_place() {
     let cases = [
-        ("version: 1", "version: 2", "cells.json5:3: version: 2 is not known here: 1 is"),
+        (
+            "version: 1",
+            "version: 2",
+            "cells.json5:3: version: 2 is not known here: 1 is",
+        ),
         ("shard: 2", "shard: -2", "cells.json5:4: shard: "),
-        ("shard: 2", "slack: 11", "cells.json5:4: slack: is not from 0 to 10"),
-        ("shard: 2", "shards: 2", "cells.json5:4: shards: unknown field `shards`"),
-        ("[\"pianura\"]", "[\"monte\"]", "cells.json5:6: cells.valle.neighbours: there is no cell monte"),
+        (
+            "shard: 2",
+            "slack: 11",
+            "cells.json5:4: slack: is not from 0 to 10",
+        ),
+        (
+            "shard: 2",
+            "shards: 2",
+            "cells.json5:4: shards: unknown field `shards`",
+        ),
+        (
+            "[\"pianura\"]",
+            "[\"monte\"]",
+            "cells.json5:6: cells.valle.neighbours: there is no cell monte",
+        ),
         (
             "[\"pianura\"]",
             "[\"valle\"]",
             "cells.json5:6: cells.valle.neighbours: a cell is no neighbour of its own",
         ),
-        ("weight: 2", "weight: 0", "cells.json5:11: nodes.n2.weight: is not above 0 and at most 1000"),
-        ("n3: { site: \"bergamo-est\" }", "n3: { site: \"\" }", "cells.json5:12: nodes.n3.site: is empty"),
-        ("n3: { site: \"bergamo-est\" }", "n3: {}", "cells.json5:12: nodes.n3: missing field `site`"),
-        ("n4:", "n3:", "cells.json5:15: nodes.n3: stands here a second time"),
-        ("127.0.0.1:6565", "somewhere", "cells.json5:10: nodes.n1.address: "),
+        (
+            "weight: 2",
+            "weight: 0",
+            "cells.json5:11: nodes.n2.weight: is not above 0 and at most 1000",
+        ),
+        (
+            "n3: { site: \"bergamo-est\" }",
+            "n3: { site: \"\" }",
+            "cells.json5:12: nodes.n3.site: is empty",
+        ),
+        (
+            "n3: { site: \"bergamo-est\" }",
+            "n3: {}",
+            "cells.json5:12: nodes.n3: missing field `site`",
+        ),
+        (
+            "n4:",
+            "n3:",
+            "cells.json5:15: nodes.n3: stands here a second time",
+        ),
+        (
+            "127.0.0.1:6565",
+            "somewhere",
+            "cells.json5:10: nodes.n1.address: ",
+        ),
         (
             "n4: { site: \"brescia-sud\" }",
             "n4: { site: \"brescia-sud\", address: \"127.0.0.1:6565\" }",
@@ -66,7 +113,11 @@
             "cell: \"vale\", weight",
             "cells.json5:11: nodes.n2.cell: there is no cell vale",
         ),
-        ("share: 34", "share: 0", "cells.json5:18: tenants.alpenergia.share: is not above 0"),
+        (
+            "share: 34",
+            "share: 0",
+            "cells.json5:18: tenants.alpenergia.share: is not above 0",
+        ),
         (
             "split: 2",
             "split: 3",
@@ -91,8 +142,14 @@
     for (from, to, want) in cases {
         let text = GOOD.replacen(from, to, 1);
         assert_ne!(text, GOOD, "{from} is not there");
-        let told = Layout::parse("cells.json5", &text).map(|_| ()).expect_err(to).to_string();
-        assert!(told.starts_with(want) && !told.contains('\n'), "{to}: {told}");
+        let told = Layout::parse("cells.json5", &text)
+            .map(|_| ())
+            .expect_err(to)
+            .to_string();
+        assert!(
+            told.starts_with(want) && !told.contains('\n'),
+            "{to}: {told}"
+        );
     }
 }
 
@@ -101,7 +158,9 @@
 fn a_file_cut_anywhere_is_refused() {
     let end = GOOD.rfind('}').expect("an end");
     for cut in (0..end).filter(|cut| GOOD.is_char_boundary(*cut)) {
-        let told = Layout::parse("cells.json5", &GOOD[..cut]).expect_err("cut").to_string();
+        let told = Layout::parse("cells.json5", &GOOD[..cut])
+            .expect_err("cut")
+            .to_string();
         assert!(told.starts_with("cells.json5"), "cut at {cut}: {told}");
     }
 }
--- a/crates/cells/tests/member.rs
+++ b/crates/cells/tests/member.rs
@@ -17,7 +17,12 @@
         layout.cells.insert(cell.into(), CellSpec::default());
         for n in 0..4 {
             let site = format!("site-{}", n % 2).into();
-            let spec = NodeSpec { site, weight: 1.0, address: None, cell: Some(cell.into()) };
+            let spec = NodeSpec {
+                site,
+                weight: 1.0,
+                address: None,
+                cell: Some(cell.into()),
+            };
             layout.nodes.insert(format!("{cell}{n}").into(), spec);
         }
     }
@@ -30,8 +35,14 @@
     let map = fleet();
     let see = |present: &[&str]| Verdict::of(&map, "a", true, |n| present.contains(&n));
     let others = ["b0", "b1", "b2", "b3", "c0", "c1", "c2"];
-    assert_eq!(see(&[&["a0", "a1", "a2"], &others[..]].concat()), Verdict::Whole { left: 0.75 });
-    assert_eq!(see(&[&["a0"], &others[..]].concat()), Verdict::Lost { left: 0.25 });
+    assert_eq!(
+        see(&[&["a0", "a1", "a2"], &others[..]].concat()),
+        Verdict::Whole { left: 0.75 }
+    );
+    assert_eq!(
+        see(&[&["a0"], &others[..]].concat()),
+        Verdict::Lost { left: 0.25 }
+    );
     assert_eq!(see(&others), Verdict::Lost { left: 0.0 });
     // Half of each: it may as well be us.
     assert_eq!(see(&["a0", "a1", "b0", "b1", "c0", "c1"]), Verdict::CutOff);
@@ -43,7 +54,10 @@
 
 #[test]
 fn what_spills_is_bounded_and_goes_back_gradually() {
-    let mut spill = Spill::new(SpillPolicy { most: 0.1, back: ms(10_000) });
+    let mut spill = Spill::new(SpillPolicy {
+        most: 0.1,
+        back: ms(10_000),
+    });
     assert_eq!(spill.part(4.0, 4.0, ms(0)), 0.0);
     spill.look(Verdict::Lost { left: 0.25 }, ms(0));
     // Three quarters are missing; a neighbour of the same size gives a tenth, a large one all.
--- a/crates/connections/src/room.rs
+++ b/crates/connections/src/room.rs
@@ -58,8 +58,17 @@
         let mute = |used: &Instant| now.saturating_duration_since(*used) > bounds.mute;
         let short = (open + bounds.spare + 1).saturating_sub(bounds.connections);
         if short > 0 {
-            let longest = self.silent.first().into_iter().chain(self.idle.first()).min();
-            let other = self.silent.first().filter(|(used, _)| mute(used)).or(longest);
+            let longest = self
+                .silent
+                .first()
+                .into_iter()
+                .chain(self.idle.first())
+                .min();
+            let other = self
+                .silent
+                .first()
+                .filter(|(used, _)| mute(used))
+                .or(longest);
             // As many of those told to go as are too many: one that waits for its peer still takes its slot.
             let leaving = self.leaving.iter().take(short);
             let first = leaving.chain(other.filter(|_| self.leaving.is_empty()));
@@ -67,8 +76,10 @@
         }
         let most = (self.silent.len() + self.idle.len()).saturating_sub(bounds.unused);
         // Closed at once, one that is used would lose what its front end sends meanwhile.
-        let silent =
-            self.silent.iter().map(|(used, n)| (*n, if mute(used) { Go::Part } else { Go::Farewell }));
+        let silent = self
+            .silent
+            .iter()
+            .map(|(used, n)| (*n, if mute(used) { Go::Part } else { Go::Farewell }));
         let idle = self.idle.iter().map(|(_, n)| (*n, Go::Farewell));
         go.extend(
             silent
--- a/crates/connections/src/session.rs
+++ b/crates/connections/src/session.rs
@@ -118,7 +118,10 @@
     /// The next whole line of what came, without its end; none until more comes. A connection that carries nothing
     /// keeps no buffer.
     pub fn line(&mut self) -> Result<Option<&[u8]>, Breach> {
-        let end = self.input[self.searched..].iter().position(|b| *b == b'\n').map(|at| self.searched + at);
+        let end = self.input[self.searched..]
+            .iter()
+            .position(|b| *b == b'\n')
+            .map(|at| self.searched + at);
         let from = self.taken;
         if end.unwrap_or(self.input.len()) - from > self.most_line {
             return Err(Breach::LineTooLong);
@@ -244,7 +247,9 @@
     /// Its slot is wanted: where it goes, it does not wait for its peer, unless something was written so lately that a
     /// reset could still take it away.
     pub fn hurry(&mut self, bounds: &Bounds, now: Instant) {
-        self.hurried = self.wrote.is_none_or(|at| now.saturating_duration_since(at) >= bounds.linger);
+        self.hurried = self
+            .wrote
+            .is_none_or(|at| now.saturating_duration_since(at) >= bounds.linger);
     }
     /// Closes it whatever is open, but for what is to be written: the peer has broken the protocol.
     pub fn close(&mut self, now: Instant) {
@@ -280,8 +285,14 @@
         if let Some(since) = self.lingering {
             return Some(since + bounds.linger);
         }
-        let written =
-            self.stuck.map(|since| since + if self.closed { bounds.farewell } else { bounds.write });
+        let written = self.stuck.map(|since| {
+            since
+                + if self.closed {
+                    bounds.farewell
+                } else {
+                    bounds.write
+                }
+        });
         let (since, patience) = match self.begun {
             // One that has said nothing whole yet has its time from the first moment on.
             Some(begun) if self.spoke || self.farewell => (begun, bounds.whole),
@@ -324,7 +335,11 @@
         };
         let unused = self.open.is_empty() && !self.parting && !self.closed && !self.ended;
         // A peer that goes on writing must not be taken for one that has stopped.
-        let last = if self.begun.is_some() { self.used.max(self.fed) } else { self.used };
+        let last = if self.begun.is_some() {
+            self.used.max(self.fed)
+        } else {
+            self.used
+        };
         unused.then_some((kind, last))
     }
     /// Requests open on it.
--- a/crates/connections/tests/states.rs
+++ b/crates/connections/tests/states.rs
@@ -11,7 +11,10 @@
 where
     fn(Vec<S>) -> bool: Testable,
 {
-    QuickCheck::new().rng(Gen::from_size_and_seed(60, 0x6d6f_7468)).tests(2000).quickcheck(check);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(60, 0x6d6f_7468))
+        .tests(2000)
+        .quickcheck(check);
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -46,7 +49,9 @@
                 0..=2 => Front::Farewell,
                 3 | 4 => Front::Shed,
                 5 => Front::Drained,
-                6 => *g.choose(&[Front::Break, Front::Passed(7)]).expect("not empty"),
+                6 => *g
+                    .choose(&[Front::Break, Front::Passed(7)])
+                    .expect("not empty"),
                 _ => Front::End,
             },
         }
@@ -60,7 +65,12 @@
 fn a_front_connection_owes_what_the_model_owes() {
     fn check(steps: Vec<Front>) -> bool {
         let (now, idle) = (Instant::now(), Duration::from_secs(1));
-        let bounds = Bounds { open: 3, output: 12, linger_bytes: 10, ..Bounds::new(8) };
+        let bounds = Bounds {
+            open: 3,
+            output: 12,
+            linger_bytes: 10,
+            ..Bounds::new(8)
+        };
         let mut session = Session::new(&bounds, now);
         let (mut open, mut told, mut ended) = (BTreeSet::new(), false, false);
         let (mut parting, mut closed, mut spoke, mut unsent) = (false, false, false, 0);
@@ -179,17 +189,25 @@
     let later = start + bounds.whole / 2;
     session.feed(b"}\n{", later);
     assert!(session.line() == Ok(Some(b"{}")) && session.line() == Ok(None));
-    assert_eq!(session.due(bounds.write, &bounds), Some(later + bounds.whole));
+    assert_eq!(
+        session.due(bounds.write, &bounds),
+        Some(later + bounds.whole)
+    );
 }
 
 /// However the bytes of a connection are cut, the same lines come out of it, and none that is too long.
 #[test]
 fn lines_do_not_depend_on_how_they_arrive() {
     fn check(steps: Vec<(u8, u8)>) -> bool {
-        let bounds = Bounds { line: 40, ..Bounds::new(8) };
+        let bounds = Bounds {
+            line: 40,
+            ..Bounds::new(8)
+        };
         let mut session = Session::new(&bounds, Instant::now());
-        let sent: Vec<u8> =
-            steps.iter().flat_map(|(byte, _)| [*byte, b'\n', b'\r'].map(|b| b % 16)).collect();
+        let sent: Vec<u8> = steps
+            .iter()
+            .flat_map(|(byte, _)| [*byte, b'\n', b'\r'].map(|b| b % 16))
+            .collect();
         let (mut at, mut lines) = (0, Vec::new());
         for (_, cut) in &steps {
             let to = (at + usize::from(*cut) % 7).min(sent.len());
@@ -202,9 +220,17 @@
                 return session.line() == Err(Breach::LineTooLong);
             }
         }
-        let whole = sent[..at].iter().rposition(|b| *b == b'\n').map_or(&[][..], |end| &sent[..end]);
-        let want = whole.split(|b| *b == b'\n').map(|l| l.strip_suffix(b"\r").unwrap_or(l));
-        lines == want.take(lines.len().max(usize::from(!whole.is_empty()))).collect::<Vec<_>>()
+        let whole = sent[..at]
+            .iter()
+            .rposition(|b| *b == b'\n')
+            .map_or(&[][..], |end| &sent[..end]);
+        let want = whole
+            .split(|b| *b == b'\n')
+            .map(|l| l.strip_suffix(b"\r").unwrap_or(l));
+        lines
+            == want
+                .take(lines.len().max(usize::from(!whole.is_empty())))
+                .collect::<Vec<_>>()
     }
     check_steps(check);
 }
--- a/crates/fault-testbed/src/demo.rs
+++ b/crates/fault-testbed/src/demo.rs
@@ -43,7 +43,9 @@
 impl fmt::Display for DemoError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DemoError::NoSuchNode(name) => write!(f, "there is no node {name}; they are called n1, n2, ..."),
+            DemoError::NoSuchNode(name) => {
+                write!(f, "there is no node {name}; they are called n1, n2, ...")
+            }
             DemoError::System(e) => write!(f, "{e}"),
         }
     }
@@ -68,20 +70,36 @@
 /// Runs until its time is over or `ended` says so.
 pub fn run(demo: &Demo, ended: impl Fn() -> bool) -> Result<(), DemoError> {
     let nodes: Vec<String> = (1..=demo.nodes).map(|n| format!("n{n}")).collect();
-    if let Some(name) = demo.kill.iter().chain(&demo.cut).find(|n| !nodes.contains(n)) {
+    if let Some(name) = demo
+        .kill
+        .iter()
+        .chain(&demo.cut)
+        .find(|n| !nodes.contains(n))
+    {
         return Err(DemoError::NoSuchNode(name.clone()));
     }
     let mut rig = Rig::new(1).map_err(DemoError::System)?;
     for (at, name) in nodes.iter().enumerate() {
-        rig.plan(Plan { name: name.clone(), ..Plan::node(at) }).map_err(DemoError::System)?;
+        rig.plan(Plan {
+            name: name.clone(),
+            ..Plan::node(at)
+        })
+        .map_err(DemoError::System)?;
     }
-    rig.plan(Plan { name: ROUTER.into(), ..Plan::node(0) }).map_err(DemoError::System)?;
+    rig.plan(Plan {
+        name: ROUTER.into(),
+        ..Plan::node(0)
+    })
+    .map_err(DemoError::System)?;
     rig.seeds(&["n1", "n2"]);
     nodes.iter().for_each(|n| rig.start(n));
     rig.start_router(ROUTER, true);
     let all: Vec<String> = rig.names();
     rig.up(&all.iter().map(String::as_str).collect::<Vec<_>>());
-    println!("router at {}; `protocol-gateway fleet status` asks any of these:", rig.node(ROUTER).address);
+    println!(
+        "router at {}; `protocol-gateway fleet status` asks any of these:",
+        rig.node(ROUTER).address
+    );
     for name in &all {
         if let Some(at) = rig.node(name).logged("fleet") {
             println!(
@@ -96,7 +114,11 @@
         let mut front = Front::connect(at);
         while !shared.ended.load(Relaxed) {
             let answer = front.ask("statement-read", "serve:demo");
-            let count = if answer["result"].is_object() { &shared.served } else { &shared.not };
+            let count = if answer["result"].is_object() {
+                &shared.served
+            } else {
+                &shared.not
+            };
             count.fetch_add(1, Relaxed);
             thread::sleep(TRICKLE);
         }
@@ -123,8 +145,12 @@
             }
         }
         let now = (counts.served.load(Relaxed), counts.not.load(Relaxed));
-        let line =
-            format!("{:>3} s: {} served, {} not in the last second", round, now.0 - served, now.1 - not);
+        let line = format!(
+            "{:>3} s: {} served, {} not in the last second",
+            round,
+            now.0 - served,
+            now.1 - not
+        );
         (served, not) = now;
         show(&(line + &table(&rig, &nodes, &all, &mut runs)));
         if demo.seconds > 0 && round >= demo.seconds {
@@ -141,7 +167,11 @@
         rig.kill(name);
     }
     if !demo.cut.is_empty() {
-        let rest: Vec<String> = rig.names().into_iter().filter(|n| !demo.cut.contains(n)).collect();
+        let rest: Vec<String> = rig
+            .names()
+            .into_iter()
+            .filter(|n| !demo.cut.contains(n))
+            .collect();
         rig.partition(&[rest, demo.cut.clone()]);
     }
 }
@@ -149,13 +179,26 @@
 fn show(text: &str) {
     let mut out = io::stdout();
     // On a terminal the table stays in its place.
-    let clear = if out.is_terminal() { "\x1b[H\x1b[2J" } else { "" };
+    let clear = if out.is_terminal() {
+        "\x1b[H\x1b[2J"
+    } else {
+        ""
+    };
     let _ = writeln!(out, "{clear}{text}");
 }
 
-fn table(rig: &Rig, nodes: &[String], all: &[String], runs: &mut BTreeMap<String, usize>) -> String {
+fn table(
+    rig: &Rig,
+    nodes: &[String],
+    all: &[String],
+    runs: &mut BTreeMap<String, usize>,
+) -> String {
     let mut text = String::from("\n");
-    let _ = write!(text, "{:<8} {:>8}  {:<8} sees:", "member", "served/s", "says");
+    let _ = write!(
+        text,
+        "{:<8} {:>8}  {:<8} sees:",
+        "member", "served/s", "says"
+    );
     for name in all {
         let _ = write!(text, " {name:<9}");
     }
@@ -175,7 +218,10 @@
         };
         let _ = write!(text, "\n{name:<8} {served:>8}  {says:<8}      ");
         for other in all {
-            let seen = told.as_ref().and_then(|t| t.members.iter().find(|r| *r.name == **other)).map(state);
+            let seen = told
+                .as_ref()
+                .and_then(|t| t.members.iter().find(|r| *r.name == **other))
+                .map(state);
             let _ = write!(text, " {:<9}", seen.unwrap_or("-"));
         }
     }
--- a/crates/fault-testbed/src/links.rs
+++ b/crates/fault-testbed/src/links.rs
@@ -75,14 +75,24 @@
 impl Links {
     /// Links without faults, with draws from this seed.
     pub fn new(seed: u64) -> Links {
-        Links { seed, usual: Link::default(), links: BTreeMap::new() }
+        Links {
+            seed,
+            usual: Link::default(),
+            links: BTreeMap::new(),
+        }
     }
     fn state(&mut self, from: &str, to: &str) -> &mut State {
         let (seed, usual) = (self.seed, &self.usual);
-        self.links.entry((from.into(), to.into())).or_insert_with(|| {
-            let own = xxh3_64_with_seed(format!("{from}\n{to}").as_bytes(), seed);
-            State { link: usual.clone(), rng: ChaCha8Rng::seed_from_u64(own), cuts: 0 }
-        })
+        self.links
+            .entry((from.into(), to.into()))
+            .or_insert_with(|| {
+                let own = xxh3_64_with_seed(format!("{from}\n{to}").as_bytes(), seed);
+                State {
+                    link: usual.clone(),
+                    rng: ChaCha8Rng::seed_from_u64(own),
+                    cuts: 0,
+                }
+            })
     }
     /// Changes one link.
     pub fn change(&mut self, from: &str, to: &str, change: impl FnOnce(&mut Link)) {
@@ -99,19 +109,29 @@
     }
     /// Whether anything comes through from one to another.
     pub fn passes(&self, from: &str, to: &str) -> bool {
-        !self.links.get(&(from.to_string(), to.to_string())).map_or(&self.usual, |s| &s.link).silent
+        !self
+            .links
+            .get(&(from.to_string(), to.to_string()))
+            .map_or(&self.usual, |s| &s.link)
+            .silent
     }
 
     /// The copies of a datagram that come through.
     pub fn datagram(&mut self, from: &str, to: &str) -> Vec<Copy> {
         let State { link, rng, .. } = self.state(from, to);
         // Drawn whether they are used or not: what a link does next does not hang on what it did to this one.
-        let (lost, doubled) = (rng.random::<f64>() < link.loss, rng.random::<f64>() < link.double);
+        let (lost, doubled) = (
+            rng.random::<f64>() < link.loss,
+            rng.random::<f64>() < link.double,
+        );
         let mut copy = || {
             let (least, most) = link.delay;
             let after = least + most.saturating_sub(least).mul_f64(rng.random::<f64>());
             let place = (rng.random::<u32>() as usize, rng.random_range(1..=u8::MAX));
-            Copy { after, garbled: (rng.random::<f64>() < link.garble).then_some(place) }
+            Copy {
+                after,
+                garbled: (rng.random::<f64>() < link.garble).then_some(place),
+            }
         };
         let copies = [copy(), copy()];
         match (lost || link.silent, doubled) {
--- a/crates/fault-testbed/src/owner.rs
+++ b/crates/fault-testbed/src/owner.rs
@@ -8,10 +8,18 @@
     let inode = inode(of)?;
     let wanted = format!("socket:[{inode}]");
     let holds = |pid: u32| {
-        let entries = std::fs::read_dir(format!("/proc/{pid}/fd")).into_iter().flatten().flatten();
-        entries.filter_map(|e| std::fs::read_link(e.path()).ok()).any(|to| to.to_string_lossy() == wanted)
+        let entries = std::fs::read_dir(format!("/proc/{pid}/fd"))
+            .into_iter()
+            .flatten()
+            .flatten();
+        entries
+            .filter_map(|e| std::fs::read_link(e.path()).ok())
+            .any(|to| to.to_string_lossy() == wanted)
     };
-    processes.iter().find(|(_, pid)| holds(*pid)).map(|(name, _)| name.clone())
+    processes
+        .iter()
+        .find(|(_, pid)| holds(*pid))
+        .map(|(name, _)| name.clone())
 }
 
 /// Looks at the machine's table until a look finds the socket, so many at the most: one that is read while others come and
@@ -35,5 +43,11 @@
 fn address(text: &str) -> Option<SocketAddr> {
     let (ip, port) = text.split_once(':')?;
     let ip = u32::from_str_radix(ip, 16).ok()?;
-    Some((Ipv4Addr::from(ip.to_ne_bytes()), u16::from_str_radix(port, 16).ok()?).into())
+    Some(
+        (
+            Ipv4Addr::from(ip.to_ne_bytes()),
+            u16::from_str_radix(port, 16).ok()?,
+        )
+            .into(),
+    )
 }
--- a/crates/fault-testbed/src/rig.rs
+++ b/crates/fault-testbed/src/rig.rs
@@ -41,7 +41,12 @@
     /// A node, at one of three sites by its number.
     pub fn node(number: usize) -> Plan {
         let site = ["milano-lambrate", "bergamo-est", "brescia-sud"][number % 3];
-        Plan { name: format!("n{number}"), site: site.into(), fleet: String::new(), open: false }
+        Plan {
+            name: format!("n{number}"),
+            site: site.into(),
+            fleet: String::new(),
+            open: false,
+        }
     }
 }
 
@@ -112,7 +117,8 @@
     }
     /// Notes an event on the timeline.
     pub fn note(&self, event: &str, what: Value) {
-        let line = json!({"ms": self.began.elapsed().as_millis() as u64, "event": event, "what": what});
+        let line =
+            json!({"ms": self.began.elapsed().as_millis() as u64, "event": event, "what": what});
         if self.show {
             println!("{line}");
         }
@@ -120,10 +126,12 @@
     }
     /// What has happened, a line of JSON each.
     pub fn timeline(&self) -> String {
-        lock(&self.timeline).iter().fold(String::new(), |mut text, line| {
-            let _ = writeln!(text, "{line}");
-            text
-        })
+        lock(&self.timeline)
+            .iter()
+            .fold(String::new(), |mut text, line| {
+                let _ = writeln!(text, "{line}");
+                text
+            })
     }
     /// The switch, to put faults on its links.
     pub fn switch(&self) -> &Switch {
@@ -148,10 +156,14 @@
     // ---- processes ----
 
     fn slot(&self, name: &str) -> &Slot {
-        self.slots.get(name).unwrap_or_else(|| panic!("no process is called {name}"))
+        self.slots
+            .get(name)
+            .unwrap_or_else(|| panic!("no process is called {name}"))
     }
     fn slot_mut(&mut self, name: &str) -> &mut Slot {
-        self.slots.get_mut(name).unwrap_or_else(|| panic!("no process is called {name}"))
+        self.slots
+            .get_mut(name)
+            .unwrap_or_else(|| panic!("no process is called {name}"))
     }
     /// Names of all that were planned.
     pub fn names(&self) -> Vec<String> {
@@ -182,7 +194,11 @@
         self.seeds = names
             .iter()
             // Port 9 of loopback discards, where anybody is there at all.
-            .map(|n| self.slots.get(*n).map_or(([127, 0, 0, 1], 9).into(), |s| s.before.0))
+            .map(|n| {
+                self.slots
+                    .get(*n)
+                    .map_or(([127, 0, 0, 1], 9).into(), |s| s.before.0)
+            })
             .collect();
     }
     /// The fleet's file that a process was last started with.
@@ -217,7 +233,15 @@
         let mut command = command(&slot.file);
         command.arg("--fleet").arg(self.fleet_file(name, listen));
         let file = Scratch::new(&format!("{name}.spare"), "");
-        Node::run(command, (slot.executor.clone(), self.database.clone(), self.list.clone()), file)
+        Node::run(
+            command,
+            (
+                slot.executor.clone(),
+                self.database.clone(),
+                self.list.clone(),
+            ),
+            file,
+        )
     }
     /// Starts a node, or a new life of it, and does not wait for it.
     pub fn start(&mut self, name: &str) {
@@ -237,7 +261,10 @@
             .iter()
             .filter(|(n, _)| *n != name)
             .map(|(n, s)| {
-                format!("{n}: {{ site: '{}', cell: 'all', address: '{}' }}", s.plan.site, s.before.1)
+                format!(
+                    "{n}: {{ site: '{}', cell: 'all', address: '{}' }}",
+                    s.plan.site, s.before.1
+                )
             })
             .collect();
         let cells = self.slot(name).file.0.with_extension("cells.json5");
@@ -247,7 +274,11 @@
         );
         std::fs::write(&cells, text).expect("a file");
         let own = self.slot(name).file.0.with_extension("router.json5");
-        let fleet = if view { format!("fleet: '{}',", place(&fleet)) } else { String::new() };
+        let fleet = if view {
+            format!("fleet: '{}',", place(&fleet))
+        } else {
+            String::new()
+        };
         let text = format!(
             "{{ version: 1, listen: '127.0.0.1:0', cells: '{}', {fleet} classes: {{
                'statement-read': {{ once: false, deadline_ms: 1500 }},
@@ -257,7 +288,11 @@
         std::fs::write(&own, text).expect("a file");
         let mut command = command(&self.slot(name).file);
         command.arg("route").arg(own);
-        let peers = (self.slot(name).executor.clone(), self.database.clone(), self.list.clone());
+        let peers = (
+            self.slot(name).executor.clone(),
+            self.database.clone(),
+            self.list.clone(),
+        );
         let node = Node::run(command, peers, Scratch::new(&format!("{name}.spare"), ""));
         self.switch.runs(name, node.process.id());
         self.note("start", json!(name));
@@ -268,22 +303,36 @@
     pub fn up(&mut self, names: &[&str]) {
         for name in names {
             let slot = self.slot(name);
-            let process = slot.process.as_ref().unwrap_or_else(|| panic!("{name} was not started"));
+            let process = slot
+                .process
+                .as_ref()
+                .unwrap_or_else(|| panic!("{name} was not started"));
             let node = process.node();
             if slot.member {
                 until("it hears the fleet", || node.logged("fleet").is_some());
-                self.switch.hears(name, node.logged("fleet").expect("logged")).expect("on loopback");
+                self.switch
+                    .hears(name, node.logged("fleet").expect("logged"))
+                    .expect("on loopback");
             }
             until("it listens", || node.logged("listening").is_some());
             let serves = node.logged("listening").expect("logged");
             self.switch.serves(name, serves).expect("on loopback");
-            let node = self.slot_mut(name).process.as_mut().map(Process::node_mut).expect("it was started");
+            let node = self
+                .slot_mut(name)
+                .process
+                .as_mut()
+                .map(Process::node_mut)
+                .expect("it was started");
             node.address = serves;
         }
     }
     /// The running process of this name.
     pub fn node(&self, name: &str) -> &Node {
-        self.slot(name).process.as_ref().unwrap_or_else(|| panic!("{name} does not run")).node()
+        self.slot(name)
+            .process
+            .as_ref()
+            .unwrap_or_else(|| panic!("{name} does not run"))
+            .node()
     }
     /// Whether a process of this name runs.
     pub fn runs(&self, name: &str) -> bool {
@@ -319,14 +368,20 @@
         let file = Scratch::new(&format!("{name}.second.json"), &settings.to_string());
         let mut command = command(&file);
         command.arg("--fleet").arg(self.fleet_file(name, listen));
-        let mut node = Node::run(command, (executor, self.database.clone(), self.list.clone()), file);
+        let mut node = Node::run(
+            command,
+            (executor, self.database.clone(), self.list.clone()),
+            file,
+        );
         node.address = first.address;
         self.note("successor", json!(name));
         node
     }
     fn signal(&self, name: &str, signal: &str) {
         let pid = self.node(name).process.id().to_string();
-        let sent = Command::new("/bin/sh").args(["-c", &format!("kill -{signal} {pid}")]).status();
+        let sent = Command::new("/bin/sh")
+            .args(["-c", &format!("kill -{signal} {pid}")])
+            .status();
         assert!(sent.is_ok_and(|s| s.success()), "{signal} to {name}");
     }
     /// Stops a process where it is.
@@ -350,9 +405,13 @@
     pub fn call(&self, name: &str, call: &str) -> String {
         use std::io::{BufRead, BufReader, Write};
         let mut stream = std::net::TcpStream::connect(self.node(name).door()).expect("a door");
-        stream.write_all(format!("{call}\n").as_bytes()).expect("written");
+        stream
+            .write_all(format!("{call}\n").as_bytes())
+            .expect("written");
         let mut answer = String::new();
-        BufReader::new(stream).read_line(&mut answer).expect("an answer");
+        BufReader::new(stream)
+            .read_line(&mut answer)
+            .expect("an answer");
         self.note(call, json!({"node": name, "answer": answer.trim()}));
         answer.trim().to_string()
     }
@@ -362,7 +421,13 @@
     /// Cuts the rig into parts between which nothing passes; who is in none is with the first.
     pub fn partition(&mut self, parts: &[Vec<String>]) {
         self.note("partition", json!(parts));
-        let part_of = |name: &String| parts.iter().position(|p| p.contains(name)).unwrap_or(0).min(255) as u8;
+        let part_of = |name: &String| {
+            parts
+                .iter()
+                .position(|p| p.contains(name))
+                .unwrap_or(0)
+                .min(255) as u8
+        };
         for (name, slot) in &mut self.slots {
             slot.part = part_of(name);
         }
@@ -376,21 +441,33 @@
         });
     }
     /// Does something to each link from these to those, in this direction only.
-    fn between(&self, what: &str, from: &[String], to: &[String], change: impl Fn(&mut Links, &str, &str)) {
+    fn between(
+        &self,
+        what: &str,
+        from: &[String],
+        to: &[String],
+        change: impl Fn(&mut Links, &str, &str),
+    ) {
         self.note(what, json!({"from": from, "to": to}));
         self.switch.links(|links| {
             for a in from {
-                to.iter().filter(|b| *b != a).for_each(|b| change(links, a, b));
+                to.iter()
+                    .filter(|b| *b != a)
+                    .for_each(|b| change(links, a, b));
             }
         });
     }
     /// Nothing passes from these to those, in this direction only.
     pub fn silence(&mut self, from: &[String], to: &[String]) {
-        self.between("silence", from, to, |links, a, b| links.change(a, b, |link| link.silent = true));
+        self.between("silence", from, to, |links, a, b| {
+            links.change(a, b, |link| link.silent = true)
+        });
     }
     /// Streams from these to those stall, and nobody is told; datagrams pass.
     pub fn stall(&mut self, from: &[String], to: &[String]) {
-        self.between("stall", from, to, |links, a, b| links.change(a, b, |link| link.stalled = true));
+        self.between("stall", from, to, |links, a, b| {
+            links.change(a, b, |link| link.stalled = true)
+        });
     }
     /// Streams that are open from these to those are cut.
     pub fn cut(&mut self, from: &[String], to: &[String]) {
@@ -405,7 +482,8 @@
     pub fn heal(&mut self) {
         self.note("heal", Value::Null);
         self.slots.values_mut().for_each(|slot| slot.part = 0);
-        self.switch.links(|links| links.change_all(|link| *link = crate::Link::default()));
+        self.switch
+            .links(|links| links.change_all(|link| *link = crate::Link::default()));
     }
 
     // ---- what is seen ----
@@ -417,7 +495,9 @@
     }
     /// What a process holds of the budgets, asked past the switch.
     pub fn look(&self, name: &str) -> Option<Look> {
-        look(self.node(name).logged("fleet")?, FLEET, ASK).ok().map(|(_, look)| look)
+        look(self.node(name).logged("fleet")?, FLEET, ASK)
+            .ok()
+            .map(|(_, look)| look)
     }
     /// Who grants, as this process knows.
     pub fn granter(&self, name: &str) -> Option<String> {
@@ -435,25 +515,42 @@
             let wanted: BTreeSet<&str> = names.iter().map(|n| n.as_str()).collect();
             let mut digests = BTreeSet::new();
             names.iter().all(|name| {
-                let Some(told) = self.told(name) else { return false };
-                let seen: BTreeSet<&str> =
-                    told.members.iter().filter(|r| r.word.present()).map(|r| &*r.name).collect();
+                let Some(told) = self.told(name) else {
+                    return false;
+                };
+                let seen: BTreeSet<&str> = told
+                    .members
+                    .iter()
+                    .filter(|r| r.word.present())
+                    .map(|r| &*r.name)
+                    .collect();
                 digests.insert(told.summary.digest);
                 seen == wanted && digests.len() == 1
             })
         })
     }
     /// Waits until something holds; how long that took, or none if it did not within `most`.
-    pub fn wait(&self, what: &str, most: Duration, holds: impl Fn(&Rig) -> bool) -> Option<Duration> {
+    pub fn wait(
+        &self,
+        what: &str,
+        most: Duration,
+        holds: impl Fn(&Rig) -> bool,
+    ) -> Option<Duration> {
         let began = Instant::now();
         loop {
             if holds(self) {
                 let took = began.elapsed();
-                self.note("reached", json!({"what": what, "ms": took.as_millis() as u64}));
+                self.note(
+                    "reached",
+                    json!({"what": what, "ms": took.as_millis() as u64}),
+                );
                 return Some(took);
             }
             if began.elapsed() >= most {
-                self.note("not reached", json!({"what": what, "ms": most.as_millis() as u64}));
+                self.note(
+                    "not reached",
+                    json!({"what": what, "ms": most.as_millis() as u64}),
+                );
                 return None;
             }
             std::thread::sleep(Duration::from_millis(5));
@@ -462,7 +559,12 @@
     /// Waits until the views are settled, and panics with what was seen if they are not within `most`.
     pub fn settle(&self, most: Duration) -> Duration {
         self.wait("settled", most, Rig::settled).unwrap_or_else(|| {
-            for name in self.slots.iter().filter(|(_, s)| s.process.is_some() && !s.stopped).map(|(n, _)| n) {
+            for name in self
+                .slots
+                .iter()
+                .filter(|(_, s)| s.process.is_some() && !s.stopped)
+                .map(|(n, _)| n)
+            {
                 let told = self.told(name).map(|t| {
                     let gone: Vec<String> = t
                         .members
@@ -478,7 +580,10 @@
                 });
                 eprintln!("{name}: {told:?}");
             }
-            panic!("the views did not settle within {most:?}; what happened:\n{}", self.timeline())
+            panic!(
+                "the views did not settle within {most:?}; what happened:\n{}",
+                self.timeline()
+            )
         })
     }
 }
--- a/crates/fault-testbed/src/script.rs
+++ b/crates/fault-testbed/src/script.rs
@@ -128,8 +128,8 @@
 impl Script {
     /// Reads a play.
     pub fn read(path: &Path) -> Result<Script, ScriptError> {
-        let text =
-            std::fs::read_to_string(path).map_err(|e| ScriptError::Unreadable(path.to_path_buf(), e))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|e| ScriptError::Unreadable(path.to_path_buf(), e))?;
         Script::parse(&path.display().to_string(), &text).map_err(ScriptError::File)
     }
     /// The same for a text, named so in errors.
@@ -140,28 +140,45 @@
             field: field.into(),
             what,
         };
-        let script: Script =
-            json5::from_str(text).map_err(|e| bad(e.position().map(|at| at.line + 1), "", e.to_string()))?;
+        let script: Script = json5::from_str(text)
+            .map_err(|e| bad(e.position().map(|at| at.line + 1), "", e.to_string()))?;
         if script.version != 1 {
-            return Err(bad(None, "version", format!("{} is not known here: 1 is", script.version)));
+            return Err(bad(
+                None,
+                "version",
+                format!("{} is not known here: 1 is", script.version),
+            ));
         }
         if !(1..=MOST).contains(&script.nodes) {
             return Err(bad(None, "nodes", format!("is not from 1 to {MOST}")));
         }
         let router = |n: &String| script.router && n == ROUTER;
-        let known = |n: &String| n == "*" || router(n) || (0..script.nodes).any(|i| *n == format!("n{i}"));
+        let known =
+            |n: &String| n == "*" || router(n) || (0..script.nodes).any(|i| *n == format!("n{i}"));
         for (at, step) in script.steps.iter().enumerate() {
             let field = format!("steps[{at}]");
             let names: Vec<&String> = match step {
-                Step::Start(n) | Step::Kill(n) | Step::End(n) | Step::Stop(n) | Step::Continue(n) => {
-                    n.iter().collect()
-                }
+                Step::Start(n)
+                | Step::Kill(n)
+                | Step::End(n)
+                | Step::Stop(n)
+                | Step::Continue(n) => n.iter().collect(),
                 Step::Quiesce(n) | Step::Resume(n) => n.iter().collect(),
                 Step::Partition(parts) => parts.iter().flatten().collect(),
-                Step::Silence(a, b) | Step::Stall(a, b) | Step::Cut(a, b) => a.iter().chain(b).collect(),
+                Step::Silence(a, b) | Step::Stall(a, b) | Step::Cut(a, b) => {
+                    a.iter().chain(b).collect()
+                }
                 Step::Sees(a, b, ..) => vec![a, b],
-                Step::Links { loss, double, garble, delay_ms } => {
-                    if [loss, double, garble].iter().any(|p| !(0.0..=1.0).contains(*p)) {
+                Step::Links {
+                    loss,
+                    double,
+                    garble,
+                    delay_ms,
+                } => {
+                    if [loss, double, garble]
+                        .iter()
+                        .any(|p| !(0.0..=1.0).contains(*p))
+                    {
                         return Err(bad(None, &field, "a part is not from 0 to 1".into()));
                     }
                     if delay_ms.0 > delay_ms.1 || delay_ms.1 > 60_000 {
@@ -174,7 +191,11 @@
                     vec![]
                 }
                 Step::Served { .. } if !script.router => {
-                    return Err(bad(None, &field, "asks a router, and the play has none".into()));
+                    return Err(bad(
+                        None,
+                        &field,
+                        "asks a router, and the play has none".into(),
+                    ));
                 }
                 Step::Heal | Step::Settled(_) | Step::Served { .. } | Step::Last(_) => vec![],
             };
@@ -195,19 +216,29 @@
             rig.plan(Plan::node(i)).map_err(ScriptError::System)?;
         }
         if self.router {
-            rig.plan(Plan { name: ROUTER.into(), ..Plan::node(0) }).map_err(ScriptError::System)?;
+            rig.plan(Plan {
+                name: ROUTER.into(),
+                ..Plan::node(0)
+            })
+            .map_err(ScriptError::System)?;
         }
         rig.seeds(&self.seeds.iter().map(String::as_str).collect::<Vec<_>>());
         for (at, step) in self.steps.iter().enumerate() {
-            self.step(&mut rig, step).map_err(|what| ScriptError::NotReached(at, what))?;
+            self.step(&mut rig, step)
+                .map_err(|what| ScriptError::NotReached(at, what))?;
         }
         Ok(rig)
     }
 
     fn step(&self, rig: &mut Rig, step: &Step) -> Result<(), String> {
         let all = rig.names();
-        let these =
-            |names: &Vec<String>| if names.iter().any(|n| n == "*") { all.clone() } else { names.clone() };
+        let these = |names: &Vec<String>| {
+            if names.iter().any(|n| n == "*") {
+                all.clone()
+            } else {
+                names.clone()
+            }
+        };
         match step {
             Step::Start(names) => {
                 let names = these(names);
@@ -224,15 +255,25 @@
             Step::End(names) => these(names).iter().for_each(|n| rig.end(n)),
             Step::Stop(names) => these(names).iter().for_each(|n| rig.stop(n)),
             Step::Continue(names) => these(names).iter().for_each(|n| rig.resume(n)),
-            Step::Quiesce(names) => these(names).iter().for_each(|n| drop(rig.call(n, "quiesce"))),
-            Step::Resume(names) => these(names).iter().for_each(|n| drop(rig.call(n, "resume"))),
+            Step::Quiesce(names) => these(names)
+                .iter()
+                .for_each(|n| drop(rig.call(n, "quiesce"))),
+            Step::Resume(names) => these(names)
+                .iter()
+                .for_each(|n| drop(rig.call(n, "resume"))),
             Step::Partition(parts) => rig.partition(parts),
             Step::Silence(from, to) => rig.silence(&these(from), &these(to)),
             Step::Stall(from, to) => rig.stall(&these(from), &these(to)),
             Step::Cut(from, to) => rig.cut(&these(from), &these(to)),
-            Step::Links { loss, double, garble, delay_ms } => {
+            Step::Links {
+                loss,
+                double,
+                garble,
+                delay_ms,
+            } => {
                 let ms = Duration::from_millis;
-                let what = json!({"loss": loss, "double": double, "garble": garble, "delay_ms": delay_ms});
+                let what =
+                    json!({"loss": loss, "double": double, "garble": garble, "delay_ms": delay_ms});
                 rig.weather(what, |link| {
                     (link.loss, link.double, link.garble) = (*loss, *double, *garble);
                     link.delay = (ms(delay_ms.0), ms(delay_ms.1));
@@ -241,17 +282,21 @@
             Step::Heal => rig.heal(),
             Step::Settled(ms) => {
                 let most = Duration::from_millis(*ms);
-                rig.wait("settled", most, Rig::settled).ok_or(format!("settled in {ms} ms"))?;
+                rig.wait("settled", most, Rig::settled)
+                    .ok_or(format!("settled in {ms} ms"))?;
             }
             Step::Sees(who, whom, state, ms) => {
                 let what = format!("{who} sees {whom} {state} in {ms} ms");
                 let sees = |rig: &Rig| {
                     let told = rig.told(who);
                     told.is_some_and(|t| {
-                        t.members.iter().any(|r| *r.name == **whom && fleet_cli::state(r) == state)
+                        t.members
+                            .iter()
+                            .any(|r| *r.name == **whom && fleet_cli::state(r) == state)
                     })
                 };
-                rig.wait(&what, Duration::from_millis(*ms), sees).ok_or(what.clone())?;
+                rig.wait(&what, Duration::from_millis(*ms), sees)
+                    .ok_or(what.clone())?;
             }
             Step::Served { asked, failed, ms } => {
                 let mut front = rig.front(ROUTER);
@@ -259,13 +304,18 @@
                 for _ in 0..*asked {
                     let began = Instant::now();
                     let answer = front.ask("statement-read", "serve:play");
-                    if !answer["result"].is_object() || began.elapsed() > Duration::from_millis(*ms) {
+                    if !answer["result"].is_object() || began.elapsed() > Duration::from_millis(*ms)
+                    {
                         bad.push(answer["error"]["message"].clone());
                     }
                 }
                 rig.note("served", json!({"asked": asked, "failed": bad.len()}));
                 if bad.len() > *failed {
-                    return Err(format!("{} of {asked} failed, {failed} may: {}", bad.len(), json!(bad)));
+                    return Err(format!(
+                        "{} of {asked} failed, {failed} may: {}",
+                        bad.len(),
+                        json!(bad)
+                    ));
                 }
             }
             Step::Last(ms) => std::thread::sleep(Duration::from_millis(*ms)),
--- a/crates/fault-testbed/src/switch.rs
+++ b/crates/fault-testbed/src/switch.rs
@@ -77,7 +77,11 @@
 }
 
 fn spawn(name: &str, body: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    thread::Builder::new().name(name.into()).stack_size(STACK).spawn(body).map(drop)
+    thread::Builder::new()
+        .name(name.into())
+        .stack_size(STACK)
+        .spawn(body)
+        .map(drop)
 }
 
 /// Refuses any place that is not on this machine.
@@ -85,7 +89,10 @@
     if at.ip().is_loopback() {
         Ok(at)
     } else {
-        Err(io::Error::new(ErrorKind::InvalidInput, format!("{at} is not on loopback")))
+        Err(io::Error::new(
+            ErrorKind::InvalidInput,
+            format!("{at} is not on loopback"),
+        ))
     }
 }
 
@@ -140,7 +147,9 @@
     }
     /// Where the process itself takes connections.
     pub fn serves(&self, name: &str, at: SocketAddr) -> io::Result<()> {
-        lock(&self.0.known).streams.insert(name.into(), loopback(at)?);
+        lock(&self.0.known)
+            .streams
+            .insert(name.into(), loopback(at)?);
         Ok(())
     }
 }
@@ -149,7 +158,9 @@
     fn carry_datagrams(&self, socket: &UdpSocket, to: &str) {
         let mut bytes = vec![0; 65_536];
         while !self.ended.load(SeqCst) {
-            let Ok((n, source)) = socket.recv_from(&mut bytes) else { continue };
+            let Ok((n, source)) = socket.recv_from(&mut bytes) else {
+                continue;
+            };
             let known = lock(&self.known);
             let outside = || known.open.contains(to).then(|| "outside".to_string());
             let from = known.senders.get(&source).cloned().or_else(outside);
@@ -197,7 +208,10 @@
                 }
                 continue;
             }
-            let wait = late.0.peek().map_or(LOOK * 5, |Reverse(l)| l.at.saturating_duration_since(now));
+            let wait = late
+                .0
+                .peek()
+                .map_or(LOOK * 5, |Reverse(l)| l.at.saturating_duration_since(now));
             late = match self.later.wait_timeout(late, wait) {
                 Ok((late, _)) => late,
                 Err(_) => return,
@@ -218,10 +232,16 @@
         }
     }
     fn carry_stream(self: &Arc<Self>, from: TcpStream, to: &str) {
-        let processes: Vec<(String, u32)> =
-            lock(&self.known).processes.iter().map(|(name, pid)| (name.clone(), *pid)).collect();
-        let who =
-            from.peer_addr().ok().and_then(|at| owner(at, &processes)).unwrap_or_else(|| "outside".into());
+        let processes: Vec<(String, u32)> = lock(&self.known)
+            .processes
+            .iter()
+            .map(|(name, pid)| (name.clone(), *pid))
+            .collect();
+        let who = from
+            .peer_addr()
+            .ok()
+            .and_then(|at| owner(at, &processes))
+            .unwrap_or_else(|| "outside".into());
         // A connection to one that can't be reached is not made, and nobody is told.
         while !lock(&self.links).passes(&who, to) || !lock(&self.links).passes(to, &who) {
             if self.ended.load(SeqCst) {
@@ -230,13 +250,20 @@
             thread::sleep(LOOK);
         }
         let at = lock(&self.known).streams.get(to).copied();
-        let Some(there) = at.and_then(|at| TcpStream::connect_timeout(&at, Duration::from_secs(2)).ok())
+        let Some(there) =
+            at.and_then(|at| TcpStream::connect_timeout(&at, Duration::from_secs(2)).ok())
         else {
             return;
         };
         let _ = (from.set_nodelay(true), there.set_nodelay(true));
-        let (Ok(back_from), Ok(back_there)) = (there.try_clone(), from.try_clone()) else { return };
-        let (shared, back, forth) = (self.clone(), (to.to_string(), who.clone()), (who, to.to_string()));
+        let (Ok(back_from), Ok(back_there)) = (there.try_clone(), from.try_clone()) else {
+            return;
+        };
+        let (shared, back, forth) = (
+            self.clone(),
+            (to.to_string(), who.clone()),
+            (who, to.to_string()),
+        );
         let _ = spawn("stream", move || shared.pump(back_from, back_there, &back));
         self.pump(from, there, &forth);
     }
--- a/crates/fault-testbed/tests/links.rs
+++ b/crates/fault-testbed/tests/links.rs
@@ -49,26 +49,60 @@
 #[test]
 fn places_off_this_machine_are_refused() {
     let switch = Switch::new(1).expect("sockets");
-    assert!(switch.hears("n0", "192.0.2.1:7946".parse().expect("an address")).is_err());
-    assert!(switch.serves("n0", "0.0.0.0:80".parse().expect("an address")).is_err());
-    assert!(switch.hears("n0", "127.0.0.1:7946".parse().expect("an address")).is_ok());
+    assert!(switch
+        .hears("n0", "192.0.2.1:7946".parse().expect("an address"))
+        .is_err());
+    assert!(switch
+        .serves("n0", "0.0.0.0:80".parse().expect("an address"))
+        .is_err());
+    assert!(switch
+        .hears("n0", "127.0.0.1:7946".parse().expect("an address"))
+        .is_ok());
 }
 
 #[test]
 fn plays_that_can_not_be_used_are_told_with_their_place() {
     let good = "{ version: 1, nodes: 2, steps: [{ start: [\"*\"] }, { settled: 1000 }, \"heal\", { links: { loss: 0.5 } }] }";
-    assert_eq!(Script::parse("f", good).expect("it can be used").steps.len(), 4);
+    assert_eq!(
+        Script::parse("f", good)
+            .expect("it can be used")
+            .steps
+            .len(),
+        4
+    );
     let cases = [
-        ("version: 1", "version: 3", "f: version: 3 is not known here: 1 is"),
+        (
+            "version: 1",
+            "version: 3",
+            "f: version: 3 is not known here: 1 is",
+        ),
         ("nodes: 2", "nodes: 1000", "f: nodes: is not from 1 to 64"),
-        ("[\"*\"]", "[\"n2\"]", "f: steps[0]: n2 is no node of this play"),
-        ("loss: 0.5", "loss: 5", "f: steps[3]: a part is not from 0 to 1"),
+        (
+            "[\"*\"]",
+            "[\"n2\"]",
+            "f: steps[0]: n2 is no node of this play",
+        ),
+        (
+            "loss: 0.5",
+            "loss: 5",
+            "f: steps[3]: a part is not from 0 to 1",
+        ),
     ];
     for (from, to, says) in cases {
-        assert_eq!(Script::parse("f", &good.replace(from, to)).expect_err(to).to_string(), says);
+        assert_eq!(
+            Script::parse("f", &good.replace(from, to))
+                .expect_err(to)
+                .to_string(),
+            says
+        );
     }
-    let error = Script::parse("f", &good.replace("start", "begin")).expect_err("unknown").to_string();
-    assert!(error.starts_with("f:1:") && error.contains("begin"), "{error}");
+    let error = Script::parse("f", &good.replace("start", "begin"))
+        .expect_err("unknown")
+        .to_string();
+    assert!(
+        error.starts_with("f:1:") && error.contains("begin"),
+        "{error}"
+    );
 }
 
 /// Streams over the switch: they stall without a close and go on, one way at a time, and a cut ends what is open only.
@@ -79,7 +113,9 @@
     let switch = Switch::new(1).expect("sockets");
     let (_, before) = switch.connect("server").expect("sockets");
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-    switch.serves("server", listener.local_addr().expect("bound")).expect("on loopback");
+    switch
+        .serves("server", listener.local_addr().expect("bound"))
+        .expect("on loopback");
     switch.runs("client", std::process::id());
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
@@ -95,7 +131,9 @@
     });
     let connect = || {
         let stream = TcpStream::connect(before).expect("the switch listens");
-        stream.set_read_timeout(Some(Duration::from_secs(20))).expect("an option");
+        stream
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .expect("an option");
         stream
     };
     let echo = |mut stream: &TcpStream, text: &[u8; 4]| {
@@ -106,15 +144,30 @@
     let stream = connect();
     assert_eq!(echo(&stream, b"one.").expect("an echo"), *b"one.");
     switch.links(|links| links.change("server", "client", |l| l.stalled = true));
-    stream.set_read_timeout(Some(Duration::from_millis(300))).expect("an option");
+    stream
+        .set_read_timeout(Some(Duration::from_millis(300)))
+        .expect("an option");
     let error = echo(&stream, b"two.").expect_err("nothing comes back, and nothing is closed");
-    assert!(matches!(error.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut), "{error}");
+    assert!(
+        matches!(
+            error.kind(),
+            std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+        ),
+        "{error}"
+    );
     switch.links(|links| links.change("server", "client", |l| l.stalled = false));
-    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("an option");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .expect("an option");
     let mut back = [0; 4];
-    (&stream).read_exact(&mut back).expect("it goes on where it stopped");
+    (&stream)
+        .read_exact(&mut back)
+        .expect("it goes on where it stopped");
     assert_eq!(back, *b"two.");
     switch.links(|links| links.cut("client", "server"));
     assert!(echo(&stream, b"last").is_err(), "cut");
-    assert_eq!(echo(&connect(), b"new.").expect("later ones pass"), *b"new.");
+    assert_eq!(
+        echo(&connect(), b"new.").expect("later ones pass"),
+        *b"new."
+    );
 }
--- a/crates/fleet-cli/src/lib.rs
+++ b/crates/fleet-cli/src/lib.rs
@@ -174,24 +174,41 @@
         lost: told.summary.lost,
         health: told.summary.health,
         dropped: told.summary.dropped,
-        members: told.members.iter().map(|r| (r.name.to_string(), member(r))).collect(),
+        members: told
+            .members
+            .iter()
+            .map(|r| (r.name.to_string(), member(r)))
+            .collect(),
     }
 }
 
 /// Asks every member that the one at this address sees.
 pub fn ask_all(first: SocketAddr, fleet: &str, wait: Duration) -> Result<All, AskError> {
     let told = ask(first, fleet, wait)?;
-    let here: Vec<Record> = told.members.iter().filter(|r| r.word.present()).cloned().collect();
+    let here: Vec<Record> = told
+        .members
+        .iter()
+        .filter(|r| r.word.present())
+        .cloned()
+        .collect();
     let mut views: BTreeMap<String, Option<Status>> = std::thread::scope(|scope| {
         let asked: Vec<_> = here
             .iter()
             .map(|r| {
-                (r.name.to_string(), scope.spawn(move || ask(r.at, fleet, wait).ok().map(|t| shown(&t))))
+                (
+                    r.name.to_string(),
+                    scope.spawn(move || ask(r.at, fleet, wait).ok().map(|t| shown(&t))),
+                )
             })
             .collect();
-        asked.into_iter().map(|(name, answer)| (name, answer.join().unwrap_or(None))).collect()
+        asked
+            .into_iter()
+            .map(|(name, answer)| (name, answer.join().unwrap_or(None)))
+            .collect()
     });
-    views.entry(told.me.name.to_string()).or_insert_with(|| Some(shown(&told)));
+    views
+        .entry(told.me.name.to_string())
+        .or_insert_with(|| Some(shown(&told)));
     Ok(compare(views))
 }
 
@@ -202,17 +219,28 @@
     for name in names {
         for status in answered() {
             // One that was forgotten here and not yet there is gone in both.
-            let state = status.members.get(name).map_or("gone".into(), |m| match m.state {
-                "left" => "gone".to_string(),
-                "gone" => "gone".to_string(),
-                other => format!("{other}, life {}, incarnation {}", m.life, m.incarnation),
-            });
-            held.entry(name.clone()).or_default().entry(state).or_default().push(status.seen_by.clone());
+            let state = status
+                .members
+                .get(name)
+                .map_or("gone".into(), |m| match m.state {
+                    "left" => "gone".to_string(),
+                    "gone" => "gone".to_string(),
+                    other => format!("{other}, life {}, incarnation {}", m.life, m.incarnation),
+                });
+            held.entry(name.clone())
+                .or_default()
+                .entry(state)
+                .or_default()
+                .push(status.seen_by.clone());
         }
     }
     held.retain(|_, states| states.len() > 1);
     let same = answered().map(|s| &s.digest).collect::<BTreeSet<_>>().len() <= 1;
-    All { same, differ: held, views }
+    All {
+        same,
+        differ: held,
+        views,
+    }
 }
 
 fn table(status: &Status) -> String {
@@ -230,21 +258,39 @@
         status.health,
         status.dropped
     );
-    let _ = writeln!(text, "{:<16} {:<10} {:<18} {:<22} serves", "member", "state", "site", "at");
+    let _ = writeln!(
+        text,
+        "{:<16} {:<10} {:<18} {:<22} serves",
+        "member", "state", "site", "at"
+    );
     for (name, m) in &status.members {
         let serves = m.serves.map_or("nothing".into(), |at| at.to_string());
-        let _ = writeln!(text, "{name:<16} {:<10} {:<18} {:<22} {serves}", m.state, m.site, m.at.to_string());
+        let _ = writeln!(
+            text,
+            "{name:<16} {:<10} {:<18} {:<22} {serves}",
+            m.state,
+            m.site,
+            m.at.to_string()
+        );
     }
     text
 }
 
 fn table_of_all(all: &All) -> String {
     let mut text = String::new();
-    let _ = writeln!(text, "{:<16} {:<8} {:>7} {:>5}  digest", "seen by", "says", "present", "lost");
+    let _ = writeln!(
+        text,
+        "{:<16} {:<8} {:>7} {:>5}  digest",
+        "seen by", "says", "present", "lost"
+    );
     for (name, status) in &all.views {
         let _ = match status {
             Some(s) => {
-                writeln!(text, "{name:<16} {:<8} {:>7} {:>5}  {}", s.conclusion, s.present, s.lost, s.digest)
+                writeln!(
+                    text,
+                    "{name:<16} {:<8} {:>7} {:>5}  {}",
+                    s.conclusion, s.present, s.lost, s.digest
+                )
             }
             None => writeln!(text, "{name:<16} no answer"),
         };
@@ -267,8 +313,11 @@
         let _ = writeln!(text, "{} knows as granter: {granter}", me.name);
     }
     for b in &look.budgets {
-        let own =
-            if b.floor.1 { "may be spent" } else { "not yet, calls of an earlier process may be in hand" };
+        let own = if b.floor.1 {
+            "may be spent"
+        } else {
+            "not yet, calls of an earlier process may be in hand"
+        };
         let _ = writeln!(text, "{}: total {} by this member's file", b.name, b.total);
         let _ = writeln!(
             text,
@@ -313,7 +362,9 @@
 }
 
 fn json(value: &impl Serialize) -> String {
-    serde_json::to_string_pretty(value).map(|text| text + "\n").unwrap_or_default()
+    serde_json::to_string_pretty(value)
+        .map(|text| text + "\n")
+        .unwrap_or_default()
 }
 
 /// Runs a command; what it tells.
@@ -325,22 +376,41 @@
     };
     match command {
         Fleet::Check(file) => read(file).map(|_| String::new()),
-        Fleet::Status { whom, all, json: as_json } => {
+        Fleet::Status {
+            whom,
+            all,
+            json: as_json,
+        } => {
             let (at, config) = place(whom)?;
             let wait = Duration::from_millis(whom.wait_ms);
             if *all {
                 let all = ask_all(at, &config.fleet, wait).map_err(FleetError::Ask)?;
-                return Ok(if *as_json { json(&all) } else { table_of_all(&all) });
+                return Ok(if *as_json {
+                    json(&all)
+                } else {
+                    table_of_all(&all)
+                });
             }
             let status = shown(&ask(at, &config.fleet, wait).map_err(FleetError::Ask)?);
-            Ok(if *as_json { json(&status) } else { table(&status) })
+            Ok(if *as_json {
+                json(&status)
+            } else {
+                table(&status)
+            })
         }
-        Fleet::State { whom, json: as_json } => {
+        Fleet::State {
+            whom,
+            json: as_json,
+        } => {
             let (at, config) = place(whom)?;
-            let told =
-                look(at, &config.fleet, Duration::from_millis(whom.wait_ms)).map_err(FleetError::Ask)?;
+            let told = look(at, &config.fleet, Duration::from_millis(whom.wait_ms))
+                .map_err(FleetError::Ask)?;
             let (me, look) = told;
-            Ok(if *as_json { json(&look) } else { table_of_state(&me, &look) })
+            Ok(if *as_json {
+                json(&look)
+            } else {
+                table_of_state(&me, &look)
+            })
         }
         Fleet::Watch { whom, every_ms } => {
             let (at, config) = place(whom)?;
@@ -349,7 +419,9 @@
             let mut out = std::io::stdout();
             loop {
                 // A member that does not answer now may answer later: that is what is watched.
-                let Ok(told) = ask(at, &config.fleet, Duration::from_millis(whom.wait_ms)) else { continue };
+                let Ok(told) = ask(at, &config.fleet, Duration::from_millis(whom.wait_ms)) else {
+                    continue;
+                };
                 let status = shown(&told);
                 let mut lines = Vec::new();
                 if status.conclusion != concluded {
@@ -360,7 +432,10 @@
                     concluded = status.conclusion;
                 }
                 for (name, m) in &status.members {
-                    if before.get(name).is_none_or(|b| (b.state, b.life) != (m.state, m.life)) {
+                    if before
+                        .get(name)
+                        .is_none_or(|b| (b.state, b.life) != (m.state, m.life))
+                    {
                         lines.push(format!("{name} is {}", m.state));
                     }
                 }
--- a/crates/fleet-runtime/src/ask.rs
+++ b/crates/fleet-runtime/src/ask.rs
@@ -32,7 +32,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             AskError::Silent(at) => {
-                write!(f, "{at}: no answer; is it the fleet's address of a member of this fleet?")
+                write!(
+                    f,
+                    "{at}: no answer; is it the fleet's address of a member of this fleet?"
+                )
             }
             AskError::System(e) => write!(f, "{e}"),
         }
@@ -66,14 +69,30 @@
     socket.set_read_timeout(Some(TRY))?;
     for seq in 1.. {
         let body = Body::Carried(Message::Look(seq).encode());
-        let question = Packet { fleet: fleet.into(), from: None, body, news: Vec::new() };
+        let question = Packet {
+            fleet: fleet.into(),
+            from: None,
+            body,
+            news: Vec::new(),
+        };
         socket.send_to(&question.encode(), at)?;
         if Instant::now() >= end {
             break;
         }
-        let Ok(n) = socket.recv(&mut bytes) else { continue };
-        let Ok(packet) = Packet::decode(&bytes[..n], fleet) else { continue };
-        let Packet { from: Some(me), body: Body::Carried(told), .. } = packet else { continue };
+        let Ok(n) = socket.recv(&mut bytes) else {
+            continue;
+        };
+        let Ok(packet) = Packet::decode(&bytes[..n], fleet) else {
+            continue;
+        };
+        let Packet {
+            from: Some(me),
+            body: Body::Carried(told),
+            ..
+        } = packet
+        else {
+            continue;
+        };
         if let Some(Message::Looked(_, look)) = Message::decode(&told) {
             return Ok((me, look));
         }
@@ -90,8 +109,16 @@
     let mut bytes = [0; LONGEST + 1];
     loop {
         seq += 1;
-        let body = Body::Query { seq, after: after.clone() };
-        let question = Packet { fleet: fleet.into(), from: None, body, news: Vec::new() };
+        let body = Body::Query {
+            seq,
+            after: after.clone(),
+        };
+        let question = Packet {
+            fleet: fleet.into(),
+            from: None,
+            body,
+            news: Vec::new(),
+        };
         socket.send_to(&question.encode(), at)?;
         let asked = Instant::now();
         loop {
@@ -104,9 +131,23 @@
             }
             socket.set_read_timeout(Some(left))?;
             // No answer yet, or what came is none: the page is asked for again in time.
-            let Ok(n) = socket.recv(&mut bytes) else { continue };
-            let Ok(packet) = Packet::decode(&bytes[..n], fleet) else { continue };
-            let Packet { from: Some(me), body: Body::Answer { seq: to, more, summary }, news, .. } = packet
+            let Ok(n) = socket.recv(&mut bytes) else {
+                continue;
+            };
+            let Ok(packet) = Packet::decode(&bytes[..n], fleet) else {
+                continue;
+            };
+            let Packet {
+                from: Some(me),
+                body:
+                    Body::Answer {
+                        seq: to,
+                        more,
+                        summary,
+                    },
+                news,
+                ..
+            } = packet
             else {
                 continue;
             };
@@ -116,7 +157,13 @@
             members.extend(news);
             match members.last() {
                 Some(last) if more => after = last.name.clone(),
-                _ => return Ok(Told { me, summary, members }),
+                _ => {
+                    return Ok(Told {
+                        me,
+                        summary,
+                        members,
+                    })
+                }
             }
             break;
         }
--- a/crates/fleet-runtime/src/config.rs
+++ b/crates/fleet-runtime/src/config.rs
@@ -105,8 +105,8 @@
 impl Config {
     /// Reads a fleet's file.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
-        let text =
-            std::fs::read_to_string(path).map_err(|e| ConfigError::Unreadable(path.to_path_buf(), e))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|e| ConfigError::Unreadable(path.to_path_buf(), e))?;
         Config::parse(&path.display().to_string(), &text).map_err(ConfigError::File)
     }
 
@@ -130,9 +130,16 @@
             what: e.to_string(),
         })?;
         if file.version != 1 {
-            return Err(bad("version", format!("{} is not known here: 1 is", file.version)));
+            return Err(bad(
+                "version",
+                format!("{} is not known here: 1 is", file.version),
+            ));
         }
-        let named = [("fleet", Some(&file.fleet)), ("site", Some(&file.site)), ("name", file.name.as_ref())];
+        let named = [
+            ("fleet", Some(&file.fleet)),
+            ("site", Some(&file.site)),
+            ("name", file.name.as_ref()),
+        ];
         for (field, value) in named {
             if value.is_some_and(|v| v.is_empty() || v.len() > NAME) {
                 return Err(bad(field, format!("is not of 1 to {NAME} bytes")));
@@ -156,28 +163,49 @@
         };
         given("advertise", file.advertise)?;
         given("serves", file.serves)?;
-        file.seeds.iter().try_for_each(|at| given("seeds", Some(*at)))?;
+        file.seeds
+            .iter()
+            .try_for_each(|at| given("seeds", Some(*at)))?;
         if file.listen.ip().is_unspecified() && file.advertise.is_none() {
-            return Err(bad("listen", "names no address, so advertise has to".into()));
+            return Err(bad(
+                "listen",
+                "names no address, so advertise has to".into(),
+            ));
         }
         let keepers: BTreeSet<&String> = file.keepers.iter().collect();
-        if keepers.len() != file.keepers.len() || keepers.iter().any(|k| k.is_empty() || k.len() > NAME) {
+        if keepers.len() != file.keepers.len()
+            || keepers.iter().any(|k| k.is_empty() || k.len() > NAME)
+        {
             return Err(bad("keepers", "names a member twice, or none".into()));
         }
-        if file.keepers.len() > KEEPERS || !file.keepers.is_empty() && file.keepers.len().is_multiple_of(2) {
+        if file.keepers.len() > KEEPERS
+            || !file.keepers.is_empty() && file.keepers.len().is_multiple_of(2)
+        {
             return Err(bad("keepers", format!("are not 1, 3, 5 or {KEEPERS}")));
         }
         if !file.budgets.is_empty() && file.keepers.is_empty() {
-            return Err(bad("budgets", "need keepers, of whom one grants them".into()));
+            return Err(bad(
+                "budgets",
+                "need keepers, of whom one grants them".into(),
+            ));
         }
         for (name, budget) in &file.budgets {
             let field = format!("budgets.{name}");
             if ![LEDGER, TRIES].contains(&name.as_str()) {
-                return Err(bad(&field, format!("is not known here: {LEDGER} and {TRIES} are")));
+                return Err(bad(
+                    &field,
+                    format!("is not known here: {LEDGER} and {TRIES} are"),
+                ));
             }
-            let floors = budget.floors.values().try_fold(0u64, |sum, f| sum.checked_add(*f));
+            let floors = budget
+                .floors
+                .values()
+                .try_fold(0u64, |sum, f| sum.checked_add(*f));
             if budget.total > TOTAL || floors.is_none_or(|floors| floors > budget.total) {
-                return Err(bad(&field, format!("has floors above its total, or more than {TOTAL}")));
+                return Err(bad(
+                    &field,
+                    format!("has floors above its total, or more than {TOTAL}"),
+                ));
             }
         }
         let mut settings = Settings::default();
@@ -191,7 +219,10 @@
         }
         // Two direct tries and one through others have to fit.
         if settings.answer * 4 > settings.period {
-            return Err(bad("answer_ms", "is more than a quarter of the period".into()));
+            return Err(bad(
+                "answer_ms",
+                "is more than a quarter of the period".into(),
+            ));
         }
         if let Some(s) = file.forget_s {
             settings.forget = Duration::from_secs(s);
@@ -215,7 +246,11 @@
                 .map(|(name, b)| Plan {
                     name: name.into(),
                     total: b.total,
-                    floors: b.floors.into_iter().map(|(n, units)| (n.into(), units)).collect(),
+                    floors: b
+                        .floors
+                        .into_iter()
+                        .map(|(n, units)| (n.into(), units))
+                        .collect(),
                 })
                 .collect(),
             counts: file.counts,
--- a/crates/fleet-runtime/src/shares.rs
+++ b/crates/fleet-runtime/src/shares.rs
@@ -29,7 +29,11 @@
 impl Default for Shares {
     fn default() -> Shares {
         let began = Instant::now();
-        let nothing = Known { gathered: Gathered::default(), until: began, ledger: Judgement::Unknown };
+        let nothing = Known {
+            gathered: Gathered::default(),
+            until: began,
+            ledger: Judgement::Unknown,
+        };
         Shares {
             began,
             live: Arc::default(),
@@ -47,7 +51,10 @@
     /// A call at the ledger ended: well, in so long, or not.
     pub fn tried(&self, took: Option<Duration>) {
         let now = self.began.elapsed();
-        self.window.lock().unwrap_or_else(PoisonError::into_inner).ended(now, took);
+        self.window
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .ended(now, took);
     }
     /// What the calls of late say, and how many there were and failed.
     pub(crate) fn found(&self) -> (Option<Condition>, (usize, usize)) {
--- a/crates/fleet-runtime/src/shell.rs
+++ b/crates/fleet-runtime/src/shell.rs
@@ -11,14 +11,16 @@
 use arc_swap::ArcSwap;
 use crossbeam_channel::{bounded, Receiver, Sender};
 use membership::packet::LONGEST;
-use membership::{word, Body, Conclusion, Malformed, Name, Out, Packet, Record, Said, Standing, View};
+use membership::{
+    word, Body, Conclusion, Malformed, Name, Out, Packet, Record, Said, Standing, View,
+};
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Token, Waker};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shared_state::{
-    judge, Budgets, Gathering, Judge, Judgement, Look, Message, Out as Shared, Pace, Plan, Said as Gathers,
-    Spend, Terms, LEDGER,
+    judge, Budgets, Gathering, Judge, Judgement, Look, Message, Out as Shared, Pace, Plan,
+    Said as Gathers, Spend, Terms, LEDGER,
 };
 use slog::{debug, info, warn, Logger};
 
@@ -59,7 +61,10 @@
 impl Seen {
     /// The member of this name.
     pub fn member(&self, name: &str) -> Option<&Record> {
-        let at = self.members.binary_search_by(|r| (*r.name).cmp(name)).ok()?;
+        let at = self
+            .members
+            .binary_search_by(|r| (*r.name).cmp(name))
+            .ok()?;
         self.members.get(at)
     }
     fn of(view: &View) -> Seen {
@@ -111,7 +116,10 @@
 impl Handle {
     /// What this node may spend of the budget of this name, where the file has it.
     pub fn allowance(&self, budget: &str) -> Option<Allowance> {
-        self.allowances.iter().find(|(name, _)| **name == *budget).map(|(_, a)| a.clone())
+        self.allowances
+            .iter()
+            .find(|(name, _)| **name == *budget)
+            .map(|(_, a)| a.clone())
     }
     /// What the view sees.
     pub fn seen(&self) -> Arc<Seen> {
@@ -181,7 +189,8 @@
 
 fn socket(at: SocketAddr, poll: &Poll) -> io::Result<UdpSocket> {
     let mut socket = UdpSocket::bind(at)?;
-    poll.registry().register(&mut socket, SOCKET, Interest::READABLE)?;
+    poll.registry()
+        .register(&mut socket, SOCKET, Interest::READABLE)?;
     Ok(socket)
 }
 
@@ -201,42 +210,71 @@
             rebind = Some(Instant::now() + REBIND);
             // Where others are told an address by the file there is no second one to be had: it waits.
             let other = SocketAddr::new(config.listen.ip(), 0);
-            config.advertise.is_none().then(|| socket(other, &poll)).transpose()?
+            config
+                .advertise
+                .is_none()
+                .then(|| socket(other, &poll))
+                .transpose()?
         }
         other => Some(other?),
     };
-    let at = socket.as_ref().map_or(Ok(config.listen), UdpSocket::local_addr)?;
+    let at = socket
+        .as_ref()
+        .map_or(Ok(config.listen), UdpSocket::local_addr)?;
     let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     // A draw from the machine, as std's hash tables take it.
     let seed = RandomState::new().hash_one(&me.name);
     let life = word::life(unix.as_millis() as u64, seed);
     let gathering = me.shares.map(|shares| {
         let (name, site) = (me.name.clone(), config.site.clone());
-        (Gathering::new(Pace::default(), name, site, life, Duration::ZERO), shares)
+        (
+            Gathering::new(Pace::default(), name, site, life, Duration::ZERO),
+            shares,
+        )
     });
     let record = Record {
         name: me.name,
         site: config.site.clone(),
         at: config.advertise.unwrap_or(at),
         serves: config.serves.or(me.serves),
-        word: word::Word { life, incarnation: 0, said: Said::Joining, standing: Standing::Present },
+        word: word::Word {
+            life,
+            incarnation: 0,
+            said: Said::Joining,
+            standing: Standing::Present,
+        },
         by: 0,
     };
     let began = Instant::now();
     let budgets = (!config.budgets.is_empty()).then(|| {
         let (keepers, plans) = (config.keepers.clone(), config.budgets.clone());
-        Budgets::new(Terms::default(), record.name.clone(), life, keepers, plans, Duration::ZERO)
+        Budgets::new(
+            Terms::default(),
+            record.name.clone(),
+            life,
+            keepers,
+            plans,
+            Duration::ZERO,
+        )
     });
-    let nothing = Spend { floor: (0, Duration::ZERO), leased: (0, Duration::ZERO) };
+    let nothing = Spend {
+        floor: (0, Duration::ZERO),
+        leased: (0, Duration::ZERO),
+    };
     let allowance = || Allowance {
         began,
         spend: Arc::new(ArcSwap::from_pointee(nothing)),
         usage: Arc::new(Usage::default()),
         waker: waker.clone(),
     };
-    let allowances: Vec<(Name, Allowance)> =
-        config.budgets.iter().map(|b| (b.name.clone(), allowance())).collect();
+    let allowances: Vec<(Name, Allowance)> = config
+        .budgets
+        .iter()
+        .map(|b| (b.name.clone(), allowance()))
+        .collect();
     let view = View::new(
         config.settings.clone(),
         config.fleet.clone(),
@@ -246,7 +284,13 @@
     );
     let seen = Arc::new(ArcSwap::from_pointee(Seen::of(&view)));
     let (tell, words) = bounded(MAILBOX);
-    let handle = Handle { at, seen: seen.clone(), words: tell, waker, allowances: allowances.clone() };
+    let handle = Handle {
+        at,
+        seen: seen.clone(),
+        words: tell,
+        waker,
+        allowances: allowances.clone(),
+    };
     let shell = Shell {
         conclusion: view.conclusion().0,
         succeeded: false,
@@ -272,7 +316,10 @@
         drops_logged: None,
         log: log.clone(),
     };
-    std::thread::Builder::new().name("fleet".into()).stack_size(stack).spawn(move || shell.run())?;
+    std::thread::Builder::new()
+        .name("fleet".into())
+        .stack_size(stack)
+        .spawn(move || shell.run())?;
     Ok(handle)
 }
 
@@ -281,7 +328,11 @@
         let mut events = Events::with_capacity(4);
         let mut readable = true;
         loop {
-            let wait = if readable { Duration::ZERO } else { self.wait() };
+            let wait = if readable {
+                Duration::ZERO
+            } else {
+                self.wait()
+            };
             match self.poll.poll(&mut events, Some(wait)) {
                 Err(e) if e.kind() != ErrorKind::Interrupted => {
                     warn!(self.log, "fleet: poll"; "error" => %e);
@@ -302,7 +353,8 @@
             if self.socket.is_some() && self.view.next() <= now {
                 let mut out = Vec::new();
                 let rng = &mut self.rng;
-                self.view.tick(now, &mut |n| rng.random_range(0..n.max(1)), &mut out);
+                self.view
+                    .tick(now, &mut |n| rng.random_range(0..n.max(1)), &mut out);
                 self.carry_out(out);
             }
             self.tick_budgets();
@@ -316,25 +368,41 @@
         let now = Instant::now();
         // A look once a minute does no harm where nothing is due.
         let next = match self.socket {
-            Some(_) => self.view.next().saturating_sub(self.began.elapsed()).min(Duration::from_secs(60)),
+            Some(_) => self
+                .view
+                .next()
+                .saturating_sub(self.began.elapsed())
+                .min(Duration::from_secs(60)),
             None => REBIND,
         };
         let until = |at: Option<Instant>| at.map_or(next, |at| at.saturating_duration_since(now));
-        let budgets =
-            self.budgets.as_ref().filter(|_| self.socket.is_some()).map_or(Duration::MAX, Budgets::next);
+        let budgets = self
+            .budgets
+            .as_ref()
+            .filter(|_| self.socket.is_some())
+            .map_or(Duration::MAX, Budgets::next);
         let gathering = self.gathering.as_ref().filter(|_| self.socket.is_some());
         let shared = budgets.min(gathering.map_or(Duration::MAX, |(g, _)| g.next()));
         let budgets = shared.saturating_sub(self.began.elapsed());
-        next.min(until(self.publish)).min(until(self.rebind)).min(budgets)
+        next.min(until(self.publish))
+            .min(until(self.rebind))
+            .min(budgets)
     }
 
     /// Budgets: what is used and wanted, what is due, and what may be spent from now on.
     fn tick_budgets(&mut self) {
         let now = self.began.elapsed();
-        let Some(mut budgets) = self.budgets.take_if(|_| self.socket.is_some()) else { return };
+        let Some(mut budgets) = self.budgets.take_if(|_| self.socket.is_some()) else {
+            return;
+        };
         for (at, (_, allowance)) in self.allowances.iter().enumerate() {
             let usage = &allowance.usage;
-            budgets.wants(at, usage.in_use.load(Relaxed), usage.want.load(Relaxed), now);
+            budgets.wants(
+                at,
+                usage.in_use.load(Relaxed),
+                usage.want.load(Relaxed),
+                now,
+            );
         }
         if budgets.next() <= now {
             let mut out = Vec::new();
@@ -349,7 +417,9 @@
     fn tick_gathering(&mut self) {
         let now = self.began.elapsed();
         let due = |(g, _): &mut (Gathering, Shares)| self.socket.is_some() && g.next() <= now;
-        let Some((mut gathering, shares)) = self.gathering.take_if(due) else { return };
+        let Some((mut gathering, shares)) = self.gathering.take_if(due) else {
+            return;
+        };
         let own = shares.found().0.filter(|_| self.config.judgements);
         let found: Vec<_> = own.map(|c| (LEDGER, c)).into_iter().collect();
         let (counts, draw) = (shares.live().now(), self.rng.random::<f64>());
@@ -361,22 +431,31 @@
     }
     fn carry_gathered(&mut self, out: Vec<(Name, Gathers)>) {
         self.carry_shared(
-            out.into_iter().map(|(to, said)| Shared::Tell(to, Message::Gather(said))).collect(),
+            out.into_iter()
+                .map(|(to, said)| Shared::Tell(to, Message::Gather(said)))
+                .collect(),
         );
     }
     fn publish_gathered(&mut self) {
         let now = self.began.elapsed();
-        let Some((gathering, shares)) = &self.gathering else { return };
+        let Some((gathering, shares)) = &self.gathering else {
+            return;
+        };
         let gathered = gathering.gathered().clone();
         let before = self.judge.said().0;
         let tally = gathered.tally(LEDGER, now);
         if self.config.judgements {
             let sites = self.view.sites().len();
-            self.judge.look(now, judge(shares.found().0, &tally, sites), gathered.as_of);
+            self.judge
+                .look(now, judge(shares.found().0, &tally, sites), gathered.as_of);
         }
         let ledger = self.judge.said().0;
         let until = self.began + gathered.until;
-        shares.publish(Known { gathered, until, ledger });
+        shares.publish(Known {
+            gathered,
+            until,
+            ledger,
+        });
         if ledger != before {
             let (calls, failed) = shares.found().1;
             info!(self.log, "ledger"; "judgement" => ledger.name(), "before" => before.name(), "calls" => calls,
@@ -389,22 +468,35 @@
     /// else the fleet is served better by nodes that fail.
     fn step_back(&mut self, wanted: bool) {
         let serving = |r: &&Record| r.serves.is_some() && r.word.present();
-        let (all, up) = self.view.members().filter(serving).fold((0, 0), |(all, up), r| {
-            (all + 1, up + usize::from(r.takes_requests() && r.name != self.view.me().name))
-        });
+        let (all, up) = self
+            .view
+            .members()
+            .filter(serving)
+            .fold((0, 0), |(all, up), r| {
+                (
+                    all + 1,
+                    up + usize::from(r.takes_requests() && r.name != self.view.me().name),
+                )
+            });
         self.steps_back = wanted && up * 2 > all;
         self.say();
     }
     /// Tells the others how the process stands.
     fn say(&mut self) {
-        let said = if self.steps_back && self.said == Said::Up { Said::Quiesced } else { self.said };
+        let said = if self.steps_back && self.said == Said::Up {
+            Said::Quiesced
+        } else {
+            self.said
+        };
         self.view.say(said, self.began.elapsed());
         self.soon();
     }
     fn publish_budgets(&mut self, budgets: &Budgets) {
         let mut changed = false;
         for (at, (name, allowance)) in self.allowances.iter().enumerate() {
-            let Some(spend) = budgets.spend(at) else { continue };
+            let Some(spend) = budgets.spend(at) else {
+                continue;
+            };
             let before = **allowance.spend.load();
             if spend != before {
                 allowance.spend.store(Arc::new(spend));
@@ -434,23 +526,34 @@
     /// A message on shared state came.
     fn hear_shared(&mut self, from: Option<Name>, bytes: &[u8], source: SocketAddr) {
         let now = self.began.elapsed();
-        let Some(message) = Message::decode(bytes) else { return self.drop_one(source, &Malformed::Bounds) };
+        let Some(message) = Message::decode(bytes) else {
+            return self.drop_one(source, &Malformed::Bounds);
+        };
         match (message, from) {
             (Message::Look(seq), None) => {
                 let body = Body::Carried(Message::Looked(seq, self.look(now)).encode());
                 let from = Some(self.view.me().clone());
-                let answer = Packet { fleet: self.config.fleet.clone(), from, body, news: Vec::new() };
+                let answer = Packet {
+                    fleet: self.config.fleet.clone(),
+                    from,
+                    body,
+                    news: Vec::new(),
+                };
                 self.carry_out(vec![Out::Send(source, answer)]);
             }
             (Message::Gather(said), Some(from)) => {
-                let Some((gathering, _)) = &mut self.gathering else { return };
+                let Some((gathering, _)) = &mut self.gathering else {
+                    return;
+                };
                 let mut out = Vec::new();
                 gathering.hear(&from, said, now, &mut out);
                 self.carry_gathered(out);
                 self.publish_gathered();
             }
             (message, Some(from)) => {
-                let Some(mut budgets) = self.budgets.take() else { return };
+                let Some(mut budgets) = self.budgets.take() else {
+                    return;
+                };
                 let mut out = Vec::new();
                 budgets.hear(&from, message, now, &mut out);
                 self.carry_shared(out);
@@ -462,7 +565,11 @@
     }
     /// What is shared here, for people.
     fn look(&self, now: Duration) -> Look {
-        let look = self.budgets.as_ref().map(|b| b.look(now)).unwrap_or_default();
+        let look = self
+            .budgets
+            .as_ref()
+            .map(|b| b.look(now))
+            .unwrap_or_default();
         let gathered = self.gathering.as_ref().map(|(gathering, shares)| {
             let (ledger, since) = self.judge.said();
             let (calls, failed) = shares.found().1;
@@ -480,11 +587,20 @@
                 self.said = said;
                 self.say();
             }
-            Word::Serve(at) => self.view.serve_at(Some(self.config.serves.unwrap_or(at)), now),
+            Word::Serve(at) => self
+                .view
+                .serve_at(Some(self.config.serves.unwrap_or(at)), now),
             Word::Config(config) => {
                 let gathers = |c: &Config| (c.counts, c.judgements);
                 let fixed = |c: &Config| {
-                    (c.fleet.clone(), c.site.clone(), c.listen, c.advertise, c.serves, gathers(c))
+                    (
+                        c.fleet.clone(),
+                        c.site.clone(),
+                        c.listen,
+                        c.advertise,
+                        c.serves,
+                        gathers(c),
+                    )
                 };
                 if fixed(&config) != fixed(&self.config) {
                     warn!(
@@ -495,14 +611,23 @@
                 self.view.set_seeds(config.seeds.clone());
                 self.view.set_settings(config.settings.clone());
                 if let Some(budgets) = &mut self.budgets {
-                    let total =
-                        |name: &Name| config.budgets.iter().find(|b| b.name == *name).map(|b| b.total);
+                    let total = |name: &Name| {
+                        config
+                            .budgets
+                            .iter()
+                            .find(|b| b.name == *name)
+                            .map(|b| b.total)
+                    };
                     let of = |b: &Plan| total(&b.name).unwrap_or(b.total);
                     budgets.set_totals(&self.config.budgets.iter().map(of).collect());
                 }
                 // A judge that stopped where it stands would leave its node holding back for good.
                 let (counts, judgements) = gathers(&self.config);
-                self.config = Config { counts, judgements, ..*config };
+                self.config = Config {
+                    counts,
+                    judgements,
+                    ..*config
+                };
             }
             Word::Beside(another) => {
                 if let Some(budgets) = &mut self.budgets {
@@ -519,7 +644,8 @@
                     self.view.hush();
                 } else {
                     let rng = &mut self.rng;
-                    self.view.leave(now, &mut |n| rng.random_range(0..n.max(1)), &mut out);
+                    self.view
+                        .leave(now, &mut |n| rng.random_range(0..n.max(1)), &mut out);
                 }
                 self.carry_out(out);
                 let _ = done.try_send(());
@@ -534,7 +660,9 @@
     fn read(&mut self) -> bool {
         let mut bytes = [0; LONGEST + 1];
         for _ in 0..AT_ONCE {
-            let Some(socket) = &self.socket else { return false };
+            let Some(socket) = &self.socket else {
+                return false;
+            };
             match socket.recv_from(&mut bytes) {
                 Ok((n, source)) => match Packet::decode(&bytes[..n], &self.config.fleet) {
                     Ok(mut packet) => {
@@ -546,7 +674,8 @@
                         let mut out = Vec::new();
                         let rng = &mut self.rng;
                         let mut draw = |n: usize| rng.random_range(0..n.max(1));
-                        self.view.hear(packet, source, self.began.elapsed(), &mut draw, &mut out);
+                        self.view
+                            .hear(packet, source, self.began.elapsed(), &mut draw, &mut out);
                         self.carry_out(out);
                         if let Some(bytes) = carried {
                             self.hear_shared(from, &bytes, source);
@@ -565,7 +694,10 @@
     fn drop_one(&mut self, source: SocketAddr, why: &dyn std::fmt::Display) {
         self.dropped += 1;
         let now = Instant::now();
-        if self.drops_logged.is_none_or(|at| now.duration_since(at) >= LOG_SELDOM) {
+        if self
+            .drops_logged
+            .is_none_or(|at| now.duration_since(at) >= LOG_SELDOM)
+        {
             self.drops_logged = Some(now);
             warn!(self.log, "datagram dropped"; "from" => %source, "why" => %why, "so_far" => self.dropped);
         }
@@ -612,7 +744,9 @@
 
     fn log_member(&self, record: &Record) {
         let before = self.seen.load();
-        let before = before.member(&record.name).map(|r| (r.word.life, r.word.said, r.word.standing));
+        let before = before
+            .member(&record.name)
+            .map(|r| (r.word.life, r.word.said, r.word.standing));
         let is = (record.word.life, record.word.said, record.word.standing);
         if before == Some(is) {
             return;
@@ -643,7 +777,12 @@
             self.seen.store(Arc::new(Seen::of(&self.view)));
             if let Some((gathering, _)) = &mut self.gathering {
                 let reports = |r: &&Record| r.serves.is_some() && r.word.present();
-                gathering.members(self.view.members().filter(reports).map(|r| (&r.name, &r.site)));
+                gathering.members(
+                    self.view
+                        .members()
+                        .filter(reports)
+                        .map(|r| (&r.name, &r.site)),
+                );
             }
             (self.changed)();
         }
@@ -657,7 +796,10 @@
         match socket(self.config.listen, &self.poll) {
             Ok(socket) => {
                 (self.socket, self.rebind) = (Some(socket), None);
-                self.view.move_to(self.config.advertise.unwrap_or(self.config.listen), self.began.elapsed());
+                self.view.move_to(
+                    self.config.advertise.unwrap_or(self.config.listen),
+                    self.began.elapsed(),
+                );
                 info!(self.log, "fleet"; "at" => %self.config.listen);
                 self.soon();
             }
--- a/crates/fleet-runtime/tests/file.rs
+++ b/crates/fleet-runtime/tests/file.rs
@@ -15,20 +15,42 @@
 #[test]
 fn a_file_is_read_with_what_it_leaves_out() {
     let config = Config::parse("f", GOOD).expect("it can be used");
-    assert_eq!((&*config.fleet, &*config.site, config.seeds.len()), ("padana", "bergamo-est", 1));
-    assert_eq!(config.settings, Default::default());
+    assert_eq!(
+        (&*config.fleet, &*config.site, config.seeds.len()),
+        ("padana", "bergamo-est", 1)
+    );
+    assert_eq!(config.settings, membership::Settings::default());
     let slow = GOOD.replace("version: 1,", "version: 1, period_ms: 2000,");
     let slow = Config::parse("f", &slow).expect("it can be used").settings;
-    assert_eq!((slow.period, slow.answer), (Duration::from_secs(2), Duration::from_millis(480)));
+    assert_eq!(
+        (slow.period, slow.answer),
+        (Duration::from_secs(2), Duration::from_millis(480))
+    );
 }
 
 #[test]
 fn what_can_not_be_used_names_file_line_and_field() {
     let cases = [
-        ("version: 1", "version: 2", "fleet.json5:2: version: 2 is not known here: 1 is"),
-        ("\"padana\"", "\"\"", "fleet.json5:3: fleet: is not of 1 to 64 bytes"),
-        ("127.0.0.1:7946", "0.0.0.0:7946", "fleet.json5:5: listen: names no address, so advertise has to"),
-        ("127.0.0.1:7947", "127.0.0.1:0", "fleet.json5:6: seeds: 127.0.0.1:0 is nowhere to send to"),
+        (
+            "version: 1",
+            "version: 2",
+            "fleet.json5:2: version: 2 is not known here: 1 is",
+        ),
+        (
+            "\"padana\"",
+            "\"\"",
+            "fleet.json5:3: fleet: is not of 1 to 64 bytes",
+        ),
+        (
+            "127.0.0.1:7946",
+            "0.0.0.0:7946",
+            "fleet.json5:5: listen: names no address, so advertise has to",
+        ),
+        (
+            "127.0.0.1:7947",
+            "127.0.0.1:0",
+            "fleet.json5:6: seeds: 127.0.0.1:0 is nowhere to send to",
+        ),
         (
             "version: 1,",
             "version: 1,\n  period_ms: 1,",
@@ -44,8 +66,15 @@
         let error = Config::parse("fleet.json5", &GOOD.replace(from, to)).expect_err(to);
         assert_eq!(error.to_string(), says);
     }
-    let error =
-        Config::parse("fleet.json5", &GOOD.replace("site:", "sight:")).expect_err("unknown").to_string();
-    assert!(error.starts_with("fleet.json5:") && error.contains("sight"), "{error}");
-    assert!(Config::parse("fleet.json5", &GOOD[..GOOD.len() - 20]).is_err(), "cut short");
+    let error = Config::parse("fleet.json5", &GOOD.replace("site:", "sight:"))
+        .expect_err("unknown")
+        .to_string();
+    assert!(
+        error.starts_with("fleet.json5:") && error.contains("sight"),
+        "{error}"
+    );
+    assert!(
+        Config::parse("fleet.json5", &GOOD[..GOOD.len() - 20]).is_err(),
+        "cut short"
+    );
 }
--- a/crates/fleet-simulation/src/baselines.rs
+++ b/crates/fleet-simulation/src/baselines.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use foca::{
-    AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification, PeriodicParams,
-    PostcardCodec, Timer,
+    AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, OwnedNotification,
+    PeriodicParams, PostcardCodec, Timer,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -37,9 +37,23 @@
 impl Peer for Heartbeats {
     type Packet = (Id, u64);
     const NAME: &'static str = "heartbeats";
-    fn start(id: Id, life: u64, size: usize, _: &[Id], now: Duration, rng: &mut ChaCha8Rng) -> Heartbeats {
+    fn start(
+        id: Id,
+        life: u64,
+        size: usize,
+        _: &[Id],
+        now: Duration,
+        rng: &mut ChaCha8Rng,
+    ) -> Heartbeats {
         let beat = now + BEAT.mul_f64(rng.random::<f64>());
-        Heartbeats { id, life, size, heard: BTreeMap::new(), given_up: Vec::new(), beat }
+        Heartbeats {
+            id,
+            life,
+            size,
+            heard: BTreeMap::new(),
+            given_up: Vec::new(),
+            beat,
+        }
     }
     fn hear(
         &mut self,
@@ -56,9 +70,17 @@
     fn tick(&mut self, now: Duration, _: &mut ChaCha8Rng, out: &mut Vec<(Id, (Id, u64))>) {
         if now >= self.beat {
             self.beat = now + BEAT;
-            out.extend((0..self.size).filter(|id| *id != self.id).map(|id| (id, (self.id, self.life))));
-            let gone: Vec<Id> =
-                self.heard.iter().filter(|(_, (_, at))| now - *at >= SILENCE).map(|(id, _)| *id).collect();
+            out.extend(
+                (0..self.size)
+                    .filter(|id| *id != self.id)
+                    .map(|id| (id, (self.id, self.life))),
+            );
+            let gone: Vec<Id> = self
+                .heard
+                .iter()
+                .filter(|(_, (_, at))| now - *at >= SILENCE)
+                .map(|(id, _)| *id)
+                .collect();
             for id in gone {
                 self.heard.remove(&id);
                 self.given_up.push(id);
@@ -81,7 +103,9 @@
     fn digest(&self) -> u64 {
         self.heard
             .iter()
-            .fold(mix(self.id as u64, self.life), |sum, (id, (life, _))| sum ^ mix(*id as u64, *life))
+            .fold(mix(self.id as u64, self.life), |sum, (id, (life, _))| {
+                sum ^ mix(*id as u64, *life)
+            })
     }
     fn given_up(&mut self) -> Vec<Id> {
         std::mem::take(&mut self.given_up)
@@ -97,7 +121,10 @@
 impl Identity for Who {
     type Addr = u32;
     fn renew(&self) -> Option<Who> {
-        Some(Who { id: self.id, life: self.life + 1 })
+        Some(Who {
+            id: self.id,
+            life: self.life + 1,
+        })
     }
     fn addr(&self) -> u32 {
         self.id
@@ -125,7 +152,8 @@
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.order += 1;
-            self.timers.insert((now + after, Reverse(self.order)), timer);
+            self.timers
+                .insert((now + after, Reverse(self.order)), timer);
         }
         while let Some(note) = self.runtime.to_notify() {
             if let OwnedNotification::MemberDown(who) = note {
@@ -138,7 +166,14 @@
 impl Peer for FocaPeer {
     type Packet = Vec<u8>;
     const NAME: &'static str = "foca";
-    fn start(id: Id, life: u64, size: usize, seeds: &[Id], now: Duration, rng: &mut ChaCha8Rng) -> FocaPeer {
+    fn start(
+        id: Id,
+        life: u64,
+        size: usize,
+        seeds: &[Id],
+        now: Duration,
+        rng: &mut ChaCha8Rng,
+    ) -> FocaPeer {
         let members = NonZeroU32::new(size.max(2) as u32).unwrap_or(NonZeroU32::MIN);
         let mut config = Config::new_lan(members);
         config.probe_period = Duration::from_millis(500);
@@ -146,15 +181,26 @@
         config.suspect_to_down_after =
             Duration::from_millis(500).mul_f64(4.0 * (size.max(10) as f64).log10());
         config.remove_down_after = Some(Duration::from_secs(3600));
-        config.max_packet_size = std::num::NonZeroUsize::new(1200).unwrap_or(config.max_packet_size);
-        let every = |ms, num_members| PeriodicParams { frequency: Duration::from_millis(ms), num_members };
+        config.max_packet_size =
+            std::num::NonZeroUsize::new(1200).unwrap_or(config.max_packet_size);
+        let every = |ms, num_members| PeriodicParams {
+            frequency: Duration::from_millis(ms),
+            num_members,
+        };
         let (one, three) = (std::num::NonZeroUsize::MIN, config.num_indirect_probes);
         config.periodic_gossip = Some(every(100, three));
         config.periodic_announce = Some(every(1000, one));
         config.periodic_announce_to_down_members = Some(every(1000, one));
         let own = ChaCha8Rng::seed_from_u64(rng.random());
-        let who = Who { id: id as u32, life: life << 32 };
-        let seeds = seeds.iter().filter(|s| **s != id).map(|s| *s as u32).collect();
+        let who = Who {
+            id: id as u32,
+            life: life << 32,
+        };
+        let seeds = seeds
+            .iter()
+            .filter(|s| **s != id)
+            .map(|s| *s as u32)
+            .collect();
         FocaPeer {
             foca: Foca::new(who, config, own, PostcardCodec),
             runtime: AccumulatingRuntime::new(),
@@ -165,7 +211,13 @@
             announce: now,
         }
     }
-    fn hear(&mut self, bytes: Vec<u8>, now: Duration, _: &mut ChaCha8Rng, out: &mut Vec<(Id, Vec<u8>)>) {
+    fn hear(
+        &mut self,
+        bytes: Vec<u8>,
+        now: Duration,
+        _: &mut ChaCha8Rng,
+        out: &mut Vec<(Id, Vec<u8>)>,
+    ) {
         // What it can't use it tells by an error, and drops.
         let _ = self.foca.handle_data(&bytes, &mut self.runtime);
         self.drain(now, out);
@@ -185,13 +237,16 @@
         self.drain(now, out);
     }
     fn next(&self) -> Duration {
-        self.timers.first_key_value().map_or(self.announce, |((at, _), _)| self.announce.min(*at))
+        self.timers
+            .first_key_value()
+            .map_or(self.announce, |((at, _), _)| self.announce.min(*at))
     }
     fn size(bytes: &Vec<u8>) -> usize {
         bytes.len()
     }
     fn holds(&self, id: Id) -> bool {
-        self.foca.identity().id as usize == id || self.foca.iter_members().any(|m| m.id().id as usize == id)
+        self.foca.identity().id as usize == id
+            || self.foca.iter_members().any(|m| m.id().id as usize == id)
     }
     fn present(&self) -> usize {
         self.foca.num_members() + 1
@@ -199,7 +254,9 @@
     fn digest(&self) -> u64 {
         let own = self.foca.identity();
         let of = |who: &Who| mix(u64::from(who.id), who.life);
-        self.foca.iter_members().fold(of(own), |sum, m| sum ^ of(m.id()))
+        self.foca
+            .iter_members()
+            .fold(of(own), |sum, m| sum ^ of(m.id()))
     }
     fn given_up(&mut self) -> Vec<Id> {
         std::mem::take(&mut self.given_up)
--- a/crates/fleet-simulation/src/budgets.rs
+++ b/crates/fleet-simulation/src/budgets.rs
@@ -192,11 +192,18 @@
     }
     fn push(&mut self, after: Duration, event: Event) {
         self.order += 1;
-        self.heap.push(Reverse(Entry(self.now + after, self.order, event)));
+        self.heap
+            .push(Reverse(Entry(self.now + after, self.order, event)));
     }
     fn plan(&self) -> Plan {
-        let floors = (0..self.play.nodes).map(|id| (name(id), self.play.floor)).collect();
-        Plan { name: "ledger".into(), total: self.total, floors }
+        let floors = (0..self.play.nodes)
+            .map(|id| (name(id), self.play.floor))
+            .collect();
+        Plan {
+            name: "ledger".into(),
+            total: self.total,
+            floors,
+        }
     }
     fn start(&mut self, id: usize) {
         let clock = self.clock(id);
@@ -205,19 +212,32 @@
         let node = &mut self.nodes[id];
         node.life += 1;
         node.own = 0;
-        node.budgets = Some(Budgets::new(terms, name(id), node.life, keepers, vec![plan], clock));
+        node.budgets = Some(Budgets::new(
+            terms,
+            name(id),
+            node.life,
+            keepers,
+            vec![plan],
+            clock,
+        ));
         let life = node.life;
         self.push(Duration::ZERO, Event::Tick(id, life));
     }
 
     fn send(&mut self, from: usize, out: Vec<Out>) {
         for Out::Tell(to, message) in out {
-            let Ok(to) = to[1..].parse::<usize>() else { continue };
+            let Ok(to) = to[1..].parse::<usize>() else {
+                continue;
+            };
             self.report.messages += 1;
             let doubled = self.rng.random::<f64>() < self.play.loss / 2.0;
             for _ in 0..=usize::from(doubled) {
                 // Mostly quick, now and then very late.
-                let late = if self.rng.random::<f64>() < 0.02 { 4000 } else { 5 };
+                let late = if self.rng.random::<f64>() < 0.02 {
+                    4000
+                } else {
+                    5
+                };
                 let way = Duration::from_micros(self.rng.random_range(200..late * 1000));
                 let lost = self.rng.random::<f64>() < self.play.loss;
                 if !lost && self.nodes[from].part == self.nodes[to].part {
@@ -232,7 +252,9 @@
         let draw = self.rng.random::<f64>();
         let names: Vec<Name> = (0..self.nodes.len()).map(name).collect();
         let mut out = Vec::new();
-        let Some(budgets) = self.nodes[id].budgets.as_mut() else { return };
+        let Some(budgets) = self.nodes[id].budgets.as_mut() else {
+            return;
+        };
         if budgets.next() <= clock {
             budgets.tick(clock, draw, &names, &mut out);
         }
@@ -242,7 +264,9 @@
     /// What a node may have in use, by the way that is played.
     fn limit(&self, id: usize) -> u64 {
         let node = &self.nodes[id];
-        let Some(budgets) = &node.budgets else { return 0 };
+        let Some(budgets) = &node.budgets else {
+            return 0;
+        };
         match self.way {
             Way::Leases => budgets.limit(0, self.clock(id)),
             Way::Static => self.total / self.play.nodes as u64,
@@ -292,7 +316,11 @@
     /// The ledger counts.
     fn look(&mut self) {
         self.report.looks += 1;
-        let total = if self.lowered.is_some_and(|at| self.now < at) { self.play.total } else { self.total };
+        let total = if self.lowered.is_some_and(|at| self.now < at) {
+            self.play.total
+        } else {
+            self.total
+        };
         if self.in_hand > total {
             self.report.over += 1;
             self.report.most_over = self.report.most_over.max(self.in_hand - total);
@@ -311,9 +339,13 @@
             }
             1 => {
                 // The one that grants.
-                let clocks: Vec<Duration> = (0..self.nodes.len()).map(|id| self.clock(id)).collect();
+                let clocks: Vec<Duration> =
+                    (0..self.nodes.len()).map(|id| self.clock(id)).collect();
                 let reigns = |id: &usize| {
-                    self.nodes[*id].budgets.as_ref().is_some_and(|b| b.books(clocks[*id]).is_some())
+                    self.nodes[*id]
+                        .budgets
+                        .as_ref()
+                        .is_some_and(|b| b.books(clocks[*id]).is_some())
                 };
                 if let Some(id) = (0..self.nodes.len()).find(reigns) {
                     self.nodes[id].budgets = None;
@@ -347,7 +379,10 @@
                 _ => None,
             };
             // A node that is stopped hears and does things when it goes on.
-            if let Some(until) = node.map(|id| self.nodes[id].stopped).filter(|until| *until > at) {
+            if let Some(until) = node
+                .map(|id| self.nodes[id].stopped)
+                .filter(|until| *until > at)
+            {
                 self.heap.push(Reverse(Entry(until, order, event)));
                 continue;
             }
@@ -387,15 +422,24 @@
                     self.push(WORK, Event::Work);
                 }
             }
-            if let Some(cut) = self.play.cut.filter(|cut| self.now >= *cut && self.lowered.is_none()) {
+            if let Some(cut) = self
+                .play
+                .cut
+                .filter(|cut| self.now >= *cut && self.lowered.is_none())
+            {
                 self.total = self.play.total / 2;
                 self.lowered = Some(cut + Duration::from_secs(8));
                 let totals = vec![self.total];
-                self.nodes.iter_mut().filter_map(|n| n.budgets.as_mut()).for_each(|b| b.set_totals(&totals));
+                self.nodes
+                    .iter_mut()
+                    .filter_map(|n| n.budgets.as_mut())
+                    .for_each(|b| b.set_totals(&totals));
             }
             if self.now >= sampled {
                 sampled = self.now + Duration::from_millis(100);
-                self.report.use_of_total.push(self.in_hand as f64 / self.total as f64);
+                self.report
+                    .use_of_total
+                    .push(self.in_hand as f64 / self.total as f64);
             }
         }
         self.report
--- a/crates/fleet-simulation/src/fleet.rs
+++ b/crates/fleet-simulation/src/fleet.rs
@@ -22,7 +22,11 @@
 
 impl Default for Network {
     fn default() -> Network {
-        Network { loss: 0.0, double: 0.0, delay: (Duration::from_micros(200), Duration::from_millis(2)) }
+        Network {
+            loss: 0.0,
+            double: 0.0,
+            delay: (Duration::from_micros(200), Duration::from_millis(2)),
+        }
     }
 }
 
@@ -169,7 +173,9 @@
     }
     /// Nodes that live.
     pub fn living(&self) -> Vec<Id> {
-        (0..self.nodes.len()).filter(|id| self.nodes[*id].peer.is_some()).collect()
+        (0..self.nodes.len())
+            .filter(|id| self.nodes[*id].peer.is_some())
+            .collect()
     }
     /// A living node.
     pub fn peer(&self, id: Id) -> Option<&P> {
@@ -186,11 +192,14 @@
     /// Whether all living nodes of each part hold exactly each other.
     pub fn settled(&self) -> bool {
         let living = self.living();
-        let mut parts: std::collections::BTreeMap<u8, (u64, usize, Id)> = std::collections::BTreeMap::new();
+        let mut parts: std::collections::BTreeMap<u8, (u64, usize, Id)> =
+            std::collections::BTreeMap::new();
         for id in &living {
             let Some(peer) = self.peer(*id) else { continue };
             let digest = peer.digest();
-            let seen = parts.entry(self.nodes[*id].part).or_insert((digest, 0, *id));
+            let seen = parts
+                .entry(self.nodes[*id].part)
+                .or_insert((digest, 0, *id));
             if seen.0 != digest {
                 return false;
             }
@@ -198,14 +207,18 @@
         }
         // Equal digests: one of a part speaks for all of it.
         parts.iter().all(|(part, (_, count, speaker))| {
-            let Some(peer) = self.peer(*speaker) else { return false };
+            let Some(peer) = self.peer(*speaker) else {
+                return false;
+            };
             let of_part = |id: &&Id| self.nodes[**id].part == *part;
             peer.present() == *count && living.iter().filter(of_part).all(|id| peer.holds(*id))
         })
     }
     /// Whether no living node that can hear holds that one to be there.
     pub fn given_up_by_all(&self, id: Id) -> bool {
-        self.living().iter().all(|other| *other == id || self.peer(*other).is_none_or(|p| !p.holds(id)))
+        self.living()
+            .iter()
+            .all(|other| *other == id || self.peer(*other).is_none_or(|p| !p.holds(id)))
     }
 
     fn reachable(&self, from: Id, to: Id) -> bool {
@@ -214,15 +227,26 @@
     }
     fn push(&mut self, at: Duration, node: Id, event: Event<P::Packet>) {
         self.order += 1;
-        self.heap.push(Reverse(Entry { at, order: self.order, node, event }));
+        self.heap.push(Reverse(Entry {
+            at,
+            order: self.order,
+            node,
+            event,
+        }));
     }
     fn schedule(&mut self, id: Id) {
-        let Some(next) = self.nodes[id].peer.as_ref().map(P::next) else { return };
+        let Some(next) = self.nodes[id].peer.as_ref().map(P::next) else {
+            return;
+        };
         if next == Duration::MAX {
             return;
         }
         let slow = self.nodes[id].slow;
-        let late = if slow.is_zero() { slow } else { slow.mul_f64(self.rng.random::<f64>()) };
+        let late = if slow.is_zero() {
+            slow
+        } else {
+            slow.mul_f64(self.rng.random::<f64>())
+        };
         let at = next.max(self.now) + late;
         self.nodes[id].ticket += 1;
         let ticket = self.nodes[id].ticket;
@@ -258,13 +282,19 @@
                 return false;
             }
         }
-        let Some(Reverse(entry)) = self.heap.pop() else { return false };
+        let Some(Reverse(entry)) = self.heap.pop() else {
+            return false;
+        };
         self.now = entry.at;
         let id = entry.node;
         if let Some(end) = self.nodes[id].stopped {
             if self.now < end {
                 self.order += 1;
-                self.heap.push(Reverse(Entry { at: end, order: self.order, ..entry }));
+                self.heap.push(Reverse(Entry {
+                    at: end,
+                    order: self.order,
+                    ..entry
+                }));
                 return true;
             }
             self.nodes[id].stopped = None;
@@ -272,7 +302,9 @@
         let mut sent = Vec::new();
         let now = self.now;
         let node = &mut self.nodes[id];
-        let Some(peer) = node.peer.as_mut() else { return true };
+        let Some(peer) = node.peer.as_mut() else {
+            return true;
+        };
         let ticked = match entry.event {
             Event::Deliver(packet) => {
                 peer.hear(packet, now, &mut self.rng, &mut sent);
@@ -287,9 +319,16 @@
         let given_up = peer.given_up();
         let next = peer.next();
         for other in given_up {
-            let there = self.nodes.get(other).is_some_and(|n| n.peer.is_some() && n.stopped.is_none());
+            let there = self
+                .nodes
+                .get(other)
+                .is_some_and(|n| n.peer.is_some() && n.stopped.is_none());
             let right = !there || !self.reachable(id, other) || !self.reachable(other, id);
-            let list = if right { &mut self.rightly } else { &mut self.wrongly };
+            let list = if right {
+                &mut self.rightly
+            } else {
+                &mut self.wrongly
+            };
             list.push((now, id, other));
         }
         self.send(id, sent);
--- a/crates/fleet-simulation/src/gathering.rs
+++ b/crates/fleet-simulation/src/gathering.rs
@@ -143,8 +143,16 @@
             })
             .collect();
         let (late, order, now) = (BinaryHeap::new(), 0, Duration::from_secs(10));
-        let mut world =
-            World { play, nodes, late, order, now, rng, sums: BTreeMap::new(), report: Report::default() };
+        let mut world = World {
+            play,
+            nodes,
+            late,
+            order,
+            now,
+            rng,
+            sums: BTreeMap::new(),
+            report: Report::default(),
+        };
         (0..world.nodes.len()).for_each(|id| world.start(id));
         world.tell_views(Duration::ZERO);
         world
@@ -161,14 +169,21 @@
         node.life += 1;
         // Lives are different over the fleet, as drawn ones are.
         let life = node.life * 1_000_000 + id as u64 + 1;
-        node.gathering = Some(Gathering::new(Pace::default(), name(id), site(id), life, now));
+        node.gathering = Some(Gathering::new(
+            Pace::default(),
+            name(id),
+            site(id),
+            life,
+            now,
+        ));
         (node.live, node.window, node.judge) = Default::default();
     }
     /// What each node's view shows after so long.
     fn tell_views(&mut self, after: Duration) {
         for id in 0..self.nodes.len() {
             let there = |other: &usize| {
-                self.nodes[*other].gathering.is_some() && self.nodes[*other].part == self.nodes[id].part
+                self.nodes[*other].gathering.is_some()
+                    && self.nodes[*other].part == self.nodes[id].part
             };
             let seen = (0..self.nodes.len()).filter(there).collect();
             let at = self.now + after;
@@ -213,8 +228,10 @@
         let turned: Vec<Duration> = concerned.iter().filter_map(|n| n.turned).collect();
         let most = |times: &[Duration]| times.iter().max().copied();
         if let (Some(first), Some(last)) = (turned.iter().min(), most(&turned)) {
-            self.report.held_back =
-                Some((first.saturating_sub(start + third), last.saturating_sub(start + third)));
+            self.report.held_back = Some((
+                first.saturating_sub(start + third),
+                last.saturating_sub(start + third),
+            ));
             let back: Vec<Duration> = concerned.iter().filter_map(|n| n.back).collect();
             if back.len() == concerned.len() {
                 self.report.went_on = most(&back).map(|at| at.saturating_sub(start + third * 2));
@@ -222,8 +239,13 @@
         }
         let bytes = self.nodes.iter().map(|n| n.bytes);
         self.report.bytes = (bytes.clone().max().unwrap_or(0), bytes.sum());
-        self.report.memory =
-            self.nodes.iter().filter_map(|n| n.gathering.as_ref()).map(Gathering::bytes).max().unwrap_or(0);
+        self.report.memory = self
+            .nodes
+            .iter()
+            .filter_map(|n| n.gathering.as_ref())
+            .map(Gathering::bytes)
+            .max()
+            .unwrap_or(0);
         self.report
     }
 
@@ -247,7 +269,11 @@
         } else if draw < 4.0 {
             let whole = self.nodes.iter().all(|n| n.part == 0);
             for at in 0..self.nodes.len() {
-                self.nodes[at].part = if whole { u8::from(self.rng.random::<f64>() < 0.4) } else { 0 };
+                self.nodes[at].part = if whole {
+                    u8::from(self.rng.random::<f64>() < 0.4)
+                } else {
+                    0
+                };
             }
             self.tell_views(VIEW_LATE);
         }
@@ -257,7 +283,10 @@
         let node = &mut self.nodes[id];
         let before = std::mem::replace(&mut node.counts[tenant], count);
         node.past[tenant].push_back((now, before));
-        while node.past[tenant].front().is_some_and(|(until, _)| *until + Duration::from_secs(20) < now) {
+        while node.past[tenant]
+            .front()
+            .is_some_and(|(until, _)| *until + Duration::from_secs(20) < now)
+        {
             node.past[tenant].pop_front();
         }
         for _ in before..count {
@@ -278,38 +307,67 @@
                 let tenant = (TENANTS as f64 * self.rng.random::<f64>().powi(3)) as usize;
                 let count = self.nodes[id].counts[tenant];
                 let more = self.rng.random::<f64>() < if count < 3 { 0.6 } else { 0.3 };
-                self.set(id, tenant, if more { count + 1 } else { count.saturating_sub(1) });
+                self.set(
+                    id,
+                    tenant,
+                    if more {
+                        count + 1
+                    } else {
+                        count.saturating_sub(1)
+                    },
+                );
             }
             if self.rng.random::<f64>() < 0.15 {
-                let (now, took) = (self.clock(id), self.reaches(id).then_some(Duration::from_millis(8)));
+                let (now, took) = (
+                    self.clock(id),
+                    self.reaches(id).then_some(Duration::from_millis(8)),
+                );
                 self.nodes[id].window.ended(now, took);
             }
         }
     }
     fn send(&mut self, from: usize, out: Vec<(Name, Said)>) {
         for (to, said) in out {
-            let Some(to) = to[1..].parse::<usize>().ok() else { continue };
+            let Some(to) = to[1..].parse::<usize>().ok() else {
+                continue;
+            };
             let bytes = Message::Gather(said).encode();
             self.nodes[from].bytes += bytes.len() as u64 + 28;
             let lost = self.rng.random::<f64>() < self.play.loss;
             let twice = self.rng.random::<f64>() < if self.play.loss > 0.0 { 0.1 } else { 0.0 };
             for _ in 0..u8::from(!lost) + u8::from(!lost && twice) {
-                let late = if self.play.loss > 0.0 && self.rng.random::<f64>() < 0.05 { 1000 } else { 5 };
+                let late = if self.play.loss > 0.0 && self.rng.random::<f64>() < 0.05 {
+                    1000
+                } else {
+                    5
+                };
                 let after = Duration::from_millis(self.rng.random_range(0..late));
                 self.order += 1;
-                self.late.push(Reverse((self.now + after, self.order, from, to, bytes.clone())));
+                self.late.push(Reverse((
+                    self.now + after,
+                    self.order,
+                    from,
+                    to,
+                    bytes.clone(),
+                )));
             }
         }
     }
     fn deliver(&mut self) {
         while self.late.peek().is_some_and(|Reverse(l)| l.0 <= self.now) {
-            let Some(Reverse((_, _, from, to, bytes))) = self.late.pop() else { return };
+            let Some(Reverse((_, _, from, to, bytes))) = self.late.pop() else {
+                return;
+            };
             if self.nodes[from].part != self.nodes[to].part {
                 continue;
             }
             let now = self.clock(to);
-            let Some(gathering) = self.nodes[to].gathering.as_mut() else { continue };
-            let Some(Message::Gather(said)) = Message::decode(&bytes) else { continue };
+            let Some(gathering) = self.nodes[to].gathering.as_mut() else {
+                continue;
+            };
+            let Some(Message::Gather(said)) = Message::decode(&bytes) else {
+                continue;
+            };
             let mut out = Vec::new();
             gathering.hear(&name(from), said, now, &mut out);
             self.note_sum(to);
@@ -318,7 +376,9 @@
     }
     /// Keeps whose counts are in the sum of this node as it is now.
     fn note_sum(&mut self, id: usize) {
-        let Some(gathering) = &self.nodes[id].gathering else { return };
+        let Some(gathering) = &self.nodes[id].gathering else {
+            return;
+        };
         let (number, names) = gathering.reported();
         let ids = names.filter_map(|n| n[1..].parse().ok()).collect();
         if self.nodes.len() <= 64 {
@@ -330,8 +390,14 @@
         if self.nodes[id].gathering.is_none() {
             return;
         }
-        while self.nodes[id].view.front().is_some_and(|(at, _)| *at <= self.now) {
-            let Some((_, seen)) = self.nodes[id].view.pop_front() else { break };
+        while self.nodes[id]
+            .view
+            .front()
+            .is_some_and(|(at, _)| *at <= self.now)
+        {
+            let Some((_, seen)) = self.nodes[id].view.pop_front() else {
+                break;
+            };
             let all: Vec<(Name, Name)> = seen.iter().map(|i| (name(*i), site(*i))).collect();
             if let Some(gathering) = &mut self.nodes[id].gathering {
                 gathering.members(all.iter().map(|(n, s)| (n, s)));
@@ -339,12 +405,19 @@
         }
         let draw = self.rng.random::<f64>();
         let node = &mut self.nodes[id];
-        let Some(gathering) = &mut node.gathering else { return };
+        let Some(gathering) = &mut node.gathering else {
+            return;
+        };
         if gathering.next() > now {
             return;
         }
         let counts: Cells = node.live.now();
-        let found: Vec<_> = node.window.condition(now).map(|c| (LEDGER, c)).into_iter().collect();
+        let found: Vec<_> = node
+            .window
+            .condition(now)
+            .map(|c| (LEDGER, c))
+            .into_iter()
+            .collect();
         let mut out = Vec::new();
         gathering.tick(now, &counts, &found, draw, &mut out);
         self.note_sum(id);
@@ -353,10 +426,14 @@
 
     fn look(&mut self, id: usize) {
         let now = self.clock(id);
-        let Some(gathering) = &self.nodes[id].gathering else { return };
+        let Some(gathering) = &self.nodes[id].gathering else {
+            return;
+        };
         let gathered = gathering.gathered().clone();
         let there: BTreeSet<usize> = (0..self.nodes.len())
-            .filter(|o| self.nodes[*o].gathering.is_some() && self.nodes[*o].part == self.nodes[id].part)
+            .filter(|o| {
+                self.nodes[*o].gathering.is_some() && self.nodes[*o].part == self.nodes[id].part
+            })
             .collect();
         let tenant = self.rng.random_range(0..TENANTS);
         match gathered.estimate(tenant, now) {
@@ -364,26 +441,44 @@
             Some(told) if self.nodes.len() <= 64 => {
                 // On the world's clock; a little later than stated, by what this node's clock may have drifted.
                 let age = (now - gathered.as_of).mul_f64(1.0 / self.nodes[id].rate);
-                let as_of = self.now.saturating_sub(if self.play.ageless { Duration::ZERO } else { age });
+                let as_of = self.now.saturating_sub(if self.play.ageless {
+                    Duration::ZERO
+                } else {
+                    age
+                });
                 let ids = self.sums.get(&gathered.number).cloned().unwrap_or_default();
                 let least = |node: &Node| {
-                    let past = node.past[tenant as usize].iter().filter(|(until, _)| *until >= as_of);
-                    past.map(|(_, count)| *count).chain([node.counts[tenant as usize]]).min().unwrap_or(0)
+                    let past = node.past[tenant as usize]
+                        .iter()
+                        .filter(|(until, _)| *until >= as_of);
+                    past.map(|(_, count)| *count)
+                        .chain([node.counts[tenant as usize]])
+                        .min()
+                        .unwrap_or(0)
                 };
-                let true_least: u32 = ids.iter().filter(|i| **i != id).map(|i| least(&self.nodes[*i])).sum();
+                let true_least: u32 = ids
+                    .iter()
+                    .filter(|i| **i != id)
+                    .map(|i| least(&self.nodes[*i]))
+                    .sum();
                 self.report.looks += 1;
                 self.report.too_low += u64::from(told < true_least);
                 if ids.len() == there.len() {
                     let others = there.iter().filter(|i| **i != id);
                     let now: u32 = others.map(|i| self.nodes[*i].counts[tenant as usize]).sum();
                     let (over, all) = &mut self.report.too_high;
-                    (*over, *all) = (*over + u64::from(told.saturating_sub(now)), *all + u64::from(now));
+                    (*over, *all) = (
+                        *over + u64::from(told.saturating_sub(now)),
+                        *all + u64::from(now),
+                    );
                 }
                 self.report.ages.push(age.as_millis() as u64);
             }
             Some(_) => {
                 self.report.looks += 1;
-                self.report.ages.push((now - gathered.as_of).as_millis() as u64);
+                self.report
+                    .ages
+                    .push((now - gathered.as_of).as_millis() as u64);
             }
         }
         self.judge(id, now, &gathered.tally(LEDGER, now), gathered.as_of);
--- a/crates/fleet-simulation/src/lib.rs
+++ b/crates/fleet-simulation/src/lib.rs
@@ -26,7 +26,14 @@
     /// Its name in tables.
     const NAME: &'static str;
     /// A process that starts, with what it is told: its number, its life, the fleet's size and the seeds' numbers.
-    fn start(id: Id, life: u64, size: usize, seeds: &[Id], now: Duration, rng: &mut ChaCha8Rng) -> Self;
+    fn start(
+        id: Id,
+        life: u64,
+        size: usize,
+        seeds: &[Id],
+        now: Duration,
+        rng: &mut ChaCha8Rng,
+    ) -> Self;
     /// A datagram came.
     fn hear(
         &mut self,
--- a/crates/fleet-simulation/src/main.rs
+++ b/crates/fleet-simulation/src/main.rs
@@ -4,7 +4,9 @@
 
 use clap::{Parser, Subcommand};
 use fleet_simulation::budgets::{Play, Report, Way, World};
-use fleet_simulation::gathering::{Broken, Play as Gathered, Report as GatherReport, World as GatherWorld};
+use fleet_simulation::gathering::{
+    Broken, Play as Gathered, Report as GatherReport, World as GatherWorld,
+};
 use fleet_simulation::plays::{play, sized, wrongly, Case, CASES};
 use fleet_simulation::{FocaPeer, Heartbeats, Peer, PlainSwim, ViewPeer};
 
@@ -95,11 +97,17 @@
             .map(|w| {
                 let one = &one;
                 scope.spawn(move || {
-                    (0..plays).filter(|p| p % threads == w).map(|p| (p, one(p + 1))).collect::<Vec<_>>()
+                    (0..plays)
+                        .filter(|p| p % threads == w)
+                        .map(|p| (p, one(p + 1)))
+                        .collect::<Vec<_>>()
                 })
             })
             .collect();
-        workers.into_iter().flat_map(|w| w.join().unwrap_or_default()).collect()
+        workers
+            .into_iter()
+            .flat_map(|w| w.join().unwrap_or_default())
+            .collect()
     });
     done.sort_by_key(|(play, _)| *play);
     done.into_iter().map(|(_, out)| out).collect()
@@ -109,7 +117,9 @@
     let middle = |mut of: Vec<u64>| {
         of.sort_unstable();
         let at = |part: f64| {
-            of.get(((of.len() as f64 * part) as usize).min(of.len().max(1) - 1)).copied().unwrap_or(0)
+            of.get(((of.len() as f64 * part) as usize).min(of.len().max(1) - 1))
+                .copied()
+                .unwrap_or(0)
         };
         (at(0.5), at(0.99))
     };
@@ -127,9 +137,19 @@
         (false, Broken::Site),
         (false, Broken::Ledger),
     ] {
-        let play =
-            Gathered { nodes, long: Duration::from_secs(60), loss: 0.2, faults, ageless: false, broken };
-        let play = if faults { play } else { Gathered { loss: 0.0, ..play } };
+        let play = Gathered {
+            nodes,
+            long: Duration::from_secs(60),
+            loss: 0.2,
+            faults,
+            ageless: false,
+            broken,
+        };
+        let play = if faults {
+            play
+        } else {
+            Gathered { loss: 0.0, ..play }
+        };
         let all = side_by_side(plays, |seed| GatherWorld::new(play.clone(), seed).run());
         let sum = |f: fn(&GatherReport) -> u64| all.iter().map(f).sum::<u64>();
         let ages = middle(all.iter().flat_map(|r| r.ages.iter().copied()).collect());
@@ -148,7 +168,11 @@
         let back = |f: fn(&GatherReport) -> Option<Duration>| {
             let mut times: Vec<Duration> = all.iter().filter_map(f).collect();
             times.sort();
-            (secs(times.get(times.len() / 2).copied()), secs(times.last().copied()), times.len())
+            (
+                secs(times.get(times.len() / 2).copied()),
+                secs(times.last().copied()),
+                times.len(),
+            )
         };
         if broken != Broken::Nothing && !faults {
             let first = back(|r| r.held_back.map(|h| h.0));
@@ -161,8 +185,14 @@
     println!("| --- | --- | --- | --- | --- |");
     for &nodes in sizes {
         let long = Duration::from_secs(30);
-        let play =
-            Gathered { nodes, long, loss: 0.0, faults: false, ageless: false, broken: Broken::Nothing };
+        let play = Gathered {
+            nodes,
+            long,
+            loss: 0.0,
+            faults: false,
+            ageless: false,
+            broken: Broken::Nothing,
+        };
         let report = GatherWorld::new(play, 1).run();
         let ages = middle(report.ages);
         let second = |bytes: u64| bytes / long.as_secs();
@@ -182,13 +212,25 @@
     let mut times: Vec<Duration> = all.iter().filter_map(|o| o.settled).collect();
     times.sort();
     let median = times.get(times.len() / 2).copied();
-    let worst = if times.len() < all.len() { None } else { times.last().copied() };
+    let worst = if times.len() < all.len() {
+        None
+    } else {
+        times.last().copied()
+    };
     let wrongly: usize = all.iter().map(|o| o.wrongly).sum();
-    println!("| {case:?} | {} | {} | {} | {wrongly} |", P::NAME, secs(median), secs(worst));
+    println!(
+        "| {case:?} | {} | {} | {} | {wrongly} |",
+        P::NAME,
+        secs(median),
+        secs(worst)
+    );
 }
 
 fn size<P: Peer>(nodes: usize, plays: u64) {
-    let all: Vec<_> = side_by_side(plays, |seed| sized::<P>(nodes, seed)).into_iter().flatten().collect();
+    let all: Vec<_> = side_by_side(plays, |seed| sized::<P>(nodes, seed))
+        .into_iter()
+        .flatten()
+        .collect();
     let middle = |mut list: Vec<Duration>| {
         list.sort();
         (list.get(list.len() / 2).copied(), list.last().copied())
@@ -222,8 +264,13 @@
 }
 
 fn budgets(plays: u64, nodes: usize) {
-    let faults = Play { nodes, ..Play::default() };
-    println!("| way | plays | looks | over the total | most over | what may be spent over | use, mean |");
+    let faults = Play {
+        nodes,
+        ..Play::default()
+    };
+    println!(
+        "| way | plays | looks | over the total | most over | what may be spent over | use, mean |"
+    );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for way in [Way::Leases, Way::Static, Way::Estimates] {
         let all = side_by_side(plays, |seed| World::new(faults.clone(), way, seed).run());
@@ -254,9 +301,14 @@
     println!("\n| one of {nodes} wants 80% from 20 s on | use at 1 s | 2 s | 3 s | mean of 5 s to 15 s |");
     println!("| --- | --- | --- | --- | --- |");
     for way in [Way::Leases, Way::Static] {
-        let all = side_by_side(plays.min(20), |seed| World::new(skewed.clone(), way, seed).run());
+        let all = side_by_side(plays.min(20), |seed| {
+            World::new(skewed.clone(), way, seed).run()
+        });
         let at = |from: usize, to: usize| {
-            all.iter().map(|r| mean(&r.use_of_total[from..to])).sum::<f64>() / all.len() as f64
+            all.iter()
+                .map(|r| mean(&r.use_of_total[from..to]))
+                .sum::<f64>()
+                / all.len() as f64
         };
         println!(
             "| {way:?} | {:.2} | {:.2} | {:.2} | {:.2} |",
@@ -266,9 +318,16 @@
             at(250, 350)
         );
     }
-    let cut =
-        Play { nodes, faults: false, loss: 0.05, cut: Some(Duration::from_secs(30)), ..Play::default() };
-    let all = side_by_side(plays.min(20), |seed| World::new(cut.clone(), Way::Leases, seed).run());
+    let cut = Play {
+        nodes,
+        faults: false,
+        loss: 0.05,
+        cut: Some(Duration::from_secs(30)),
+        ..Play::default()
+    };
+    let all = side_by_side(plays.min(20), |seed| {
+        World::new(cut.clone(), Way::Leases, seed).run()
+    });
     let over: u64 = all.iter().map(|r| r.over).sum();
     println!(
         "\ntotal cut by half under full use, {} plays: {over} looks over it once 8 s had passed",
@@ -303,11 +362,25 @@
                     size::<Heartbeats>(nodes, plays);
                 }
             }
-            println!("a member takes about {} bytes and its name", membership::View::bytes_a_member());
+            println!(
+                "a member takes about {} bytes and its name",
+                membership::View::bytes_a_member()
+            );
         }
-        Command::Gather { plays, nodes, sizes } => gather(nodes, plays, &sizes),
+        Command::Gather {
+            plays,
+            nodes,
+            sizes,
+        } => gather(nodes, plays, &sizes),
         Command::Budgets { plays, nodes } => budgets(plays, nodes),
-        Command::Wrongly { nodes, loss, slow_ms, seconds, plays, foca } => {
+        Command::Wrongly {
+            nodes,
+            loss,
+            slow_ms,
+            seconds,
+            plays,
+            foca,
+        } => {
             let (slow, long) = (Duration::from_millis(slow_ms), Duration::from_secs(seconds));
             println!("| | wrongly gone | by play |\n| --- | --- | --- |");
             wrong::<ViewPeer>(nodes, loss, slow, long, plays);
--- a/crates/fleet-simulation/src/plays.rs
+++ b/crates/fleet-simulation/src/plays.rs
@@ -82,22 +82,37 @@
 
 /// Plays a hard case in a fleet of this size.
 pub fn play<P: Peer>(case: Case, size: usize, seed: u64) -> Outcome {
-    let none = Outcome { settled: None, wrongly: 0 };
+    let none = Outcome {
+        settled: None,
+        wrongly: 0,
+    };
     if matches!(case, Case::Start | Case::SeedDown) {
-        let seeds = if case == Case::Start { vec![0] } else { vec![0, size] };
+        let seeds = if case == Case::Start {
+            vec![0]
+        } else {
+            vec![0, size]
+        };
         // A seed that is down: a number beyond the fleet's.
         let mut fleet: Fleet<P> = Fleet::new(size, seeds, Network::default(), seed);
         (0..size).for_each(|id| fleet.start(id));
         let settled = fleet.until(MOST, LOOK, Fleet::settled);
-        return Outcome { settled, wrongly: fleet.wrongly.len() };
+        return Outcome {
+            settled,
+            wrongly: fleet.wrongly.len(),
+        };
     }
-    let Some(mut fleet) = whole::<P>(size, Network::default(), seed) else { return none };
-    let cut =
-        |fleet: &mut Fleet<P>, part: &dyn Fn(Id) -> u8| (0..size).for_each(|id| fleet.part(id, part(id)));
+    let Some(mut fleet) = whole::<P>(size, Network::default(), seed) else {
+        return none;
+    };
+    let cut = |fleet: &mut Fleet<P>, part: &dyn Fn(Id) -> u8| {
+        (0..size).for_each(|id| fleet.part(id, part(id)))
+    };
     let one = fleet.draw(size);
     match case {
         Case::Start | Case::SeedDown => {}
-        Case::ThirdKilled => (0..size).filter(|id| id % 3 == 2).for_each(|id| fleet.kill(id)),
+        Case::ThirdKilled => (0..size)
+            .filter(|id| id % 3 == 2)
+            .for_each(|id| fleet.kill(id)),
         Case::Halves => cut(&mut fleet, &|id| (id % 2) as u8),
         Case::TwoToOne => cut(&mut fleet, &|id| u8::from(id % 3 == 0)),
         Case::InThree => cut(&mut fleet, &|id| (id % 3) as u8),
@@ -115,7 +130,11 @@
         }
         Case::Loss => {
             let delay = (Duration::from_millis(1), Duration::from_millis(100));
-            fleet.network = Network { loss: 0.2, double: 0.02, delay };
+            fleet.network = Network {
+                loss: 0.2,
+                double: 0.02,
+                delay,
+            };
         }
         Case::Stopped => fleet.stop(one, Duration::from_secs(5)),
         Case::Restart => {
@@ -152,7 +171,10 @@
         fleet.run(Duration::from_secs(5));
     }
     let settled = fleet.until(MOST, LOOK, Fleet::settled);
-    Outcome { settled, wrongly: fleet.wrongly.len() }
+    Outcome {
+        settled,
+        wrongly: fleet.wrongly.len(),
+    }
 }
 
 /// What a fleet of one size does.
@@ -172,7 +194,9 @@
 pub fn sized<P: Peer>(size: usize, seed: u64) -> Option<Sized> {
     let mut fleet = whole::<P>(size, Network::default(), seed)?;
     let total = |fleet: &Fleet<P>| {
-        (0..size).map(|id| fleet.traffic(id)).fold((0, 0), |sum, t| (sum.0 + t.datagrams, sum.1 + t.bytes))
+        (0..size)
+            .map(|id| fleet.traffic(id))
+            .fold((0, 0), |sum, t| (sum.0 + t.datagrams, sum.1 + t.bytes))
     };
     // What the start left to be told is told by then.
     fleet.run(MINUTE);
@@ -186,16 +210,31 @@
     fleet.kill(one);
     let began = fleet.now();
     fleet.until(MOST, LOOK, |f| f.given_up_by_all(one));
-    let times: Vec<Duration> =
-        fleet.rightly.iter().filter(|(_, _, id)| *id == one).map(|(at, _, _)| *at - began).collect();
+    let times: Vec<Duration> = fleet
+        .rightly
+        .iter()
+        .filter(|(_, _, id)| *id == one)
+        .map(|(at, _, _)| *at - began)
+        .collect();
     let detected = times.iter().min().copied().zip(times.iter().max().copied());
     fleet.start(one);
     let joined = fleet.until(MOST, LOOK, Fleet::settled);
-    Some(Sized { detected, joined, datagrams, bytes })
+    Some(Sized {
+        detected,
+        joined,
+        datagrams,
+        bytes,
+    })
 }
 
 /// Members given up wrongly in a fleet with a network that loses, and one slow node if wanted, over so long.
-pub fn wrongly<P: Peer>(size: usize, loss: f64, slow: Duration, long: Duration, seed: u64) -> Option<usize> {
+pub fn wrongly<P: Peer>(
+    size: usize,
+    loss: f64,
+    slow: Duration,
+    long: Duration,
+    seed: u64,
+) -> Option<usize> {
     let mut fleet = whole::<P>(size, Network::default(), seed)?;
     fleet.network.loss = loss;
     if !slow.is_zero() {
--- a/crates/fleet-simulation/src/views.rs
+++ b/crates/fleet-simulation/src/views.rs
@@ -56,10 +56,17 @@
             word,
             by: 0,
         };
-        let seeds = seeds.iter().filter(|s| **s != id).map(|s| address(*s)).collect();
+        let seeds = seeds
+            .iter()
+            .filter(|s| **s != id)
+            .map(|s| address(*s))
+            .collect();
         let mut view = View::new(settings, "drawn".into(), me, seeds, now);
         view.say(Said::Up, now);
-        ViewPeer { view, given_up: Vec::new() }
+        ViewPeer {
+            view,
+            given_up: Vec::new(),
+        }
     }
     fn take(&mut self, done: Vec<Out>, out: &mut Vec<(Id, Packet)>) {
         for one in done {
@@ -77,18 +84,38 @@
 impl Peer for ViewPeer {
     type Packet = Packet;
     const NAME: &'static str = "view";
-    fn start(id: Id, life: u64, _: usize, seeds: &[Id], now: Duration, rng: &mut ChaCha8Rng) -> ViewPeer {
+    fn start(
+        id: Id,
+        life: u64,
+        _: usize,
+        seeds: &[Id],
+        now: Duration,
+        rng: &mut ChaCha8Rng,
+    ) -> ViewPeer {
         ViewPeer::with(Settings::default(), id, life, seeds, now, rng)
     }
-    fn hear(&mut self, packet: Packet, now: Duration, rng: &mut ChaCha8Rng, out: &mut Vec<(Id, Packet)>) {
+    fn hear(
+        &mut self,
+        packet: Packet,
+        now: Duration,
+        rng: &mut ChaCha8Rng,
+        out: &mut Vec<(Id, Packet)>,
+    ) {
         let mut done = Vec::new();
         let source = packet.from.as_ref().map_or(address(0), |r| r.at);
-        self.view.hear(packet, source, now, &mut |n| rng.random_range(0..n), &mut done);
+        self.view.hear(
+            packet,
+            source,
+            now,
+            &mut |n| rng.random_range(0..n),
+            &mut done,
+        );
         self.take(done, out);
     }
     fn tick(&mut self, now: Duration, rng: &mut ChaCha8Rng, out: &mut Vec<(Id, Packet)>) {
         let mut done = Vec::new();
-        self.view.tick(now, &mut |n| rng.random_range(0..n), &mut done);
+        self.view
+            .tick(now, &mut |n| rng.random_range(0..n), &mut done);
         self.take(done, out);
     }
     fn next(&self) -> Duration {
@@ -98,7 +125,9 @@
         packet.encode().len()
     }
     fn holds(&self, id: Id) -> bool {
-        self.view.member(&name(id)).is_some_and(|(r, _)| r.word.present())
+        self.view
+            .member(&name(id))
+            .is_some_and(|(r, _)| r.word.present())
     }
     fn present(&self) -> usize {
         self.view.present()
@@ -117,10 +146,30 @@
 impl Peer for PlainSwim {
     type Packet = Packet;
     const NAME: &'static str = "plain SWIM";
-    fn start(id: Id, life: u64, _: usize, seeds: &[Id], now: Duration, rng: &mut ChaCha8Rng) -> PlainSwim {
-        PlainSwim(ViewPeer::with(Settings::plain_swim(), id, life, seeds, now, rng))
-    }
-    fn hear(&mut self, packet: Packet, now: Duration, rng: &mut ChaCha8Rng, out: &mut Vec<(Id, Packet)>) {
+    fn start(
+        id: Id,
+        life: u64,
+        _: usize,
+        seeds: &[Id],
+        now: Duration,
+        rng: &mut ChaCha8Rng,
+    ) -> PlainSwim {
+        PlainSwim(ViewPeer::with(
+            Settings::plain_swim(),
+            id,
+            life,
+            seeds,
+            now,
+            rng,
+        ))
+    }
+    fn hear(
+        &mut self,
+        packet: Packet,
+        now: Duration,
+        rng: &mut ChaCha8Rng,
+        out: &mut Vec<(Id, Packet)>,
+    ) {
         self.0.hear(packet, now, rng, out);
     }
     fn tick(&mut self, now: Duration, rng: &mut ChaCha8Rng, out: &mut Vec<(Id, Packet)>) {
--- a/crates/fleet-simulation/tests/budgets.rs
+++ b/crates/fleet-simulation/tests/budgets.rs
@@ -22,8 +22,13 @@
 /// Guards the check: clocks whose rates differ by far more than is believed are found.
 #[test]
 fn clocks_beyond_the_stated_drift_are_found() {
-    let wild = Play { drift: 1.2, ..play() };
-    let reports: Vec<_> = (1..=12).map(|seed| World::new(wild.clone(), Way::Leases, seed).run()).collect();
+    let wild = Play {
+        drift: 1.2,
+        ..play()
+    };
+    let reports: Vec<_> = (1..=12)
+        .map(|seed| World::new(wild.clone(), Way::Leases, seed).run())
+        .collect();
     assert!(
         reports.iter().any(|r| r.over + r.limits_over > 0),
         "parts are granted again while they are spent"
@@ -33,7 +38,9 @@
 /// Guards the check: estimates exceed the total in the same plays.
 #[test]
 fn estimates_exceed_it() {
-    let over: u64 = (1..=4).map(|seed| World::new(play(), Way::Estimates, seed).run().over).sum();
+    let over: u64 = (1..=4)
+        .map(|seed| World::new(play(), Way::Estimates, seed).run().over)
+        .sum();
     assert!(over > 0);
 }
 
@@ -68,11 +75,19 @@
 
 #[test]
 fn a_total_cut_by_half_under_full_use_holds_once_what_was_granted_has_ended() {
-    let cut = Play { faults: false, loss: 0.05, cut: Some(Duration::from_secs(30)), ..play() };
+    let cut = Play {
+        faults: false,
+        loss: 0.05,
+        cut: Some(Duration::from_secs(30)),
+        ..play()
+    };
     for seed in 1..=4 {
         let report = World::new(cut.clone(), Way::Leases, seed).run();
         assert_eq!((report.over, report.limits_over), (0, 0), "seed {seed}");
-        let last = report.use_of_total[report.use_of_total.len() - 100..].iter().sum::<f64>() / 100.0;
+        let last = report.use_of_total[report.use_of_total.len() - 100..]
+            .iter()
+            .sum::<f64>()
+            / 100.0;
         assert!(last > 0.85, "{last}");
     }
 }
--- a/crates/fleet-simulation/tests/gathering.rs
+++ b/crates/fleet-simulation/tests/gathering.rs
@@ -6,7 +6,14 @@
 
 fn play(faults: bool, broken: Broken) -> Play {
     let loss = if faults { 0.2 } else { 0.0 };
-    Play { nodes: 12, long: Duration::from_secs(30), loss, faults, ageless: false, broken }
+    Play {
+        nodes: 12,
+        long: Duration::from_secs(30),
+        loss,
+        faults,
+        ageless: false,
+        broken,
+    }
 }
 fn run(play: &Play, seed: u64) -> Report {
     World::new(play.clone(), seed).run()
@@ -24,7 +31,12 @@
         let mut calm = run(&play(false, Broken::Nothing), seed);
         calm.ages.sort_unstable();
         assert_eq!(calm.too_low, 0, "seed {seed}");
-        assert!(calm.stale * 50 < calm.looks, "seed {seed}: {} of {}", calm.stale, calm.looks);
+        assert!(
+            calm.stale * 50 < calm.looks,
+            "seed {seed}: {} of {}",
+            calm.stale,
+            calm.looks
+        );
         assert!(calm.ages[calm.ages.len() * 99 / 100] < 600, "seed {seed}");
     }
 }
@@ -32,7 +44,10 @@
 /// Guards the check: taken for what holds now, the same estimates are found to be too low.
 #[test]
 fn estimates_without_their_age_are_found_too_low() {
-    let ageless = Play { ageless: true, ..play(false, Broken::Nothing) };
+    let ageless = Play {
+        ageless: true,
+        ..play(false, Broken::Nothing)
+    };
     assert!((1..=2).map(|seed| run(&ageless, seed).too_low).sum::<u64>() > 0);
 }
 
@@ -43,11 +58,21 @@
     let most = Duration::from_secs(3);
     for broken in [Broken::Path, Broken::Site, Broken::Ledger] {
         for seed in 1..=4 {
-            assert_eq!(run(&play(true, broken), seed).wrong, 0, "{broken:?}, seed {seed}");
+            assert_eq!(
+                run(&play(true, broken), seed).wrong,
+                0,
+                "{broken:?}, seed {seed}"
+            );
             let calm = run(&play(false, broken), seed);
             assert_eq!(calm.wrong, 0, "{broken:?}, seed {seed}");
-            assert!(calm.held_back.is_some_and(|(_, all)| all < most), "{broken:?}, seed {seed}: {calm:?}");
-            assert!(calm.went_on.is_some_and(|on| on < most), "{broken:?}, seed {seed}");
+            assert!(
+                calm.held_back.is_some_and(|(_, all)| all < most),
+                "{broken:?}, seed {seed}: {calm:?}"
+            );
+            assert!(
+                calm.went_on.is_some_and(|on| on < most),
+                "{broken:?}, seed {seed}"
+            );
         }
     }
     assert_eq!(run(&play(true, Broken::Nothing), 5).held_back, None);
