--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -110,7 +110,9 @@
     pub fn find(&self, key: u128, body: u128, arrived: Micros) -> Found {
         let room = || self.bytes + ENTRY_BYTES + self.result_bytes <= self.most_bytes;
         match self.entries.get(&key) {
-            Some(entry) if matches!(entry.stage, Stage::Over(_)) && arrived > entry.until => Found::Free,
+            Some(entry) if matches!(entry.stage, Stage::Over(_)) && arrived > entry.until => {
+                Found::Free
+            }
             Some(entry) if arrived <= entry.earlier => Found::Ran,
             Some(entry) if entry.body != body => Found::OtherBody,
             Some(entry) => Found::Repeat(entry.owner),
@@ -126,7 +128,15 @@
         self.remove(key);
         self.put(
             key,
-            Entry { owner, body, stage: Stage::Held, until: arrived, earlier, waiting: Vec::new(), bytes: 0 },
+            Entry {
+                owner,
+                body,
+                stage: Stage::Held,
+                until: arrived,
+                earlier,
+                waiting: Vec::new(),
+                bytes: 0,
+            },
         );
     }
 
@@ -154,7 +164,9 @@
 
     /// A try joins the one that it repeats.
     pub fn join(&mut self, waiter: u64, owner: u64) -> Joined<R> {
-        let Some(entry) = self.of(owner) else { return Joined::NeverRan };
+        let Some(entry) = self.of(owner) else {
+            return Joined::NeverRan;
+        };
         if let Stage::Over(end) = &entry.stage {
             return Joined::Over(end.clone());
         }
@@ -165,7 +177,9 @@
 
     /// A try that waits is answered otherwise, or nobody waits for it any more.
     pub fn leave(&mut self, waiter: u64) {
-        let Some(owner) = self.joined.remove(&waiter) else { return };
+        let Some(owner) = self.joined.remove(&waiter) else {
+            return;
+        };
         if let Some(entry) = self.of(owner) {
             entry.waiting.retain(|w| *w != waiter);
         }
@@ -175,13 +189,20 @@
     /// that never ran, or is over, there is nothing to tell.
     pub fn end(&mut self, owner: u64, end: End<R>, size: usize) -> Vec<u64> {
         let unread = self.unread;
-        let Some(key) = self.owners.get(&owner).copied() else { return Vec::new() };
-        let Some(entry) = self.entries.get_mut(&key).filter(|e| matches!(e.stage, Stage::Running)) else {
+        let Some(key) = self.owners.get(&owner).copied() else {
+            return Vec::new();
+        };
+        let Some(entry) = self
+            .entries
+            .get_mut(&key)
+            .filter(|e| matches!(e.stage, Stage::Running))
+        else {
             return Vec::new();
         };
         entry.stage = Stage::Over(end);
         if entry.until != NEVER {
-            self.lapses.insert((entry.until.saturating_add(unread), key));
+            self.lapses
+                .insert((entry.until.saturating_add(unread), key));
         }
         let bytes = ENTRY_BYTES + size;
         self.bytes = self.bytes - entry.bytes + bytes;
@@ -195,7 +216,9 @@
 
     /// It is dropped, and certainly never ran: its key is free, and so are those that wait, who are returned.
     pub fn never_ran(&mut self, owner: u64) -> Vec<u64> {
-        let Some(key) = self.owners.get(&owner).copied() else { return Vec::new() };
+        let Some(key) = self.owners.get(&owner).copied() else {
+            return Vec::new();
+        };
         let Some((body, earlier)) = self
             .entries
             .get(&key)
@@ -208,10 +231,19 @@
         // The window of a run before it may not be over for all that is still unread.
         if earlier > Micros::MIN {
             let stage = Stage::Over(End::Failed);
-            self.lapses.insert((earlier.saturating_add(self.unread), key));
+            self.lapses
+                .insert((earlier.saturating_add(self.unread), key));
             self.put(
                 key,
-                Entry { owner, body, stage, until: earlier, earlier, waiting: Vec::new(), bytes: 0 },
+                Entry {
+                    owner,
+                    body,
+                    stage,
+                    until: earlier,
+                    earlier,
+                    waiting: Vec::new(),
+                    bytes: 0,
+                },
             );
         }
         waiting
@@ -243,16 +275,24 @@
     }
 
     fn put(&mut self, key: u128, mut entry: Entry<R>) {
-        entry.bytes = ENTRY_BYTES + if matches!(entry.stage, Stage::Over(_)) { 0 } else { self.result_bytes };
+        entry.bytes = ENTRY_BYTES
+            + if matches!(entry.stage, Stage::Over(_)) {
+                0
+            } else {
+                self.result_bytes
+            };
         self.bytes += entry.bytes;
         self.owners.insert(entry.owner, key);
         self.entries.insert(key, entry);
     }
 
     fn remove(&mut self, key: u128) -> Vec<u64> {
-        let Some(entry) = self.entries.remove(&key) else { return Vec::new() };
+        let Some(entry) = self.entries.remove(&key) else {
+            return Vec::new();
+        };
         self.owners.remove(&entry.owner);
-        self.lapses.remove(&(entry.until.saturating_add(self.unread), key));
+        self.lapses
+            .remove(&(entry.until.saturating_add(self.unread), key));
         self.bytes -= entry.bytes;
         for waiter in &entry.waiting {
             self.joined.remove(waiter);
--- a/crates/idempotency/tests/life.rs
+++ b/crates/idempotency/tests/life.rs
@@ -53,7 +53,10 @@
     t.enter(7, 1, 11, WINDOW + 1);
     assert_eq!(t.find(7, 1, WINDOW), Found::Ran);
     assert!(t.never_ran(11).is_empty());
-    assert_eq!((t.find(7, 1, WINDOW), t.find(7, 1, WINDOW + 1)), (Found::Ran, Found::Free));
+    assert_eq!(
+        (t.find(7, 1, WINDOW), t.find(7, 1, WINDOW + 1)),
+        (Found::Ran, Found::Free)
+    );
     t.expire(WINDOW + UNREAD + 1);
     assert!(t.is_empty());
 }
@@ -78,7 +81,10 @@
     assert_eq!(t.join(12, 10), Joined::Waits);
     t.leave(11);
     assert_eq!(t.never_ran(10), vec![12]);
-    assert_eq!((t.find(7, 1, 1), t.join(13, 10)), (Found::Free, Joined::NeverRan));
+    assert_eq!(
+        (t.find(7, 1, 1), t.join(13, 10)),
+        (Found::Free, Joined::NeverRan)
+    );
     // One that is over is not freed by a late word.
     t.enter(7, 1, 20, 0);
     t.keep(20, WINDOW);
@@ -166,7 +172,11 @@
         // Arrivals of what ran, by key.
         let mut ran: HashMap<u128, Vec<Micros>> = HashMap::new();
         let pick = |tries: &HashMap<u64, Try>, n: u8, at: At| {
-            let mut ids: Vec<u64> = tries.iter().filter(|(_, r)| r.at == at).map(|(id, _)| *id).collect();
+            let mut ids: Vec<u64> = tries
+                .iter()
+                .filter(|(_, r)| r.at == at)
+                .map(|(id, _)| *id)
+                .collect();
             ids.sort_unstable();
             (!ids.is_empty()).then(|| ids[usize::from(n) % ids.len()])
         };
@@ -181,9 +191,17 @@
         for step in steps {
             let fine = match step {
                 Step::Try(key, unread) => {
-                    let (id, key, arrived) =
-                        (tries.len() as u64 + 1, u128::from(key), now - Micros::from(unread));
-                    let mut new = Try { key, arrived, at: At::Over, ends: 0 };
+                    let (id, key, arrived) = (
+                        tries.len() as u64 + 1,
+                        u128::from(key),
+                        now - Micros::from(unread),
+                    );
+                    let mut new = Try {
+                        key,
+                        arrived,
+                        at: At::Over,
+                        ends: 0,
+                    };
                     match t.find(key, 1, arrived) {
                         Found::Free => {
                             t.enter(key, 1, id, arrived);
@@ -205,12 +223,18 @@
                     let r = tries.get_mut(&id).expect("known");
                     r.at = At::Runs;
                     let before = ran.entry(r.key).or_default();
-                    let alone = before.iter().all(|other| (r.arrived - other).abs() > WINDOW);
+                    let alone = before
+                        .iter()
+                        .all(|other| (r.arrived - other).abs() > WINDOW);
                     before.push(r.arrived);
                     alone && t.runs(id)
                 }),
                 Step::Serve(n) | Step::Fail(n) => pick(&tries, n, At::Runs).is_none_or(|id| {
-                    let end = if matches!(step, Step::Serve(_)) { End::Served(id) } else { End::Failed };
+                    let end = if matches!(step, Step::Serve(_)) {
+                        End::Served(id)
+                    } else {
+                        End::Failed
+                    };
                     let told = t.end(id, end, 8);
                     over(&mut tries, told, At::Waits) && over(&mut tries, vec![id], At::Runs)
                 }),
@@ -236,5 +260,7 @@
         let open = tries.values().any(|r| matches!(r.at, At::Held | At::Runs));
         open || tries.values().all(|r| r.at == At::Over)
     }
-    QuickCheck::new().tests(2000).quickcheck(drawn as fn(Vec<Step>) -> bool);
+    QuickCheck::new()
+        .tests(2000)
+        .quickcheck(drawn as fn(Vec<Step>) -> bool);
 }
--- a/crates/lifecycle/src/beside.rs
+++ b/crates/lifecycle/src/beside.rs
@@ -40,6 +40,8 @@
     /// What the platform's word to end is for a process beside this one. Only one that takes clients is a successor:
     /// beside any other the node ends with this process.
     pub fn leave(self) -> Step {
-        Step::Leave { replaced: self == Beside::Taking }
+        Step::Leave {
+            replaced: self == Beside::Taking,
+        }
     }
 }
--- a/crates/lifecycle/src/call.rs
+++ b/crates/lifecycle/src/call.rs
@@ -103,7 +103,10 @@
 impl Line {
     /// Nothing yet, of at most so many bytes.
     pub fn new(most: usize) -> Line {
-        Line { held: Vec::new(), most }
+        Line {
+            held: Vec::new(),
+            most,
+        }
     }
     /// Bytes came: the call, why there is none, or nothing while the line is not whole.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<Call, Unheard>> {
--- a/crates/lifecycle/src/state.rs
+++ b/crates/lifecycle/src/state.rs
@@ -78,14 +78,28 @@
             (Starting { .. }, Step::Resume) => Starting { quiesced: false },
             (Serving | Quiesced, Step::Quiesce) => Quiesced,
             (Serving | Quiesced, Step::Resume) => Serving,
-            (Leaving { replaced: true, .. }, Step::Quiesce | Step::Resume) => return Err(Refused::Replaced),
-            // What `quiesce` asks for holds already.
-            (Leaving { replaced: false, .. }, Step::Quiesce) => self,
-            (Leaving { replaced: false, .. }, Step::Resume) => return Err(Refused::Leaving),
-            (Serving | Quiesced | Leaving { .. }, Step::Taking) | (Leaving { .. }, Step::Leave { .. }) => {
-                self
+            (Leaving { replaced: true, .. }, Step::Quiesce | Step::Resume) => {
+                return Err(Refused::Replaced)
             }
-            (_, Step::Leave { replaced }) => Leaving { replaced, quiesced: self.quiesced() },
+            // What `quiesce` asks for holds already.
+            (
+                Leaving {
+                    replaced: false, ..
+                },
+                Step::Quiesce,
+            ) => self,
+            (
+                Leaving {
+                    replaced: false, ..
+                },
+                Step::Resume,
+            ) => return Err(Refused::Leaving),
+            (Serving | Quiesced | Leaving { .. }, Step::Taking)
+            | (Leaving { .. }, Step::Leave { .. }) => self,
+            (_, Step::Leave { replaced }) => Leaving {
+                replaced,
+                quiesced: self.quiesced(),
+            },
         })
     }
 
@@ -93,13 +107,22 @@
     pub fn quiesced(self) -> bool {
         matches!(
             self,
-            State::Quiesced | State::Starting { quiesced: true } | State::Leaving { quiesced: true, .. }
+            State::Quiesced
+                | State::Starting { quiesced: true }
+                | State::Leaving { quiesced: true, .. }
         )
     }
     /// Health checks may hear that all is well, as far as service goes. Of a node that goes on under a successor they
     /// hear it until the end: a bad answer would take the node off the lists.
     pub fn healthy(self) -> bool {
-        matches!(self, State::Serving | State::Leaving { replaced: true, quiesced: false })
+        matches!(
+            self,
+            State::Serving
+                | State::Leaving {
+                    replaced: true,
+                    quiesced: false
+                }
+        )
     }
     /// The process takes clients.
     pub fn takes_clients(self) -> bool {
@@ -114,7 +137,10 @@
         match self {
             State::Starting { .. } | State::Leaving { replaced: true, .. } => Report::Nothing,
             State::Serving => Report::Up,
-            State::Quiesced | State::Leaving { replaced: false, .. } => Report::Out,
+            State::Quiesced
+            | State::Leaving {
+                replaced: false, ..
+            } => Report::Out,
         }
     }
 }
@@ -130,7 +156,9 @@
             State::Starting { quiesced: true } => "starting, to be quiesced",
             State::Serving => "serving",
             State::Quiesced => "quiesced",
-            State::Leaving { replaced: false, .. } => "leaving",
+            State::Leaving {
+                replaced: false, ..
+            } => "leaving",
             State::Leaving { replaced: true, .. } => "leaving, a successor serves",
         })
     }
--- a/crates/lifecycle/tests/states.rs
+++ b/crates/lifecycle/tests/states.rs
@@ -17,7 +17,9 @@
     let (mut taking, mut quiesced, mut left) = (false, false, None);
     picks.into_iter().all(|pick| {
         // The platform's word to end comes seldom.
-        let step = STEPS[usize::from(pick % 16).saturating_sub(11).max(usize::from(pick % 3))];
+        let step = STEPS[usize::from(pick % 16)
+            .saturating_sub(11)
+            .max(usize::from(pick % 3))];
         let before = state;
         let done = state.step(step);
         match step {
@@ -67,7 +69,9 @@
     fn check(text: Vec<u8>, pick: u8, cuts: Vec<u8>) -> bool {
         let calls = [&b"health"[..], b" resume\r", b"quiesce"];
         let own: Vec<u8> = text.into_iter().filter(|b| *b != b'\n').collect();
-        let line = calls.get(usize::from(pick % 5)).map_or(own, |call| call.to_vec());
+        let line = calls
+            .get(usize::from(pick % 5))
+            .map_or(own, |call| call.to_vec());
         let most = 24;
         let want = match Call::parse(&line) {
             _ if line.len() > most => Err(Unheard::TooLong),
@@ -79,7 +83,8 @@
         let (mut held, mut rest) = (Line::new(most), &whole[..]);
         let mut cuts = cuts.into_iter().chain(std::iter::repeat(1));
         loop {
-            let (piece, after) = rest.split_at(usize::from(cuts.next().unwrap_or(1)).clamp(1, rest.len()));
+            let (piece, after) =
+                rest.split_at(usize::from(cuts.next().unwrap_or(1)).clamp(1, rest.len()));
             rest = after;
             match held.feed(piece) {
                 Some(heard) => return heard == want,
--- a/crates/membership-model/src/lib.rs
+++ b/crates/membership-model/src/lib.rs
@@ -88,7 +88,12 @@
 }
 
 fn start_word(life: u64) -> Word {
-    Word { life, incarnation: 0, said: Said::Joining, standing: Standing::Present }
+    Word {
+        life,
+        incarnation: 0,
+        said: Said::Joining,
+        standing: Standing::Present,
+    }
 }
 
 impl Views {
@@ -103,8 +108,10 @@
                 OfMe::Nothing => {}
                 OfMe::Succeeded => member.silent = Some(*word),
                 OfMe::Object(_) if self.flaw == Some(Flaw::NoObjection) => {}
-                OfMe::Object(new) if self.flaw == Some(Flaw::KeepEarlyLife) && new.life > me.life => {}
-                OfMe::Object(new) if self.flaw == Some(Flaw::SameIncarnation) && new.life == me.life => {}
+                OfMe::Object(new)
+                    if self.flaw == Some(Flaw::KeepEarlyLife) && new.life > me.life => {}
+                OfMe::Object(new)
+                    if self.flaw == Some(Flaw::SameIncarnation) && new.life == me.life => {}
                 OfMe::Object(new) => (member.held[to], member.silent) = (Some(new), None),
             }
             return;
@@ -118,7 +125,12 @@
         match take(held.as_ref(), &heard) {
             Take::Nothing => {}
             Take::Held => member.held[on] = Some(*word),
-            Take::Suspect => member.held[on] = Some(Word { standing: Standing::Suspected, ..*word }),
+            Take::Suspect => {
+                member.held[on] = Some(Word {
+                    standing: Standing::Suspected,
+                    ..*word
+                })
+            }
         }
         if let (Some(before), Some(after)) = (held, member.held[on]) {
             state.fell |= (after.life, after.incarnation) < (before.life, before.incarnation);
@@ -137,7 +149,10 @@
                 }
                 // One that gave way asks after that life, and in the model only one process of a name runs.
                 if let Some(later) = state.members[from].silent {
-                    let gone = Word { standing: Standing::Gone, ..later };
+                    let gone = Word {
+                        standing: Standing::Gone,
+                        ..later
+                    };
                     self.hears(&mut state, from, from, &gone);
                 }
                 for on in 0..count {
@@ -151,7 +166,9 @@
                         });
                         state.members[from].held[on] = judged;
                     }
-                    let Some(word) = state.members[from].held[on] else { continue };
+                    let Some(word) = state.members[from].held[on] else {
+                        continue;
+                    };
                     for to in (0..count).filter(|to| *to != from) {
                         self.hears(&mut state, to, on, &word);
                     }
@@ -167,7 +184,9 @@
     /// Whether a healed state is what it should be: all that run hold the same of each other, present, and hold nobody
     /// present who does not run.
     pub fn is_whole(state: &State) -> bool {
-        let running: Vec<usize> = (0..state.members.len()).filter(|m| state.members[*m].runs).collect();
+        let running: Vec<usize> = (0..state.members.len())
+            .filter(|m| state.members[*m].runs)
+            .collect();
         running.iter().all(|m| {
             (0..state.members.len()).all(|on| {
                 let held = state.members[*m].held[on];
@@ -186,9 +205,19 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let known: Vec<Option<Word>> =
-            (0..self.members).map(|_| Some(Word { said: Said::Up, ..start_word(life(2, 0)) })).collect();
-        let member = Member { runs: true, silent: None, held: known };
+        let known: Vec<Option<Word>> = (0..self.members)
+            .map(|_| {
+                Some(Word {
+                    said: Said::Up,
+                    ..start_word(life(2, 0))
+                })
+            })
+            .collect();
+        let member = Member {
+            runs: true,
+            silent: None,
+            held: known,
+        };
         vec![State {
             members: vec![member; self.members],
             sent: BTreeSet::new(),
@@ -227,11 +256,20 @@
                     actions.push(Action::GiveUp(m, on));
                 }
                 if held.is_some() && state.words < self.words {
-                    actions.extend((0..count).filter(|to| *to != m).map(|to| Action::Tell(m, to, on)));
+                    actions.extend(
+                        (0..count)
+                            .filter(|to| *to != m)
+                            .map(|to| Action::Tell(m, to, on)),
+                    );
                 }
             }
         }
-        actions.extend(state.sent.iter().map(|(to, on, word)| Action::Arrive(*to, *on, *word)));
+        actions.extend(
+            state
+                .sent
+                .iter()
+                .map(|(to, on, word)| Action::Arrive(*to, *on, *word)),
+        );
     }
 
     fn next_state(&self, state: &State, action: Action) -> Option<State> {
@@ -242,7 +280,8 @@
                 next.members[m].held[on] = state.members[m].held[on].and_then(|held| accuse(&held));
             }
             Action::GiveUp(m, on) => {
-                next.members[m].held[on] = state.members[m].held[on].and_then(|held| give_up(&held));
+                next.members[m].held[on] =
+                    state.members[m].held[on].and_then(|held| give_up(&held));
             }
             Action::Tell(from, to, on) => {
                 next.words += 1;
@@ -256,15 +295,31 @@
             Action::Start(m, back) => {
                 let was = state.members[m].held[m].map_or(0, |w| w.life);
                 // Each process draws its own part; the clock is past the earlier life or long before it.
-                let own = if self.flaw == Some(Flaw::NothingOwn) { 0 } else { u64::from(state.crashes) };
-                let life = if back { life(1, own) } else { life((was >> 20) + 1, own) };
+                let own = if self.flaw == Some(Flaw::NothingOwn) {
+                    0
+                } else {
+                    u64::from(state.crashes)
+                };
+                let life = if back {
+                    life(1, own)
+                } else {
+                    life((was >> 20) + 1, own)
+                };
                 let mut held = vec![None; state.members.len()];
                 held[m] = Some(start_word(life));
-                next.members[m] = Member { runs: true, silent: None, held };
+                next.members[m] = Member {
+                    runs: true,
+                    silent: None,
+                    held,
+                };
             }
             Action::Up(m) => {
                 let word = state.members[m].held[m]?;
-                let up = Word { said: Said::Up, incarnation: word.incarnation + 1, ..word };
+                let up = Word {
+                    said: Said::Up,
+                    incarnation: word.incarnation + 1,
+                    ..word
+                };
                 next.members[m].held[m] = Some(up);
             }
         }
@@ -273,10 +328,17 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no older word overrides a newer one", |_, state: &State| !state.fell),
-            Property::always("healed, all views are the same and true", |model: &Views, state: &State| {
-                model.heal(state).is_some_and(|healed| Views::is_whole(&healed))
+            Property::always("no older word overrides a newer one", |_, state: &State| {
+                !state.fell
             }),
+            Property::always(
+                "healed, all views are the same and true",
+                |model: &Views, state: &State| {
+                    model
+                        .heal(state)
+                        .is_some_and(|healed| Views::is_whole(&healed))
+                },
+            ),
         ]
     }
 }
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -191,7 +191,9 @@
             return Err(Malformed::Fleet);
         }
         let named = match &packet.body {
-            Body::Ping { name, .. } | Body::Errand { name, .. } => !name.is_empty() && name.len() <= NAME,
+            Body::Ping { name, .. } | Body::Errand { name, .. } => {
+                !name.is_empty() && name.len() <= NAME
+            }
             Body::Compare { sums, .. } => sums.len() == BUCKETS,
             _ => true,
         };
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -82,10 +82,13 @@
     }
     /// Times that each piece of news is told in a fleet of `members`.
     pub(crate) fn tellings(&self, members: usize) -> u8 {
-        ((members.max(2) as f64).log2() * self.telling).ceil().clamp(2.0, 60.0) as u8
+        ((members.max(2) as f64).log2() * self.telling)
+            .ceil()
+            .clamp(2.0, 60.0) as u8
     }
     /// How long suspicion lasts at the least in a fleet of `members`.
     pub(crate) fn least_suspicion(&self, members: usize) -> Duration {
-        self.period.mul_f64(self.suspicion * (members.max(10) as f64).log10())
+        self.period
+            .mul_f64(self.suspicion * (members.max(10) as f64).log10())
     }
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -44,7 +44,12 @@
 
 /// What a present member adds to its bucket's sum. The gone add nothing: they are forgotten at different times.
 fn part(record: &Record) -> u64 {
-    let Word { life, incarnation, said, standing } = record.word;
+    let Word {
+        life,
+        incarnation,
+        said,
+        standing,
+    } = record.word;
     if !record.word.present() {
         return 0;
     }
@@ -57,7 +62,10 @@
 
 impl Table {
     pub(crate) fn new() -> Table {
-        Table { sums: vec![0; BUCKETS], ..Table::default() }
+        Table {
+            sums: vec![0; BUCKETS],
+            ..Table::default()
+        }
     }
     pub(crate) fn get(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
@@ -70,7 +78,9 @@
     }
     pub(crate) fn after(&self, name: &str) -> impl Iterator<Item = &Member> {
         use std::ops::Bound::{Excluded, Unbounded};
-        self.members.range::<str, _>((Excluded(name), Unbounded)).map(|(_, m)| m)
+        self.members
+            .range::<str, _>((Excluded(name), Unbounded))
+            .map(|(_, m)| m)
     }
     pub(crate) fn len(&self) -> usize {
         self.members.len()
@@ -86,12 +96,19 @@
         &self.sums
     }
     pub(crate) fn digest(&self) -> u64 {
-        self.sums.iter().fold(0, |all, sum| all.rotate_left(1) ^ sum)
+        self.sums
+            .iter()
+            .fold(0, |all, sum| all.rotate_left(1) ^ sum)
     }
     /// The names of the buckets whose sums differ from those.
     pub(crate) fn differing(&self, sums: &[u64]) -> impl Iterator<Item = &Member> + '_ {
         let differs: Vec<bool> = self.sums.iter().zip(sums).map(|(a, b)| a != b).collect();
-        self.members.values().filter(move |m| differs.get(bucket(&m.record.name)).copied().unwrap_or(false))
+        self.members.values().filter(move |m| {
+            differs
+                .get(bucket(&m.record.name))
+                .copied()
+                .unwrap_or(false)
+        })
     }
 
     /// Holds a record from now on, and has it told if it is news.
@@ -112,7 +129,13 @@
             member.record = record;
             Some(was)
         } else {
-            let member = Member { record, suspicion: None, since: now, heard: None, news: None };
+            let member = Member {
+                record,
+                suspicion: None,
+                since: now,
+                heard: None,
+                news: None,
+            };
             self.members.insert(name.clone(), member);
             None
         };
@@ -122,7 +145,9 @@
         }
     }
     pub(crate) fn remove(&mut self, name: &str) {
-        let Some((key, member)) = self.members.remove_entry(name) else { return };
+        let Some((key, member)) = self.members.remove_entry(name) else {
+            return;
+        };
         self.sums[bucket(name)] ^= part(&member.record);
         if let Some((told, order)) = member.news {
             self.hot.remove(&(told, order, key.clone()));
@@ -155,7 +180,9 @@
         self.counter += 1;
         // The newest first: the order counts down.
         let order = u64::MAX - self.counter;
-        let Some(member) = self.members.get_mut(name) else { return };
+        let Some(member) = self.members.get_mut(name) else {
+            return;
+        };
         if let Some((told, before)) = member.news.replace((0, order)) {
             self.hot.remove(&(told, before, name.clone()));
         }
@@ -170,7 +197,9 @@
         let mut taken = Vec::new();
         let mut records = Vec::new();
         for (told, order, name) in &self.hot {
-            let Some(member) = self.members.get(name) else { continue };
+            let Some(member) = self.members.get(name) else {
+                continue;
+            };
             let size = member.record.size();
             if size > left {
                 break;
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -8,7 +8,9 @@
 use crate::probe::{Errand, Probe, Stage};
 use crate::suspicion::Suspicion;
 use crate::table::{Member, Table};
-use crate::word::{self, accuse, give_up, hash, of_me, take, Name, OfMe, Record, Said, Standing, Take, Word};
+use crate::word::{
+    self, accuse, give_up, hash, of_me, take, Name, OfMe, Record, Said, Standing, Take, Word,
+};
 use crate::{Draw, Settings};
 
 /// What a view wants done.
@@ -89,8 +91,12 @@
         seeds: Vec<SocketAddr>,
         now: Duration,
     ) -> View {
-        me.word =
-            Word { life: me.word.life, incarnation: 0, said: Said::Joining, standing: Standing::Present };
+        me.word = Word {
+            life: me.word.life,
+            incarnation: 0,
+            said: Said::Joining,
+            standing: Standing::Present,
+        };
         let mut view = View {
             settings,
             fleet,
@@ -158,7 +164,11 @@
     }
     /// The sites of which a member is seen.
     pub fn sites(&self) -> BTreeSet<Name> {
-        self.table.all().filter(|m| m.record.word.present()).map(|m| m.record.site.clone()).collect()
+        self.table
+            .all()
+            .filter(|m| m.record.word.present())
+            .map(|m| m.record.site.clone())
+            .collect()
     }
     /// Points of bad health: probes that failed or were late by this node's own fault, as far as it can tell.
     pub fn health(&self) -> u32 {
@@ -237,16 +247,27 @@
         let used = fixed + body_size + first.iter().map(Record::size).sum::<usize>();
         let told = self.settings.tellings(self.present());
         // The sender's own word stands in every datagram, so it needs no place among the news.
-        let news = self.table.news(self.settings.datagram.saturating_sub(used), told, &self.me.name);
+        let news = self.table.news(
+            self.settings.datagram.saturating_sub(used),
+            told,
+            &self.me.name,
+        );
         first.extend(news);
-        let packet = Packet { fleet: self.fleet.clone(), from: Some(self.me.clone()), body, news: first };
+        let packet = Packet {
+            fleet: self.fleet.clone(),
+            from: Some(self.me.clone()),
+            body,
+            news: first,
+        };
         out.push(Out::Send(to, packet));
     }
 
     /// Carries a message of what stands on the view to a member; false where none of this name is there.
     pub fn carry(&mut self, to: &str, bytes: Vec<u8>, out: &mut Vec<Out>) -> bool {
         let there = self.table.get(to).filter(|m| m.record.word.present());
-        let Some(at) = there.map(|m| m.record.at) else { return false };
+        let Some(at) = there.map(|m| m.record.at) else {
+            return false;
+        };
         self.send(at, Body::Carried(bytes), vec![], out);
         true
     }
@@ -256,7 +277,12 @@
     }
 
     /// Up to `count` members that are there and fit, drawn.
-    fn some(&self, count: usize, draw: Draw, fits: impl Fn(&Record) -> bool) -> Vec<(Name, SocketAddr)> {
+    fn some(
+        &self,
+        count: usize,
+        draw: Draw,
+        fits: impl Fn(&Record) -> bool,
+    ) -> Vec<(Name, SocketAddr)> {
         let present = self.table.present();
         let mut taken: Vec<(Name, SocketAddr)> = Vec::new();
         for _ in 0..count * 4 {
@@ -264,7 +290,9 @@
                 break;
             }
             let name = &present[draw(present.len())];
-            let Some(member) = self.table.get(name) else { continue };
+            let Some(member) = self.table.get(name) else {
+                continue;
+            };
             let known = *name == self.me.name || taken.iter().any(|(n, _)| n == name);
             if !known && fits(&member.record) {
                 taken.push((name.clone(), member.record.at));
@@ -282,7 +310,9 @@
         draw: Draw,
         out: &mut Vec<Out>,
     ) {
-        let Packet { from, body, news, .. } = packet;
+        let Packet {
+            from, body, news, ..
+        } = packet;
         let reply = from.as_ref().map_or(source, |r| r.at);
         let mut believed = true;
         let mut sender = None;
@@ -334,7 +364,11 @@
             }
             Body::Compare { sums, answer } => self.compare(&sums, answer, reply, now, draw, out),
             Body::Query { seq, after } => self.answer_query(seq, &after, source, now, out),
-            Body::Ping { .. } | Body::Gossip | Body::Page | Body::Carried(_) | Body::Answer { .. } => {}
+            Body::Ping { .. }
+            | Body::Gossip
+            | Body::Page
+            | Body::Carried(_)
+            | Body::Answer { .. } => {}
         }
         self.conclude(now);
     }
@@ -356,11 +390,21 @@
         }
         if let Some(at) = self.errands.iter().position(|e| e.seq == seq) {
             if let Some(errand) = self.errands.remove(at) {
-                self.send(errand.to, Body::Ack { seq: errand.theirs, digest }, vec![], out);
+                self.send(
+                    errand.to,
+                    Body::Ack {
+                        seq: errand.theirs,
+                        digest,
+                    },
+                    vec![],
+                    out,
+                );
             }
             return;
         }
-        let Some(probe) = self.probe.as_mut().filter(|p| p.seq == seq && !p.answered) else { return };
+        let Some(probe) = self.probe.as_mut().filter(|p| p.seq == seq && !p.answered) else {
+            return;
+        };
         (probe.answered, probe.due) = (true, Duration::MAX);
         let name = probe.name.clone();
         self.health = self.health.saturating_sub(1);
@@ -386,7 +430,15 @@
         self.next_exchange = now + wait + wait.mul_f64(draw(256) as f64 / 512.0);
         self.learned = false;
         let sums = self.table.sums().to_vec();
-        self.send(at, Body::Compare { sums, answer: false }, vec![], out);
+        self.send(
+            at,
+            Body::Compare {
+                sums,
+                answer: false,
+            },
+            vec![],
+            out,
+        );
     }
 
     fn compare(
@@ -405,10 +457,21 @@
         if self.answered.1 > COMPARISONS {
             return;
         }
-        let records: Vec<Record> = self.table.differing(sums).map(|m| m.record.clone()).collect();
-        let room = self.settings.datagram.saturating_sub(64 + self.fleet.len() + self.me.size());
+        let records: Vec<Record> = self
+            .table
+            .differing(sums)
+            .map(|m| m.record.clone())
+            .collect();
+        let room = self
+            .settings
+            .datagram
+            .saturating_sub(64 + self.fleet.len() + self.me.size());
         // What does not fit comes another time: from where we begin is drawn.
-        let from = if records.is_empty() { 0 } else { draw(records.len()) };
+        let from = if records.is_empty() {
+            0
+        } else {
+            draw(records.len())
+        };
         let mut page: Vec<Record> = Vec::new();
         let (mut used, mut pages) = (0, 0);
         for record in records[from..].iter().chain(&records[..from]) {
@@ -436,7 +499,15 @@
     fn send_page(&mut self, to: SocketAddr, news: Vec<Record>, out: &mut Vec<Out>) {
         if !self.hushed && self.successor.is_none() {
             let from = Some(self.me.clone());
-            out.push(Out::Send(to, Packet { fleet: self.fleet.clone(), from, body: Body::Page, news }));
+            out.push(Out::Send(
+                to,
+                Packet {
+                    fleet: self.fleet.clone(),
+                    from,
+                    body: Body::Page,
+                    news,
+                },
+            ));
         }
     }
 
@@ -454,17 +525,34 @@
         }
         self.seq = self.seq.wrapping_add(1);
         let (seq, answer) = (self.seq, self.settings.answer);
-        let errand = Errand { seq, to, theirs, nack: now + answer, nacked: false, until: now + answer * 4 };
+        let errand = Errand {
+            seq,
+            to,
+            theirs,
+            nack: now + answer,
+            nacked: false,
+            until: now + answer * 4,
+        };
         self.errands.push_back(errand);
         let held = self.accusation(&name);
         self.send(at, Body::Ping { seq, name }, held, out);
     }
 
-    fn answer_query(&mut self, seq: u32, after: &str, to: SocketAddr, now: Duration, out: &mut Vec<Out>) {
+    fn answer_query(
+        &mut self,
+        seq: u32,
+        after: &str,
+        to: SocketAddr,
+        now: Duration,
+        out: &mut Vec<Out>,
+    ) {
         if self.hushed {
             return;
         }
-        let mut room = self.settings.datagram.saturating_sub(128 + self.fleet.len() + self.me.size());
+        let mut room = self
+            .settings
+            .datagram
+            .saturating_sub(128 + self.fleet.len() + self.me.size());
         let mut news = Vec::new();
         let mut rest = self.table.after(after).peekable();
         while let Some(member) = rest.next_if(|m| m.record.size() <= room) {
@@ -472,10 +560,19 @@
             news.push(member.record.clone());
         }
         let more = rest.peek().is_some();
-        let body = Body::Answer { seq, more, summary: self.summary(now) };
+        let body = Body::Answer {
+            seq,
+            more,
+            summary: self.summary(now),
+        };
         out.push(Out::Send(
             to,
-            Packet { fleet: self.fleet.clone(), from: Some(self.me.clone()), body, news },
+            Packet {
+                fleet: self.fleet.clone(),
+                from: Some(self.me.clone()),
+                body,
+                news,
+            },
         ));
     }
     /// What this member tells of its view; the shell adds what it dropped.
@@ -497,7 +594,10 @@
     /// What is held against a member, to be told to it.
     fn accusation(&self, name: &str) -> Vec<Record> {
         let held = self.table.get(name).map(|m| &m.record);
-        held.filter(|r| r.word.standing != Standing::Present).cloned().into_iter().collect()
+        held.filter(|r| r.word.standing != Standing::Present)
+            .cloned()
+            .into_iter()
+            .collect()
     }
 
     fn of_me(&mut self, heard: &Record, now: Duration, out: &mut Vec<Out>) {
@@ -505,7 +605,8 @@
             OfMe::Nothing => {}
             OfMe::Object(word) => {
                 // Accused, so others could not hear us in time: a sign that we are slow.
-                if heard.word.life == self.me.word.life && heard.word.standing != Standing::Present {
+                if heard.word.life == self.me.word.life && heard.word.standing != Standing::Present
+                {
                     self.worse();
                 }
                 self.me.word = word;
@@ -513,7 +614,8 @@
                     // What was heard of others meanwhile was nothing.
                     self.held_up(Duration::ZERO, now);
                     for name in &self.suspects {
-                        if let Some(s) = self.table.get_mut(name).and_then(|m| m.suspicion.as_mut()) {
+                        if let Some(s) = self.table.get_mut(name).and_then(|m| m.suspicion.as_mut())
+                        {
                             s.since = now;
                         }
                     }
@@ -546,7 +648,10 @@
             let members = self.present();
             let least = self.settings.least_suspicion(members);
             // In a small fleet there may be nobody else to share it: an even split leaves so many on each side.
-            let wanted = self.settings.accusers.min((members / 2).saturating_sub(1) as u32);
+            let wanted = self
+                .settings
+                .accusers
+                .min((members / 2).saturating_sub(1) as u32);
             let most = least.mul_f64(self.settings.suspicion_most);
             if let Some(member) = self.table.get_mut(&name) {
                 member.suspicion = Some(Box::new(Suspicion::new(now, least, most, wanted, by)));
@@ -584,15 +689,28 @@
                 self.hold(record.clone(), news, now, out);
             }
             Take::Suspect => {
-                let word = Word { standing: Standing::Suspected, ..record.word };
-                self.hold(Record { word, ..record.clone() }, true, now, out);
+                let word = Word {
+                    standing: Standing::Suspected,
+                    ..record.word
+                };
+                self.hold(
+                    Record {
+                        word,
+                        ..record.clone()
+                    },
+                    true,
+                    now,
+                    out,
+                );
             }
         }
     }
 
     /// Another member shares a suspicion: it shortens, and who else does not know of it hears so.
     fn share(&mut self, name: &Name, by: u32) {
-        let Some(member) = self.table.get_mut(name) else { return };
+        let Some(member) = self.table.get_mut(name) else {
+            return;
+        };
         if member.suspicion.as_mut().is_some_and(|s| s.shared(by)) {
             member.record.by = by;
             self.table.tell(name);
@@ -608,7 +726,9 @@
         let conclusion = match () {
             // Whoever else is there, none of them is heard: that is known long before each has been given up.
             () if present > 1 && now >= self.heard + self.patience() => Conclusion::Alone,
-            () if present <= 1 && (lost > 0 || !self.met && !self.seeds.is_empty()) => Conclusion::Alone,
+            () if present <= 1 && (lost > 0 || !self.met && !self.seeds.is_empty()) => {
+                Conclusion::Alone
+            }
             () if present > lost => Conclusion::Whole,
             () => Conclusion::Part,
         };
@@ -627,7 +747,10 @@
         if self.successor.is_some() {
             return self.next_probe;
         }
-        let mut next = self.probe.as_ref().map_or(self.next_probe, |p| p.due.min(self.next_probe));
+        let mut next = self
+            .probe
+            .as_ref()
+            .map_or(self.next_probe, |p| p.due.min(self.next_probe));
         next = next.min(self.next_revive);
         if self.present() > 1 && self.concluded.0 != Conclusion::Alone {
             next = next.min(self.heard + self.patience());
@@ -636,9 +759,16 @@
             next = next.min(self.next_gossip);
         }
         for errand in &self.errands {
-            next = next.min(if errand.nacked { errand.until } else { errand.nack });
+            next = next.min(if errand.nacked {
+                errand.until
+            } else {
+                errand.nack
+            });
         }
-        let suspicions = self.suspects.iter().filter_map(|name| self.table.get(name)?.suspicion.as_ref());
+        let suspicions = self
+            .suspects
+            .iter()
+            .filter_map(|name| self.table.get(name)?.suspicion.as_ref());
         suspicions.map(|s| s.ends()).fold(next, Duration::min)
     }
 
@@ -648,7 +778,10 @@
             return;
         }
         // Probes are always due at some time; other things may have been overdue before there was anything to do.
-        let due = self.probe.as_ref().map_or(self.next_probe, |p| p.due.min(self.next_probe));
+        let due = self
+            .probe
+            .as_ref()
+            .map_or(self.next_probe, |p| p.due.min(self.next_probe));
         let late = now.saturating_sub(due);
         if late > self.settings.answer {
             self.held_up(late, now);
@@ -698,17 +831,33 @@
         self.next_probe = now + self.settings.period;
         self.next_revive = self.next_probe;
         self.next_gossip = self.next_probe;
-        let Some(successor) = self.table.get(&self.me.name).map(|m| m.record.clone()) else { return };
+        let Some(successor) = self.table.get(&self.me.name).map(|m| m.record.clone()) else {
+            return;
+        };
         let patience = self.settings.least_suspicion(self.present());
         if now.saturating_sub(heard) >= patience {
-            let gone = Record { word: Word { standing: Standing::Gone, ..successor.word }, ..successor };
+            let gone = Record {
+                word: Word {
+                    standing: Standing::Gone,
+                    ..successor.word
+                },
+                ..successor
+            };
             return self.of_me(&gone, now, out);
         }
         self.seq = self.seq.wrapping_add(1);
-        let body = Body::Ping { seq: self.seq, name: self.me.name.clone() };
+        let body = Body::Ping {
+            seq: self.seq,
+            name: self.me.name.clone(),
+        };
         out.push(Out::Send(
             successor.at,
-            Packet { fleet: self.fleet.clone(), from: Some(self.me.clone()), body, news: vec![] },
+            Packet {
+                fleet: self.fleet.clone(),
+                from: Some(self.me.clone()),
+                body,
+                news: vec![],
+            },
         ));
     }
 
@@ -738,11 +887,18 @@
             self.start_probe(now, draw, out);
             return;
         }
-        let Some(mut probe) = self.probe.take() else { return };
+        let Some(mut probe) = self.probe.take() else {
+            return;
+        };
         if probe.due <= now && !probe.answered {
-            let Some(at) = self.table.get(&probe.name).map(|m| m.record.at) else { return };
+            let Some(at) = self.table.get(&probe.name).map(|m| m.record.at) else {
+                return;
+            };
             let held = self.accusation(&probe.name);
-            let ping = Body::Ping { seq: probe.seq, name: probe.name.clone() };
+            let ping = Body::Ping {
+                seq: probe.seq,
+                name: probe.name.clone(),
+            };
             self.send(at, ping, held, out);
             probe.due = now + self.settings.answer * longer;
             match probe.stage {
@@ -751,7 +907,11 @@
                     let relays = self.relays(&probe.name, draw);
                     probe.relays = relays.len();
                     for relay in relays {
-                        let body = Body::Errand { seq: probe.seq, name: probe.name.clone(), at };
+                        let body = Body::Errand {
+                            seq: probe.seq,
+                            name: probe.name.clone(),
+                            at,
+                        };
                         self.send(relay, body, vec![], out);
                     }
                     probe.stage = Stage::Relayed;
@@ -765,8 +925,13 @@
 
     fn start_probe(&mut self, now: Duration, draw: Draw, out: &mut Vec<Out>) {
         while let Some(name) = self.ring.pop() {
-            let there = self.table.get(&name).filter(|m| m.record.word.present() && name != self.me.name);
-            let Some(at) = there.map(|m| m.record.at) else { continue };
+            let there = self
+                .table
+                .get(&name)
+                .filter(|m| m.record.word.present() && name != self.me.name);
+            let Some(at) = there.map(|m| m.record.at) else {
+                continue;
+            };
             self.seq = self.seq.wrapping_add(1);
             let due = now + self.settings.answer * (1 + self.health);
             let held = self.accusation(&name);
@@ -780,7 +945,15 @@
                 nacks: 0,
                 answered: false,
             });
-            self.send(at, Body::Ping { seq: self.seq, name }, held, out);
+            self.send(
+                at,
+                Body::Ping {
+                    seq: self.seq,
+                    name,
+                },
+                held,
+                out,
+            );
             break;
         }
         if self.ring.is_empty() {
@@ -800,7 +973,11 @@
         let mut chosen = Vec::new();
         for fresh in [true, false] {
             left.retain(|(name, at)| {
-                let site = self.table.get(name).map(|m| m.record.site.clone()).unwrap_or_default();
+                let site = self
+                    .table
+                    .get(name)
+                    .map(|m| m.record.site.clone())
+                    .unwrap_or_default();
                 if chosen.len() < count && (!fresh || sites.insert(site)) {
                     chosen.push(*at);
                     return false;
@@ -813,7 +990,9 @@
 
     /// The period of a probe is over.
     fn judge(&mut self, probe: &Probe, now: Duration, out: &mut Vec<Out>) {
-        let Some(member) = self.table.get(&probe.name) else { return };
+        let Some(member) = self.table.get(&probe.name) else {
+            return;
+        };
         // Whatever came from it directly, it lives; then the way there is at fault, and others will find out.
         if probe.answered || member.heard.is_some_and(|heard| heard >= probe.started) {
             return;
@@ -856,7 +1035,8 @@
 
     /// Asks after one that is gone, or one seed that is no member. A node that has met nobody asks more often.
     fn tick_revive(&mut self, now: Duration, draw: Draw, out: &mut Vec<Out>) {
-        self.table.forget(now, self.settings.forget, self.settings.tombstones);
+        self.table
+            .forget(now, self.settings.forget, self.settings.tombstones);
         let alone = self.present() <= 1;
         let wait = if alone {
             self.settings.exchange.min(Duration::from_millis(500))
@@ -868,20 +1048,43 @@
             return;
         }
         if self.table.lost() > 0 {
-            let gone: Vec<&Member> =
-                self.table.all().filter(|m| !m.record.word.present() && !m.record.word.left()).collect();
+            let gone: Vec<&Member> = self
+                .table
+                .all()
+                .filter(|m| !m.record.word.present() && !m.record.word.left())
+                .collect();
             let record = gone[draw(gone.len())].record.clone();
             self.seq = self.seq.wrapping_add(1);
-            let body = Body::Ping { seq: self.seq, name: record.name.clone() };
+            let body = Body::Ping {
+                seq: self.seq,
+                name: record.name.clone(),
+            };
             self.send(record.at, body, vec![record], out);
         }
-        let there: BTreeSet<SocketAddr> =
-            self.table.all().filter(|m| m.record.word.present()).map(|m| m.record.at).collect();
-        let unmet: Vec<SocketAddr> = self.seeds.iter().filter(|at| !there.contains(at)).copied().collect();
+        let there: BTreeSet<SocketAddr> = self
+            .table
+            .all()
+            .filter(|m| m.record.word.present())
+            .map(|m| m.record.at)
+            .collect();
+        let unmet: Vec<SocketAddr> = self
+            .seeds
+            .iter()
+            .filter(|at| !there.contains(at))
+            .copied()
+            .collect();
         if !unmet.is_empty() {
             let at = unmet[draw(unmet.len())];
             let sums = self.table.sums().to_vec();
-            self.send(at, Body::Compare { sums, answer: false }, vec![], out);
+            self.send(
+                at,
+                Body::Compare {
+                    sums,
+                    answer: false,
+                },
+                vec![],
+                out,
+            );
         }
     }
 
--- a/crates/membership/src/word.rs
+++ b/crates/membership/src/word.rs
@@ -138,18 +138,27 @@
     if heard.life < me.life || !accused {
         return OfMe::Nothing;
     }
-    OfMe::Object(Word { incarnation: heard.incarnation + 1, standing: Standing::Present, ..*me })
+    OfMe::Object(Word {
+        incarnation: heard.incarnation + 1,
+        standing: Standing::Present,
+        ..*me
+    })
 }
 
 /// The word on a member that gave no answer; none where there is nothing to accuse it of.
 pub fn accuse(held: &Word) -> Option<Word> {
-    (held.standing == Standing::Present && !held.left())
-        .then_some(Word { standing: Standing::Suspected, ..*held })
+    (held.standing == Standing::Present && !held.left()).then_some(Word {
+        standing: Standing::Suspected,
+        ..*held
+    })
 }
 
 /// The word on a suspected member that did not object in time.
 pub fn give_up(held: &Word) -> Option<Word> {
-    (held.standing == Standing::Suspected).then_some(Word { standing: Standing::Gone, ..*held })
+    (held.standing == Standing::Suspected).then_some(Word {
+        standing: Standing::Gone,
+        ..*held
+    })
 }
 
 /// A word, and whose it is.
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -4,14 +4,21 @@
 use std::time::Duration;
 
 use membership::word::Word;
-use membership::{Body, Conclusion, Malformed, Out, Packet, Record, Said, Settings, Standing, View};
+use membership::{
+    Body, Conclusion, Malformed, Out, Packet, Record, Said, Settings, Standing, View,
+};
 use proptest::prelude::*;
 
 fn at(id: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7000 + id))
 }
 fn record(id: u16, life: u64) -> Record {
-    let word = Word { life: life << 20, incarnation: 0, said: Said::Joining, standing: Standing::Present };
+    let word = Word {
+        life: life << 20,
+        incarnation: 0,
+        said: Said::Joining,
+        standing: Standing::Present,
+    };
     Record {
         name: format!("n{id}").into(),
         site: "s".into(),
@@ -31,14 +38,24 @@
 
 impl Few {
     fn start(count: u16) -> Few {
-        let mut few = Few { views: Vec::new(), now: Duration::from_secs(1), draws: 0 };
+        let mut few = Few {
+            views: Vec::new(),
+            now: Duration::from_secs(1),
+            draws: 0,
+        };
         (0..count).for_each(|id| few.add(id, 100));
         few.run(Duration::from_secs(3), |_, _| true);
         few
     }
     fn add(&mut self, id: u16, life: u64) {
         let seeds = vec![at(0), at(1)];
-        let mut view = View::new(Settings::default(), "few".into(), record(id, life), seeds, self.now);
+        let mut view = View::new(
+            Settings::default(),
+            "few".into(),
+            record(id, life),
+            seeds,
+            self.now,
+        );
         view.say(Said::Up, self.now);
         self.views.push(Some(view));
     }
@@ -56,7 +73,11 @@
         queue.extend(sends(sent));
         while let Some((to, packet)) = queue.pop() {
             let bytes = packet.encode();
-            assert!(bytes.len() <= Settings::default().datagram, "{} bytes", bytes.len());
+            assert!(
+                bytes.len() <= Settings::default().datagram,
+                "{} bytes",
+                bytes.len()
+            );
             let from = packet.from.as_ref().map_or(at(999), |r| r.at);
             let packet = Packet::decode(&bytes, "few").expect("what is sent can be read");
             for view in self.views.iter_mut().flatten() {
@@ -97,14 +118,21 @@
 #[test]
 fn members_meet_and_hear_what_each_says() {
     let mut few = Few::start(4);
-    assert!((0..4).all(|id| few.view(id).present() == 4 && few.view(id).digest() == few.view(0).digest()));
+    assert!((0..4)
+        .all(|id| few.view(id).present() == 4 && few.view(id).digest() == few.view(0).digest()));
     assert_eq!(few.view(2).conclusion().0, Conclusion::Whole);
     let now = few.now;
-    few.views[3].as_mut().expect("it lives").say(Said::Quiesced, now);
+    few.views[3]
+        .as_mut()
+        .expect("it lives")
+        .say(Said::Quiesced, now);
     few.run(Duration::from_millis(300), |_, _| true);
     for id in 0..4 {
         let (held, _) = few.view(id).member("n3").expect("known");
-        assert_eq!((held.word.said, held.takes_requests()), (Said::Quiesced, false));
+        assert_eq!(
+            (held.word.said, held.takes_requests()),
+            (Said::Quiesced, false)
+        );
     }
 }
 
@@ -121,11 +149,16 @@
     few.run(Duration::from_secs(30), cut);
     assert_eq!(few.view(3).conclusion().0, Conclusion::Alone);
     assert_eq!(
-        (few.view(0).conclusion().0, few.view(0).present(), few.view(0).lost()),
+        (
+            few.view(0).conclusion().0,
+            few.view(0).present(),
+            few.view(0).lost()
+        ),
         (Conclusion::Whole, 3, 1)
     );
     few.run(Duration::from_secs(5), |_, _| true);
-    assert!((0..4).all(|id| few.view(id).present() == 4 && few.view(id).digest() == few.view(0).digest()));
+    assert!((0..4)
+        .all(|id| few.view(id).present() == 4 && few.view(id).digest() == few.view(0).digest()));
 }
 
 /// Two processes of one name: the one that came later has it, the other says nothing, and takes it up again when the
@@ -140,12 +173,18 @@
     few.run(Duration::from_secs(3), |_, _| true);
     assert!(few.view(2).succeeded() && !few.view(3).succeeded());
     let (held, _) = few.view(0).member("n2").expect("known");
-    assert_eq!((held.at, held.word.life, few.view(0).present()), (at(3), 200 << 20, 3));
+    assert_eq!(
+        (held.at, held.word.life, few.view(0).present()),
+        (at(3), 200 << 20, 3)
+    );
     few.views[3] = None;
     few.run(Duration::from_secs(20), |_, _| true);
     assert!(!few.view(2).succeeded());
     let (held, _) = few.view(0).member("n2").expect("known");
-    assert!(held.word.present() && held.at == at(2) && held.word.life > 200 << 20, "{held:?}");
+    assert!(
+        held.word.present() && held.at == at(2) && held.word.life > 200 << 20,
+        "{held:?}"
+    );
 }
 
 /// A node that was stopped accuses nobody of its own silence.
@@ -160,8 +199,16 @@
 }
 
 fn some_packet() -> Packet {
-    let body = Body::Ping { seq: 7, name: "n1".into() };
-    Packet { fleet: "few".into(), from: Some(record(0, 1)), body, news: vec![record(1, 1), record(2, 1)] }
+    let body = Body::Ping {
+        seq: 7,
+        name: "n1".into(),
+    };
+    Packet {
+        fleet: "few".into(),
+        from: Some(record(0, 1)),
+        body,
+        news: vec![record(1, 1), record(2, 1)],
+    }
 }
 
 #[test]
@@ -169,7 +216,10 @@
     let bytes = some_packet().encode();
     assert_eq!(Packet::decode(&bytes, "few"), Ok(some_packet()));
     assert_eq!(Packet::decode(&bytes, "another"), Err(Malformed::Fleet));
-    assert_eq!(Packet::decode(b"GET / HTTP/1.1\r\n", "few"), Err(Malformed::Foreign));
+    assert_eq!(
+        Packet::decode(b"GET / HTTP/1.1\r\n", "few"),
+        Err(Malformed::Foreign)
+    );
     assert_eq!(Packet::decode(b"", "few"), Err(Malformed::Foreign));
     assert_eq!(Packet::decode(&[0; 70_000], "few"), Err(Malformed::Garbled));
     let mut other = bytes.clone();
@@ -178,14 +228,35 @@
     // Whole, and nothing that a member can be.
     for bad in [
         record(0, 1 << 43),
-        Record { name: "".into(), ..record(0, 1) },
-        Record { name: "x".repeat(65).into(), ..record(0, 1) },
+        Record {
+            name: "".into(),
+            ..record(0, 1)
+        },
+        Record {
+            name: "x".repeat(65).into(),
+            ..record(0, 1)
+        },
     ] {
-        let packet = Packet { news: vec![bad], ..some_packet() };
-        assert_eq!(Packet::decode(&packet.encode(), "few"), Err(Malformed::Bounds));
+        let packet = Packet {
+            news: vec![bad],
+            ..some_packet()
+        };
+        assert_eq!(
+            Packet::decode(&packet.encode(), "few"),
+            Err(Malformed::Bounds)
+        );
     }
-    let short = Packet { body: Body::Compare { sums: vec![1; 3], answer: false }, ..some_packet() };
-    assert_eq!(Packet::decode(&short.encode(), "few"), Err(Malformed::Bounds));
+    let short = Packet {
+        body: Body::Compare {
+            sums: vec![1; 3],
+            answer: false,
+        },
+        ..some_packet()
+    };
+    assert_eq!(
+        Packet::decode(&short.encode(), "few"),
+        Err(Malformed::Bounds)
+    );
 }
 
 proptest! {
--- a/crates/membership/tests/words.rs
+++ b/crates/membership/tests/words.rs
@@ -5,12 +5,20 @@
 use proptest::prelude::*;
 
 fn word() -> impl Strategy<Value = Word> {
-    let standing = prop_oneof![Just(Standing::Present), Just(Standing::Suspected), Just(Standing::Gone)];
+    let standing = prop_oneof![
+        Just(Standing::Present),
+        Just(Standing::Suspected),
+        Just(Standing::Gone)
+    ];
     // What a member said is settled by its life and incarnation.
     (0u64..3, 0u32..3, standing).prop_map(|(life, incarnation, standing)| Word {
         life,
         incarnation,
-        said: if incarnation == 2 && life == 1 { Said::Left } else { Said::Up },
+        said: if incarnation == 2 && life == 1 {
+            Said::Left
+        } else {
+            Said::Up
+        },
         standing,
     })
 }
@@ -22,7 +30,12 @@
         match take(held.as_ref(), word) {
             Take::Nothing => {}
             Take::Held => held = Some(*word),
-            Take::Suspect => held = Some(Word { standing: Standing::Suspected, ..*word }),
+            Take::Suspect => {
+                held = Some(Word {
+                    standing: Standing::Suspected,
+                    ..*word
+                })
+            }
         }
         if *ends {
             held = held.and_then(|h| give_up(&h)).or(held);
@@ -60,31 +73,75 @@
 
 #[test]
 fn a_member_held_present_is_suspected_before_it_is_given_up() {
-    let up = Word { life: 1, incarnation: 0, said: Said::Up, standing: Standing::Present };
-    let gone = Word { standing: Standing::Gone, ..up };
+    let up = Word {
+        life: 1,
+        incarnation: 0,
+        said: Said::Up,
+        standing: Standing::Present,
+    };
+    let gone = Word {
+        standing: Standing::Gone,
+        ..up
+    };
     assert_eq!(take(Some(&up), &gone), Take::Suspect);
     let suspected = accuse(&up).expect("it is present");
-    assert_eq!(take(Some(&suspected), &gone), Take::Nothing, "its time to object goes on");
+    assert_eq!(
+        take(Some(&suspected), &gone),
+        Take::Nothing,
+        "its time to object goes on"
+    );
     assert_eq!(give_up(&suspected), Some(gone));
-    assert_eq!((accuse(&suspected), accuse(&gone), give_up(&up), give_up(&gone)), (None, None, None, None));
+    assert_eq!(
+        (
+            accuse(&suspected),
+            accuse(&gone),
+            give_up(&up),
+            give_up(&gone)
+        ),
+        (None, None, None, None)
+    );
     // Its own goodbye needs no time to object.
-    assert_eq!(take(Some(&up), &Word { incarnation: 1, said: Said::Left, ..up }), Take::Held);
+    assert_eq!(
+        take(
+            Some(&up),
+            &Word {
+                incarnation: 1,
+                said: Said::Left,
+                ..up
+            }
+        ),
+        Take::Held
+    );
 }
 
 /// A clock that went back before a start: the newcomer takes a life above the one that its name had, and one that serves
 /// steps aside for a later one.
 #[test]
 fn the_younger_process_has_the_name() {
-    let word = |life, said| Word { life, incarnation: 0, said, standing: Standing::Present };
+    let word = |life, said| Word {
+        life,
+        incarnation: 0,
+        said,
+        standing: Standing::Present,
+    };
     let serving = word(life(9, 5), Said::Up);
     let newcomer = word(life(3, 7), Said::Joining);
-    let OfMe::Object(raised) = of_me(&newcomer, &serving) else { panic!("it gives way") };
+    let OfMe::Object(raised) = of_me(&newcomer, &serving) else {
+        panic!("it gives way")
+    };
     assert_eq!((raised.life, raised.incarnation), (life(10, 7), 0));
     assert_eq!(of_me(&serving, &raised), OfMe::Succeeded);
-    let ended = Word { standing: Standing::Gone, ..raised };
+    let ended = Word {
+        standing: Standing::Gone,
+        ..raised
+    };
     let again = OfMe::Object(word(life(11, 5), Said::Up));
     assert_eq!(of_me(&serving, &ended), again, "the name is its again");
-    assert_eq!(of_me(&raised, &serving), OfMe::Nothing, "late words of an earlier life");
+    assert_eq!(
+        of_me(&raised, &serving),
+        OfMe::Nothing,
+        "late words of an earlier life"
+    );
     // Two that raise theirs above the same word are two lives.
     let OfMe::Object(other) = of_me(&word(life(3, 8), Said::Joining), &serving) else {
         panic!("it gives way")
--- a/crates/migration-coordinator/src/decide.rs
+++ b/crates/migration-coordinator/src/decide.rs
@@ -117,8 +117,15 @@
 /// What is to be done when it is its turn.
 #[derive(Clone, Debug, PartialEq)]
 enum Job {
-    Move { tenant: Name, to: Place, by_hand: bool },
-    Adopt { tenant: Name, node: Name },
+    Move {
+        tenant: Name,
+        to: Place,
+        by_hand: bool,
+    },
+    Adopt {
+        tenant: Name,
+        node: Name,
+    },
 }
 
 impl Job {
@@ -168,7 +175,12 @@
             }
         }
         let running = kept.works.into_iter().map(|work| {
-            let running = Running { work, begun: now, again: now, pause: patience.again };
+            let running = Running {
+                work,
+                begun: now,
+                again: now,
+                pause: patience.again,
+            };
             (running.work.tenant.clone(), running)
         });
         let epoch = kept.epoch.max(map.epoch());
@@ -188,7 +200,9 @@
     }
     /// Moves in hand, and how far each is.
     pub fn running(&self) -> impl Iterator<Item = (&Name, Step)> {
-        self.running.iter().map(|(tenant, r)| (tenant, r.work.state.step))
+        self.running
+            .iter()
+            .map(|(tenant, r)| (tenant, r.work.state.step))
     }
     /// Moves that wait for others to end.
     pub fn queued(&self) -> usize {
@@ -204,7 +218,10 @@
         now: Duration,
     ) -> Result<Vec<Act>, Refused> {
         let moves = |job: &Job| matches!(job, Job::Move { tenant: name, .. } if **name == *tenant);
-        let in_hand = self.running.get(tenant).is_some_and(|running| !running.work.adopts);
+        let in_hand = self
+            .running
+            .get(tenant)
+            .is_some_and(|running| !running.work.adopts);
         if in_hand || self.queue.iter().any(moves) {
             return Err(Refused::InHand);
         }
@@ -213,24 +230,36 @@
             return Err(Refused::LivesThere);
         }
         self.work(tenant, &to, by_hand, 0, 0)?;
-        self.queue.push(Job::Move { tenant: tenant.into(), to, by_hand });
+        self.queue.push(Job::Move {
+            tenant: tenant.into(),
+            to,
+            by_hand,
+        });
         Ok(self.begin(now))
     }
 
     /// A node's process has started anew: it knows nothing and serves nobody. What its cell serves it takes up again,
     /// once no move of that tenant is in hand.
     pub fn joined(&mut self, node: &str, now: Duration) -> Vec<Act> {
-        let Some(cell) = self.map.node(node).map(|n| n.cell.clone()) else { return Vec::new() };
+        let Some(cell) = self.map.node(node).map(|n| n.cell.clone()) else {
+            return Vec::new();
+        };
         let here = |(tenant, home): (&Name, &cells::Home)| {
-            home.place
-                .cells()
-                .contains(&cell)
-                .then(|| Job::Adopt { tenant: tenant.clone(), node: node.into() })
+            home.place.cells().contains(&cell).then(|| Job::Adopt {
+                tenant: tenant.clone(),
+                node: node.into(),
+            })
         };
         let mut jobs: Vec<Job> = self.map.tenants().filter_map(here).collect();
         // A tenant on its way here may be handed over to the earlier self of this node.
-        let coming = self.running.values().filter(|r| r.work.to.cells().contains(&cell) && !r.work.adopts);
-        jobs.extend(coming.map(|r| Job::Adopt { tenant: r.work.tenant.clone(), node: node.into() }));
+        let coming = self
+            .running
+            .values()
+            .filter(|r| r.work.to.cells().contains(&cell) && !r.work.adopts);
+        jobs.extend(coming.map(|r| Job::Adopt {
+            tenant: r.work.tenant.clone(),
+            node: node.into(),
+        }));
         jobs.sort_by(|a, b| a.tenant().cmp(b.tenant()));
         jobs.dedup();
         // Before what waits: these are not served at all.
@@ -242,7 +271,8 @@
     fn nodes(&self, place: &Place) -> Result<BTreeSet<Name>, Refused> {
         let mut nodes = BTreeSet::new();
         for name in place.cells() {
-            let missing = || Refused::Layout(LayoutError::NoSuchCell("the move".into(), name.clone()));
+            let missing =
+                || Refused::Layout(LayoutError::NoSuchCell("the move".into(), name.clone()));
             let cell = self.map.cell(name).ok_or_else(missing)?;
             nodes.extend(cell.nodes.iter().map(|n| n.name.clone()));
         }
@@ -260,20 +290,40 @@
         let home = self.map.home(tenant).ok_or(Refused::NoSuchTenant)?;
         let (from, targets) = (self.nodes(&home.place)?, self.nodes(to)?);
         let all: BTreeSet<&Name> = from.union(&targets).collect();
-        let nodes: BTreeMap<NodeId, Name> =
-            all.into_iter().cloned().enumerate().map(|(n, name)| (n as NodeId, name)).collect();
+        let nodes: BTreeMap<NodeId, Name> = all
+            .into_iter()
+            .cloned()
+            .enumerate()
+            .map(|(n, name)| (n as NodeId, name))
+            .collect();
         let numbers = |of: &BTreeSet<Name>| {
-            nodes.iter().filter(|(_, name)| of.contains(*name)).map(|(n, _)| *n).collect()
+            nodes
+                .iter()
+                .filter(|(_, name)| of.contains(*name))
+                .map(|(n, _)| *n)
+                .collect()
         };
-        let state = Move::new(id, epoch, numbers(&from), numbers(&targets)).map_err(Refused::Sides)?;
-        Ok(Work { tenant: tenant.into(), to: to.clone(), by_hand, adopts: false, state, nodes })
+        let state =
+            Move::new(id, epoch, numbers(&from), numbers(&targets)).map_err(Refused::Sides)?;
+        Ok(Work {
+            tenant: tenant.into(),
+            to: to.clone(),
+            by_hand,
+            adopts: false,
+            state,
+            nodes,
+        })
     }
 
     /// Takes up what waits, as far as there is room: one job for a tenant at a time.
     fn begin(&mut self, now: Duration) -> Vec<Act> {
         let mut acts = Vec::new();
         while self.running.len() < self.patience.at_once {
-            let Some(at) = self.queue.iter().position(|job| !self.running.contains_key(job.tenant())) else {
+            let Some(at) = self
+                .queue
+                .iter()
+                .position(|job| !self.running.contains_key(job.tenant()))
+            else {
                 break;
             };
             let job = self.queue.remove(at);
@@ -282,7 +332,9 @@
             let epoch = self.epoch + 1;
             let moves = matches!(job, Job::Move { .. });
             let work = match job {
-                Job::Move { to, by_hand, .. } => self.work(&tenant, &to, by_hand, self.ids, epoch).ok(),
+                Job::Move { to, by_hand, .. } => {
+                    self.work(&tenant, &to, by_hand, self.ids, epoch).ok()
+                }
                 Job::Adopt { node, .. } => self.adoption(&tenant, &node, self.ids, epoch),
             };
             let Some(work) = work else {
@@ -292,9 +344,16 @@
             };
             // Giving it up makes the epoch after.
             self.epoch += 2;
-            acts.push(Act::Write(vec![Record::Work(Box::new(work.clone()), self.epoch)]));
-            let running =
-                Running { work, begun: now, again: now + self.patience.again, pause: self.patience.again };
+            acts.push(Act::Write(vec![Record::Work(
+                Box::new(work.clone()),
+                self.epoch,
+            )]));
+            let running = Running {
+                work,
+                begun: now,
+                again: now + self.patience.again,
+                pause: self.patience.again,
+            };
             acts.extend(sends(&running.work));
             self.running.insert(tenant, running);
         }
@@ -316,17 +375,33 @@
 
     /// A node has answered an order about this tenant.
     pub fn heard(&mut self, tenant: &str, node: &str, report: Report, now: Duration) -> Vec<Act> {
-        let Some(running) = self.running.get(tenant) else { return Vec::new() };
-        let number = running.work.nodes.iter().find(|(_, name)| &***name == node).map(|(n, _)| *n);
-        number.map_or_else(Vec::new, |n| self.event(tenant, &Event::Heard(n, report), now))
+        let Some(running) = self.running.get(tenant) else {
+            return Vec::new();
+        };
+        let number = running
+            .work
+            .nodes
+            .iter()
+            .find(|(_, name)| &***name == node)
+            .map(|(n, _)| *n);
+        number.map_or_else(Vec::new, |n| {
+            self.event(tenant, &Event::Heard(n, report), now)
+        })
     }
     /// This node's process has certainly ended, or its lease has run out since it was last heard.
     pub fn fenced(&mut self, node: &str, now: Duration) -> Vec<Act> {
         let tenants: Vec<Name> = self.running.keys().cloned().collect();
         let mut acts = Vec::new();
         for tenant in tenants {
-            let Some(running) = self.running.get(&tenant) else { continue };
-            let number = running.work.nodes.iter().find(|(_, name)| &***name == node).map(|(n, _)| *n);
+            let Some(running) = self.running.get(&tenant) else {
+                continue;
+            };
+            let number = running
+                .work
+                .nodes
+                .iter()
+                .find(|(_, name)| &***name == node)
+                .map(|(n, _)| *n);
             if let Some(n) = number {
                 acts.extend(self.event(&tenant, &Event::Fenced(n), now));
             }
@@ -335,8 +410,10 @@
     }
     /// An operator gives a move up. One that is committed goes through all the same.
     pub fn give_up(&mut self, tenant: &str, now: Duration) -> Vec<Act> {
-        if let Some(at) =
-            self.queue.iter().position(|job| matches!(job, Job::Move { tenant: t, .. } if **t == *tenant))
+        if let Some(at) = self
+            .queue
+            .iter()
+            .position(|job| matches!(job, Job::Move { tenant: t, .. } if **t == *tenant))
         {
             let job = self.queue.remove(at);
             return vec![Act::Ended(job.tenant().clone(), false)];
@@ -345,19 +422,33 @@
     }
 
     fn event(&mut self, tenant: &str, event: &Event, now: Duration) -> Vec<Act> {
-        let Some(running) = self.running.get_mut(tenant) else { return Vec::new() };
+        let Some(running) = self.running.get_mut(tenant) else {
+            return Vec::new();
+        };
         let before = running.work.state.step;
         if !running.work.state.on(event) {
             return Vec::new();
         }
-        let Work { tenant, to, by_hand, adopts, state, .. } = running.work.clone();
+        let Work {
+            tenant,
+            to,
+            by_hand,
+            adopts,
+            state,
+            ..
+        } = running.work.clone();
         // In one piece: a commit without its home, or the other way round, would send the tenant to both sides.
         let mut records = vec![Record::Work(Box::new(running.work.clone()), self.epoch)];
         let mut acts = Vec::new();
-        if !adopts && before < Step::Commit && matches!(state.step, Step::Commit | Step::Release | Step::Done)
+        if !adopts
+            && before < Step::Commit
+            && matches!(state.step, Step::Commit | Step::Release | Step::Done)
         {
             // Decided. Where the cell has gone meanwhile the nodes of the move serve it all the same.
-            if let Ok(map) = self.map.moved(&tenant, to.clone(), Some(state.epoch), by_hand) {
+            if let Ok(map) = self
+                .map
+                .moved(&tenant, to.clone(), Some(state.epoch), by_hand)
+            {
                 self.map = map;
             }
             records.push(Record::Home(tenant.clone(), to, state.epoch, by_hand));
@@ -383,10 +474,16 @@
     /// Time has passed: orders that were not answered go out again, and what takes too long is given up.
     pub fn tick(&mut self, now: Duration) -> Vec<Act> {
         let mut acts = Vec::new();
-        let due: Vec<Name> =
-            self.running.iter().filter(|(_, r)| r.again <= now).map(|(name, _)| name.clone()).collect();
+        let due: Vec<Name> = self
+            .running
+            .iter()
+            .filter(|(_, r)| r.again <= now)
+            .map(|(name, _)| name.clone())
+            .collect();
         for tenant in due {
-            let Some(running) = self.running.get_mut(&tenant) else { continue };
+            let Some(running) = self.running.get_mut(&tenant) else {
+                continue;
+            };
             if !running.work.adopts
                 && running.work.state.step < Step::Commit
                 && now >= running.begun + self.patience.give_up
@@ -397,7 +494,9 @@
                     continue;
                 }
             }
-            let Some(running) = self.running.get_mut(&tenant) else { continue };
+            let Some(running) = self.running.get_mut(&tenant) else {
+                continue;
+            };
             running.pause = (running.pause * 2).min(self.patience.longest);
             running.again = now + running.pause;
             acts.extend(sends(&running.work));
@@ -412,7 +511,11 @@
 
 fn sends(work: &Work) -> Vec<Act> {
     let to = |(node, order): (NodeId, Order)| {
-        Some(Act::Send(work.nodes.get(&node)?.clone(), work.tenant.clone(), order))
+        Some(Act::Send(
+            work.nodes.get(&node)?.clone(),
+            work.tenant.clone(),
+            order,
+        ))
     };
     work.state.orders().into_iter().filter_map(to).collect()
 }
--- a/crates/migration-coordinator/src/journal.rs
+++ b/crates/migration-coordinator/src/journal.rs
@@ -64,17 +64,24 @@
         let mut kept = Kept::default();
         {
             let mut figures = begin.open_table(FIGURES).map_err(store)?;
-            let form = figures.get("form").map_err(store)?.map_or(FORM, |form| form.value());
+            let form = figures
+                .get("form")
+                .map_err(store)?
+                .map_or(FORM, |form| form.value());
             if form != FORM {
                 return Err(JournalError::Form(form));
             }
             figures.insert("form", FORM).map_err(store)?;
-            kept.epoch = figures.get("epoch").map_err(store)?.map_or(0, |epoch| epoch.value());
+            kept.epoch = figures
+                .get("epoch")
+                .map_err(store)?
+                .map_or(0, |epoch| epoch.value());
             let works = begin.open_table(WORKS).map_err(store)?;
             for entry in works.iter().map_err(store)? {
                 let (key, value) = entry.map_err(store)?;
                 let bad = |_| JournalError::Entry("works", key.value().to_string());
-                kept.works.push(serde_json::from_slice::<Work>(value.value()).map_err(bad)?);
+                kept.works
+                    .push(serde_json::from_slice::<Work>(value.value()).map_err(bad)?);
             }
             let homes = begin.open_table(HOMES).map_err(store)?;
             for entry in homes.iter().map_err(store)? {
@@ -82,7 +89,8 @@
                 let bad = |_| JournalError::Entry("homes", key.value().to_string());
                 let (place, since, by_hand) =
                     serde_json::from_slice::<(Place, u64, bool)>(value.value()).map_err(bad)?;
-                kept.homes.push((Name::from(key.value()), place, since, by_hand));
+                kept.homes
+                    .push((Name::from(key.value()), place, since, by_hand));
             }
         }
         begin.commit().map_err(store)?;
--- a/crates/migration-coordinator/tests/fleet.rs
+++ b/crates/migration-coordinator/tests/fleet.rs
@@ -15,7 +15,8 @@
 struct Scratch(PathBuf);
 impl Scratch {
     fn new(name: &str) -> Scratch {
-        let path = std::env::temp_dir().join(format!("protocol-gateway-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("protocol-gateway-{}-{name}", std::process::id()));
         let _ = std::fs::remove_file(&path);
         Scratch(path)
     }
@@ -30,7 +31,10 @@
 const TENANTS: usize = 8;
 
 fn layout() -> Layout {
-    let mut layout = Layout { slack: 3.0, ..Layout::default() };
+    let mut layout = Layout {
+        slack: 3.0,
+        ..Layout::default()
+    };
     for c in 0..CELLS {
         let cell: Name = format!("c{c}").into();
         layout.cells.insert(cell.clone(), CellSpec::default());
@@ -46,7 +50,13 @@
     }
     for t in 0..TENANTS {
         let placement = Placement::Free;
-        layout.tenants.insert(format!("t{t}").into(), TenantSpec { share: 1.0, placement });
+        layout.tenants.insert(
+            format!("t{t}").into(),
+            TenantSpec {
+                share: 1.0,
+                placement,
+            },
+        );
     }
     layout
 }
@@ -113,11 +123,19 @@
         for node in first.cells().flat_map(|c| &c.nodes) {
             for (tenant, home) in first.tenants() {
                 let serves = home.place.cells().contains(&node.cell);
-                let fence = if serves { Fence::serving(1, first.epoch()) } else { Fence::started(1) };
+                let fence = if serves {
+                    Fence::serving(1, first.epoch())
+                } else {
+                    Fence::started(1)
+                };
                 fences.insert((node.name.clone(), tenant.clone()), fence);
             }
         }
-        let lives = first.cells().flat_map(|c| &c.nodes).map(|n| (n.name.clone(), 1)).collect();
+        let lives = first
+            .cells()
+            .flat_map(|c| &c.nodes)
+            .map(|n| (n.name.clone(), 1))
+            .collect();
         let mut fleet = Fleet {
             draws: Draws(seed),
             now: Duration::ZERO,
@@ -145,8 +163,13 @@
     fn start_coordinator(&mut self) {
         let (journal, kept) = Journal::open(&self.file.0).expect("a journal");
         self.starts += 1;
-        let patience = Patience { at_once: 2, give_up: Duration::from_secs(3), ..Patience::default() };
-        let coordinator = Coordinator::resume(patience, self.first.clone(), kept, self.starts, self.now);
+        let patience = Patience {
+            at_once: 2,
+            give_up: Duration::from_secs(3),
+            ..Patience::default()
+        };
+        let coordinator =
+            Coordinator::resume(patience, self.first.clone(), kept, self.starts, self.now);
         let coordinator = coordinator.expect("a coordinator");
         // Killed before it could publish: routers hear of the map now.
         if coordinator.map().epoch() > self.maps.last().map_or(0, CellMap::epoch) {
@@ -155,8 +178,12 @@
         self.coordinator = Some(coordinator);
         self.journal = Some(journal);
         // Nodes that started while nobody was there to hear of it say so again.
-        let nodes: Vec<Name> =
-            self.lives.iter().filter(|(_, life)| **life > 1).map(|(n, _)| n.clone()).collect();
+        let nodes: Vec<Name> = self
+            .lives
+            .iter()
+            .filter(|(_, life)| **life > 1)
+            .map(|(n, _)| n.clone())
+            .collect();
         for node in nodes {
             self.act(|c, now| c.joined(&node, now));
         }
@@ -164,7 +191,9 @@
 
     /// Has the coordinator decide, and does what it says, in order; it may be killed between any two of these.
     fn act(&mut self, decide: impl FnOnce(&mut Coordinator, Duration) -> Vec<Act>) {
-        let Some(coordinator) = &mut self.coordinator else { return };
+        let Some(coordinator) = &mut self.coordinator else {
+            return;
+        };
         let acts = decide(coordinator, self.now);
         for act in acts {
             if self.draws.one_in(400) {
@@ -173,11 +202,18 @@
                 return;
             }
             match act {
-                Act::Write(records) => self.journal.as_ref().expect("open").write(&records).expect("written"),
+                Act::Write(records) => self
+                    .journal
+                    .as_ref()
+                    .expect("open")
+                    .write(&records)
+                    .expect("written"),
                 Act::Send(node, tenant, order) => self.orders.push((node, tenant, order)),
                 Act::Publish(epoch) => {
                     let map = self.coordinator.as_ref().expect("running").map().clone();
-                    assert!(map.epoch() == epoch && epoch > self.maps.last().expect("a map").epoch());
+                    assert!(
+                        map.epoch() == epoch && epoch > self.maps.last().expect("a map").epoch()
+                    );
                     self.maps.push(map);
                 }
                 Act::Ended(_, true) => self.done += 1,
@@ -220,7 +256,10 @@
                 if self.dead.contains(&node) || self.draws.one_in(8) {
                     return;
                 }
-                let fence = self.fences.get_mut(&(node.clone(), tenant.clone())).expect("a fence");
+                let fence = self
+                    .fences
+                    .get_mut(&(node.clone(), tenant.clone()))
+                    .expect("a fence");
                 let report = fence.hear(&order);
                 self.reports.push((node, tenant, report));
             }
@@ -260,12 +299,19 @@
             open[self.draws.below(open.len())]
         } else {
             let tenant = format!("t{}", self.draws.below(TENANTS));
-            self.settlements.push(Settlement { tenant, ..Settlement::default() });
+            self.settlements.push(Settlement {
+                tenant,
+                ..Settlement::default()
+            });
             self.live.push(self.settlements.len() - 1);
             self.settlements.len() - 1
         };
         // A router that may be some epochs behind; a key has one node in a cell.
-        let behind = if self.draws.one_in(3) { self.draws.below(4) } else { 0 };
+        let behind = if self.draws.one_in(3) {
+            self.draws.below(4)
+        } else {
+            0
+        };
         let map = &self.maps[self.maps.len().saturating_sub(1 + behind)];
         let s = &mut self.settlements[n];
         let cell = map.cell_of(&s.tenant, None).expect("a cell");
@@ -275,7 +321,10 @@
         if self.dead.contains(&node) {
             return;
         }
-        let fence = self.fences.get_mut(&(node.clone(), s.tenant.as_str().into())).expect("a fence");
+        let fence = self
+            .fences
+            .get_mut(&(node.clone(), s.tenant.as_str().into()))
+            .expect("a fence");
         match fence.gate(Some(n as Key), s.tries > 1, since) {
             Gate::Pass => {
                 s.waits = Some((node.clone(), fence.life));
@@ -290,7 +339,8 @@
     /// Work that was taken up is refused, runs, is answered, or its connection breaks.
     fn work(&mut self) {
         let settlements = &self.settlements;
-        self.live.retain(|n| !settlements[*n].over || !settlements[*n].pending.is_empty());
+        self.live
+            .retain(|n| !settlements[*n].over || !settlements[*n].pending.is_empty());
         let busy: Vec<usize> = self
             .live
             .iter()
@@ -313,8 +363,13 @@
         }
         let Some((node, life)) = s.pending.first().cloned() else {
             // It ran: the answer goes to whoever waits there.
-            let Some((node, life)) = s.waits.take() else { return };
-            let fence = self.fences.get_mut(&(node, s.tenant.as_str().into())).expect("a fence");
+            let Some((node, life)) = s.waits.take() else {
+                return;
+            };
+            let fence = self
+                .fences
+                .get_mut(&(node, s.tenant.as_str().into()))
+                .expect("a fence");
             if fence.life == life {
                 fence.ran(n as Key);
                 (s.acked, s.over) = (true, true);
@@ -324,7 +379,10 @@
         s.pending.pop_first();
         let here = self.lives[&node] == life && !self.dead.contains(&node);
         if how == 1 && here {
-            let fence = self.fences.get_mut(&(node.clone(), s.tenant.as_str().into())).expect("a fence");
+            let fence = self
+                .fences
+                .get_mut(&(node.clone(), s.tenant.as_str().into()))
+                .expect("a fence");
             fence.never_ran(n as Key);
             if s.waits == Some((node, life)) {
                 s.waits = None;
@@ -337,8 +395,16 @@
 
     fn check(&self) {
         for (n, s) in self.settlements.iter().enumerate() {
-            assert!(s.runs <= 1, "settlement {n} of {} ran {} times", s.tenant, s.runs);
-            assert!(!s.acked || s.runs == 1, "settlement {n} was acknowledged and never made");
+            assert!(
+                s.runs <= 1,
+                "settlement {n} of {} ran {} times",
+                s.tenant,
+                s.runs
+            );
+            assert!(
+                !s.acked || s.runs == 1,
+                "settlement {n} was acknowledged and never made"
+            );
         }
         for tenant in self.first.tenants().map(|(tenant, _)| tenant) {
             // Never two cells at once.
@@ -360,7 +426,10 @@
             let dead: Vec<Name> = self.dead.iter().cloned().collect();
             dead.iter().for_each(|node| self.start_node(node));
             self.step(false);
-            let idle = self.coordinator.as_ref().is_some_and(|c| c.running().count() == 0 && c.queued() == 0);
+            let idle = self
+                .coordinator
+                .as_ref()
+                .is_some_and(|c| c.running().count() == 0 && c.queued() == 0);
             if idle && self.all_serve() {
                 return;
             }
@@ -374,12 +443,19 @@
         panic!("it never settled");
     }
     fn all_serve(&self) -> bool {
-        let Some(map) = self.coordinator.as_ref().map(Coordinator::map) else { return false };
+        let Some(map) = self.coordinator.as_ref().map(Coordinator::map) else {
+            return false;
+        };
         map.tenants().all(|(tenant, home)| {
-            self.fences.iter().filter(|((_, t), _)| t == tenant).all(|((node, _), fence)| {
-                let mine = map.node(node).is_some_and(|n| home.place.cells().contains(&n.cell));
-                mine == (fence.holding == Holding::Serves)
-            })
+            self.fences
+                .iter()
+                .filter(|((_, t), _)| t == tenant)
+                .all(|((node, _), fence)| {
+                    let mine = map
+                        .node(node)
+                        .is_some_and(|n| home.place.cells().contains(&n.cell));
+                    mine == (fence.holding == Holding::Serves)
+                })
         })
     }
 }
@@ -399,7 +475,9 @@
         }
         let tenant = format!("t{}", fleet.draws.below(TENANTS));
         let to = Place::One(format!("c{}", fleet.draws.below(CELLS)).into());
-        let Some(coordinator) = &mut fleet.coordinator else { continue };
+        let Some(coordinator) = &mut fleet.coordinator else {
+            continue;
+        };
         let now = fleet.now;
         let acts = match coordinator.start(&tenant, to, true, now) {
             Ok(acts) => acts,
@@ -430,7 +508,11 @@
     fleet.settle();
     fleet.check();
     let acked = fleet.settlements.iter().filter(|s| s.acked).count();
-    let doubted = fleet.settlements.iter().filter(|s| s.over && !s.acked).count();
+    let doubted = fleet
+        .settlements
+        .iter()
+        .filter(|s| s.over && !s.acked)
+        .count();
     println!(
         "{} settlements, {acked} acknowledged, {doubted} in doubt; {} moves done, {} given up; kills {:?}",
         fleet.settlements.len(),
@@ -438,7 +520,11 @@
         fleet.given_up,
         fleet.kills
     );
-    assert!(fleet.done >= 100 && acked > 1000, "{} done, {acked} acknowledged", fleet.done);
+    assert!(
+        fleet.done >= 100 && acked > 1000,
+        "{} done, {acked} acknowledged",
+        fleet.done
+    );
     assert!(fleet.kills["coordinator"] >= 10, "{:?}", fleet.kills);
 }
 
@@ -446,18 +532,41 @@
 #[test]
 fn a_journal_is_one_coordinators_and_keeps_what_was_written() {
     let fleet = Fleet::new(1, "one.redb");
-    assert!(matches!(Journal::open(&fleet.file.0), Err(JournalError::InUse)));
-    let Fleet { mut coordinator, journal, file, .. } = fleet;
+    assert!(matches!(
+        Journal::open(&fleet.file.0),
+        Err(JournalError::InUse)
+    ));
+    let Fleet {
+        mut coordinator,
+        journal,
+        file,
+        ..
+    } = fleet;
     let coordinator = coordinator.as_mut().expect("running");
     let home = coordinator.map().home("t0").expect("a home").place.clone();
-    let to = if home == Place::One("c0".into()) { "c1" } else { "c0" };
-    let acts = coordinator.start("t0", Place::One(to.into()), true, Duration::ZERO).expect("taken up");
-    let Some(Act::Write(records)) = acts.first() else { panic!("written first") };
-    journal.as_ref().expect("open").write(records).expect("written");
+    let to = if home == Place::One("c0".into()) {
+        "c1"
+    } else {
+        "c0"
+    };
+    let acts = coordinator
+        .start("t0", Place::One(to.into()), true, Duration::ZERO)
+        .expect("taken up");
+    let Some(Act::Write(records)) = acts.first() else {
+        panic!("written first")
+    };
+    journal
+        .as_ref()
+        .expect("open")
+        .write(records)
+        .expect("written");
     assert_eq!(journal.as_ref().expect("open").homes().expect("read"), 0);
     drop(journal);
     let (_journal, kept) = Journal::open(&file.0).expect("a journal");
-    assert_eq!((kept.works.len(), kept.works[0].state.step, kept.homes.len()), (1, Step::Prepare, 0));
+    assert_eq!(
+        (kept.works.len(), kept.works[0].state.step, kept.homes.len()),
+        (1, Step::Prepare, 0)
+    );
     assert!(kept.epoch >= 2);
 }
 
@@ -465,9 +574,16 @@
 #[test]
 fn a_file_that_is_no_journal_is_refused() {
     let file = Scratch::new("bad.redb");
-    std::fs::write(&file.0, b"no journal at all, but long enough to look at".repeat(200)).expect("a file");
+    std::fs::write(
+        &file.0,
+        b"no journal at all, but long enough to look at".repeat(200),
+    )
+    .expect("a file");
     let told = Journal::open(&file.0).err().expect("refused").to_string();
-    assert!(told.starts_with("the journal: ") && !told.contains('\n'), "{told}");
+    assert!(
+        told.starts_with("the journal: ") && !told.contains('\n'),
+        "{told}"
+    );
 }
 
 /// Guards operators from orders that can't be carried out.
@@ -475,14 +591,23 @@
 fn what_can_not_be_moved_is_said_at_once() {
     let mut fleet = Fleet::new(2, "refused.redb");
     let coordinator = fleet.coordinator.as_mut().expect("running");
-    let home = coordinator.map().home("t0").expect("a home").place.to_string();
+    let home = coordinator
+        .map()
+        .home("t0")
+        .expect("a home")
+        .place
+        .to_string();
     let other = if home == "c0" { "c1" } else { "c0" }.to_string();
-    let mut start =
-        |tenant: &str, to: &str| coordinator.start(tenant, Place::One(to.into()), true, Duration::ZERO);
+    let mut start = |tenant: &str, to: &str| {
+        coordinator.start(tenant, Place::One(to.into()), true, Duration::ZERO)
+    };
     assert_eq!(start("nobody", "c0"), Err(Refused::NoSuchTenant));
     assert!(matches!(start("t0", "c9"), Err(Refused::Layout(_))));
     assert_eq!(start("t0", &home), Err(Refused::LivesThere));
     assert!(start("t0", &other).is_ok());
     assert_eq!(start("t0", &other), Err(Refused::InHand));
-    assert!(matches!(coordinator.give_up("t0", Duration::ZERO).as_slice(), [Act::Write(_), ..]));
+    assert!(matches!(
+        coordinator.give_up("t0", Duration::ZERO).as_slice(),
+        [Act::Write(_), ..]
+    ));
 }
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -62,7 +62,11 @@
             ConfigError::File(e) => write!(f, "{e}"),
             ConfigError::Fleet(e) => write!(f, "{e}"),
             ConfigError::NoName(path) => {
-                write!(f, "{}: name: is missing, and a router has no other", path.display())
+                write!(
+                    f,
+                    "{}: name: is missing, and a router has no other",
+                    path.display()
+                )
             }
             ConfigError::NoAddress(path, node) => {
                 write!(f, "{}: nodes.{node}: has no address", path.display())
@@ -102,17 +106,27 @@
     /// Reads a router's file, and the file of cells that it names beside itself.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
         let text = |path: &Path| {
-            std::fs::read_to_string(path).map_err(|e| ConfigError::Unreadable(path.to_path_buf(), e))
+            std::fs::read_to_string(path)
+                .map_err(|e| ConfigError::Unreadable(path.to_path_buf(), e))
         };
         let name = path.display().to_string();
         let bad = |line, field: &str, what: String| {
-            ConfigError::File(FileError { file: name.clone(), line, field: field.into(), what })
+            ConfigError::File(FileError {
+                file: name.clone(),
+                line,
+                field: field.into(),
+                what,
+            })
         };
         let own = text(path)?;
-        let file: File =
-            json5::from_str(&own).map_err(|e| bad(e.position().map(|at| at.line + 1), "", e.to_string()))?;
+        let file: File = json5::from_str(&own)
+            .map_err(|e| bad(e.position().map(|at| at.line + 1), "", e.to_string()))?;
         if file.version != 1 {
-            return Err(bad(None, "version", format!("{} is not known here: 1 is", file.version)));
+            return Err(bad(
+                None,
+                "version",
+                format!("{} is not known here: 1 is", file.version),
+            ));
         }
         if !(8..=100_000).contains(&file.clients) {
             return Err(bad(None, "clients", "is not from 8 to 100000".into()));
@@ -129,8 +143,13 @@
                     "is not from 1 to 3600000".into(),
                 ));
             }
-            classes
-                .insert(class, Class { once: spec.once, deadline: Duration::from_millis(spec.deadline_ms) });
+            classes.insert(
+                class,
+                Class {
+                    once: spec.once,
+                    deadline: Duration::from_millis(spec.deadline_ms),
+                },
+            );
         }
         let beside = |file: &PathBuf| path.parent().unwrap_or(Path::new("")).join(file);
         let cells = beside(&file.cells);
@@ -160,11 +179,15 @@
 
     /// Reads a file of cells whose nodes can all be reached.
     pub fn layout(cells: &Path) -> Result<Layout, ConfigError> {
-        let text =
-            std::fs::read_to_string(cells).map_err(|e| ConfigError::Unreadable(cells.to_path_buf(), e))?;
-        let layout = Layout::parse(&cells.display().to_string(), &text).map_err(ConfigError::File)?;
+        let text = std::fs::read_to_string(cells)
+            .map_err(|e| ConfigError::Unreadable(cells.to_path_buf(), e))?;
+        let layout =
+            Layout::parse(&cells.display().to_string(), &text).map_err(ConfigError::File)?;
         match layout.nodes.iter().find(|(_, node)| node.address.is_none()) {
-            Some((node, _)) => Err(ConfigError::NoAddress(cells.to_path_buf(), node.to_string())),
+            Some((node, _)) => Err(ConfigError::NoAddress(
+                cells.to_path_buf(),
+                node.to_string(),
+            )),
             None => Ok(layout),
         }
     }
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -130,7 +130,8 @@
     pub fn bind(config: Config, rules: Rules, seed: u64, log: &Logger) -> io::Result<RouterLoop> {
         let poll = Poll::new()?;
         let mut listener = TcpListener::bind(config.listen)?;
-        poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
+        poll.registry()
+            .register(&mut listener, LISTENER, Interest::READABLE)?;
         let handle = Handle {
             address: listener.local_addr()?,
             counts: Arc::default(),
@@ -163,7 +164,9 @@
             config,
         };
         let layout = router.config.layout.clone();
-        router.take_layout(&layout).map_err(|e| io::Error::other(e.to_string()))?;
+        router
+            .take_layout(&layout)
+            .map_err(|e| io::Error::other(e.to_string()))?;
         if let Some(config) = router.config.fleet.clone() {
             router.join(config)?;
         }
@@ -171,7 +174,11 @@
     }
     /// Becomes a member of the fleet, one that serves nothing.
     fn join(&mut self, config: fleet::Config) -> io::Result<()> {
-        let me = fleet::Me { name: config.name.clone().unwrap_or_default(), serves: None, shares: None };
+        let me = fleet::Me {
+            name: config.name.clone().unwrap_or_default(),
+            serves: None,
+            shares: None,
+        };
         let waker = self.handle.waker.clone();
         let changed = Box::new(move || drop(waker.wake()));
         let log = self.log.new(o!("actor" => "fleet"));
@@ -201,7 +208,9 @@
             Ok(()) => info!(self.log, "cells read again"; "epoch" => self.map.epoch()),
             Err(e) => warn!(self.log, "the new cells are not used"; "error" => e),
         }
-        let (Some(view), Some(file)) = (self.nodes.view(), &self.config.fleet_file) else { return };
+        let (Some(view), Some(file)) = (self.nodes.view(), &self.config.fleet_file) else {
+            return;
+        };
         match Config::fleet(file) {
             Ok(config) => view.reload(config),
             Err(e) => warn!(self.log, "the new fleet's file is not used"; "error" => %e),
@@ -218,7 +227,9 @@
         loop {
             if self.handle.stop.load(SeqCst) {
                 self.listener = None;
-                if self.open.is_empty() && self.clients.values().all(|c| c.session.unsent().is_empty()) {
+                if self.open.is_empty()
+                    && self.clients.values().all(|c| c.session.unsent().is_empty())
+                {
                     if let Some(view) = self.nodes.view() {
                         view.end(false);
                     }
@@ -238,13 +249,17 @@
                 match event.token() {
                     LISTENER => self.accept = true,
                     WAKER => {}
-                    Token(number) if self.links.contains_key(&number) => self.link_ready(number, event, now),
+                    Token(number) if self.links.contains_key(&number) => {
+                        self.link_ready(number, event, now)
+                    }
                     Token(number) => self.client_ready(number, event, now),
                 }
             }
             self.accept(now);
             for _ in 0..self.turns.len() {
-                let Some(number) = self.turns.pop_front() else { break };
+                let Some(number) = self.turns.pop_front() else {
+                    break;
+                };
                 self.turn(number, now);
             }
             self.beats(now);
@@ -258,7 +273,10 @@
         if !self.turns.is_empty() || self.accept && self.listener.is_some() {
             return Duration::ZERO;
         }
-        let first = self.timers.peek().map_or(self.beat, |Reverse((at, _))| self.beat.min(*at));
+        let first = self
+            .timers
+            .peek()
+            .map_or(self.beat, |Reverse((at, _))| self.beat.min(*at));
         first.saturating_duration_since(now)
     }
 
@@ -266,14 +284,20 @@
 
     fn accept(&mut self, now: Instant) {
         for _ in 0..16 {
-            let Some(listener) = self.listener.as_ref().filter(|_| self.accept) else { return };
+            let Some(listener) = self.listener.as_ref().filter(|_| self.accept) else {
+                return;
+            };
             match listener.accept() {
                 Ok((stream, _)) => {
                     if let Err(e) = self.connect_client(stream, now) {
                         debug!(self.log, "client"; "error" => %e);
                     }
                 }
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+                    ) => {}
                 Err(e) => {
                     self.accept = false;
                     if e.kind() != ErrorKind::WouldBlock {
@@ -300,10 +324,22 @@
         }
         stream.set_nodelay(true)?;
         let number = self.number();
-        self.poll.registry().register(&mut stream, Token(number), Interest::READABLE | Interest::WRITABLE)?;
+        self.poll.registry().register(
+            &mut stream,
+            Token(number),
+            Interest::READABLE | Interest::WRITABLE,
+        )?;
         let session = Session::new(&self.bounds, now);
-        self.clients
-            .insert(number, Client { stream, session, readable: false, hung_up: false, queued: false });
+        self.clients.insert(
+            number,
+            Client {
+                stream,
+                session,
+                readable: false,
+                hung_up: false,
+                queued: false,
+            },
+        );
         self.settle(number, now);
         Ok(())
     }
@@ -322,9 +358,12 @@
         }
     }
     fn farewell(&mut self, number: usize, now: Instant) {
-        let Some(c) = self.clients.get_mut(&number) else { return };
+        let Some(c) = self.clients.get_mut(&number) else {
+            return;
+        };
         if c.session.farewell(now) {
-            c.session.put(b"{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n", now);
+            c.session
+                .put(b"{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n", now);
         }
         self.settle(number, now);
     }
@@ -333,7 +372,9 @@
         self.room.set(number, None);
     }
     fn client_ready(&mut self, number: usize, event: &mio::event::Event, now: Instant) {
-        let Some(c) = self.clients.get_mut(&number) else { return };
+        let Some(c) = self.clients.get_mut(&number) else {
+            return;
+        };
         if event.is_error() {
             return self.remove_client(number);
         }
@@ -343,7 +384,9 @@
     }
 
     fn turn(&mut self, number: usize, now: Instant) {
-        let Some(c) = self.clients.get_mut(&number) else { return };
+        let Some(c) = self.clients.get_mut(&number) else {
+            return;
+        };
         c.queued = false;
         if c.session.lingers() {
             return self.pass_over(number, now);
@@ -380,7 +423,11 @@
                         Err(_) => return self.remove_client(number),
                     }
                 }
-                Err(_) => self.breach(number, &message::error(None, -32600, "a line is too long", None), now),
+                Err(_) => self.breach(
+                    number,
+                    &message::error(None, -32600, "a line is too long", None),
+                    now,
+                ),
             }
         }
         self.settle(number, now);
@@ -388,7 +435,9 @@
 
     /// One read of what comes on a connection whose writing side is shut.
     fn pass_over(&mut self, number: usize, now: Instant) {
-        let Some(c) = self.clients.get_mut(&number) else { return };
+        let Some(c) = self.clients.get_mut(&number) else {
+            return;
+        };
         match c.stream.read(&mut self.chunk) {
             Ok(0) => return self.remove_client(number),
             Ok(n) => c.session.pass_over(n),
@@ -406,7 +455,9 @@
         }
     }
     fn put(&mut self, number: usize, line: &str, now: Instant) {
-        let Some(c) = self.clients.get_mut(&number) else { return };
+        let Some(c) = self.clients.get_mut(&number) else {
+            return;
+        };
         c.session.put(line.as_bytes(), now);
         if c.session.unsent().len() > self.bounds.output {
             self.remove_client(number);
@@ -415,7 +466,9 @@
 
     /// Writes, sees whether the client stays, and gives it a turn if there is anything to do.
     fn settle(&mut self, number: usize, now: Instant) {
-        let Some(c) = self.clients.get_mut(&number) else { return };
+        let Some(c) = self.clients.get_mut(&number) else {
+            return;
+        };
         while !c.session.unsent().is_empty() {
             match c.stream.write(c.session.unsent()) {
                 Ok(n) => c.session.sent(n, now),
@@ -453,17 +506,24 @@
             // A notification gets no answer.
             return;
         };
-        let Some(c) = self.clients.get_mut(&number) else { return };
+        let Some(c) = self.clients.get_mut(&number) else {
+            return;
+        };
         if call.method == "alive" {
             c.session.touch(now);
             let time = self.time(now);
             let up = |node| self.nodes.presence(node, time) != Presence::Away;
             let ready = self.nodes.addresses.keys().any(|node| up(node));
-            let line = format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{{\"ready\":{ready}}}}}\n");
+            let line =
+                format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{{\"ready\":{ready}}}}}\n");
             return self.put(number, &line, now);
         }
         let Some(class) = self.config.classes.get(call.method).copied() else {
-            return self.breach(number, &message::error(Some(id), -32601, "no such method", None), now);
+            return self.breach(
+                number,
+                &message::error(Some(id), -32601, "no such method", None),
+                now,
+            );
         };
         let Some(fields) = call.fields() else {
             return self.breach(
@@ -492,9 +552,15 @@
             }
             Err(Breach::Closed | Breach::LineTooLong) => return,
         }
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1e3;
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_secs_f64()
+            * 1e3;
         let left = class.deadline.as_secs_f64() * 1e3 - (unix - fields.t0).max(0.0);
-        let left = Duration::try_from_secs_f64(left.max(0.0) / 1e3).unwrap_or_default().min(class.deadline);
+        let left = Duration::try_from_secs_f64(left.max(0.0) / 1e3)
+            .unwrap_or_default()
+            .min(class.deadline);
         let request = Request {
             tenant: fields.acct.unwrap_or("").into(),
             subject: fields.obj.map(Into::into),
@@ -505,14 +571,18 @@
             client: number,
             id,
             method: call.method.to_string(),
-            params: call.params.map_or("{}".to_string(), |p| p.get().to_string()),
+            params: call
+                .params
+                .map_or("{}".to_string(), |p| p.get().to_string()),
             once: class.once,
             deadline: now + left,
             link: None,
         };
         let time = self.time(now);
         let nodes = &self.nodes;
-        let (ticket, route) = self.router.arrive(request, &self.map, |n| nodes.presence(n, time), time);
+        let (ticket, route) =
+            self.router
+                .arrive(request, &self.map, |n| nodes.presence(n, time), time);
         self.timers.push(Reverse((open.deadline, ticket)));
         self.open.insert(ticket, open);
         self.handle.counts.open.store(self.open.len(), SeqCst);
@@ -536,16 +606,27 @@
         }
     }
     fn refuse(&mut self, ticket: Ticket, what: &str, backoff: Option<Duration>, now: Instant) {
-        let Some(open) = self.open.get(&ticket) else { return };
-        let line = message::error(Some(open.id), REFUSED, what, backoff.map(|b| b.as_millis() as u64));
+        let Some(open) = self.open.get(&ticket) else {
+            return;
+        };
+        let line = message::error(
+            Some(open.id),
+            REFUSED,
+            what,
+            backoff.map(|b| b.as_millis() as u64),
+        );
         self.answer(ticket, &line, now);
     }
 
     /// The one answer to a request.
     fn answer(&mut self, ticket: Ticket, line: &str, now: Instant) {
-        let Some(open) = self.open.remove(&ticket) else { return };
+        let Some(open) = self.open.remove(&ticket) else {
+            return;
+        };
         self.handle.counts.open.store(self.open.len(), SeqCst);
-        let Some(c) = self.clients.get_mut(&open.client) else { return };
+        let Some(c) = self.clients.get_mut(&open.client) else {
+            return;
+        };
         if c.session.answered(open.id, now) {
             self.put(open.client, line, now);
             self.settle(open.client, now);
@@ -555,10 +636,16 @@
     // ---- nodes ----
 
     fn send(&mut self, ticket: Ticket, node: &Name, now: Instant) {
-        let Some(link) = self.link_to(node) else { return self.ended(ticket, End::NotSent, None, None, now) };
-        let Some(open) = self.open.get_mut(&ticket) else { return };
+        let Some(link) = self.link_to(node) else {
+            return self.ended(ticket, End::NotSent, None, None, now);
+        };
+        let Some(open) = self.open.get_mut(&ticket) else {
+            return;
+        };
         open.link = Some(link);
-        let Some(l) = self.links.get_mut(&link) else { return };
+        let Some(l) = self.links.get_mut(&link) else {
+            return;
+        };
         let number = l.state.number();
         let method = serde_json::to_string(&open.method).unwrap_or_default();
         let line = format!(
@@ -580,7 +667,9 @@
         let least = of.iter().min().copied();
         // The protocol allows 32 on one; half of that is asked for before another is opened.
         match least {
-            Some((open, number)) if open < 16 || (of.len() >= self.config.per_node && open < 32) => {
+            Some((open, number))
+                if open < 16 || (of.len() >= self.config.per_node && open < 32) =>
+            {
                 Some(number)
             }
             _ if of.len() < self.config.per_node => self.connect(node, false),
@@ -592,13 +681,26 @@
         let mut stream = TcpStream::connect(at).ok()?;
         let number = self.number();
         let both = Interest::READABLE | Interest::WRITABLE;
-        self.poll.registry().register(&mut stream, Token(number), both).ok()?;
-        self.links.insert(number, Link { node: node.clone(), stream, state: Upstream::default(), health });
+        self.poll
+            .registry()
+            .register(&mut stream, Token(number), both)
+            .ok()?;
+        self.links.insert(
+            number,
+            Link {
+                node: node.clone(),
+                stream,
+                state: Upstream::default(),
+                health,
+            },
+        );
         Some(number)
     }
 
     fn flush(&mut self, number: usize, now: Instant) {
-        let Some(l) = self.links.get_mut(&number) else { return };
+        let Some(l) = self.links.get_mut(&number) else {
+            return;
+        };
         while l.state.connected && !l.state.unsent().is_empty() {
             match l.stream.write(l.state.unsent()) {
                 Ok(n) => l.state.sent(n),
@@ -610,7 +712,9 @@
     }
 
     fn link_ready(&mut self, number: usize, event: &mio::event::Event, now: Instant) {
-        let Some(l) = self.links.get_mut(&number) else { return };
+        let Some(l) = self.links.get_mut(&number) else {
+            return;
+        };
         if event.is_error() {
             return self.link_ended(number, now);
         }
@@ -631,7 +735,9 @@
 
     fn read_link(&mut self, number: usize, now: Instant) {
         loop {
-            let Some(l) = self.links.get_mut(&number) else { return };
+            let Some(l) = self.links.get_mut(&number) else {
+                return;
+            };
             match l.stream.read(&mut self.chunk) {
                 Ok(0) => return self.link_ended(number, now),
                 Ok(n) => {
@@ -648,7 +754,9 @@
     }
 
     fn said(&mut self, number: usize, line: &[u8], now: Instant) {
-        let Some(l) = self.links.get_mut(&number) else { return };
+        let Some(l) = self.links.get_mut(&number) else {
+            return;
+        };
         let Some(said) = message::Said::read(line) else {
             // What is not understood may be the answer to anything that is open here.
             return self.link_ended(number, now);
@@ -657,7 +765,9 @@
             l.state.leaving = true;
         }
         let (code, told) = said.told();
-        let Some(ticket) = said.id.and_then(|id| l.state.answered(id)) else { return };
+        let Some(ticket) = said.id.and_then(|id| l.state.answered(id)) else {
+            return;
+        };
         if ticket == HEALTH {
             let (node, ready) = (l.node.clone(), told.ready == Some(true));
             let time = self.time(now);
@@ -666,7 +776,9 @@
         }
         let end = match code {
             None => End::Served,
-            Some(REFUSED) => End::Refused { last: told.last == Some(1) },
+            Some(REFUSED) => End::Refused {
+                last: told.last == Some(1),
+            },
             Some(_) => End::Failed,
         };
         let Some(id) = self.open.get(&ticket).map(|open| open.id) else {
@@ -674,27 +786,55 @@
             return self.ended(ticket, end, told.hint, None, now);
         };
         self.ended(ticket, end, told.hint, Some(said.under(id)), now);
-        if let Some(l) = self.links.get(&number).filter(|l| l.state.leaving && l.state.open() == 0) {
+        if let Some(l) = self
+            .links
+            .get(&number)
+            .filter(|l| l.state.leaving && l.state.open() == 0)
+        {
             debug!(self.log, "left"; "node" => &*l.node);
             self.links.remove(&number);
         }
     }
 
     fn link_ended(&mut self, number: usize, now: Instant) {
-        let Some(mut link) = self.links.remove(&number) else { return };
+        let Some(mut link) = self.links.remove(&number) else {
+            return;
+        };
         for (ticket, taken) in link.state.ended() {
             if ticket != HEALTH {
-                self.ended(ticket, if taken { End::Lost } else { End::NotSent }, None, None, now);
+                self.ended(
+                    ticket,
+                    if taken { End::Lost } else { End::NotSent },
+                    None,
+                    None,
+                    now,
+                );
             }
         }
     }
 
     /// A try has ended, with the node's answer if it gave one.
-    fn ended(&mut self, ticket: Ticket, end: End, hint: Option<f64>, answer: Option<String>, now: Instant) {
+    fn ended(
+        &mut self,
+        ticket: Ticket,
+        end: End,
+        hint: Option<f64>,
+        answer: Option<String>,
+        now: Instant,
+    ) {
         let time = self.time(now);
         let nodes = &self.nodes;
-        let after = self.router.ended(ticket, end, hint, &self.map, |n| nodes.presence(n, time), time);
-        let Some(open) = self.open.get(&ticket) else { return };
+        let after = self.router.ended(
+            ticket,
+            end,
+            hint,
+            &self.map,
+            |n| nodes.presence(n, time),
+            time,
+        );
+        let Some(open) = self.open.get(&ticket) else {
+            return;
+        };
         let id = open.id;
         match after {
             After::Again(node) => {
@@ -703,12 +843,17 @@
             }
             After::Answer => {
                 self.handle.counts.answered.fetch_add(1, SeqCst);
-                let line = answer.unwrap_or_else(|| message::error(Some(id), -32000, "failed", None));
+                let line =
+                    answer.unwrap_or_else(|| message::error(Some(id), -32000, "failed", None));
                 self.answer(ticket, &line, now);
             }
             After::MayHaveRun => {
                 self.handle.counts.may_have_run.fetch_add(1, SeqCst);
-                self.answer(ticket, &message::error(Some(id), -32000, "may have run", None), now);
+                self.answer(
+                    ticket,
+                    &message::error(Some(id), -32000, "may have run", None),
+                    now,
+                );
             }
             After::NeverRan(stay) => {
                 self.handle.counts.refused.fetch_add(1, SeqCst);
@@ -721,7 +866,13 @@
 
     /// Further tries, where the fleet has a budget of them: what was spent and wanted, and what may be from now on.
     fn share_tries(&mut self, now: Instant) {
-        let Some(tries) = self.nodes.view().and_then(|view| view.allowance(fleet::TRIES)) else { return };
+        let Some(tries) = self
+            .nodes
+            .view()
+            .and_then(|view| view.allowance(fleet::TRIES))
+        else {
+            return;
+        };
         let a_second = |count: u64| count * 1000 / BEAT.as_millis() as u64;
         let (spent, asked) = self.router.budgets().take_counts();
         // What was wanted a moment ago may be wanted again before a part that went could come back.
@@ -739,11 +890,23 @@
         self.beat = now + BEAT;
         self.share_tries(now);
         let asks = self.nodes.asks();
-        let nodes: Vec<Name> = if asks { self.nodes.addresses.keys().cloned().collect() } else { Vec::new() };
+        let nodes: Vec<Name> = if asks {
+            self.nodes.addresses.keys().cloned().collect()
+        } else {
+            Vec::new()
+        };
         for node in nodes {
-            let link = self.links.iter().find(|(_, l)| l.health && l.node == node).map(|(number, _)| *number);
-            let Some(number) = link.or_else(|| self.connect(&node, true)) else { continue };
-            let Some(l) = self.links.get_mut(&number) else { continue };
+            let link = self
+                .links
+                .iter()
+                .find(|(_, l)| l.health && l.node == node)
+                .map(|(number, _)| *number);
+            let Some(number) = link.or_else(|| self.connect(&node, true)) else {
+                continue;
+            };
+            let Some(l) = self.links.get_mut(&number) else {
+                continue;
+            };
             if l.state.leaving {
                 self.links.remove(&number);
             } else if l.state.open() < 4 {
@@ -761,14 +924,26 @@
         }
         // Links to nodes that are gone from the map end once nothing is open on them.
         let known = |node: &Name| self.nodes.addresses.contains_key(node);
-        let gone = |l: &Link| l.health && !asks || !known(&l.node) && (l.health || l.state.open() == 0);
-        let idle: Vec<usize> =
-            self.links.iter().filter(|(_, l)| gone(l)).map(|(number, _)| *number).collect();
-        idle.into_iter().for_each(|number| self.link_ended(number, now));
+        let gone =
+            |l: &Link| l.health && !asks || !known(&l.node) && (l.health || l.state.open() == 0);
+        let idle: Vec<usize> = self
+            .links
+            .iter()
+            .filter(|(_, l)| gone(l))
+            .map(|(number, _)| *number)
+            .collect();
+        idle.into_iter()
+            .for_each(|number| self.link_ended(number, now));
         let due: Vec<(usize, Option<Due>)> = self
             .clients
             .iter()
-            .map(|(number, c)| (*number, c.session.on_time(Duration::from_secs(30), &self.bounds, now)))
+            .map(|(number, c)| {
+                (
+                    *number,
+                    c.session
+                        .on_time(Duration::from_secs(30), &self.bounds, now),
+                )
+            })
             .collect();
         for (number, due) in due {
             match due {
@@ -782,18 +957,27 @@
 
     /// Requests whose time is over are answered; what comes of them later frees their place and goes nowhere.
     fn look(&mut self, now: Instant) {
-        while let Some(Reverse((_, ticket))) =
-            self.timers.peek().copied().filter(|Reverse((at, _))| *at <= now)
+        while let Some(Reverse((_, ticket))) = self
+            .timers
+            .peek()
+            .copied()
+            .filter(|Reverse((at, _))| *at <= now)
         {
             self.timers.pop();
-            let Some(open) = self.open.get(&ticket) else { continue };
+            let Some(open) = self.open.get(&ticket) else {
+                continue;
+            };
             // One that waits was never sent, and others before it in the line may have longer than it has.
             if self.router.give_up(ticket) {
                 self.route(ticket, Route::Refuse(Refusal::TooLate), now);
                 continue;
             }
             if open.link.is_some() {
-                let what = if open.once { "may have run" } else { "no answer in time" };
+                let what = if open.once {
+                    "may have run"
+                } else {
+                    "no answer in time"
+                };
                 let line = message::error(Some(open.id), -32000, what, None);
                 self.answer(ticket, &line, now);
             }
@@ -804,7 +988,9 @@
         loop {
             let time = self.time(now);
             let nodes = &self.nodes;
-            let next = self.router.next(&self.map, |n| nodes.presence(n, time), time);
+            let next = self
+                .router
+                .next(&self.map, |n| nodes.presence(n, time), time);
             let Some((ticket, route)) = next else { return };
             self.route(ticket, route, now);
         }
--- a/crates/router/src/message.rs
+++ b/crates/router/src/message.rs
@@ -28,7 +28,9 @@
 impl<'a> Call<'a> {
     /// Reads a line; none where it is no message of this protocol.
     pub(crate) fn read(line: &'a [u8]) -> Option<Call<'a>> {
-        serde_json::from_slice(line).ok().filter(|call: &Call<'_>| call.jsonrpc == "2.0")
+        serde_json::from_slice(line)
+            .ok()
+            .filter(|call: &Call<'_>| call.jsonrpc == "2.0")
     }
     pub(crate) fn fields(&self) -> Option<Fields<'a>> {
         serde_json::from_str(self.params?.get()).ok()
@@ -78,13 +80,18 @@
                 Err(_) => (Some(0), Told::default()),
             };
         }
-        let told = self.result.and_then(|result| serde_json::from_str(result.get()).ok());
+        let told = self
+            .result
+            .and_then(|result| serde_json::from_str(result.get()).ok());
         (None, told.unwrap_or_default())
     }
     /// The same answer under another number.
     pub(crate) fn under(&self, id: u64) -> String {
         match (self.error, self.result) {
-            (Some(error), _) => format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"error\":{}}}\n", error.get()),
+            (Some(error), _) => format!(
+                "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"error\":{}}}\n",
+                error.get()
+            ),
             (None, result) => {
                 let result = result.map_or("{}", RawValue::get);
                 format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{result}}}\n")
@@ -96,7 +103,9 @@
 /// An error of the router's own.
 pub(crate) fn error(id: Option<u64>, code: i64, message: &str, backoff: Option<u64>) -> String {
     let id = id.map_or("null".to_string(), |id| id.to_string());
-    let data = backoff.map(|ms| format!(",\"data\":{{\"backoff\":{ms}}}")).unwrap_or_default();
+    let data = backoff
+        .map(|ms| format!(",\"data\":{{\"backoff\":{ms}}}"))
+        .unwrap_or_default();
     let message = serde_json::to_string(message).unwrap_or_default();
     format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"error\":{{\"code\":{code},\"message\":{message}{data}}}}}\n")
 }
--- a/crates/router/src/nodes.rs
+++ b/crates/router/src/nodes.rs
@@ -44,20 +44,32 @@
     }
     /// The nodes of a map.
     pub(crate) fn take_map(&mut self, map: &CellMap) {
-        self.by_file =
-            map.cells().flat_map(|c| &c.nodes).filter_map(|n| Some((n.name.clone(), n.address?))).collect();
+        self.by_file = map
+            .cells()
+            .flat_map(|c| &c.nodes)
+            .filter_map(|n| Some((n.name.clone(), n.address?)))
+            .collect();
         self.resolve();
     }
     /// Where a member says that it serves goes before the file.
     fn resolve(&mut self) {
         let seen = self.view.as_ref().map(|(_, seen)| seen);
-        let says = |name: &Name| seen.and_then(|s| s.member(name)).filter(|r| r.word.present())?.serves;
-        self.addresses =
-            self.by_file.iter().map(|(name, at)| (name.clone(), says(name).unwrap_or(*at))).collect();
+        let says = |name: &Name| {
+            seen.and_then(|s| s.member(name))
+                .filter(|r| r.word.present())?
+                .serves
+        };
+        self.addresses = self
+            .by_file
+            .iter()
+            .map(|(name, at)| (name.clone(), says(name).unwrap_or(*at)))
+            .collect();
     }
     /// Takes what the view sees now.
     pub(crate) fn look(&mut self, now: Duration) {
-        let Some((handle, before)) = &mut self.view else { return };
+        let Some((handle, before)) = &mut self.view else {
+            return;
+        };
         let seen = handle.seen();
         if Arc::ptr_eq(before, &seen) {
             return;
@@ -66,7 +78,10 @@
         if self.by_view().is_none() && was.conclusion != Conclusion::Alone {
             // It hears nobody from now on. Who was there before goes on until a check says otherwise.
             for name in self.by_file.keys() {
-                if was.member(name).is_some_and(membership::Record::takes_requests) {
+                if was
+                    .member(name)
+                    .is_some_and(membership::Record::takes_requests)
+                {
                     self.checks.heard(name, true, now);
                 }
             }
@@ -74,7 +89,10 @@
         self.resolve();
     }
     fn by_view(&self) -> Option<&Seen> {
-        self.view.as_ref().map(|(_, seen)| &**seen).filter(|seen| seen.conclusion != Conclusion::Alone)
+        self.view
+            .as_ref()
+            .map(|(_, seen)| &**seen)
+            .filter(|seen| seen.conclusion != Conclusion::Alone)
     }
     /// Whether nodes have to be asked one by one.
     pub(crate) fn asks(&self) -> bool {
@@ -86,7 +104,9 @@
     }
     /// How a node stands.
     pub(crate) fn presence(&self, node: &str, now: Duration) -> Presence {
-        let Some(seen) = self.by_view() else { return self.checks.presence(node, now) };
+        let Some(seen) = self.by_view() else {
+            return self.checks.presence(node, now);
+        };
         match seen.member(node).filter(|r| r.takes_requests()) {
             Some(r) if r.word.standing == Standing::Suspected => Presence::Doubtful,
             Some(_) => Presence::There,
@@ -96,10 +116,14 @@
     /// Nodes that stand otherwise than when this was last asked.
     pub(crate) fn changed(&mut self, now: Duration) -> Vec<(Name, Presence)> {
         let names: Vec<Name> = self.by_file.keys().cloned().collect();
-        let is: Vec<(Name, Presence)> =
-            names.into_iter().map(|n| (n.clone(), self.presence(&n, now))).collect();
+        let is: Vec<(Name, Presence)> = names
+            .into_iter()
+            .map(|n| (n.clone(), self.presence(&n, now)))
+            .collect();
         is.into_iter()
-            .filter(|(name, presence)| self.logged.insert(name.clone(), *presence) != Some(*presence))
+            .filter(|(name, presence)| {
+                self.logged.insert(name.clone(), *presence) != Some(*presence)
+            })
             .collect()
     }
 }
--- a/crates/router/src/upstream.rs
+++ b/crates/router/src/upstream.rs
@@ -52,7 +52,10 @@
     /// The connection has ended: all that was open, and whether any byte of it was taken and so may have arrived.
     pub fn ended(&mut self) -> Vec<(u64, bool)> {
         let taken = self.taken;
-        std::mem::take(&mut self.open).into_values().map(|(ticket, from)| (ticket, from < taken)).collect()
+        std::mem::take(&mut self.open)
+            .into_values()
+            .map(|(ticket, from)| (ticket, from < taken))
+            .collect()
     }
     /// Bytes came: the whole lines among what is here. None once a line is longer than any answer.
     pub fn feed(&mut self, bytes: &[u8], most: usize) -> Option<Vec<Vec<u8>>> {
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -56,11 +56,14 @@
             kept.lock().expect("kept").push(call.clone());
             let body = call["params"]["body"].as_str().expect("a body");
             let (what, at) = body.split_once('@').unwrap_or((body, name));
-            let error = |code: i64, data: Value| json!({"code": code, "message": "told", "data": data});
+            let error =
+                |code: i64, data: Value| json!({"code": code, "message": "told", "data": data});
             let answer = match what {
                 _ if at != name => json!({"result": {"body": name, "hint": 0.5}}),
                 "refuse" => json!({"error": error(-32002, json!({"backoff": 70}))}),
-                "last" => json!({"error": error(-32002, json!({"backoff": 250, "final": 1, "hint": 0.25}))}),
+                "last" => {
+                    json!({"error": error(-32002, json!({"backoff": 250, "final": 1, "hint": 0.25}))})
+                }
                 "fail" => json!({"error": error(-32000, json!({}))}),
                 "cut" => {
                     let _ = stream.shutdown(Shutdown::Both);
@@ -91,10 +94,16 @@
 impl Fleet {
     /// Two cells of three nodes and a router in front.
     fn start(name: &str) -> Fleet {
-        let dir = std::env::temp_dir().join(format!("protocol-gateway-router-{}-{name}", std::process::id()));
+        let dir = std::env::temp_dir().join(format!(
+            "protocol-gateway-router-{}-{name}",
+            std::process::id()
+        ));
         std::fs::create_dir_all(&dir).expect("a folder");
         let names = ["a0", "a1", "a2", "b0", "b1", "b2"];
-        let nodes: BTreeMap<String, Node> = names.iter().map(|n| (n.to_string(), Node::start(n))).collect();
+        let nodes: BTreeMap<String, Node> = names
+            .iter()
+            .map(|n| (n.to_string(), Node::start(n)))
+            .collect();
         std::fs::write(dir.join("cells.json5"), Fleet::cells(&nodes)).expect("a file");
         let classes = "'statement-read': { once: false, deadline_ms: 3000 }, 'settlement-post': { once: true, deadline_ms: 1000 }";
         let file = format!(
@@ -102,11 +111,16 @@
         );
         std::fs::write(dir.join("router.json5"), file).expect("a file");
         let config = Config::read(&dir.join("router.json5")).expect("a configuration");
-        let router =
-            RouterLoop::bind(config, Rules::default(), 7, &Logger::root(Discard, o!())).expect("a router");
+        let router = RouterLoop::bind(config, Rules::default(), 7, &Logger::root(Discard, o!()))
+            .expect("a router");
         let handle = router.handle();
         let running = Some(thread::spawn(move || router.run()));
-        let fleet = Fleet { nodes, router: handle, running, dir };
+        let fleet = Fleet {
+            nodes,
+            router: handle,
+            running,
+            dir,
+        };
         // Until every node has been heard: tenants of both cells are served, by all of their nodes.
         for tenant in ["alpenergia", "solpiana"] {
             let mut front = fleet.front();
@@ -133,13 +147,23 @@
     fn front(&self) -> Front {
         let stream = TcpStream::connect(self.router.address).expect("the router listens");
         stream.set_nodelay(true).expect("an option");
-        stream.set_read_timeout(Some(Duration::from_secs(20))).expect("an option");
-        Front { from: BufReader::new(stream.try_clone().expect("a connection")), stream, next: 0 }
+        stream
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .expect("an option");
+        Front {
+            from: BufReader::new(stream.try_clone().expect("a connection")),
+            stream,
+            next: 0,
+        }
     }
     /// How often requests with this body reached any node, and which.
     fn seen(&self, body: &str) -> Vec<String> {
         let of = |(name, node): (&String, &Node)| {
-            let count = node.seen().iter().filter(|call| call["params"]["body"] == body).count();
+            let count = node
+                .seen()
+                .iter()
+                .filter(|call| call["params"]["body"] == body)
+                .count();
             vec![name.clone(); count]
         };
         self.nodes.iter().flat_map(of).collect()
@@ -166,11 +190,16 @@
 impl Front {
     fn send(&mut self, tenant: &str, class: &str, body: &str) -> u64 {
         self.next += 1;
-        let t0 = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis() as u64;
+        let t0 = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .expect("a clock")
+            .as_millis() as u64;
         let params = json!({"rid": format!("{:016x}", self.next), "t0": t0, "peer": 4, "acct": tenant, "mem": 24.5,
                             "prio": 0.5, "body": body});
         let line = json!({"jsonrpc": "2.0", "id": self.next, "method": class, "params": params});
-        self.stream.write_all(format!("{line}\n").as_bytes()).expect("written");
+        self.stream
+            .write_all(format!("{line}\n").as_bytes())
+            .expect("written");
         self.next
     }
     fn next(&mut self) -> Value {
@@ -195,14 +224,33 @@
     let fleet = Fleet::start("cells");
     let mut front = fleet.front();
     for n in 0..200 {
-        let (tenant, cell) = if n % 2 == 0 { ("alpenergia", "a") } else { ("solpiana", "b") };
+        let (tenant, cell) = if n % 2 == 0 {
+            ("alpenergia", "a")
+        } else {
+            ("solpiana", "b")
+        };
         let answer = front.ask(tenant, "statement-read", "serve");
-        assert!(answer["result"]["body"].as_str().expect("a body").starts_with(cell), "{answer}");
+        assert!(
+            answer["result"]["body"]
+                .as_str()
+                .expect("a body")
+                .starts_with(cell),
+            "{answer}"
+        );
         assert_eq!(answer["result"]["hint"], 0.5);
     }
     for (name, node) in &fleet.nodes {
-        let tenant = if name.starts_with('a') { "alpenergia" } else { "solpiana" };
-        assert!(node.seen().iter().all(|call| call["params"]["acct"] == tenant), "{name}");
+        let tenant = if name.starts_with('a') {
+            "alpenergia"
+        } else {
+            "solpiana"
+        };
+        assert!(
+            node.seen()
+                .iter()
+                .all(|call| call["params"]["acct"] == tenant),
+            "{name}"
+        );
     }
     let answer = front.ask("alpenergia", "settlement-post", "last");
     assert_eq!(
@@ -211,10 +259,20 @@
     );
     assert_eq!(fleet.seen("last").len(), 1, "no other node is tried");
     let answer = front.ask("nobody", "statement-read", "serve:nobody");
-    assert_eq!((answer["error"]["code"].as_i64(), fleet.seen("serve:nobody").len()), (Some(-32002), 0));
-    let many: Vec<u64> = (0..32).map(|_| front.send("solpiana", "statement-read", "serve")).collect();
-    let mut answered: Vec<u64> =
-        many.iter().map(|_| front.next()["id"].as_u64().expect("a number")).collect();
+    assert_eq!(
+        (
+            answer["error"]["code"].as_i64(),
+            fleet.seen("serve:nobody").len()
+        ),
+        (Some(-32002), 0)
+    );
+    let many: Vec<u64> = (0..32)
+        .map(|_| front.send("solpiana", "statement-read", "serve"))
+        .collect();
+    let mut answered: Vec<u64> = many
+        .iter()
+        .map(|_| front.next()["id"].as_u64().expect("a number"))
+        .collect();
     answered.sort_unstable();
     assert_eq!(answered, many);
 }
@@ -228,7 +286,10 @@
     for round in 0..10 {
         let answer = front.ask("alpenergia", "settlement-post", "cut");
         assert_eq!(
-            (answer["error"]["code"].as_i64(), answer["error"]["message"].as_str()),
+            (
+                answer["error"]["code"].as_i64(),
+                answer["error"]["message"].as_str()
+            ),
             (Some(-32000), Some("may have run"))
         );
         assert_eq!(fleet.seen("cut").len(), round + 1);
@@ -249,7 +310,10 @@
     assert_eq!(answer["error"]["data"]["backoff"], 70);
     // A node's failure is the answer.
     let answer = front.ask("solpiana", "statement-read", "fail");
-    assert_eq!((answer["error"]["code"].as_i64(), fleet.seen("fail").len()), (Some(-32000), 1));
+    assert_eq!(
+        (answer["error"]["code"].as_i64(), fleet.seen("fail").len()),
+        (Some(-32000), 1)
+    );
 }
 
 /// Guards the one answer: a request whose node says nothing is answered at its deadline, as what it may be.
@@ -260,7 +324,11 @@
     let begun = Instant::now();
     let answer = front.ask("alpenergia", "settlement-post", "hang");
     assert_eq!(answer["error"]["message"], "may have run");
-    assert!((900..2500).contains(&begun.elapsed().as_millis()), "{:?}", begun.elapsed());
+    assert!(
+        (900..2500).contains(&begun.elapsed().as_millis()),
+        "{:?}",
+        begun.elapsed()
+    );
     assert_eq!(fleet.seen("hang").len(), 1);
     assert!(front.ask("alpenergia", "settlement-post", "serve")["result"].is_object());
 }
@@ -280,7 +348,10 @@
     assert!(matches!(Config::layout(&cells), Err(ConfigError::File(_))));
     std::fs::write(
         &cells,
-        good.replace("solpiana: { cell: 'b' }", "solpiana: { cell: 'b' }, vallesole: { cell: 'a' }"),
+        good.replace(
+            "solpiana: { cell: 'b' }",
+            "solpiana: { cell: 'b' }, vallesole: { cell: 'a' }",
+        ),
     )
     .expect("a file");
     fleet.router.reload();
@@ -318,8 +389,11 @@
     let times = |to: SocketAddr| {
         let stream = TcpStream::connect(to).expect("it listens");
         stream.set_nodelay(true).expect("an option");
-        let mut front =
-            Front { from: BufReader::new(stream.try_clone().expect("a connection")), stream, next: 0 };
+        let mut front = Front {
+            from: BufReader::new(stream.try_clone().expect("a connection")),
+            stream,
+            next: 0,
+        };
         let mut took: Vec<u128> = (0..20_000)
             .map(|_| {
                 let sent = Instant::now();
@@ -332,7 +406,10 @@
     };
     println!("way | µs median | µs 99th");
     for round in 0..3 {
-        let (direct, routed) = (times(fleet.nodes["a0"].address), times(fleet.router.address));
+        let (direct, routed) = (
+            times(fleet.nodes["a0"].address),
+            times(fleet.router.address),
+        );
         println!("direct {round} | {} | {}", direct.0, direct.1);
         println!("routed {round} | {} | {}", routed.0, routed.1);
     }
@@ -352,7 +429,9 @@
             })
         })
         .collect();
-    clients.into_iter().for_each(|client| client.join().expect("a client"));
+    clients
+        .into_iter()
+        .for_each(|client| client.join().expect("a client"));
     let each = begun.elapsed().as_secs_f64();
     println!(
         "{:.0} requests a second over eight connections, stand-ins and clients beside it",
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -38,7 +38,11 @@
     fn change(&mut self, a_second: f64, now: Duration) {
         self.saved += self.a_second * now.saturating_sub(self.at).as_secs_f64();
         // One whole try has to fit, or a small part would never come to one.
-        let most = if a_second > 0.0 { (a_second * SAVED).max(1.0) } else { 0.0 };
+        let most = if a_second > 0.0 {
+            (a_second * SAVED).max(1.0)
+        } else {
+            0.0
+        };
         (self.at, self.a_second, self.saved) = (now, a_second, self.saved.min(most));
     }
 }
@@ -48,7 +52,13 @@
     /// such budget.
     pub fn set_part(&mut self, a_second: Option<u64>, now: Duration) {
         self.part = a_second.map(|a_second| {
-            let new = Part { a_second: 0.0, saved: 0.0, at: now, spent: 0, asked: 0 };
+            let new = Part {
+                a_second: 0.0,
+                saved: 0.0,
+                at: now,
+                spent: 0,
+                asked: 0,
+            };
             let mut part = self.part.take().unwrap_or(new);
             part.change(a_second as f64, now);
             part
@@ -57,7 +67,9 @@
     /// Further tries spent, and those that would have been with a larger part, since this was last asked.
     pub fn take_counts(&mut self) -> (u64, u64) {
         let part = self.part.as_mut();
-        part.map_or((0, 0), |p| (std::mem::take(&mut p.spent), std::mem::take(&mut p.asked)))
+        part.map_or((0, 0), |p| {
+            (std::mem::take(&mut p.spent), std::mem::take(&mut p.asked))
+        })
     }
 
     /// Budgets that start full at `burst` tries and get `ratio` of a try with each first one.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -205,7 +205,12 @@
         self.budgets.first_try(&request.tenant, &cell.name);
         let shard = map.shard(cell, &request.tenant);
         let up = presence::candidates(shard, &there);
-        let mut open = Open { request, cell: cell.name.clone(), tried: Vec::new(), at: None };
+        let mut open = Open {
+            request,
+            cell: cell.name.clone(),
+            tried: Vec::new(),
+            at: None,
+        };
         let route = match self.choose(&open, &up, now) {
             Choice::Node(node) => {
                 self.enter(&mut open, &node);
@@ -235,12 +240,15 @@
         there: impl Fn(&str) -> P,
         now: Duration,
     ) -> After {
-        let Some(mut open) = self.open.remove(&ticket) else { return After::Answer };
+        let Some(mut open) = self.open.remove(&ticket) else {
+            return After::Answer;
+        };
         if let Some(node) = open.at.take() {
             let at = self.nodes.entry(node.clone()).or_default();
             at.open = at.open.saturating_sub(1);
             at.hint = hint.filter(|h| h.is_finite() && *h >= 0.0).or(at.hint);
-            self.outliers.heard(&node, matches!(end, End::Served | End::Refused { .. }), now);
+            self.outliers
+                .heard(&node, matches!(end, End::Served | End::Refused { .. }), now);
             open.tried.push(node);
         }
         let safe = match end {
@@ -264,10 +272,18 @@
         };
         open.cell = cell.name.clone();
         let shard = map.shard(cell, &open.request.tenant);
-        let shard = shard.into_iter().filter(|n| !open.tried.contains(&n.name)).collect();
+        let shard = shard
+            .into_iter()
+            .filter(|n| !open.tried.contains(&n.name))
+            .collect();
         let up = presence::candidates(shard, &there);
-        let Choice::Node(node) = self.choose(&open, &up, now) else { return given_up(self) };
-        if !self.budgets.further_try(&open.request.tenant, &open.cell, now) {
+        let Choice::Node(node) = self.choose(&open, &up, now) else {
+            return given_up(self);
+        };
+        if !self
+            .budgets
+            .further_try(&open.request.tenant, &open.cell, now)
+        {
             return given_up(self);
         }
         self.enter(&mut open, &node);
@@ -277,8 +293,11 @@
 
     /// A request that waits is given up: its time is over, wherever in the line it stands. False where it does not wait.
     pub fn give_up(&mut self, ticket: Ticket) -> bool {
-        let Some(cell) =
-            self.open.get(&ticket).filter(|open| open.at.is_none()).map(|open| open.cell.clone())
+        let Some(cell) = self
+            .open
+            .get(&ticket)
+            .filter(|open| open.at.is_none())
+            .map(|open| open.cell.clone())
         else {
             return false;
         };
@@ -298,7 +317,11 @@
     ) -> Option<(Ticket, Route)> {
         let cells: Vec<Name> = self.waiting.keys().cloned().collect();
         for cell in cells {
-            let Some(ticket) = self.waiting.get(&cell).and_then(|line| line.front().copied()) else {
+            let Some(ticket) = self
+                .waiting
+                .get(&cell)
+                .and_then(|line| line.front().copied())
+            else {
                 self.waiting.remove(&cell);
                 continue;
             };
@@ -349,8 +372,11 @@
             return Choice::None;
         }
         let all: f64 = up.iter().map(|n| n.weight).sum();
-        let out: f64 =
-            up.iter().filter(|n| self.outliers.standing(&n.name, now).is_out()).map(|n| n.weight).sum();
+        let out: f64 = up
+            .iter()
+            .filter(|n| self.outliers.standing(&n.name, now).is_out())
+            .map(|n| n.weight)
+            .sum();
         // With too many out it is no outlier any more: all are tried.
         let ignore = out > all * self.rules.outlier.most;
         let mut candidates: Vec<(&Name, f64)> = Vec::with_capacity(up.len());
@@ -366,9 +392,14 @@
                 }
             };
             let at = self.nodes.get(&node.name);
-            let (load, hint) = at.map_or((0, 1.0), |at| (at.open, at.hint.unwrap_or(1.0).clamp(0.05, 4.0)));
+            let (load, hint) = at.map_or((0, 1.0), |at| {
+                (at.open, at.hint.unwrap_or(1.0).clamp(0.05, 4.0))
+            });
             if (load as f64) < self.rules.per_node as f64 * node.weight {
-                candidates.push((&node.name, (load as f64 + 1.0) / (node.weight * hint * part)));
+                candidates.push((
+                    &node.name,
+                    (load as f64 + 1.0) / (node.weight * hint * part),
+                ));
             }
         }
         match candidates.len() {
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -88,12 +88,17 @@
 impl Outliers {
     /// Nothing is known of any node.
     pub fn new(rules: Outlier) -> Outliers {
-        Outliers { rules, records: BTreeMap::new() }
+        Outliers {
+            rules,
+            records: BTreeMap::new(),
+        }
     }
 
     /// How a node stands now.
     pub fn standing(&self, node: &str, now: Duration) -> Standing {
-        let Some(record) = self.records.get(node) else { return Standing::In { part: 1.0 } };
+        let Some(record) = self.records.get(node) else {
+            return Standing::In { part: 1.0 };
+        };
         match (record.out_until, record.probed) {
             (Some(until), _) if now < until => Standing::Out,
             (Some(_), Some(since)) if now < since + self.rules.probe => Standing::Out,
@@ -103,7 +108,9 @@
                     let gone = now.saturating_sub(since).as_secs_f64();
                     gone / self.rules.ramp.as_secs_f64().max(1e-9)
                 });
-                Standing::In { part: part.clamp(0.1, 1.0) }
+                Standing::In {
+                    part: part.clamp(0.1, 1.0),
+                }
             }
         }
     }
@@ -128,7 +135,11 @@
                 return;
             }
             if well {
-                *record = Record { times: record.times, back_since: Some(now), ..Record::default() };
+                *record = Record {
+                    times: record.times,
+                    back_since: Some(now),
+                    ..Record::default()
+                };
             } else {
                 Outliers::leave_out(rules, record, now);
             }
@@ -136,9 +147,12 @@
         }
         record.row = if well { 0 } else { record.row + 1 };
         record.ends = record.ends.saturating_add(1);
-        record.bad +=
-            (f64::from(u8::from(!well)) - record.bad) / f64::from(record.ends.min(rules.memory).max(1));
-        if record.back_since.is_some_and(|since| now.saturating_sub(since) >= rules.forgive) {
+        record.bad += (f64::from(u8::from(!well)) - record.bad)
+            / f64::from(record.ends.min(rules.memory).max(1));
+        if record
+            .back_since
+            .is_some_and(|since| now.saturating_sub(since) >= rules.forgive)
+        {
             record.times = 0;
         }
         let often = record.ends >= rules.memory && record.bad > rules.part;
@@ -149,6 +163,10 @@
 
     fn leave_out(rules: &Outlier, record: &mut Record, now: Duration) {
         let out = (rules.first * 2u32.saturating_pow(record.times.min(16))).min(rules.longest);
-        *record = Record { out_until: Some(now + out), times: record.times + 1, ..Record::default() };
+        *record = Record {
+            out_until: Some(now + out),
+            times: record.times + 1,
+            ..Record::default()
+        };
     }
 }
--- a/crates/routing/src/presence.rs
+++ b/crates/routing/src/presence.rs
@@ -31,10 +31,19 @@
     shard: Vec<&'a Node>,
     there: &impl Fn(&str) -> P,
 ) -> Vec<&'a Node> {
-    let all: Vec<(&Node, Presence)> = shard.into_iter().map(|n| (n, there(&n.name).into())).collect();
-    let best =
-        if all.iter().any(|(_, p)| *p == Presence::There) { Presence::There } else { Presence::Doubtful };
-    all.into_iter().filter(|(_, p)| *p == best).map(|(n, _)| n).collect()
+    let all: Vec<(&Node, Presence)> = shard
+        .into_iter()
+        .map(|n| (n, there(&n.name).into()))
+        .collect();
+    let best = if all.iter().any(|(_, p)| *p == Presence::There) {
+        Presence::There
+    } else {
+        Presence::Doubtful
+    };
+    all.into_iter()
+        .filter(|(_, p)| *p == best)
+        .map(|(n, _)| n)
+        .collect()
 }
 
 /// What health checks of a static list tell. No detector: a node is there while its last good answer is young.
@@ -47,7 +56,10 @@
 impl Checks {
     /// Nothing is known. Times are those of checks; a good answer holds for `patience`.
     pub fn new(patience: Duration) -> Checks {
-        Checks { patience, good: BTreeMap::new() }
+        Checks {
+            patience,
+            good: BTreeMap::new(),
+        }
     }
     /// A check was answered.
     pub fn heard(&mut self, node: &Name, ready: bool, now: Duration) {
@@ -59,6 +71,9 @@
     }
     /// How a node stands.
     pub fn presence(&self, node: &str, now: Duration) -> Presence {
-        self.good.get(node).is_some_and(|at| now.saturating_sub(*at) < self.patience).into()
+        self.good
+            .get(node)
+            .is_some_and(|at| now.saturating_sub(*at) < self.patience)
+            .into()
     }
 }
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -17,7 +17,10 @@
 
 /// Two cells of three nodes; alpenergia lives in `a`, solpiana in `b`.
 fn map() -> CellMap {
-    let mut layout = Layout { slack: 1.0, ..Layout::default() };
+    let mut layout = Layout {
+        slack: 1.0,
+        ..Layout::default()
+    };
     for (cell, tenant) in [("a", "alpenergia"), ("b", "solpiana")] {
         layout.cells.insert(cell.into(), CellSpec::default());
         for n in 0..3 {
@@ -29,18 +32,30 @@
             };
             layout.nodes.insert(format!("{cell}{n}").into(), spec);
         }
-        layout
-            .tenants
-            .insert(tenant.into(), TenantSpec { share: 1.0, placement: Placement::Cell(cell.into()) });
+        layout.tenants.insert(
+            tenant.into(),
+            TenantSpec {
+                share: 1.0,
+                placement: Placement::Cell(cell.into()),
+            },
+        );
     }
     CellMap::default().next(&layout).expect("a map").0
 }
 
 fn read(tenant: &str) -> Request {
-    Request { tenant: tenant.into(), subject: None, once: false, deadline: ms(1_000_000) }
+    Request {
+        tenant: tenant.into(),
+        subject: None,
+        once: false,
+        deadline: ms(1_000_000),
+    }
 }
 fn post(tenant: &str) -> Request {
-    Request { once: true, ..read(tenant) }
+    Request {
+        once: true,
+        ..read(tenant)
+    }
 }
 fn all(_: &str) -> bool {
     true
@@ -65,14 +80,23 @@
         let (ticket, route) = router.arrive(read("alpenergia"), &map, all, ms(n));
         let node = sent(route);
         assert!(node.starts_with('a'), "{node}");
-        assert_eq!(router.ended(ticket, End::Served, None, &map, all, ms(n)), After::Answer);
+        assert_eq!(
+            router.ended(ticket, End::Served, None, &map, all, ms(n)),
+            After::Answer
+        );
     }
     let (_, route) = router.arrive(read("nobody"), &map, all, ms(0));
     assert_eq!(route, Route::Refuse(Refusal::NoCell));
     let (_, route) = router.arrive(read("alpenergia"), &map, |n| n.starts_with('b'), ms(0));
     assert_eq!(route, Route::Refuse(Refusal::NoNode(ms(200))));
-    let late = Request { deadline: ms(10), ..read("alpenergia") };
-    assert_eq!(router.arrive(late, &map, all, ms(0)).1, Route::Refuse(Refusal::TooLate));
+    let late = Request {
+        deadline: ms(10),
+        ..read("alpenergia")
+    };
+    assert_eq!(
+        router.arrive(late, &map, all, ms(0)).1,
+        Route::Refuse(Refusal::TooLate)
+    );
     assert_eq!(router.open(), 0);
 }
 
@@ -92,7 +116,9 @@
         let (ticket, route) = router.arrive(post("alpenergia"), &map, all, ms(0));
         let first = sent(route);
         match router.ended(ticket, end, None, &map, all, ms(5)) {
-            After::Again(node) => assert!(again && *node != *first, "{end:?}: {first}, then {node}"),
+            After::Again(node) => {
+                assert!(again && *node != *first, "{end:?}: {first}, then {node}")
+            }
             other => {
                 assert!(!again, "{end:?}: {other:?}");
                 assert_eq!(other == After::MayHaveRun, end == End::Lost);
@@ -103,25 +129,38 @@
     // A read that was lost may go to another node.
     let mut router = router(|_| {});
     let (ticket, _) = router.arrive(read("alpenergia"), &map, all, ms(0));
-    assert!(matches!(router.ended(ticket, End::Lost, None, &map, all, ms(5)), After::Again(_)));
+    assert!(matches!(
+        router.ended(ticket, End::Lost, None, &map, all, ms(5)),
+        After::Again(_)
+    ));
 }
 
 /// Guards a cell that refuses all: tries again are paid for by first ones.
 #[test]
 fn tries_again_keep_to_their_budget() {
-    let (map, mut router) = (map(), router(|r| (r.budget_ratio, r.budget_burst) = (0.1, 5.0)));
+    let (map, mut router) = (
+        map(),
+        router(|r| (r.budget_ratio, r.budget_burst) = (0.1, 5.0)),
+    );
     let mut again = 0;
     for n in 0..1000 {
         let (ticket, _) = router.arrive(read("alpenergia"), &map, all, ms(n));
-        while let After::Again(_) = router.ended(ticket, End::Refused { last: false }, None, &map, all, ms(n))
+        while let After::Again(_) =
+            router.ended(ticket, End::Refused { last: false }, None, &map, all, ms(n))
         {
             again += 1;
         }
     }
-    assert!((100..=105).contains(&again), "{again} tries again for 1000 first ones");
+    assert!(
+        (100..=105).contains(&again),
+        "{again} tries again for 1000 first ones"
+    );
     // The other tenant's is its own.
     let (ticket, _) = router.arrive(read("solpiana"), &map, all, ms(0));
-    assert!(matches!(router.ended(ticket, End::NotSent, None, &map, all, ms(0)), After::Again(_)));
+    assert!(matches!(
+        router.ended(ticket, End::NotSent, None, &map, all, ms(0)),
+        After::Again(_)
+    ));
 }
 
 #[test]
@@ -149,16 +188,30 @@
         sent(route);
         at.push(ticket);
     }
-    let (first, route) = router.arrive(Request { deadline: ms(500), ..read("alpenergia") }, &map, all, ms(0));
+    let (first, route) = router.arrive(
+        Request {
+            deadline: ms(500),
+            ..read("alpenergia")
+        },
+        &map,
+        all,
+        ms(0),
+    );
     assert_eq!(route, Route::Wait);
     let (second, route) = router.arrive(read("alpenergia"), &map, all, ms(0));
     assert_eq!(route, Route::Wait);
-    assert_eq!(router.arrive(read("alpenergia"), &map, all, ms(0)).1, Route::Refuse(Refusal::Full(ms(200))));
+    assert_eq!(
+        router.arrive(read("alpenergia"), &map, all, ms(0)).1,
+        Route::Refuse(Refusal::Full(ms(200)))
+    );
     // The other cell is not full.
     sent(router.arrive(read("solpiana"), &map, all, ms(0)).1);
     assert_eq!(router.next(&map, all, ms(10)), None);
     router.ended(at[0], End::Served, None, &map, all, ms(600));
-    assert_eq!(router.next(&map, all, ms(600)), Some((first, Route::Refuse(Refusal::TooLate))));
+    assert_eq!(
+        router.next(&map, all, ms(600)),
+        Some((first, Route::Refuse(Refusal::TooLate)))
+    );
     let (ticket, route) = router.next(&map, all, ms(600)).expect("a place");
     assert_eq!(ticket, second);
     sent(route);
@@ -169,8 +222,12 @@
 #[test]
 fn one_in_the_middle_of_the_line_can_be_given_up() {
     let (map, mut router) = (map(), router(|r| (r.per_node, r.waiting) = (1, 2)));
-    let at: Vec<Ticket> = (0..3).map(|_| router.arrive(read("alpenergia"), &map, all, ms(0)).0).collect();
-    let waits: Vec<Ticket> = (0..2).map(|_| router.arrive(read("alpenergia"), &map, all, ms(0)).0).collect();
+    let at: Vec<Ticket> = (0..3)
+        .map(|_| router.arrive(read("alpenergia"), &map, all, ms(0)).0)
+        .collect();
+    let waits: Vec<Ticket> = (0..2)
+        .map(|_| router.arrive(read("alpenergia"), &map, all, ms(0)).0)
+        .collect();
     assert!(router.give_up(waits[1]) && !router.give_up(waits[1]) && !router.give_up(at[0]));
     assert_eq!(router.open(), 4);
     // Its place in the line is free, and the order of the others stands.
@@ -178,7 +235,10 @@
     assert_eq!(route, Route::Wait);
     for (done, next) in at.iter().zip([waits[0], last]) {
         router.ended(*done, End::Served, None, &map, all, ms(1));
-        assert_eq!(router.next(&map, all, ms(1)).map(|(ticket, _)| ticket), Some(next));
+        assert_eq!(
+            router.next(&map, all, ms(1)).map(|(ticket, _)| ticket),
+            Some(next)
+        );
     }
 }
 
@@ -187,14 +247,21 @@
 #[test]
 fn a_node_that_breaks_is_left_out_and_probed() {
     let (map, mut router) = (map(), router(|r| r.budget_burst = 1e9));
-    let share = |router: &mut Router, from: u64, broken: &dyn Fn(&str) -> bool, kind: fn(&str) -> Request| {
+    let share = |router: &mut Router,
+                 from: u64,
+                 broken: &dyn Fn(&str) -> bool,
+                 kind: fn(&str) -> Request| {
         let mut got: BTreeMap<String, usize> = BTreeMap::new();
         for n in 0..300 {
             let (ticket, route) = router.arrive(kind("alpenergia"), &map, all, ms(from + n));
             let mut node = sent(route);
             loop {
                 *got.entry(node.clone()).or_default() += 1;
-                let end = if broken(&node) { End::Lost } else { End::Served };
+                let end = if broken(&node) {
+                    End::Lost
+                } else {
+                    End::Served
+                };
                 match router.ended(ticket, end, None, &map, all, ms(from + n)) {
                     After::Again(next) => node = next.to_string(),
                     _ => break,
@@ -211,7 +278,11 @@
     assert_eq!(router.standing("a0", ms(2000)), Standing::Probe);
     assert_eq!(share(&mut router, 2000, &a0, post).get("a0"), None);
     assert_eq!(share(&mut router, 2400, &a0, read)["a0"], 1);
-    assert_eq!(router.standing("a0", ms(2400 + 1900)), Standing::Out, "out for twice as long");
+    assert_eq!(
+        router.standing("a0", ms(2400 + 1900)),
+        Standing::Out,
+        "out for twice as long"
+    );
     // Well again: little at first, then its part.
     let well = |_: &str| false;
     let first = share(&mut router, 5000, &well, read)["a0"];
@@ -239,7 +310,10 @@
             router.ended(ticket, End::Served, Some(hint), &map, all, ms(n));
         }
     }
-    assert!(got["a0"] * 2 < got["a1"] && got["a0"] * 2 < got["a2"], "{got:?}");
+    assert!(
+        got["a0"] * 2 < got["a1"] && got["a0"] * 2 < got["a2"],
+        "{got:?}"
+    );
     assert!(got["a1"].abs_diff(got["a2"]) < 60, "{got:?}");
 }
 
@@ -259,7 +333,10 @@
                 other: bool::arbitrary(g),
                 wait: u16::arbitrary(g) % 3000,
             },
-            5..=8 => Do::End { which: u8::arbitrary(g), how: u8::arbitrary(g) % 5 },
+            5..=8 => Do::End {
+                which: u8::arbitrary(g),
+                how: u8::arbitrary(g) % 5,
+            },
             9 => Do::Next,
             10 => Do::Pass(u16::arbitrary(g) % 400),
             _ => Do::Flip(u8::arbitrary(g) % 6),
@@ -283,18 +360,30 @@
             match step {
                 Do::Arrive { once, other, wait } => {
                     let tenant = if *other { "solpiana" } else { "alpenergia" };
-                    let request =
-                        Request { once: *once, deadline: ms(now + u64::from(*wait)), ..read(tenant) };
+                    let request = Request {
+                        once: *once,
+                        deadline: ms(now + u64::from(*wait)),
+                        ..read(tenant)
+                    };
                     let (ticket, route) = router.arrive(request.clone(), &map, there, ms(now));
                     out = Some((ticket, request, route));
                 }
                 Do::End { which, how } => {
-                    let Some(ticket) = at.keys().nth(usize::from(*which) % at.len().max(1)).copied() else {
+                    let Some(ticket) = at
+                        .keys()
+                        .nth(usize::from(*which) % at.len().max(1))
+                        .copied()
+                    else {
                         continue;
                     };
                     let (request, mut tried) = at.remove(&ticket)?;
-                    let ends =
-                        [End::Served, End::Refused { last: false }, End::Failed, End::NotSent, End::Lost];
+                    let ends = [
+                        End::Served,
+                        End::Refused { last: false },
+                        End::Failed,
+                        End::NotSent,
+                        End::Lost,
+                    ];
                     let end = ends[usize::from(*how)];
                     let after = router.ended(ticket, end, None, &map, there, ms(now));
                     told.push(format!("{after:?}"));
@@ -327,7 +416,11 @@
                 told.push(format!("{ticket} {route:?}"));
                 match route {
                     Route::Send(node) => {
-                        let cell = if &*request.tenant == "solpiana" { 'b' } else { 'a' };
+                        let cell = if &*request.tenant == "solpiana" {
+                            'b'
+                        } else {
+                            'a'
+                        };
                         if !node.starts_with(cell) || down.contains(&*node) {
                             return None;
                         }
@@ -341,7 +434,9 @@
             at.values()
                 .filter_map(|(_, tried)| tried.last())
                 .for_each(|node| *load.entry(node).or_default() += 1);
-            let counted = load.iter().all(|(node, n)| router.at(node) == *n && *n <= 2);
+            let counted = load
+                .iter()
+                .all(|(node, n)| router.at(node) == *n && *n <= 2);
             if !counted || router.open() != at.len() + waits.len() || waits.len() > 6 {
                 return None;
             }
@@ -365,7 +460,13 @@
     let map = map();
     let mut router = Router::new(Rules::default(), 1);
     let doubt = |nodes: &'static [&'static str]| {
-        move |n: &str| if nodes.contains(&n) { Presence::Doubtful } else { Presence::There }
+        move |n: &str| {
+            if nodes.contains(&n) {
+                Presence::Doubtful
+            } else {
+                Presence::There
+            }
+        }
     };
     for _ in 0..50 {
         let (ticket, route) = router.arrive(read("alpenergia"), &map, doubt(&["a0", "a1"]), ms(0));
@@ -385,7 +486,10 @@
     assert_eq!(checks.presence("a0", ms(0)), Presence::Away);
     checks.heard(&name, true, ms(100));
     assert_eq!(
-        (checks.presence("a0", ms(1099)), checks.presence("a0", ms(1100))),
+        (
+            checks.presence("a0", ms(1099)),
+            checks.presence("a0", ms(1100))
+        ),
         (Presence::There, Presence::Away)
     );
     checks.heard(&name, true, ms(1200));
@@ -402,7 +506,9 @@
     let mut budget = Budget::new(0.0, 1000.0, 10);
     budget.set_part(Some(20), ms(0));
     let tries = |budget: &mut Budget, from: u64, to: u64| {
-        (from..to).filter(|at| budget.further_try(&tenant, &cell, ms(*at))).count()
+        (from..to)
+            .filter(|at| budget.further_try(&tenant, &cell, ms(*at)))
+            .count()
     };
     // A quarter of a second's worth is saved at the most, whatever time went by.
     assert!((20..=25).contains(&tries(&mut budget, 10_000, 11_000)));
@@ -412,8 +518,15 @@
     assert!(tries(&mut budget, 20_000, 21_000) <= 3);
     budget.set_part(Some(0), ms(30_000));
     assert_eq!(tries(&mut budget, 30_000, 31_000), 0);
-    assert_eq!(budget.take_counts().1, 2000, "what was wanted is told all the same");
+    assert_eq!(
+        budget.take_counts().1,
+        2000,
+        "what was wanted is told all the same"
+    );
     budget.set_part(None, ms(40_000));
     let left = tries(&mut budget, 40_000, 42_000);
-    assert!((900..960).contains(&left), "{left}: the tenant paid for what went out");
+    assert!(
+        (900..960).contains(&left),
+        "{left}: the tenant paid for what went out"
+    );
 }
--- a/crates/shared-state-model/src/lib.rs
+++ b/crates/shared-state-model/src/lib.rs
@@ -45,7 +45,14 @@
     Duration::from_millis(step)
 }
 fn terms() -> Terms {
-    Terms { lease: at(3), ask: at(1), least: at(1), longest: at(1), reign: at(1), drift_ppm: 0 }
+    Terms {
+        lease: at(3),
+        ask: at(1),
+        least: at(1),
+        longest: at(1),
+        reign: at(1),
+        drift_ppm: 0,
+    }
 }
 fn name(holder: usize) -> Name {
     format!("h{holder}").into()
@@ -131,7 +138,13 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let holder = Holder { part: Part::new(&terms(), 0, at(FIRST)), life: 1, term: 0, asks: 0, in_use: 0 };
+        let holder = Holder {
+            part: Part::new(&terms(), 0, at(FIRST)),
+            life: 1,
+            term: 0,
+            asks: 0,
+            in_use: 0,
+        };
         vec![State {
             now: FIRST,
             holders: vec![holder; 2],
@@ -161,8 +174,18 @@
                 actions.push(Action::Crash(h));
             }
         }
-        actions.extend(state.asked.iter().map(|(h, life, term, ask)| Action::Asked(*h, *life, *term, *ask)));
-        actions.extend(state.granted.iter().map(|(h, life, term, g)| Action::Granted(*h, *life, *term, *g)));
+        actions.extend(
+            state
+                .asked
+                .iter()
+                .map(|(h, life, term, ask)| Action::Asked(*h, *life, *term, *ask)),
+        );
+        actions.extend(
+            state
+                .granted
+                .iter()
+                .map(|(h, life, term, g)| Action::Granted(*h, *life, *term, *g)),
+        );
         if state.term < self.reigns {
             actions.push(Action::Reign);
         }
@@ -175,7 +198,8 @@
             Action::Step => {
                 next.now += 1;
                 for (h, holder) in next.holders.iter_mut().enumerate() {
-                    let ended = |c: &&(usize, u64, u64)| c.0 == h && c.1 == holder.life && c.2 <= next.now;
+                    let ended =
+                        |c: &&(usize, u64, u64)| c.0 == h && c.1 == holder.life && c.2 <= next.now;
                     holder.in_use -= next.calls.iter().filter(ended).count() as u64;
                 }
                 next.calls.retain(|(.., end)| *end > next.now);
@@ -216,7 +240,8 @@
             Action::Begin(h) => {
                 let holder = &mut next.holders[h];
                 holder.in_use += 1;
-                next.calls.push((h, holder.life, state.now + self.longest()));
+                next.calls
+                    .push((h, holder.life, state.now + self.longest()));
                 next.calls.sort_unstable();
             }
             Action::Crash(h) => {
@@ -240,12 +265,21 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("what is in hand never exceeds the total", |_, state: &State| {
-                state.calls.len() as u64 <= TOTAL
-            }),
-            Property::always("what may be spent never exceeds the total", |_, state: &State| {
-                state.holders.iter().map(|h| h.part.limit(at(state.now))).sum::<u64>() <= TOTAL
-            }),
+            Property::always(
+                "what is in hand never exceeds the total",
+                |_, state: &State| state.calls.len() as u64 <= TOTAL,
+            ),
+            Property::always(
+                "what may be spent never exceeds the total",
+                |_, state: &State| {
+                    state
+                        .holders
+                        .iter()
+                        .map(|h| h.part.limit(at(state.now)))
+                        .sum::<u64>()
+                        <= TOTAL
+                },
+            ),
             Property::sometimes("all of the total is in hand", |_, state: &State| {
                 state.calls.len() as u64 == TOTAL
             }),
--- a/crates/shared-state/src/book.rs
+++ b/crates/shared-state/src/book.rs
@@ -24,7 +24,11 @@
     /// The most that it may be spending, or have in hand below.
     fn counted(&self, now: Duration) -> u64 {
         let using = if now < self.using.1 { self.using.0 } else { 0 };
-        let granted = self.granted.iter().filter(|(_, _, until)| now < *until).map(|(_, units, _)| *units);
+        let granted = self
+            .granted
+            .iter()
+            .filter(|(_, _, until)| now < *until)
+            .map(|(_, units, _)| *units);
         granted.fold(using, u64::max)
     }
 }
@@ -67,7 +71,9 @@
     }
     /// Holders, in lives that may still spend, with what they are counted for and what they want.
     pub fn holders(&self, now: Duration) -> impl Iterator<Item = (&Name, u64, u64)> {
-        self.holders.iter().map(move |((name, _), h)| (name, h.counted(now), h.want))
+        self.holders
+            .iter()
+            .map(move |((name, _), h)| (name, h.counted(now), h.want))
     }
 
     /// A holder in this life asks.
@@ -81,28 +87,46 @@
         // What is kept for it, and given to nobody else. An ask may be late: what it says to be using may have run out since,
         // and be another's by now. Only where this granter has given nothing yet is it taken at its word.
         let kept = holder.counted(now);
-        let has = if now < self.unknown_until { kept.max(ask.using) } else { kept };
+        let has = if now < self.unknown_until {
+            kept.max(ask.using)
+        } else {
+            kept
+        };
         // Answers before the one that it goes by will never count.
-        holder.granted.retain(|(seq, _, until)| *seq >= ask.applied && now < *until);
+        holder
+            .granted
+            .retain(|(seq, _, until)| *seq >= ask.applied && now < *until);
         (holder.seq, holder.want, holder.using) = (ask.seq, ask.want, (ask.using, ended));
         if now >= self.level_until {
             self.work_out(now);
         }
         // Nothing is known of what others may still spend of an earlier granter's: what it has, it keeps, or less.
-        let free = if now < self.unknown_until { 0 } else { self.pool.saturating_sub(self.counted(now)) };
+        let free = if now < self.unknown_until {
+            0
+        } else {
+            self.pool.saturating_sub(self.counted(now))
+        };
         let more = u64::from(self.extra.contains(&(name.clone(), life)));
         let wanted = ask.want.min(self.level.saturating_add(more));
-        let units = if wanted <= has { wanted } else { has + free.min(wanted - has) };
+        let units = if wanted <= has {
+            wanted
+        } else {
+            has + free.min(wanted - has)
+        };
         let holder = self.holders.entry((name.clone(), life)).or_default();
         holder.granted.push((ask.seq, units, ended));
-        Some(Grant { seq: ask.seq, units })
+        Some(Grant {
+            seq: ask.seq,
+            units,
+        })
     }
 
     /// The level at which the wants of all that ask fit the pool: who wants less gets it, the others get equal parts of the
     /// rest.
     fn work_out(&mut self, now: Duration) {
         self.level_until = now + self.terms.least;
-        self.holders.retain(|_, h| now < h.using.1 || h.granted.iter().any(|(_, _, until)| now < *until));
+        self.holders
+            .retain(|_, h| now < h.using.1 || h.granted.iter().any(|(_, _, until)| now < *until));
         let mut wants: Vec<u64> = self.holders.values().map(|h| h.want).collect();
         wants.sort_unstable();
         let (mut left, mut count) = (self.pool, wants.len() as u64);
@@ -117,7 +141,11 @@
         }
         if self.level < u64::MAX {
             let rest = (left - self.level * count) as usize;
-            let more = self.holders.iter().filter(|(_, h)| h.want > self.level).map(|(key, _)| key.clone());
+            let more = self
+                .holders
+                .iter()
+                .filter(|(_, h)| h.want > self.level)
+                .map(|(key, _)| key.clone());
             self.extra = more.take(rest).collect();
         }
     }
--- a/crates/shared-state/src/budgets.rs
+++ b/crates/shared-state/src/budgets.rs
@@ -142,7 +142,11 @@
     /// What may be in use at this moment.
     pub fn limit(&self, now: Duration) -> Units {
         let floor = if now >= self.floor.1 { self.floor.0 } else { 0 };
-        let leased = if now < self.leased.1 { self.leased.0 } else { 0 };
+        let leased = if now < self.leased.1 {
+            self.leased.0
+        } else {
+            0
+        };
         floor + leased
     }
 }
@@ -175,7 +179,10 @@
     ) -> Budgets {
         let floor = |plan: &Plan| plan.floors.get(&me).copied().unwrap_or(0);
         Budgets {
-            parts: plans.iter().map(|plan| Part::new(&terms, floor(plan), now)).collect(),
+            parts: plans
+                .iter()
+                .map(|plan| Part::new(&terms, floor(plan), now))
+                .collect(),
             election: Election::new(terms.clone(), me.clone(), keepers, now),
             terms,
             me,
@@ -193,11 +200,16 @@
     }
     /// The same as a value to be published.
     pub fn spend(&self, budget: usize) -> Option<Spend> {
-        self.parts.get(budget).map(|p| Spend { floor: p.floor(), leased: p.lease() })
+        self.parts.get(budget).map(|p| Spend {
+            floor: p.floor(),
+            leased: p.lease(),
+        })
     }
     /// What is in use of a budget, and what could be. A want past what it has is asked for soon.
     pub fn wants(&mut self, budget: usize, in_use: Units, want: Units, now: Duration) {
-        let Some(part) = self.parts.get_mut(budget) else { return };
+        let Some(part) = self.parts.get_mut(budget) else {
+            return;
+        };
         let rises = want > part.want() && want > part.limit(now);
         part.wants(in_use, want);
         if rises {
@@ -210,18 +222,24 @@
             plan.total = *total;
         }
         if let Some((_, books)) = &mut self.books {
-            books.iter_mut().zip(&self.plans).for_each(|(book, plan)| book.set_pool(plan.pool()));
+            books
+                .iter_mut()
+                .zip(&self.plans)
+                .for_each(|(book, plan)| book.set_pool(plan.pool()));
         }
     }
     /// Another process of this name lives: the floors are that one's, and so is the name's voice among the keepers. Two that
     /// promise under one name, each by its own memory, would make two majorities.
     pub fn beside_another(&mut self) {
         self.election.mute_until(Duration::MAX);
-        self.parts.iter_mut().for_each(|p| p.floor_from(Duration::MAX));
+        self.parts
+            .iter_mut()
+            .for_each(|p| p.floor_from(Duration::MAX));
     }
     /// It has ended; what it began has after the longest time that a call may take, and what it promised after a reign.
     pub fn alone_from(&mut self, now: Duration) {
-        self.election.mute_until(now + self.terms.over(self.terms.reign));
+        self.election
+            .mute_until(now + self.terms.over(self.terms.reign));
         let from = now + self.terms.over(self.terms.longest);
         self.parts.iter_mut().for_each(|p| p.floor_from(from));
     }
@@ -232,7 +250,10 @@
     /// The books, while this node reigns.
     pub fn books(&self, now: Duration) -> Option<&[Book]> {
         let (term, books) = self.books.as_ref()?;
-        self.election.reigns(now).filter(|(reign, _)| reign == term).map(|_| books.as_slice())
+        self.election
+            .reigns(now)
+            .filter(|(reign, _)| reign == term)
+            .map(|_| books.as_slice())
     }
     /// What this node holds, for people.
     pub fn look(&self, now: Duration) -> Look {
@@ -242,22 +263,36 @@
             let (leased, until) = part.lease();
             let left = until.saturating_sub(now);
             let book = books.and_then(|b| b.get(at));
-            let mut holders: Vec<(Name, Units, Units)> =
-                book.map_or(vec![], |b| b.holders(now).map(|(n, c, w)| (n.clone(), c, w)).collect());
+            let mut holders: Vec<(Name, Units, Units)> = book.map_or(vec![], |b| {
+                b.holders(now).map(|(n, c, w)| (n.clone(), c, w)).collect()
+            });
             holders.sort_by_key(|(_, counted, _)| std::cmp::Reverse(*counted));
             holders.truncate(LOOK);
             BudgetLook {
                 name: plan.name.clone(),
                 total: plan.total,
                 floor: (floor, now >= from),
-                leased: (if left.is_zero() { 0 } else { leased }, left.as_millis() as u64),
+                leased: (
+                    if left.is_zero() { 0 } else { leased },
+                    left.as_millis() as u64,
+                ),
                 in_use: part.used(),
                 holders,
                 counted: book.map_or(0, |b| b.counted(now)),
             }
         };
-        let budgets = self.plans.iter().zip(&self.parts).enumerate().map(budget).collect();
-        Look { granter: self.election.granter(now).map(|(name, _)| name), budgets, gathered: None }
+        let budgets = self
+            .plans
+            .iter()
+            .zip(&self.parts)
+            .enumerate()
+            .map(budget)
+            .collect();
+        Look {
+            granter: self.election.granter(now).map(|(name, _)| name),
+            budgets,
+            gathered: None,
+        }
     }
     /// When [`Budgets::tick`] is due.
     pub fn next(&self) -> Duration {
@@ -276,7 +311,11 @@
     }
 
     fn send_votes(&mut self, votes: Vec<(Name, Vote)>, out: &mut Vec<Out>) {
-        out.extend(votes.into_iter().map(|(to, vote)| Out::Tell(to, Message::Vote(vote))));
+        out.extend(
+            votes
+                .into_iter()
+                .map(|(to, vote)| Out::Tell(to, Message::Vote(vote))),
+        );
     }
     /// Opens the books of a reign that has begun, and closes those of one that has ended.
     fn look_at_reign(&mut self, now: Duration, there: &[Name], out: &mut Vec<Out>) {
@@ -285,11 +324,17 @@
             return;
         };
         if self.books.as_ref().is_none_or(|(of, _)| *of != term) {
-            let books =
-                self.plans.iter().map(|plan| Book::new(&self.terms, plan.pool(), since.max(now))).collect();
+            let books = self
+                .plans
+                .iter()
+                .map(|plan| Book::new(&self.terms, plan.pool(), since.max(now)))
+                .collect();
             self.books = Some((term, books));
             for to in there.iter().filter(|n| **n != self.me) {
-                out.push(Out::Tell(to.clone(), Message::Reigns(self.me.clone(), term)));
+                out.push(Out::Tell(
+                    to.clone(),
+                    Message::Reigns(self.me.clone(), term),
+                ));
             }
         }
     }
@@ -298,12 +343,26 @@
         self.last_ask = now;
         self.next_ask = now + self.terms.ask;
         // Where no granter is known any keeper may know one; what it is asked under no term it grants nothing for.
-        let keeper = || self.election.keeper((draw * 4096.0) as usize).map(|name| (name, Term::default()));
-        let Some((granter, term)) = self.election.granter(now).or_else(keeper) else { return };
+        let keeper = || {
+            self.election
+                .keeper((draw * 4096.0) as usize)
+                .map(|name| (name, Term::default()))
+        };
+        let Some((granter, term)) = self.election.granter(now).or_else(keeper) else {
+            return;
+        };
         let asks: Vec<Ask> = self.parts.iter_mut().map(|p| p.ask(now)).collect();
-        let Some(first) = asks.first().copied() else { return };
+        let Some(first) = asks.first().copied() else {
+            return;
+        };
         let parts = asks.iter().map(|a| (a.using, a.want)).collect();
-        let message = Message::Ask { term, life: self.life, seq: first.seq, applied: first.applied, parts };
+        let message = Message::Ask {
+            term,
+            life: self.life,
+            seq: first.seq,
+            applied: first.applied,
+            parts,
+        };
         let me = self.me.clone();
         if granter == self.me {
             self.hear(&me, message, now, out);
@@ -328,22 +387,39 @@
                     self.next_ask = now;
                 }
             }
-            Message::Ask { term, life, seq, applied, parts } => {
+            Message::Ask {
+                term,
+                life,
+                seq,
+                applied,
+                parts,
+            } => {
                 let Some((reign, _)) = self.election.reigns(now) else {
                     // Asked as a keeper, by one that knows no granter.
-                    if let Some((granter, term)) = self.election.granter(now).filter(|_| from != &self.me) {
+                    if let Some((granter, term)) =
+                        self.election.granter(now).filter(|_| from != &self.me)
+                    {
                         self.tell(from, Message::Reigns(granter, term), now, out);
                     }
                     return;
                 };
-                let Some((of, books)) = self.books.as_mut().filter(|(of, _)| *of == reign) else { return };
+                let Some((of, books)) = self.books.as_mut().filter(|(of, _)| *of == reign) else {
+                    return;
+                };
                 if term != *of || parts.len() != books.len() {
                     return self.tell(from, Message::Reigns(self.me.clone(), reign), now, out);
                 }
                 let mut units = Vec::with_capacity(parts.len());
                 for (book, (using, want)) in books.iter_mut().zip(parts) {
-                    let ask = Ask { seq, applied, using, want };
-                    let Some(grant) = book.asked(from, life, ask, now) else { return };
+                    let ask = Ask {
+                        seq,
+                        applied,
+                        using,
+                        want,
+                    };
+                    let Some(grant) = book.asked(from, life, ask, now) else {
+                        return;
+                    };
                     units.push(grant.units);
                 }
                 self.tell(from, Message::Grant { term, seq, units }, now, out);
--- a/crates/shared-state/src/cells.rs
+++ b/crates/shared-state/src/cells.rs
@@ -51,24 +51,44 @@
     }
     /// Counts what another does as well.
     pub fn add(&mut self, other: &Cells) {
-        self.0.iter_mut().zip(&other.0).for_each(|(a, b)| *a = a.saturating_add(*b));
+        self.0
+            .iter_mut()
+            .zip(&other.0)
+            .for_each(|(a, b)| *a = a.saturating_add(*b));
     }
     /// Counts it no more.
     pub fn take(&mut self, other: &Cells) {
-        self.0.iter_mut().zip(&other.0).for_each(|(a, b)| *a = a.saturating_sub(*b));
+        self.0
+            .iter_mut()
+            .zip(&other.0)
+            .for_each(|(a, b)| *a = a.saturating_sub(*b));
     }
     /// Cells in which it differs from any of these, with what it counts there.
     pub fn differs<'a>(&self, from: impl Iterator<Item = &'a Cells> + Clone) -> Vec<Change> {
-        let differs = |cell: &usize| from.clone().any(|other| other.get(*cell) != self.get(*cell));
-        (0..CELLS).filter(differs).map(|cell| Change(cell as u8, self.get(cell).min(MOST))).collect()
+        let differs = |cell: &usize| {
+            from.clone()
+                .any(|other| other.get(*cell) != self.get(*cell))
+        };
+        (0..CELLS)
+            .filter(differs)
+            .map(|cell| Change(cell as u8, self.get(cell).min(MOST)))
+            .collect()
     }
     /// No key is counted higher.
     pub fn most(&self) -> u32 {
-        self.0.chunks(COLUMNS).map(|row| row.iter().copied().max().unwrap_or(0)).min().unwrap_or(0)
+        self.0
+            .chunks(COLUMNS)
+            .map(|row| row.iter().copied().max().unwrap_or(0))
+            .min()
+            .unwrap_or(0)
     }
     /// What is counted for a key.
     pub fn estimate(&self, key: u64) -> u32 {
-        cells_of(key).into_iter().map(|cell| self.get(cell)).min().unwrap_or(0)
+        cells_of(key)
+            .into_iter()
+            .map(|cell| self.get(cell))
+            .min()
+            .unwrap_or(0)
     }
 }
 
--- a/crates/shared-state/src/election.rs
+++ b/crates/shared-state/src/election.rs
@@ -10,7 +10,9 @@
 use crate::Terms;
 
 /// A try to be the granter. Every keeper numbers its own, so no two are equal.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Term {
     /// Higher than any that the keeper has heard of.
     pub number: u64,
@@ -78,7 +80,10 @@
         }
     }
     fn place(&self) -> Option<u8> {
-        self.keepers.iter().position(|k| *k == self.me).map(|at| at as u8)
+        self.keepers
+            .iter()
+            .position(|k| *k == self.me)
+            .map(|at| at as u8)
     }
     /// It is no keeper before then: it promises nothing, and does not try.
     pub(crate) fn mute_until(&mut self, until: Duration) {
@@ -93,7 +98,9 @@
     }
     /// The term of this node's own reign and when it began, while it lasts.
     pub fn reigns(&self, now: Duration) -> Option<(Term, Duration)> {
-        self.reign.filter(|(_, _, until)| now < *until).map(|(term, since, _)| (term, since))
+        self.reign
+            .filter(|(_, _, until)| now < *until)
+            .map(|(term, since, _)| (term, since))
     }
     /// The granter that was heard of last, and its term.
     pub fn granter(&self, now: Duration) -> Option<(Name, Term)> {
@@ -101,14 +108,24 @@
             return Some((self.me.clone(), term));
         }
         let young = |at: &Duration| now.saturating_sub(*at) < self.terms.reign;
-        self.heard.as_ref().filter(|(_, _, at)| young(at)).map(|(name, term, _)| (name.clone(), *term))
+        self.heard
+            .as_ref()
+            .filter(|(_, _, at)| young(at))
+            .map(|(name, term, _)| (name.clone(), *term))
     }
     /// A granter spoke under this term. True where it was not known.
     pub fn hear_granter(&mut self, name: &Name, term: Term, now: Duration) -> bool {
-        if self.heard.as_ref().is_some_and(|(_, known, _)| *known > term) {
+        if self
+            .heard
+            .as_ref()
+            .is_some_and(|(_, known, _)| *known > term)
+        {
             return false;
         }
-        let new = self.heard.as_ref().is_none_or(|(_, known, _)| *known < term);
+        let new = self
+            .heard
+            .as_ref()
+            .is_none_or(|(_, known, _)| *known < term);
         self.heard = Some((name.clone(), term, now));
         new
     }
@@ -132,13 +149,21 @@
             self.reign = None;
         }
         let third = self.terms.reign / 3;
-        self.next_try = now + if reigns { third } else { third.mul_f64(0.5 + draw) };
+        self.next_try = now
+            + if reigns {
+                third
+            } else {
+                third.mul_f64(0.5 + draw)
+            };
         if !reigns && self.granter(now).is_some() {
             // Another is there. It is tried again when that one has been silent for so long.
             return;
         }
         let heard = self.heard.as_ref().map_or(0, |(_, term, _)| term.number);
-        let term = Term { number: self.promised.number.max(heard) + 1, keeper };
+        let term = Term {
+            number: self.promised.number.max(heard) + 1,
+            keeper,
+        };
         self.tried = Some((term, Try::Prepared(BTreeSet::new())));
         for to in self.keepers.clone() {
             self.tell(to, Vote::Prepare(term), now, out);
@@ -179,7 +204,9 @@
             }
             Vote::Promise(term, given) => {
                 let me = self.me.clone();
-                let Some((tried, Try::Prepared(by))) = &mut self.tried else { return };
+                let Some((tried, Try::Prepared(by))) = &mut self.tried else {
+                    return;
+                };
                 if *tried != term || given.is_some_and(|name| name != me) {
                     return;
                 }
@@ -202,7 +229,9 @@
                 self.tell(from.clone(), Vote::Accept(term), now, out);
             }
             Vote::Accept(term) => {
-                let Some((tried, Try::Proposed(at, by))) = &mut self.tried else { return };
+                let Some((tried, Try::Proposed(at, by))) = &mut self.tried else {
+                    return;
+                };
                 if *tried != term {
                     return;
                 }
