--- a/crates/shared-state/src/evidence.rs
+++ b/crates/shared-state/src/evidence.rs
@@ -50,7 +50,11 @@
         if let Some(took) = took {
             let took = took.as_secs_f64().max(1e-6);
             let more = (took - self.best) * FORGET;
-            self.best = if self.best == 0.0 || took < self.best { took } else { self.best + more };
+            self.best = if self.best == 0.0 || took < self.best {
+                took
+            } else {
+                self.best + more
+            };
         }
         if self.attempts.len() >= ATTEMPTS {
             self.attempts.pop_front();
@@ -60,7 +64,10 @@
     /// Attempts and failures in the window.
     pub fn counts(&self, now: Duration) -> (usize, usize) {
         let recent = || self.attempts.iter().filter(|(at, _)| *at + WINDOW >= now);
-        (recent().count(), recent().filter(|(_, took)| took.is_none()).count())
+        (
+            recent().count(),
+            recent().filter(|(_, took)| took.is_none()).count(),
+        )
     }
     /// What they say, if they are enough to say anything.
     pub fn condition(&self, now: Duration) -> Option<Condition> {
@@ -72,9 +79,16 @@
             return Some(Condition::Failing);
         }
         let recent = self.attempts.iter().filter(|(at, _)| *at + WINDOW >= now);
-        let took: f64 = recent.filter_map(|(_, took)| *took).map(|t| t.as_secs_f64()).sum();
+        let took: f64 = recent
+            .filter_map(|(_, took)| *took)
+            .map(|t| t.as_secs_f64())
+            .sum();
         let slow = took > SLOW * self.best * (attempts - failures) as f64;
-        Some(if slow { Condition::Slow } else { Condition::Sound })
+        Some(if slow {
+            Condition::Slow
+        } else {
+            Condition::Sound
+        })
     }
 }
 
@@ -97,11 +111,17 @@
             Condition::Slow => &mut self.slow,
             Condition::Failing => &mut self.failing,
         };
-        *of = if more { of.saturating_add(1) } else { of.saturating_sub(1) };
+        *of = if more {
+            of.saturating_add(1)
+        } else {
+            of.saturating_sub(1)
+        };
     }
     /// All that tried.
     pub fn tried(&self) -> u32 {
-        self.sound.saturating_add(self.slow).saturating_add(self.failing)
+        self.sound
+            .saturating_add(self.slow)
+            .saturating_add(self.failing)
     }
     fn most_fail(&self) -> bool {
         u64::from(self.failing) * 2 > u64::from(self.tried())
@@ -125,7 +145,10 @@
 impl Tally {
     /// Of other sites, and what is found at each; and of the reader's own.
     pub fn of(here: Found, others: impl Iterator<Item = Found>) -> Tally {
-        let mut tally = Tally { here, ..Tally::default() };
+        let mut tally = Tally {
+            here,
+            ..Tally::default()
+        };
         for found in others.filter(|f| f.tried() > 0) {
             let all = &mut tally.elsewhere;
             all.sound += found.sound;
@@ -206,7 +229,11 @@
     own.into_iter().for_each(|c| here.count(c, true));
     let sites_failing = others.sites.failing + u32::from(here.most_fail());
     // Of a fleet that stands at one site that site is all there is; one node is not enough even so.
-    let enough = if sites > 1 { sites_failing >= 2 } else { all.failing >= 2 };
+    let enough = if sites > 1 {
+        sites_failing >= 2
+    } else {
+        all.failing >= 2
+    };
     if all.most_fail() && enough {
         return Judgement::Down;
     }
@@ -239,7 +266,12 @@
 impl Default for Judge {
     fn default() -> Judge {
         let nothing = Judgement::Unknown;
-        Judge { said: nothing, since: Duration::ZERO, found: (nothing, Duration::ZERO), turns: 0 }
+        Judge {
+            said: nothing,
+            since: Duration::ZERO,
+            found: (nothing, Duration::ZERO),
+            turns: 0,
+        }
     }
 }
 
@@ -268,7 +300,11 @@
         let told = found != Judgement::OnlyHere || as_of >= self.found.1 + ALONE;
         if told && now.saturating_sub(self.found.1) >= wait {
             if worse && found.holds_back() {
-                self.turns = if now.saturating_sub(self.since) >= CALM { 0 } else { self.turns + 1 };
+                self.turns = if now.saturating_sub(self.since) >= CALM {
+                    0
+                } else {
+                    self.turns + 1
+                };
             }
             (self.said, self.since) = (found, now);
         }
--- a/crates/shared-state/src/gather.rs
+++ b/crates/shared-state/src/gather.rs
@@ -152,7 +152,9 @@
     }
     fn count_found(&mut self, reporter: &Reporter, more: bool) {
         for (service, condition) in &reporter.found {
-            let Some(sites) = self.found.get_mut(usize::from(*service)) else { continue };
+            let Some(sites) = self.found.get_mut(usize::from(*service)) else {
+                continue;
+            };
             let found = sites.entry(reporter.site.clone()).or_default();
             found.count(*condition, more);
             if found.tried() == 0 {
@@ -238,13 +240,32 @@
             });
             let found: Vec<(u8, Condition)> = report.found.into_iter().take(SERVICES).collect();
             let (life, seq, site) = (report.life, report.seq, report.site);
-            let reporter = Reporter { life, seq, site, cells, made, came: now, found };
+            let reporter = Reporter {
+                life,
+                seq,
+                site,
+                cells,
+                made,
+                came: now,
+                found,
+            };
             self.put(from, reporter, &old);
         }
-        let held = self.reporters.get(from).filter(|r| r.life == report.life).map_or(0, |r| r.seq);
-        let base = if report.holds.0 == self.life { report.holds.1 } else { 0 };
+        let held = self
+            .reporters
+            .get(from)
+            .filter(|r| r.life == report.life)
+            .map_or(0, |r| r.seq);
+        let base = if report.holds.0 == self.life {
+            report.holds.1
+        } else {
+            0
+        };
         let cells = (0..CELLS).filter(|cell| base == 0 || self.changed[*cell] > base);
-        let oldest = self.ages.first().map_or(Duration::ZERO, |(at, _)| now.saturating_sub(*at));
+        let oldest = self
+            .ages
+            .first()
+            .map_or(Duration::ZERO, |(at, _)| now.saturating_sub(*at));
         Some(Answer {
             life: self.life,
             seq: report.seq,
@@ -258,18 +279,36 @@
                 .collect(),
             covered: (self.ages.len() as u32, oldest.as_millis() as u32 + 1),
             there: there as u32,
-            tallies: (0..SERVICES as u8).filter_map(|s| Some((s, self.tally(s, from)?))).collect(),
+            tallies: (0..SERVICES as u8)
+                .filter_map(|s| Some((s, self.tally(s, from)?)))
+                .collect(),
         })
     }
     /// What others than this one find of a service.
     fn tally(&self, service: u8, but: &Name) -> Option<Tally> {
-        let sites = self.found.get(usize::from(service)).filter(|s| !s.is_empty())?;
+        let sites = self
+            .found
+            .get(usize::from(service))
+            .filter(|s| !s.is_empty())?;
         let own = self.reporters.get(but);
         let site = own.map(|r| r.site.clone());
-        let mut here = site.as_ref().and_then(|s| sites.get(s)).copied().unwrap_or_default();
-        let found = own.iter().flat_map(|r| &r.found).filter(|(s, _)| *s == service);
+        let mut here = site
+            .as_ref()
+            .and_then(|s| sites.get(s))
+            .copied()
+            .unwrap_or_default();
+        let found = own
+            .iter()
+            .flat_map(|r| &r.found)
+            .filter(|(s, _)| *s == service);
         found.for_each(|(_, condition)| here.count(*condition, false));
-        Some(Tally::of(here, sites.iter().filter(|(name, _)| Some(*name) != site.as_ref()).map(|(_, f)| *f)))
+        Some(Tally::of(
+            here,
+            sites
+                .iter()
+                .filter(|(name, _)| Some(*name) != site.as_ref())
+                .map(|(_, f)| *f),
+        ))
     }
 }
 
@@ -305,9 +344,21 @@
 
 impl Source {
     fn new(name: Name) -> Source {
-        Source { name, sent: VecDeque::new(), held: (0, Cells::default()), stamp: None, sum: Sum::default() }
+        Source {
+            name,
+            sent: VecDeque::new(),
+            held: (0, Cells::default()),
+            stamp: None,
+            sum: Sum::default(),
+        }
     }
-    fn report(&mut self, me: &Me, counts: &Cells, found: &[(u8, Condition)], now: Duration) -> Report {
+    fn report(
+        &mut self,
+        me: &Me,
+        counts: &Cells,
+        found: &[(u8, Condition)],
+        now: Duration,
+    ) -> Report {
         let (base, as_held) = &self.held;
         // What any report since has said may be what the gatherer holds: a cell that is back at what it was is told too.
         let earlier = std::iter::once(as_held).chain(self.sent.iter().map(|(_, _, cells)| cells));
@@ -319,7 +370,11 @@
             base: *base,
             echo: self.stamp.as_ref().map(since),
             holds: (self.sum.life, self.sum.version),
-            cells: if *base == 0 { counts.differs(std::iter::once(&Cells::default())) } else { cells },
+            cells: if *base == 0 {
+                counts.differs(std::iter::once(&Cells::default()))
+            } else {
+                cells
+            },
             found: found.to_vec(),
             site: me.site.clone(),
         };
@@ -332,10 +387,21 @@
         report
     }
     fn answered(&mut self, answer: Answer, pace: &Pace, now: Duration) -> bool {
-        let Some(at) = self.sent.iter().position(|(seq, ..)| *seq == answer.seq) else { return false };
+        let Some(at) = self.sent.iter().position(|(seq, ..)| *seq == answer.seq) else {
+            return false;
+        };
         let made = self.sent[at].1;
-        let of = |seq: u32| self.sent.iter().find(|(s, ..)| *s == seq).map(|(.., cells)| cells.clone());
-        let own = if answer.held == self.held.0 { Some(self.held.1.clone()) } else { of(answer.held) };
+        let of = |seq: u32| {
+            self.sent
+                .iter()
+                .find(|(s, ..)| *s == seq)
+                .map(|(.., cells)| cells.clone())
+        };
+        let own = if answer.held == self.held.0 {
+            Some(self.held.1.clone())
+        } else {
+            of(answer.held)
+        };
         let same = answer.life == self.sum.life;
         if same && answer.version < self.sum.version
             || answer.base > 0 && !(same && answer.base <= self.sum.version)
@@ -345,7 +411,11 @@
         self.stamp = Some((answer.stamp, now));
         let (covered, oldest) = answer.covered;
         let as_of = made.saturating_sub(pace.longer(Duration::from_millis(u64::from(oldest))));
-        let mut cells = if answer.base == 0 { Cells::default() } else { std::mem::take(&mut self.sum.cells) };
+        let mut cells = if answer.base == 0 {
+            Cells::default()
+        } else {
+            std::mem::take(&mut self.sum.cells)
+        };
         cells.set(&answer.cells);
         self.sum = Sum {
             life: answer.life,
@@ -455,7 +525,12 @@
     pub fn new(pace: Pace, name: Name, site: Name, life: u64, now: Duration) -> Gathering {
         Gathering {
             pace,
-            me: Me { name, site, life, seq: 0 },
+            me: Me {
+                name,
+                site,
+                life,
+                seq: 0,
+            },
             members: 1,
             sources: Vec::new(),
             gatherer: Gatherer::new(life),
@@ -478,7 +553,11 @@
         }
         best.sort();
         self.members = count.max(1);
-        let chosen: Vec<Name> = best.iter().take(2).map(|(_, name, _)| (*name).clone()).collect();
+        let chosen: Vec<Name> = best
+            .iter()
+            .take(2)
+            .map(|(_, name, _)| (*name).clone())
+            .collect();
         self.sources.retain(|s| chosen.contains(&s.name));
         for name in chosen {
             if !self.sources.iter().any(|s| s.name == name) {
@@ -497,7 +576,10 @@
     }
     /// What is reported here: the number of the sum, and whose counts are in it with a known age.
     pub fn reported(&self) -> ((u64, u64), impl Iterator<Item = &Name>) {
-        ((self.gatherer.life, self.gatherer.version), self.gatherer.ages.iter().map(|(_, name)| name))
+        (
+            (self.gatherer.life, self.gatherer.version),
+            self.gatherer.ages.iter().map(|(_, name)| name),
+        )
     }
     /// What this node knows, for people; the judgement and the calls are the caller's.
     pub fn look(&self, now: Duration, ledger: (Judgement, u64), calls: (u32, u32)) -> GatheredLook {
@@ -542,35 +624,52 @@
         self.me.seq += 1;
         for at in 0..self.sources.len() {
             let source = &mut self.sources[at];
-            let (to, report) = (source.name.clone(), source.report(&self.me, counts, found, now));
+            let (to, report) = (
+                source.name.clone(),
+                source.report(&self.me, counts, found, now),
+            );
             if to != self.me.name {
                 out.push((to, Said::Report(report)));
                 continue;
             }
-            let answer = self.gatherer.hear(&to, report, &self.pace, self.members, now);
-            answer.into_iter().for_each(|answer| self.answered(&to, answer, now));
+            let answer = self
+                .gatherer
+                .hear(&to, report, &self.pace, self.members, now);
+            answer
+                .into_iter()
+                .for_each(|answer| self.answered(&to, answer, now));
         }
     }
     /// A member said something.
     pub fn hear(&mut self, from: &Name, said: Said, now: Duration, out: &mut Vec<(Name, Said)>) {
         match said {
             Said::Report(report) => {
-                let answer = self.gatherer.hear(from, report, &self.pace, self.members, now);
+                let answer = self
+                    .gatherer
+                    .hear(from, report, &self.pace, self.members, now);
                 out.extend(answer.map(|answer| (from.clone(), Said::Answer(answer))));
             }
             Said::Answer(answer) => self.answered(from, answer, now),
         }
     }
     fn answered(&mut self, from: &Name, answer: Answer, now: Duration) {
-        let Some(source) = self.sources.iter_mut().find(|s| s.name == *from) else { return };
+        let Some(source) = self.sources.iter_mut().find(|s| s.name == *from) else {
+            return;
+        };
         if !source.answered(answer, &self.pace, now) {
             return;
         }
         // The one that knows most, and of those the one that knows it sooner.
         let stale = self.pace.stale(self.members);
         let fresh = |s: &&Source| s.sum.covered > 0 && s.sum.as_of + stale > now;
-        let best = self.sources.iter().filter(fresh).max_by_key(|s| (s.sum.covered, s.sum.as_of));
-        let Some(Source { name, sum, .. }) = best else { return };
+        let best = self
+            .sources
+            .iter()
+            .filter(fresh)
+            .max_by_key(|s| (s.sum.covered, s.sum.as_of));
+        let Some(Source { name, sum, .. }) = best else {
+            return;
+        };
         let mut others = sum.cells.clone();
         others.take(&sum.own);
         self.gathered = Gathered {
--- a/crates/shared-state/src/part.rs
+++ b/crates/shared-state/src/part.rs
@@ -114,16 +114,28 @@
             self.asked.pop_front();
         }
         // What is in hand counts as long as it is, whatever the lease says by now.
-        let using = self.leased(now).max(self.in_use.saturating_sub(self.own(now)));
+        let using = self
+            .leased(now)
+            .max(self.in_use.saturating_sub(self.own(now)));
         let want = self.want.saturating_sub(self.own(now));
-        Ask { seq: self.seq, applied: self.applied, using, want }
+        Ask {
+            seq: self.seq,
+            applied: self.applied,
+            using,
+            want,
+        }
     }
     /// An answer came. False for one that is doubled, overtaken, or answers nothing.
     pub fn granted(&mut self, grant: Grant) -> bool {
         if grant.seq <= self.applied {
             return false;
         }
-        let Some((_, at)) = self.asked.iter().find(|(seq, _)| *seq == grant.seq).copied() else {
+        let Some((_, at)) = self
+            .asked
+            .iter()
+            .find(|(seq, _)| *seq == grant.seq)
+            .copied()
+        else {
             return false;
         };
         self.asked.retain(|(seq, _)| *seq > grant.seq);
--- a/crates/shared-state/src/terms.rs
+++ b/crates/shared-state/src/terms.rs
@@ -34,7 +34,10 @@
 impl Terms {
     /// A time by which one that another measures as `time` is over on any clock.
     pub(crate) fn over(&self, time: Duration) -> Duration {
-        let (slow, fast) = (1_000_000u32.saturating_sub(self.drift_ppm).max(1), 1_000_000 + self.drift_ppm);
+        let (slow, fast) = (
+            1_000_000u32.saturating_sub(self.drift_ppm).max(1),
+            1_000_000 + self.drift_ppm,
+        );
         time * fast / slow
     }
     /// After this long nothing of a part can be spent, or be in hand, that was asked for before.
--- a/crates/shared-state/tests/gathering.rs
+++ b/crates/shared-state/tests/gathering.rs
@@ -35,7 +35,11 @@
             node.members(all.iter().map(|(n, s)| (n, s)));
             node
         };
-        Pair { gatherer: of(&chosen, 10), reporter: of(&other, 20), names: (chosen, other) }
+        Pair {
+            gatherer: of(&chosen, 10),
+            reporter: of(&other, 20),
+            names: (chosen, other),
+        }
     }
     fn members(&mut self, both: bool) {
         let all = [self.names.1.clone(), self.names.0.clone()];
@@ -47,8 +51,11 @@
         let live = Live::default();
         (0..count).for_each(|_| live.enters(7));
         let mut out = Vec::new();
-        self.reporter.tick(now, &live.now(), &[(LEDGER, Sound)], 0.5, &mut out);
-        out.pop().filter(|(to, _)| *to == self.names.0).map(|(_, said)| said)
+        self.reporter
+            .tick(now, &live.now(), &[(LEDGER, Sound)], 0.5, &mut out);
+        out.pop()
+            .filter(|(to, _)| *to == self.names.0)
+            .map(|(_, said)| said)
     }
     /// The gatherer's answer, by its own clock.
     fn heard(&mut self, report: Said, now: Duration) -> Option<Said> {
@@ -57,7 +64,8 @@
         out.pop().map(|(_, said)| said)
     }
     fn answered(&mut self, answer: Said, now: Duration) {
-        self.reporter.hear(&self.names.0, answer, now, &mut Vec::new());
+        self.reporter
+            .hear(&self.names.0, answer, now, &mut Vec::new());
     }
     fn covered(&self) -> u32 {
         self.reporter.gathered().covered
@@ -73,10 +81,16 @@
     let late = pair.heard(first, ms(0)).expect("an answer");
     pair.members(false);
     pair.members(true);
-    let Some(Said::Report(again)) = pair.report(ms(900), 3) else { panic!("a report") };
+    let Some(Said::Report(again)) = pair.report(ms(900), 3) else {
+        panic!("a report")
+    };
     assert!(again.seq > 1 && again.base == 0);
     pair.answered(late, ms(950));
-    assert_eq!(pair.reporter.gathered().by, None, "it says nothing of 900 ms");
+    assert_eq!(
+        pair.reporter.gathered().by,
+        None,
+        "it says nothing of 900 ms"
+    );
 }
 
 /// Guards the age: what a report echoes of an earlier life of the gatherer's was told by another clock.
@@ -86,7 +100,9 @@
     // Three rounds, by a clock that is far ahead.
     for round in 0..3 {
         let report = pair.report(ms(300 * round), 3).expect("a report");
-        let answer = pair.heard(report, ms(100_000 + 300 * round)).expect("an answer");
+        let answer = pair
+            .heard(report, ms(100_000 + 300 * round))
+            .expect("an answer");
         pair.answered(answer, ms(300 * round + 1));
     }
     assert_eq!(pair.covered(), 1);
@@ -95,11 +111,19 @@
     for round in 3..13 {
         last = pair.report(ms(300 * round), 3);
     }
-    let Some(Said::Report(full)) = last else { panic!("a report") };
+    let Some(Said::Report(full)) = last else {
+        panic!("a report")
+    };
     assert!(full.base == 0 && full.echo.is_some());
     pair.gatherer = Gathering::new(Pace::default(), pair.names.0.clone(), "a".into(), 11, ms(0));
-    let Some(Said::Answer(answer)) = pair.heard(Said::Report(full), ms(5)) else { panic!("an answer") };
-    assert_eq!((answer.held > 0, answer.covered.0), (true, 0), "counted, at an age that is not known");
+    let Some(Said::Answer(answer)) = pair.heard(Said::Report(full), ms(5)) else {
+        panic!("an answer")
+    };
+    assert_eq!(
+        (answer.held > 0, answer.covered.0),
+        (true, 0),
+        "counted, at an age that is not known"
+    );
 }
 
 /// Guards the changes: a cell that is back at what the last acknowledged report said is told all the same, since what was
@@ -117,7 +141,8 @@
     }
     let live = Live::default();
     let mut out = Vec::new();
-    pair.gatherer.tick(ms(1000), &live.now(), &[], 0.5, &mut out);
+    pair.gatherer
+        .tick(ms(1000), &live.now(), &[], 0.5, &mut out);
     assert_eq!(pair.gatherer.gathered().estimate(7, ms(1000)), Some(3));
 }
 
@@ -129,18 +154,28 @@
     let new = pair.report(ms(300), 2).expect("a report");
     assert!(pair.heard(new, ms(300)).is_some());
     assert!(pair.heard(old.clone(), ms(400)).is_none(), "late");
-    let Said::Report(mut of_before) = old else { panic!("a report") };
+    let Said::Report(mut of_before) = old else {
+        panic!("a report")
+    };
     (of_before.life, of_before.seq) = (19, 99);
-    assert!(pair.heard(Said::Report(of_before), ms(500)).is_none(), "of an earlier life");
+    assert!(
+        pair.heard(Said::Report(of_before), ms(500)).is_none(),
+        "of an earlier life"
+    );
     // Its own second report is the first of known age.
     for now in [600, 900] {
-        pair.gatherer.tick(ms(now), &Cells::default(), &[], 0.5, &mut Vec::new());
+        pair.gatherer
+            .tick(ms(now), &Cells::default(), &[], 0.5, &mut Vec::new());
     }
     assert_eq!(pair.gatherer.gathered().estimate(7, ms(900)), Some(2));
 }
 
 fn tally(here: [u32; 3], sites: &[[u32; 3]]) -> Tally {
-    let found = |[sound, slow, failing]: [u32; 3]| Found { sound, slow, failing };
+    let found = |[sound, slow, failing]: [u32; 3]| Found {
+        sound,
+        slow,
+        failing,
+    };
     Tally::of(found(here), sites.iter().map(|s| found(*s)))
 }
 
@@ -151,10 +186,26 @@
     let fine = tally([3, 0, 0], &[[4, 0, 0], [4, 0, 0]]);
     assert_eq!(judge(Some(Failing), &fine, 3), Judgement::OnlyHere);
     let site = tally([0, 0, 3], &[[4, 0, 0], [4, 0, 0]]);
-    assert_eq!(judge(Some(Failing), &site, 3), Judgement::OnlyHere, "its site's path");
-    assert_eq!(judge(None, &site, 3), Judgement::Sound, "nobody else holds back");
-    assert_eq!(judge(Some(Failing), &tally([0, 0, 9], &[]), 3), Judgement::Unsure, "no other site tried");
-    assert_eq!(judge(Some(Failing), &tally([0, 0, 0], &[]), 1), Judgement::Unsure, "one node of one site");
+    assert_eq!(
+        judge(Some(Failing), &site, 3),
+        Judgement::OnlyHere,
+        "its site's path"
+    );
+    assert_eq!(
+        judge(None, &site, 3),
+        Judgement::Sound,
+        "nobody else holds back"
+    );
+    assert_eq!(
+        judge(Some(Failing), &tally([0, 0, 9], &[]), 3),
+        Judgement::Unsure,
+        "no other site tried"
+    );
+    assert_eq!(
+        judge(Some(Failing), &tally([0, 0, 0], &[]), 1),
+        Judgement::Unsure,
+        "one node of one site"
+    );
     assert_eq!(
         judge(Some(Failing), &tally([0, 0, 1], &[]), 1),
         Judgement::Down,
@@ -165,8 +216,14 @@
     assert_eq!(judge(None, &down, 3), Judgement::Down);
     assert_eq!(judge(Some(Sound), &down, 3), Judgement::Sound);
     // Nine of one site fail, six of two others don't: most, but of one site.
-    assert_eq!(judge(None, &tally([2, 0, 0], &[[0, 0, 9], [2, 0, 0]]), 3), Judgement::Sound);
-    assert_eq!(judge(Some(Slow), &tally([0, 1, 0], &[[0, 2, 0]]), 3), Judgement::Slow);
+    assert_eq!(
+        judge(None, &tally([2, 0, 0], &[[0, 0, 9], [2, 0, 0]]), 3),
+        Judgement::Sound
+    );
+    assert_eq!(
+        judge(Some(Slow), &tally([0, 1, 0], &[[0, 2, 0]]), 3),
+        Judgement::Slow
+    );
     assert_eq!(judge(None, &Tally::default(), 3), Judgement::Unknown);
 }
 
@@ -176,13 +233,22 @@
 fn a_judgement_that_flaps_is_damped() {
     let mut judge = Judge::default();
     judge.look(ms(0), Judgement::Sound, ms(0));
-    assert_eq!(judge.look(ms(100), Judgement::Down, ms(100)), Judgement::Sound);
-    assert_eq!(judge.look(ms(350), Judgement::Sound, ms(350)), Judgement::Sound);
+    assert_eq!(
+        judge.look(ms(100), Judgement::Down, ms(100)),
+        Judgement::Sound
+    );
+    assert_eq!(
+        judge.look(ms(350), Judgement::Sound, ms(350)),
+        Judgement::Sound
+    );
     let mut now = 1000;
     let mut waits = Vec::new();
     for _ in 0..6 {
         judge.look(ms(now), Judgement::Down, ms(now));
-        assert_eq!(judge.look(ms(now + 300), Judgement::Down, ms(now)), Judgement::Down);
+        assert_eq!(
+            judge.look(ms(now + 300), Judgement::Down, ms(now)),
+            Judgement::Down
+        );
         now += 400;
         let since = now;
         while judge.look(ms(now), Judgement::Sound, ms(now)) == Judgement::Down {
@@ -193,8 +259,14 @@
     assert_eq!(waits, [1000, 2000, 4000, 8000, 16_000, 16_000]);
     now += 61_000;
     judge.look(ms(now), Judgement::OnlyHere, ms(now - 1000));
-    assert_eq!(judge.look(ms(now + 900), Judgement::OnlyHere, ms(now + 400)), Judgement::Sound);
-    assert_eq!(judge.look(ms(now + 950), Judgement::OnlyHere, ms(now + 500)), Judgement::OnlyHere);
+    assert_eq!(
+        judge.look(ms(now + 900), Judgement::OnlyHere, ms(now + 400)),
+        Judgement::Sound
+    );
+    assert_eq!(
+        judge.look(ms(now + 950), Judgement::OnlyHere, ms(now + 500)),
+        Judgement::OnlyHere
+    );
 }
 
 /// Guards the evidence: a few attempts say nothing, half of them failing says failing, and what was tried long ago is over.
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -33,7 +33,10 @@
     String::from_utf8(STANDARD.decode(text).expect("base64")).expect("utf-8")
 }
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("clock").as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("clock")
+        .as_millis() as u64
 }
 
 /// The settings of a small site. The deadlines are short, so that what is late shows soon.
@@ -80,7 +83,10 @@
 /// What reads the links at one place of the executor.
 fn serve_links(shared: Arc<Mutex<Runs>>) -> SocketAddr {
     serve(move |stream| {
-        for line in BufReader::new(stream.try_clone().expect("a link")).lines().map_while(Result::ok) {
+        for line in BufReader::new(stream.try_clone().expect("a link"))
+            .lines()
+            .map_while(Result::ok)
+        {
             let command: Value = serde_json::from_str(&line).expect("a command");
             let mut state = lock(&shared);
             if command["action"] == "JOIN" {
@@ -158,7 +164,9 @@
                     }
                     "call" => {
                         self.running.insert(uid.clone(), (body.clone(), true));
-                        self.tell(json!({"action": "CALLOUT", "uid": uid, "content": base64(rest)}));
+                        self.tell(
+                            json!({"action": "CALLOUT", "uid": uid, "content": base64(rest)}),
+                        );
                     }
                     _ => {}
                 }
@@ -168,8 +176,11 @@
                 self.exit(&uid, "OK", Some(&reply));
             }
             Some("BYPASS") if self.running.get(&uid).is_some_and(|(_, waits)| *waits) => {
-                let asked = self.notices.get(command["pos"].as_u64().unwrap_or(0) as usize - 1);
-                let asked = asked.is_some_and(|notice| notice.contains("CALLOUT") && notice.contains(&uid));
+                let asked = self
+                    .notices
+                    .get(command["pos"].as_u64().unwrap_or(0) as usize - 1);
+                let asked =
+                    asked.is_some_and(|notice| notice.contains("CALLOUT") && notice.contains(&uid));
                 self.exit(&uid, "OK", asked.then_some("without the call"));
             }
             Some("KILL") => {
@@ -220,7 +231,11 @@
     /// Ends a run that hangs, well.
     pub fn finish(&self, body: &str) {
         let mut state = lock(&self.state);
-        let uid = state.running.iter().find(|(_, (b, _))| b == body).map(|(uid, _)| uid.clone());
+        let uid = state
+            .running
+            .iter()
+            .find(|(_, (b, _))| b == body)
+            .map(|(uid, _)| uid.clone());
         state.exit(&uid.expect("it runs"), "OK", Some("late result"));
     }
     /// Breaks the link; what is told until the next one is kept for it.
@@ -264,7 +279,12 @@
         let connections = Arc::new(Mutex::new((0, 0)));
         let silent = Arc::new(Mutex::new((0, 0)));
         let held = Arc::new(Mutex::new(Held::default()));
-        let (shared, count, hand, holds) = (calls.clone(), connections.clone(), silent.clone(), held.clone());
+        let (shared, count, hand, holds) = (
+            calls.clone(),
+            connections.clone(),
+            silent.clone(),
+            held.clone(),
+        );
         let address = serve(move |stream| {
             lock(&count).0 += 1;
             lock(&count).1 += 1;
@@ -272,8 +292,10 @@
             while let Some(body) = read_call(&mut from) {
                 *lock(&shared).entry(body.clone()).or_default() += 1;
                 let reply = |status: &str, extra: &str, body: &str| {
-                    let text =
-                        format!("HTTP/1.1 {status}\r\n{extra}Content-Length: {}\r\n\r\n{body}", body.len());
+                    let text = format!(
+                        "HTTP/1.1 {status}\r\n{extra}Content-Length: {}\r\n\r\n{body}",
+                        body.len()
+                    );
                     let _ = (&stream).write_all(text.as_bytes());
                 };
                 match body.split('#').next().unwrap_or("") {
@@ -284,7 +306,11 @@
                             (held.now, held.all) = (held.now + 1, held.all + 1);
                             held.most = held.most.max(held.now);
                         }
-                        let ms = body.split('#').nth(1).and_then(|ms| ms.parse().ok()).unwrap_or(0);
+                        let ms = body
+                            .split('#')
+                            .nth(1)
+                            .and_then(|ms| ms.parse().ok())
+                            .unwrap_or(0);
                         thread::sleep(Duration::from_millis(ms));
                         // Counted down first: who has the answer may begin the next at once.
                         lock(&holds).now -= 1;
@@ -311,7 +337,10 @@
                             hand.0 += 1;
                             hand.1 = hand.1.max(hand.0);
                         }
-                        assert!(read_call(&mut from).is_none(), "one call at a time on a connection");
+                        assert!(
+                            read_call(&mut from).is_none(),
+                            "one call at a time on a connection"
+                        );
                         lock(&hand).0 -= 1;
                         break;
                     }
@@ -319,7 +348,13 @@
             }
             lock(&count).1 -= 1;
         });
-        Database { address, calls, connections, silent, held }
+        Database {
+            address,
+            calls,
+            connections,
+            silent,
+            held,
+        }
     }
     /// What is held; the most begins anew.
     pub fn held(&self) -> Held {
@@ -427,7 +462,11 @@
 
 impl Scratch {
     pub fn new(name: &str, text: &str) -> Scratch {
-        let own = format!("protocol-gateway-{}-{:?}", std::process::id(), thread::current().id());
+        let own = format!(
+            "protocol-gateway-{}-{:?}",
+            std::process::id(),
+            thread::current().id()
+        );
         let dir = std::env::temp_dir().join(own.replace(['(', ')'], ""));
         std::fs::create_dir_all(&dir).expect("a folder");
         let path = dir.join(name);
@@ -441,7 +480,10 @@
         if let Some(dir) = self.0.parent() {
             let others = std::fs::read_dir(dir).into_iter().flatten().flatten();
             // What the nodes themselves leave there goes with the last file of the test's.
-            if others.into_iter().all(|entry| entry.file_name().to_string_lossy().contains(".seat")) {
+            if others
+                .into_iter()
+                .all(|entry| entry.file_name().to_string_lossy().contains(".seat"))
+            {
                 let _ = std::fs::remove_dir_all(dir);
             }
         }
@@ -455,11 +497,17 @@
         return program.into();
     }
     let own = std::env::current_exe().expect("this process has a program");
-    if own.file_name().is_some_and(|name| name == "protocol-gateway") {
+    if own
+        .file_name()
+        .is_some_and(|name| name == "protocol-gateway")
+    {
         return own;
     }
     // Tests stand in target/PROFILE/deps, the program in target/PROFILE.
-    own.ancestors().nth(2).expect("a folder above").join("protocol-gateway")
+    own.ancestors()
+        .nth(2)
+        .expect("a folder above")
+        .join("protocol-gateway")
 }
 
 /// The program's command line under this configuration.
@@ -467,12 +515,22 @@
     let mut command = Command::new(program());
     // What the deploy file's command sets for the program.
     let deploy = include_str!("../../../deploy/balancer.toml");
-    let run = deploy.lines().find_map(|line| line.strip_prefix("run = ")).expect("a command");
-    let words = run.trim_matches('"').split(' ').take_while(|word| *word != "exec");
+    let run = deploy
+        .lines()
+        .find_map(|line| line.strip_prefix("run = "))
+        .expect("a command");
+    let words = run
+        .trim_matches('"')
+        .split(' ')
+        .take_while(|word| *word != "exec");
     command.envs(words.filter_map(|word| word.split_once('=')));
     // The platform's scratch folder: the test's own, which its nodes share.
     command.env("TMPDIR", config.0.parent().expect("a folder"));
-    command.env("PROXY_CONFIG", &config.0).stderr(Stdio::piped()).stdout(Stdio::null()).stdin(Stdio::null());
+    command
+        .env("PROXY_CONFIG", &config.0)
+        .stderr(Stdio::piped())
+        .stdout(Stdio::null())
+        .stdin(Stdio::null());
     command
 }
 
@@ -499,7 +557,10 @@
         let file = Scratch::new("config.json", &config.to_string());
         let mut command = command(&file);
         if let Some(inventory) = inventory {
-            command.arg("--inventory").arg(&inventory.0).env("TEST_AMQP_PASSWORD", "guest");
+            command
+                .arg("--inventory")
+                .arg(&inventory.0)
+                .env("TEST_AMQP_PASSWORD", "guest");
         }
         if let Some(cells) = cells {
             command.arg("--cells").arg(&cells.0);
@@ -510,7 +571,9 @@
         // With another executor, the test itself says what to wait for.
         if config["executor"] == json!(node.executor.address) {
             let mut front = node.front();
-            until("the node is ready", || front.alive()["result"]["ready"] == true);
+            until("the node is ready", || {
+                front.alive()["result"]["ready"] == true
+            });
         }
         node
     }
@@ -528,7 +591,9 @@
         until("the node listens", || node.logged("listening").is_some());
         node.address = node.logged("listening").expect("an address");
         let mut front = node.front();
-        until("the node is ready", || front.alive()["result"]["ready"] == true);
+        until("the node is ready", || {
+            front.alive()["result"]["ready"] == true
+        });
         node
     }
 
@@ -553,7 +618,15 @@
         });
         let (executor, database, list) = peers;
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
-        Node { executor, database, list, address, process, log, config }
+        Node {
+            executor,
+            database,
+            list,
+            address,
+            process,
+            log,
+            config,
+        }
     }
 
     /// A second process of this node beside it, with an executor and a door of its own.
@@ -564,7 +637,10 @@
         config["listen"] = json!(self.address);
         config["admin"] = json!("127.0.0.1:0");
         // Named by its executor, which no other test has.
-        let file = Scratch::new(&format!("{}.json", peers.0.address.port()), &config.to_string());
+        let file = Scratch::new(
+            &format!("{}.json", peers.0.address.port()),
+            &config.to_string(),
+        );
         let mut node = Node::run(command(&file), peers, file);
         node.address = self.address;
         node
@@ -578,7 +654,8 @@
     /// The address that a line of the log tells with these words before it.
     pub fn logged(&self, words: &str) -> Option<SocketAddr> {
         let (log, words) = (lock(&self.log), format!("{words}, at: "));
-        log.lines().find_map(|line| line.split(&words).nth(1)?.split(',').next()?.parse().ok())
+        log.lines()
+            .find_map(|line| line.split(&words).nth(1)?.split(',').next()?.parse().ok())
     }
     /// Where the operators' door is.
     pub fn door(&self) -> SocketAddr {
@@ -600,13 +677,23 @@
             figure.expect("a figure")
         };
         let stat = std::fs::read_to_string(format!("{process}/stat")).expect("a status");
-        let ticks = stat.rsplit(") ").next().expect("fields").split(' ').skip(11).take(2);
+        let ticks = stat
+            .rsplit(") ")
+            .next()
+            .expect("fields")
+            .split(' ')
+            .skip(11)
+            .take(2);
         Usage {
             threads: figure("Threads:"),
-            descriptors: std::fs::read_dir(format!("{process}/fd")).expect("a list").count() as u64,
+            descriptors: std::fs::read_dir(format!("{process}/fd"))
+                .expect("a list")
+                .count() as u64,
             resident_kb: figure("VmRSS:"),
             anonymous_kb: figure("RssAnon:"),
-            processor_ms: ticks.map(|ticks| ticks.parse::<u64>().expect("a figure") * 10).sum(),
+            processor_ms: ticks
+                .map(|ticks| ticks.parse::<u64>().expect("a figure") * 10)
+                .sum(),
         }
     }
     /// The notice to leave.
@@ -620,8 +707,10 @@
     }
     fn signal(&self, name: &str) {
         let pid = self.process.id().to_string();
-        let sent =
-            Command::new("/bin/sh").args(["-c", &format!("kill -{name} {pid}")]).status().expect("kill");
+        let sent = Command::new("/bin/sh")
+            .args(["-c", &format!("kill -{name} {pid}")])
+            .status()
+            .expect("kill");
         assert!(sent.success());
     }
     /// Waits for the process to end by itself.
@@ -658,7 +747,11 @@
         stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
         stream.set_nodelay(true).expect("an option");
         let from = BufReader::new(stream.try_clone().expect("a connection"));
-        Front { stream, from, next: 0 }
+        Front {
+            stream,
+            from,
+            next: 0,
+        }
     }
     pub fn raw(&mut self, line: &str) {
         self.stream.write_all(line.as_bytes()).expect("written");
@@ -681,7 +774,11 @@
     /// The line of a request that is not sent yet, and its id.
     pub fn line(&mut self, class: &str, body: &str, fields: Value) -> (u64, String) {
         self.next += 1;
-        let rid = format!("{:08x}{:08x}", self.stream.local_addr().expect("bound").port(), self.next);
+        let rid = format!(
+            "{:08x}{:08x}",
+            self.stream.local_addr().expect("bound").port(),
+            self.next
+        );
         let mut params = json!({"rid": rid, "t0": unix_ms(), "peer": 4, "acct": "alpenergia", "mem": 24.5, "prio": 0.5,
                                 "body": base64(body)});
         for (name, value) in fields.as_object().into_iter().flatten() {
@@ -692,7 +789,9 @@
     }
     /// Says that nobody waits for this request any more.
     pub fn cancel(&mut self, id: u64) {
-        self.raw(&json!({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": id}}).to_string());
+        self.raw(
+            &json!({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": id}}).to_string(),
+        );
     }
     /// The next message; null at the end of the connection.
     #[allow(clippy::should_implement_trait)] // It has no end to iterate to: null comes again and again.
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,8 +1,8 @@
 //! A backend that never saw the wire: one server, a few requests, and what the module says of them.
 
 use protocol_gateway::{
-    Below, CallerId, Class, ClassId, Effect, Event, FreeValue, Policy, Request, RequestId, Settings,
-    SettingsError, Span, Stopping, Tenant, TenantId, Time,
+    Below, CallerId, Class, ClassId, Effect, Event, FreeValue, Policy, Request, RequestId,
+    Settings, SettingsError, Span, Stopping, Tenant, TenantId, Time,
 };
 
 fn settings(class: Class) -> Settings {
@@ -12,7 +12,9 @@
         servers: 1,
         callers: 1,
         classes: vec![class],
-        tenants: vec![Tenant { allowance_per_s: 100.0 }],
+        tenants: vec![Tenant {
+            allowance_per_s: 100.0,
+        }],
         over_share_worth: 0.1,
         worth_by_work: false,
         memory_kb: 64_000.0,
@@ -43,15 +45,36 @@
     let aim = Span::from_ms(500.0);
     let (deadline, window, effect) = (Span::from_ms(2000.0), Span(0), Effect::Repeatable);
     let (worth, late_worth, skip_worth, aim_stretch) = (1.0, 0.0, 0.0, 0.0);
-    let class =
-        Class { aim, deadline, effect, late_worth, window, worth, aim_stretch, calls: false, skip_worth };
+    let class = Class {
+        aim,
+        deadline,
+        effect,
+        late_worth,
+        window,
+        worth,
+        aim_stretch,
+        calls: false,
+        skip_worth,
+    };
     let mut policy = Policy::new(settings(class), 1)?;
     let mut actions = Vec::new();
     let (id, class, tenant, caller) = (RequestId(1), ClassId(0), Some(TenantId(0)), CallerId(1));
     let (wait_left, hint, repeats, held_kb, age) = (None, None, None, 16.0, Span(0));
     let (has_key, resent, write) = (false, false, false);
-    let read =
-        Request { id, class, tenant, has_key, wait_left, hint, held_kb, resent, write, caller, age, repeats };
+    let read = Request {
+        id,
+        class,
+        tenant,
+        has_key,
+        wait_left,
+        hint,
+        held_kb,
+        resent,
+        write,
+        caller,
+        age,
+        repeats,
+    };
     policy.handle(Time(0), &[Event::Read(read)], &mut actions);
     println!("{actions:?}");
     Ok(())
--- a/examples/repeat.rs
+++ b/examples/repeat.rs
@@ -16,9 +16,11 @@
         settings["specifics"]["keyKb"] = json!(1.0);
     });
     println!("a node listens at {}", node.address);
-    for (what, body) in
-        [("first try", "serve:scan 7"), ("repeat", "serve:scan 7"), ("other body", "serve:scan 8")]
-    {
+    for (what, body) in [
+        ("first try", "serve:scan 7"),
+        ("repeat", "serve:scan 7"),
+        ("other body", "serve:scan 8"),
+    ] {
         let mut front = node.front();
         front.send_with("version-submit", body, json!({"token": TOKEN}));
         println!("{what}: {}", told(&front.answer()));
@@ -29,6 +31,9 @@
 fn told(answer: &Value) -> String {
     match answer["result"]["body"].as_str() {
         Some(body) => format!("served, {:?}", unbase64(body)),
-        None => format!("error {}, {}", answer["error"]["code"], answer["error"]["message"]),
+        None => format!(
+            "error {}, {}",
+            answer["error"]["code"], answer["error"]["message"]
+        ),
     }
 }
--- a/src/amqp/codec.rs
+++ b/src/amqp/codec.rs
@@ -11,7 +11,9 @@
 /// The bytes of a frame.
 pub fn encode(frame: &AMQPFrame) -> io::Result<Vec<u8>> {
     let write = gen_frame::<Vec<u8>>(frame);
-    let (bytes, _) = write(WriteContext::from(Vec::new())).map_err(io::Error::other)?.into_inner();
+    let (bytes, _) = write(WriteContext::from(Vec::new()))
+        .map_err(io::Error::other)?
+        .into_inner();
     Ok(bytes)
 }
 
--- a/src/amqp/connection.rs
+++ b/src/amqp/connection.rs
@@ -85,7 +85,17 @@
         log: Logger,
     ) -> Connection {
         let random = shared.seed ^ (number + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        Connection { number, queues, shared, mailbox, inbox, log, random, life: 0, unsettled: 0 }
+        Connection {
+            number,
+            queues,
+            shared,
+            mailbox,
+            inbox,
+            log,
+            random,
+            life: 0,
+            unsettled: 0,
+        }
     }
 
     pub(super) fn run(mut self) {
@@ -189,13 +199,23 @@
                 }
             }
         })?;
-        let mut link = Link { stream, frames, beat: None, frame: most, choked: Arc::default() };
+        let mut link = Link {
+            stream,
+            frames,
+            beat: None,
+            frame: most,
+            choked: Arc::default(),
+        };
         link.send(&[AMQPFrame::ProtocolHeader(ProtocolVersion::amqp_0_9_1())])?;
         let until = Instant::now() + limits.amqp_handshake;
-        let Method::Start(start) = link.next_method(until)? else { return Err(unexpected("start")) };
+        let Method::Start(start) = link.next_method(until)? else {
+            return Err(unexpected("start"));
+        };
         let mechanisms = start.mechanisms.to_string();
         if !mechanisms.split(' ').any(|name| name == "PLAIN") {
-            return Err(Ended::Broken(format!("the broker offers no PLAIN, only {mechanisms}")));
+            return Err(Ended::Broken(format!(
+                "the broker offers no PLAIN, only {mechanisms}"
+            )));
         }
         let short = |text: &str| ShortString::try_new(text).unwrap_or_default();
         link.method(Method::StartOk(proto::StartOk {
@@ -204,18 +224,33 @@
             response: format!("\0{}\0{}", queue.username, queue.password).into(),
             locale: short("en_US"),
         }))?;
-        let Method::Tune(tune) = link.next_method(until)? else { return Err(unexpected("tune")) };
+        let Method::Tune(tune) = link.next_method(until)? else {
+            return Err(unexpected("tune"));
+        };
         // Zero means no limit; else the smaller holds.
         let least = |theirs: u32, ours: u32| if theirs == 0 { ours } else { theirs.min(ours) };
         let frame_max = least(tune.frame_max, limits.amqp_frame as u32);
-        let heartbeat = least(tune.heartbeat.into(), limits.amqp_heartbeat.as_secs() as u32) as u16;
+        let heartbeat = least(
+            tune.heartbeat.into(),
+            limits.amqp_heartbeat.as_secs() as u32,
+        ) as u16;
         let channel_max = least(tune.channel_max.into(), self.queues.len() as u32) as u16;
         if usize::from(channel_max) < self.queues.len() {
-            return Err(Ended::Broken(format!("the broker allows {channel_max} channels")));
+            return Err(Ended::Broken(format!(
+                "the broker allows {channel_max} channels"
+            )));
         }
-        link.method(Method::TuneOk(proto::TuneOk { channel_max, frame_max, heartbeat }))?;
-        link.method(Method::Open(proto::Open { virtual_host: short(&queue.vhost) }))?;
-        let Method::OpenOk(_) = link.next_method(until)? else { return Err(unexpected("open-ok")) };
+        link.method(Method::TuneOk(proto::TuneOk {
+            channel_max,
+            frame_max,
+            heartbeat,
+        }))?;
+        link.method(Method::Open(proto::Open {
+            virtual_host: short(&queue.vhost),
+        }))?;
+        let Method::OpenOk(_) = link.next_method(until)? else {
+            return Err(unexpected("open-ok"));
+        };
         link.frame = frame_max as usize;
         link.beat = Some(Duration::from_secs(heartbeat.into()) / 2).filter(|beat| !beat.is_zero());
         Ok(link)
@@ -233,8 +268,12 @@
             body: self.shared.limits.amqp_body,
             frame: link.frame,
         };
-        let mut consumers: Vec<Consumer> =
-            self.queues.iter().enumerate().map(|q| Consumer::new(settings(q), &mut steps)).collect();
+        let mut consumers: Vec<Consumer> = self
+            .queues
+            .iter()
+            .enumerate()
+            .map(|q| Consumer::new(settings(q), &mut steps))
+            .collect();
         self.carry_out(link, 0, &mut steps)?;
         let far = Duration::from_secs(3600);
         let (mut heard, mut sent) = (Instant::now(), Instant::now());
@@ -325,14 +364,20 @@
         let (mailbox, choked) = (self.mailbox.clone(), link.choked.clone());
         let reply = Reply::new(move |answer| {
             // The module never waits for a broker.
-            if mailbox.try_send(ToConnection::Answer(life, channel, tag, answer)).is_err() {
+            if mailbox
+                .try_send(ToConnection::Answer(life, channel, tag, answer))
+                .is_err()
+            {
                 choked.store(true, SeqCst);
             }
         });
         let arrival = Arrival {
             rid,
             class: queue.class,
-            tenant: queue.tenant.as_deref().map(|name| self.shared.site.tenant(name)),
+            tenant: queue
+                .tenant
+                .as_deref()
+                .map(|name| self.shared.site.tenant(name)),
             named: queue.tenant.as_deref().map(|name| (name.into(), None)),
             at: unix_now(),
             wait: None,
@@ -353,7 +398,10 @@
         match method {
             Method::Close(close) => {
                 link.method(Method::CloseOk(proto::CloseOk {}))?;
-                Err(Ended::Broken(format!("closed by the broker: {} {}", close.reply_code, close.reply_text)))
+                Err(Ended::Broken(format!(
+                    "closed by the broker: {} {}",
+                    close.reply_code, close.reply_text
+                )))
             }
             Method::Blocked(blocked) => {
                 warn!(self.log, "the broker takes no publishes"; "why" => %blocked.reason);
@@ -366,7 +414,12 @@
 
     fn close(&mut self, link: &Link) -> Result<(), Ended> {
         let reply_text = ShortString::try_new("leaving").unwrap_or_default();
-        link.method(Method::Close(proto::Close { reply_code: 200, reply_text, class_id: 0, method_id: 0 }))?;
+        link.method(Method::Close(proto::Close {
+            reply_code: 200,
+            reply_text,
+            class_id: 0,
+            method_id: 0,
+        }))?;
         let until = Instant::now() + self.shared.limits.amqp_handshake;
         while !matches!(link.next_method(until)?, Method::CloseOk(_)) {}
         info!(self.log, "broker link closed"; "unsettled" => self.unsettled);
--- a/src/amqp/consumer.rs
+++ b/src/amqp/consumer.rs
@@ -174,7 +174,10 @@
     }
 
     fn send(&self, method: AMQPClass, out: &mut Vec<Step>) {
-        out.push(Step::Send(Box::new(AMQPFrame::Method(self.set.channel, method))));
+        out.push(Step::Send(Box::new(AMQPFrame::Method(
+            self.set.channel,
+            method,
+        ))));
     }
     fn basic(&self, method: Basic, out: &mut Vec<Step>) {
         self.send(AMQPClass::Basic(method), out);
@@ -191,7 +194,10 @@
                 if self.state == State::Confirming =>
             {
                 self.state = State::Limiting;
-                let qos = basic::Qos { prefetch_count: self.set.prefetch, global: false };
+                let qos = basic::Qos {
+                    prefetch_count: self.set.prefetch,
+                    global: false,
+                };
                 self.basic(Basic::Qos(qos), out);
             }
             AMQPFrame::Method(_, AMQPClass::Basic(method)) => self.method(method, out),
@@ -215,15 +221,26 @@
         match method {
             Channel::OpenOk(_) if self.state == State::Opening => {
                 self.state = State::Confirming;
-                self.send(AMQPClass::Confirm(Confirm::Select(confirm::Select { nowait: false })), out);
+                self.send(
+                    AMQPClass::Confirm(Confirm::Select(confirm::Select { nowait: false })),
+                    out,
+                );
             }
             Channel::Flow(flow) => {
-                let ok = channel::FlowOk { active: flow.active };
+                let ok = channel::FlowOk {
+                    active: flow.active,
+                };
                 self.send(AMQPClass::Channel(Channel::FlowOk(ok)), out);
             }
             Channel::Close(close) => {
-                self.send(AMQPClass::Channel(Channel::CloseOk(channel::CloseOk {})), out);
-                self.gone(format!("channel closed: {} {}", close.reply_code, close.reply_text), out);
+                self.send(
+                    AMQPClass::Channel(Channel::CloseOk(channel::CloseOk {})),
+                    out,
+                );
+                self.gone(
+                    format!("channel closed: {} {}", close.reply_code, close.reply_text),
+                    out,
+                );
             }
             Channel::CloseOk(_) if self.state == State::Closing => self.state = State::Closed,
             other => self.gone(format!("unexpected {other:?}"), out),
@@ -257,7 +274,9 @@
             }
             // The broker has ended the consumer, as when the queue is deleted.
             Basic::Cancel(_) => self.gone("consumer cancelled by the broker".into(), out),
-            Basic::Deliver(deliver) if self.partial.is_none() => self.begin(Content::Deliver(deliver)),
+            Basic::Deliver(deliver) if self.partial.is_none() => {
+                self.begin(Content::Deliver(deliver))
+            }
             Basic::Return(_) if self.partial.is_none() => self.begin(Content::Return),
             Basic::Ack(ack) => self.confirmed(ack.delivery_tag, ack.multiple, true, out),
             Basic::Nack(nack) => self.confirmed(nack.delivery_tag, nack.multiple, false, out),
@@ -267,7 +286,13 @@
 
     fn begin(&mut self, method: Content) {
         let properties = AMQPProperties::default();
-        self.partial = Some(Partial { method, properties, left: None, body: Vec::new(), too_long: false });
+        self.partial = Some(Partial {
+            method,
+            properties,
+            left: None,
+            body: Vec::new(),
+            too_long: false,
+        });
     }
 
     fn header(&mut self, header: AMQPContentHeader, out: &mut Vec<Step>) {
@@ -299,8 +324,16 @@
 
     /// Takes the message that is coming, if all of it is there.
     fn whole(&mut self, out: &mut Vec<Step>) {
-        let Some(partial) = self.partial.take_if(|p| p.left == Some(0)) else { return };
-        let Partial { method, properties, body, too_long, .. } = partial;
+        let Some(partial) = self.partial.take_if(|p| p.left == Some(0)) else {
+            return;
+        };
+        let Partial {
+            method,
+            properties,
+            body,
+            too_long,
+            ..
+        } = partial;
         let deliver = match method {
             Content::Deliver(deliver) => deliver,
             Content::Return => {
@@ -318,25 +351,56 @@
             .filter(|id| !id.is_empty());
         let malformed = match () {
             () if too_long => Some("message too long"),
-            () if self.set.once && message_id.is_none() => Some("no message_id on what must not run twice"),
+            () if self.set.once && message_id.is_none() => {
+                Some("no message_id on what must not run twice")
+            }
             () => None,
         };
         if let Some(why) = malformed {
             out.push(Step::Malformed(why));
-            return self.basic(Basic::Reject(basic::Reject { delivery_tag: tag, requeue: false }), out);
+            return self.basic(
+                Basic::Reject(basic::Reject {
+                    delivery_tag: tag,
+                    requeue: false,
+                }),
+                out,
+            );
         }
-        let kept = if self.set.once { body.clone() } else { Vec::new() };
-        self.ledger.insert(tag, Held { properties, body: kept, settling: false });
+        let kept = if self.set.once {
+            body.clone()
+        } else {
+            Vec::new()
+        };
+        self.ledger.insert(
+            tag,
+            Held {
+                properties,
+                body: kept,
+                settling: false,
+            },
+        );
         let (redelivered, late) = (deliver.redelivered, self.leaving);
-        out.push(Step::Deliver(Delivery { tag, redelivered, message_id, late, body }));
+        out.push(Step::Deliver(Delivery {
+            tag,
+            redelivered,
+            message_id,
+            late,
+            body,
+        }));
     }
 
     // ---- answers ----
 
     /// Takes the core's answer to a delivery and settles it.
     pub fn answer(&mut self, tag: u64, answer: &Answer, out: &mut Vec<Step>) {
-        let Some(held) = self.ledger.get_mut(&tag).filter(|held| !held.settling) else { return };
-        let reply_to = held.properties.reply_to().clone().filter(|to| !to.as_str().is_empty());
+        let Some(held) = self.ledger.get_mut(&tag).filter(|held| !held.settling) else {
+            return;
+        };
+        let reply_to = held
+            .properties
+            .reply_to()
+            .clone()
+            .filter(|to| !to.as_str().is_empty());
         let (status, body, reason, dead) = match &answer.outcome {
             Outcome::Served(body) => match body.to_bytes() {
                 Some(bytes) => ("served", bytes, None, false),
@@ -346,12 +410,23 @@
             Outcome::Refused { .. } | Outcome::Elsewhere { .. } if self.leaving => {
                 return self.hand_back(tag, out)
             }
-            Outcome::Refused { .. } | Outcome::Elsewhere { .. } => ("refused", Vec::new(), None, false),
-            Outcome::Failed(why) => ("failed", Vec::new(), Some(why.word()), *why == Failure::MayHaveRun),
+            Outcome::Refused { .. } | Outcome::Elsewhere { .. } => {
+                ("refused", Vec::new(), None, false)
+            }
+            Outcome::Failed(why) => (
+                "failed",
+                Vec::new(),
+                Some(why.word()),
+                *why == Failure::MayHaveRun,
+            ),
         };
         let Some(reply_to) = reply_to else {
             // A result that nobody asked for is done with; an error that nobody hears of goes to the dead letters.
-            return if status == "served" { self.ack(tag, out) } else { self.reject(tag, false, out) };
+            return if status == "served" {
+                self.ack(tag, out)
+            } else {
+                self.reject(tag, false, out)
+            };
         };
         held.settling = true;
         let mut headers = FieldTable::default();
@@ -371,13 +446,22 @@
                 _ => 0,
             };
             put(RETRY_AFTER, AMQPValue::LongLongInt(after));
-            put(MAY_RETRY, AMQPValue::Boolean(status == "refused" || !self.set.once));
+            put(
+                MAY_RETRY,
+                AMQPValue::Boolean(status == "refused" || !self.set.once),
+            );
         }
-        let mut properties = AMQPProperties::default().with_headers(headers).with_type(short(status));
+        let mut properties = AMQPProperties::default()
+            .with_headers(headers)
+            .with_type(short(status));
         if let Some(id) = held.properties.correlation_id() {
             properties = properties.with_correlation_id(id.clone());
         }
-        let then = if dead { Then::DeadLetter(tag) } else { Then::Ack(tag) };
+        let then = if dead {
+            Then::DeadLetter(tag)
+        } else {
+            Then::Ack(tag)
+        };
         self.publish(reply_to, false, properties, &body, then, out);
     }
 
@@ -388,7 +472,9 @@
         }
         // A requeue would mark it as delivered before, and then nobody may run it. A copy carries no such mark;
         // the original goes only once the broker has the copy.
-        let Some(held) = self.ledger.get_mut(&tag) else { return };
+        let Some(held) = self.ledger.get_mut(&tag) else {
+            return;
+        };
         held.settling = true;
         let times = match header_of(&held.properties, HANDED_BACK) {
             Some(AMQPValue::LongLongInt(times)) => *times,
@@ -397,7 +483,14 @@
         let marks = [(HANDED_BACK, times + 1), (COPY, self.published as i64 + 1)];
         let properties = copy_of(&held.properties, marks);
         let body = std::mem::take(&mut held.body);
-        self.publish(self.set.queue.clone(), true, properties, &body, Then::HandedBack(tag), out);
+        self.publish(
+            self.set.queue.clone(),
+            true,
+            properties,
+            &body,
+            Then::HandedBack(tag),
+            out,
+        );
     }
 
     fn publish(
@@ -412,22 +505,43 @@
         self.published += 1;
         self.confirms.insert(self.published, then);
         let exchange = ShortString::default();
-        let publish = basic::Publish { exchange, routing_key, mandatory, immediate: false };
+        let publish = basic::Publish {
+            exchange,
+            routing_key,
+            mandatory,
+            immediate: false,
+        };
         self.basic(Basic::Publish(publish), out);
-        let header = AMQPContentHeader { class_id: BASIC, body_size: body.len() as u64, properties };
-        out.push(Step::Send(Box::new(AMQPFrame::Header(self.set.channel, header))));
+        let header = AMQPContentHeader {
+            class_id: BASIC,
+            body_size: body.len() as u64,
+            properties,
+        };
+        out.push(Step::Send(Box::new(AMQPFrame::Header(
+            self.set.channel,
+            header,
+        ))));
         for chunk in body.chunks(self.set.frame.saturating_sub(8).max(1)) {
-            out.push(Step::Send(Box::new(AMQPFrame::Body(self.set.channel, chunk.to_vec()))));
+            out.push(Step::Send(Box::new(AMQPFrame::Body(
+                self.set.channel,
+                chunk.to_vec(),
+            ))));
         }
     }
 
     /// The broker has taken publishes, or has failed to.
     fn confirmed(&mut self, number: u64, multiple: bool, taken: bool, out: &mut Vec<Step>) {
-        let numbers: Vec<u64> =
-            if multiple { self.confirms.range(..=number).map(|(n, _)| *n).collect() } else { vec![number] };
+        let numbers: Vec<u64> = if multiple {
+            self.confirms.range(..=number).map(|(n, _)| *n).collect()
+        } else {
+            vec![number]
+        };
         for number in numbers {
-            let came_back =
-                self.returned.iter().position(|n| *n == number).map(|at| self.returned.swap_remove(at));
+            let came_back = self
+                .returned
+                .iter()
+                .position(|n| *n == number)
+                .map(|at| self.returned.swap_remove(at));
             match self.confirms.remove(&number) {
                 // The answer is as good as given; if the broker lost it, running again would be worse.
                 Some(Then::Ack(tag)) => self.ack(tag, out),
@@ -441,7 +555,13 @@
 
     fn ack(&mut self, tag: u64, out: &mut Vec<Step>) {
         if self.ledger.remove(&tag).is_some() {
-            self.basic(Basic::Ack(basic::Ack { delivery_tag: tag, multiple: false }), out);
+            self.basic(
+                Basic::Ack(basic::Ack {
+                    delivery_tag: tag,
+                    multiple: false,
+                }),
+                out,
+            );
             self.finish(out);
         }
     }
@@ -449,9 +569,16 @@
     fn reject(&mut self, tag: u64, requeue: bool, out: &mut Vec<Step>) {
         if self.ledger.remove(&tag).is_some() {
             let method = if requeue {
-                Basic::Nack(basic::Nack { delivery_tag: tag, multiple: false, requeue })
+                Basic::Nack(basic::Nack {
+                    delivery_tag: tag,
+                    multiple: false,
+                    requeue,
+                })
             } else {
-                Basic::Reject(basic::Reject { delivery_tag: tag, requeue })
+                Basic::Reject(basic::Reject {
+                    delivery_tag: tag,
+                    requeue,
+                })
             };
             self.basic(method, out);
             self.finish(out);
@@ -469,14 +596,25 @@
 
     fn cancel(&mut self, out: &mut Vec<Step>) {
         self.state = State::Cancelling;
-        self.basic(Basic::Cancel(basic::Cancel { consumer_tag: self.tag(), nowait: false }), out);
+        self.basic(
+            Basic::Cancel(basic::Cancel {
+                consumer_tag: self.tag(),
+                nowait: false,
+            }),
+            out,
+        );
     }
 
     fn finish(&mut self, out: &mut Vec<Step>) {
         if self.state == State::Cancelled && self.ledger.is_empty() && self.partial.is_none() {
             self.state = State::Closing;
             let (reply_code, reply_text) = (200, short("leaving"));
-            let close = channel::Close { reply_code, reply_text, class_id: 0, method_id: 0 };
+            let close = channel::Close {
+                reply_code,
+                reply_text,
+                class_id: 0,
+                method_id: 0,
+            };
             self.send(AMQPClass::Channel(Channel::Close(close)), out);
         }
     }
@@ -509,5 +647,8 @@
 }
 
 fn header_of<'a>(properties: &'a AMQPProperties, name: &str) -> Option<&'a AMQPValue> {
-    properties.headers().as_ref().and_then(|headers| headers.inner().get(name))
+    properties
+        .headers()
+        .as_ref()
+        .and_then(|headers| headers.inner().get(name))
 }
--- a/src/amqp/mod.rs
+++ b/src/amqp/mod.rs
@@ -53,7 +53,13 @@
     ) -> io::Result<Amqp> {
         let mut groups: BTreeMap<_, Vec<Queue>> = BTreeMap::new();
         for q in queues {
-            let broker = (q.host.clone(), q.port, q.vhost.clone(), q.username.clone(), q.password.clone());
+            let broker = (
+                q.host.clone(),
+                q.port,
+                q.vhost.clone(),
+                q.username.clone(),
+                q.password.clone(),
+            );
             groups.entry(broker).or_default().push(q);
         }
         let shared = Arc::new(Shared {
--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -11,7 +11,9 @@
     let mut host = Host::default();
     let mut out = io::stdout().lock();
     for (number, line) in io::stdin().lock().lines().enumerate() {
-        let reply = line.map_err(|e| e.to_string()).and_then(|line| host.line(&line));
+        let reply = line
+            .map_err(|e| e.to_string())
+            .and_then(|line| host.line(&line));
         let written = match reply {
             Ok(reply) => writeln!(out, "{reply}").and_then(|()| out.flush()),
             Err(what) => {
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -44,7 +44,11 @@
 impl fmt::Debug for Queue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         // Passwords stay out of logs and test output.
-        write!(f, "{}:{}{} {} ({})", self.host, self.port, self.vhost, self.queue, self.prefetch)
+        write!(
+            f,
+            "{}:{}{} {} ({})",
+            self.host, self.port, self.vhost, self.queue, self.prefetch
+        )
     }
 }
 
@@ -124,15 +128,30 @@
     env: impl Fn(&str) -> Option<String>,
 ) -> Result<Vec<Queue>, InventoryError> {
     let file = path.display().to_string();
-    let whole = |what| InventoryError { file: file.clone(), line: 0, field: String::new(), what };
-    let text = std::fs::read_to_string(path).map_err(|e| whole(Problem::Unreadable(e.to_string())))?;
-    let ending = path.extension().and_then(|e| e.to_str()).unwrap_or("").to_ascii_lowercase();
+    let whole = |what| InventoryError {
+        file: file.clone(),
+        line: 0,
+        field: String::new(),
+        what,
+    };
+    let text =
+        std::fs::read_to_string(path).map_err(|e| whole(Problem::Unreadable(e.to_string())))?;
+    let ending = path
+        .extension()
+        .and_then(|e| e.to_str())
+        .unwrap_or("")
+        .to_ascii_lowercase();
     let records = match ending.as_str() {
         "csv" => csv_records(&text),
         "yaml" | "yml" => yaml_records(&text),
         _ => return Err(whole(Problem::UnknownKind)),
     };
-    let place = |(line, field, what): Fault| InventoryError { file: file.clone(), line, field, what };
+    let place = |(line, field, what): Fault| InventoryError {
+        file: file.clone(),
+        line,
+        field,
+        what,
+    };
     let records = records.map_err(place)?;
     if records.is_empty() {
         return Err(whole(Problem::Empty));
@@ -141,7 +160,12 @@
     let mut queues = Vec::new();
     for record in records {
         let queue = record.queue(site, limits, &env).map_err(place)?;
-        if !seen.insert((queue.host.clone(), queue.port, queue.vhost.clone(), queue.queue.clone())) {
+        if !seen.insert((
+            queue.host.clone(),
+            queue.port,
+            queue.vhost.clone(),
+            queue.queue.clone(),
+        )) {
             let line = record.vars.get("queue").map_or(record.line, |v| v.line);
             return Err(place((line, "queue".into(), Problem::Duplicate)));
         }
@@ -161,7 +185,9 @@
 
     /// A text that AMQP can carry as a short string.
     fn text(&self, field: &str) -> Result<Option<String>, Fault> {
-        let Some(value) = self.vars.get(field) else { return Ok(None) };
+        let Some(value) = self.vars.get(field) else {
+            return Ok(None);
+        };
         match &value.text {
             Some(text) if text.len() <= 255 => Ok(Some(text.clone()).filter(|t| !t.is_empty())),
             Some(_) => self.fault(field, Problem::Bad("longer than 255 bytes".into())),
@@ -188,11 +214,17 @@
         env: &impl Fn(&str) -> Option<String>,
     ) -> Result<Queue, Fault> {
         // A host's own name is its address unless the file says otherwise, as with configuration tools.
-        let named = self.text("host")?.or(self.text("ansible_host")?).or(Some(self.name.clone()));
+        let named = self
+            .text("host")?
+            .or(self.text("ansible_host")?)
+            .or(Some(self.name.clone()));
         let host = self.must("host", named.filter(|n| !n.is_empty()))?;
         let class_name = self.must("class", self.text("class")?)?;
         let Some(class) = site.class(&class_name) else {
-            return self.fault("class", Problem::Bad(format!("no class named {class_name}")));
+            return self.fault(
+                "class",
+                Problem::Bad(format!("no class named {class_name}")),
+            );
         };
         let tenant = self.text("tenant")?;
         if let Some(tenant) = tenant.as_deref().filter(|t| !site.knows_tenant(t)) {
@@ -200,11 +232,17 @@
         }
         let variable = self.must("password_env", self.text("password_env")?)?;
         let Some(password) = env(&variable) else {
-            return self.fault("password_env", Problem::Bad(format!("{variable} is not set")));
+            return self.fault(
+                "password_env",
+                Problem::Bad(format!("{variable} is not set")),
+            );
         };
         let prefetch = self.must("prefetch", self.number("prefetch")?)?;
         if prefetch > limits.prefetch {
-            return self.fault("prefetch", Problem::Bad(format!("more than {}", limits.prefetch)));
+            return self.fault(
+                "prefetch",
+                Problem::Bad(format!("more than {}", limits.prefetch)),
+            );
         }
         let held = self.number("held_kb")?;
         Ok(Queue {
@@ -213,7 +251,11 @@
             vhost: self.text("vhost")?.unwrap_or_else(|| "/".into()),
             queue: self.must("queue", self.text("queue")?)?,
             class,
-            once: site.settings.classes.get(class.0).is_none_or(|c| c.effect != Effect::Repeatable),
+            once: site
+                .settings
+                .classes
+                .get(class.0)
+                .is_none_or(|c| c.effect != Effect::Repeatable),
             tenant,
             prefetch,
             held_kb: held.map_or(DEFAULT_HELD_KB, f64::from),
@@ -227,8 +269,10 @@
 const DEFAULT_HELD_KB: f64 = 40.0;
 
 fn csv_records(text: &str) -> Result<Vec<Record>, Fault> {
-    let mut reader =
-        csv::ReaderBuilder::new().trim(csv::Trim::All).comment(Some(b'#')).from_reader(text.as_bytes());
+    let mut reader = csv::ReaderBuilder::new()
+        .trim(csv::Trim::All)
+        .comment(Some(b'#'))
+        .from_reader(text.as_bytes());
     let malformed = |e: csv::Error| {
         let line = e.position().map_or(0, |p| p.line() as usize);
         (line, String::new(), Problem::Malformed(e.to_string()))
@@ -243,10 +287,25 @@
         let row = row.map_err(malformed)?;
         let line = row.position().map_or(0, |p| p.line() as usize);
         // An empty cell is a variable that is not set.
-        let cells = header.iter().zip(row.iter()).filter(|(_, cell)| !cell.is_empty());
-        let vars: BTreeMap<String, Value> =
-            cells.map(|(c, cell)| (c.to_string(), Value { line, text: Some(cell.to_string()) })).collect();
-        let name = vars.get("inventory_hostname").and_then(|v| v.text.clone()).unwrap_or_default();
+        let cells = header
+            .iter()
+            .zip(row.iter())
+            .filter(|(_, cell)| !cell.is_empty());
+        let vars: BTreeMap<String, Value> = cells
+            .map(|(c, cell)| {
+                (
+                    c.to_string(),
+                    Value {
+                        line,
+                        text: Some(cell.to_string()),
+                    },
+                )
+            })
+            .collect();
+        let name = vars
+            .get("inventory_hostname")
+            .and_then(|v| v.text.clone())
+            .unwrap_or_default();
         records.push(Record { line, name, vars });
     }
     Ok(records)
@@ -256,8 +315,13 @@
 type Vars = BTreeMap<String, Value>;
 
 fn yaml_records(text: &str) -> Result<Vec<Record>, Fault> {
-    let documents = Node::load_from_str(text)
-        .map_err(|e| (e.marker().line(), String::new(), Problem::Malformed(e.info().to_string())))?;
+    let documents = Node::load_from_str(text).map_err(|e| {
+        (
+            e.marker().line(),
+            String::new(),
+            Problem::Malformed(e.info().to_string()),
+        )
+    })?;
     let mut records = Vec::new();
     let mut hosts = HashSet::new();
     for document in &documents {
@@ -270,8 +334,13 @@
 
 /// The keys and values of a mapping; one that is left empty has none.
 fn entries<'a>(node: &'a Node, field: &str) -> Result<Vec<(String, &'a Node)>, Fault> {
-    let wrong =
-        |node: &Node, what: &str| (node.span.start.line(), field.to_string(), Problem::Bad(what.into()));
+    let wrong = |node: &Node, what: &str| {
+        (
+            node.span.start.line(),
+            field.to_string(),
+            Problem::Bad(what.into()),
+        )
+    };
     match &node.data {
         YamlDataOwned::Mapping(map) => map
             .iter()
@@ -291,10 +360,18 @@
         let text = match &value.data {
             YamlDataOwned::Value(ScalarOwned::String(text)) => Some(text.clone()),
             // Numbers stand for themselves only where a number is asked for.
-            YamlDataOwned::Value(ScalarOwned::Integer(n)) if is_number(&name) => Some(n.to_string()),
+            YamlDataOwned::Value(ScalarOwned::Integer(n)) if is_number(&name) => {
+                Some(n.to_string())
+            }
             _ => None,
         };
-        vars.insert(name, Value { line: value.span.start.line(), text });
+        vars.insert(
+            name,
+            Value {
+                line: value.span.start.line(),
+                text,
+            },
+        );
     }
     Ok(())
 }
@@ -311,7 +388,12 @@
     records: &mut Vec<Record>,
 ) -> Result<(), Fault> {
     let parts = entries(group, name)?;
-    let part = |wanted: &str| parts.iter().find(|(part, _)| part == wanted).map(|(_, node)| *node);
+    let part = |wanted: &str| {
+        parts
+            .iter()
+            .find(|(part, _)| part == wanted)
+            .map(|(_, node)| *node)
+    };
     let mut vars = outer.clone();
     if let Some(node) = part("vars") {
         add_vars(&mut vars, node, "vars")?;
@@ -324,7 +406,11 @@
             }
             let mut vars = vars.clone();
             add_vars(&mut vars, own, &host)?;
-            records.push(Record { line, name: host, vars });
+            records.push(Record {
+                line,
+                name: host,
+                vars,
+            });
         }
     }
     if let Some(node) = part("children") {
--- a/src/main.rs
+++ b/src/main.rs
@@ -29,7 +29,11 @@
 
 /// A billing node; with a command, what stands around one. `PROXY_CONFIG` names the node's configuration.
 #[derive(Parser)]
-#[command(name = "protocol-gateway", version, args_conflicts_with_subcommands = true)]
+#[command(
+    name = "protocol-gateway",
+    version,
+    args_conflicts_with_subcommands = true
+)]
 struct Cli {
     /// The broker queues to consume from, in .yaml, .yml or .csv.
     #[arg(long, value_name = "FILE")]
@@ -70,28 +74,35 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match &cli.command {
-        None => serve(&cli).map_err(|e| e.to_string()),
-        Some(Command::Cells(command)) => cells_cli::run(command).map_err(|e| e.to_string()).map(|text| {
-            print!("{text}");
-            ExitCode::SUCCESS
-        }),
-        Some(Command::Fleet(command)) => fleet_cli::run(command).map_err(|e| e.to_string()).map(|text| {
-            print!("{text}");
-            ExitCode::SUCCESS
-        }),
-        Some(Command::Faults { file }) => fault_testbed::script::Script::read(file)
-            .and_then(|play| play.play(true))
-            .map(|_| ExitCode::SUCCESS)
-            .map_err(|e| e.to_string()),
-        Some(Command::Demo(demo)) => {
-            signals(&Limits::new(64)).map_err(|e| e.to_string()).and_then(|signals| {
-                let ended = || signals.leave.try_recv().is_ok();
-                fault_testbed::demo::run(demo, ended).map(|()| ExitCode::SUCCESS).map_err(|e| e.to_string())
-            })
-        }
-        Some(Command::Route { file }) => route(file).map_err(|e| e.to_string()),
-    };
+    let done =
+        match &cli.command {
+            None => serve(&cli).map_err(|e| e.to_string()),
+            Some(Command::Cells(command)) => cells_cli::run(command)
+                .map_err(|e| e.to_string())
+                .map(|text| {
+                    print!("{text}");
+                    ExitCode::SUCCESS
+                }),
+            Some(Command::Fleet(command)) => fleet_cli::run(command)
+                .map_err(|e| e.to_string())
+                .map(|text| {
+                    print!("{text}");
+                    ExitCode::SUCCESS
+                }),
+            Some(Command::Faults { file }) => fault_testbed::script::Script::read(file)
+                .and_then(|play| play.play(true))
+                .map(|_| ExitCode::SUCCESS)
+                .map_err(|e| e.to_string()),
+            Some(Command::Demo(demo)) => signals(&Limits::new(64))
+                .map_err(|e| e.to_string())
+                .and_then(|signals| {
+                    let ended = || signals.leave.try_recv().is_ok();
+                    fault_testbed::demo::run(demo, ended)
+                        .map(|()| ExitCode::SUCCESS)
+                        .map_err(|e| e.to_string())
+                }),
+            Some(Command::Route { file }) => route(file).map_err(|e| e.to_string()),
+        };
     done.unwrap_or_else(|e| {
         eprintln!("protocol-gateway: {e}");
         ExitCode::FAILURE
@@ -106,10 +117,12 @@
     // The wait for a signal is that of any node's.
     let limits = Limits::new(config.clients);
     let signals = signals(&limits).map_err(system("signals"))?;
-    let seed =
-        std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default().as_nanos()
-            as u64;
-    let router = RouterLoop::bind(config, Rules::default(), seed, &log).map_err(system("listen"))?;
+    let seed = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_nanos() as u64;
+    let router =
+        RouterLoop::bind(config, Rules::default(), seed, &log).map_err(system("listen"))?;
     let handle = router.handle();
     info!(log, "listening"; "at" => %handle.address);
     let (tell, ended) = bounded(1);
@@ -154,26 +167,42 @@
 
 fn logger(name: &str) -> Logger {
     let decorator = slog_term::PlainSyncDecorator::new(io::stderr());
-    let drain = slog_term::FullFormat::new(decorator).use_utc_timestamp().build().fuse();
+    let drain = slog_term::FullFormat::new(decorator)
+        .use_utc_timestamp()
+        .build()
+        .fuse();
     Logger::root(drain, o!("node" => name.to_string()))
 }
 
 fn serve(cli: &Cli) -> Result<ExitCode, StartError> {
     let (inventory, cells) = (cli.inventory.as_deref(), cli.cells.as_deref());
     let config = Config::from_env().map_err(StartError::Config)?;
-    let in_fleet = cli.fleet.as_deref().map(fleet::Config::read).transpose().map_err(StartError::Fleet)?;
+    let in_fleet = cli
+        .fleet
+        .as_deref()
+        .map(fleet::Config::read)
+        .transpose()
+        .map_err(StartError::Fleet)?;
     let mut limits = Limits::new(config.sockets).within(config.memory_mb);
     let env = |name: &str| std::env::var(name).ok();
-    let queues = inventory.map_or(Ok(Vec::new()), |file| inventory::read(file, &config.site, &limits, env));
+    let queues = inventory.map_or(Ok(Vec::new()), |file| {
+        inventory::read(file, &config.site, &limits, env)
+    });
     let queues = queues.map_err(StartError::Inventory)?;
-    let cells =
-        cells.map(|file| Confinement::read(file, &config.name)).transpose().map_err(StartError::Cells)?;
+    let cells = cells
+        .map(|file| Confinement::read(file, &config.name))
+        .transpose()
+        .map_err(StartError::Cells)?;
     limits.front.connections = limits.front.connections.saturating_sub(queues.len());
     let system = |what| move |e| StartError::System(what, e);
     let log = logger(&config.name);
     let signals = signals(&limits).map_err(system("signals"))?;
     let clients = take_address(config.listen, config.door.is_some()).map_err(system("listen"))?;
-    let door = config.door.map(TcpListener::bind).transpose().map_err(system("door"))?;
+    let door = config
+        .door
+        .map(TcpListener::bind)
+        .transpose()
+        .map_err(system("door"))?;
 
     let board = Arc::new(Board::default());
     let (module, inbox) = bounded(limits.module_mailbox);
@@ -185,16 +214,29 @@
     let site = Arc::new(config.site);
     let database_log = log.new(o!("actor" => "database"));
     let database = Arc::new(Address::new(config.database));
-    let budgeted = in_fleet.as_ref().is_some_and(|f| f.budgets.iter().any(|b| *b.name == *fleet::LEDGER));
-    let shares = in_fleet.as_ref().filter(|f| f.counts || f.judgements).map(|_| fleet::Shares::default());
-    let judged = in_fleet.as_ref().filter(|f| f.judgements).and(shares.clone());
-    let guard =
-        (budgeted || judged.is_some()).then(|| database::Guard::new(database::Budget::new(budgeted, judged)));
+    let budgeted = in_fleet
+        .as_ref()
+        .is_some_and(|f| f.budgets.iter().any(|b| *b.name == *fleet::LEDGER));
+    let shares = in_fleet
+        .as_ref()
+        .filter(|f| f.counts || f.judgements)
+        .map(|_| fleet::Shares::default());
+    let judged = in_fleet
+        .as_ref()
+        .filter(|f| f.judgements)
+        .and(shares.clone());
+    let guard = (budgeted || judged.is_some())
+        .then(|| database::Guard::new(database::Budget::new(budgeted, judged)));
     let calls = database::start(&database, guard.clone(), &limits, &module, &database_log)
         .map_err(system("threads"))?;
-    let waiting = guard.clone().map(|budget| Box::new(move |requests| budget.waits(requests)) as Box<_>);
+    let waiting = guard
+        .clone()
+        .map(|budget| Box::new(move |requests| budget.waits(requests)) as Box<_>);
     let counts = in_fleet.as_ref().filter(|f| f.counts).and(shares.clone());
-    let counts = counts.map(|s| Counting { live: s.live(), others: Box::new(move |keys| s.others(keys)) });
+    let counts = counts.map(|s| Counting {
+        live: s.live(),
+        others: Box::new(move |keys| s.others(keys)),
+    });
     let peers = Peers {
         executor: to_executor,
         database: Box::new(move |call| calls.make(call)),
@@ -217,26 +259,49 @@
     })
     .map_err(system("threads"))?;
 
-    let (at, own, own_log) = (config.executor, limits.clone(), log.new(o!("actor" => "executor")));
-    let mailboxes = executor::Mailboxes { commands: executor_inbox, moves, module: module.clone() };
-    spawn("executor", limits.stack, move || executor::run(at, &own, &mailboxes, &own_log))
-        .map_err(system("threads"))?;
-    let (at, own, own_log, own_board) =
-        (config.members, limits.clone(), log.new(o!("actor" => "list")), board.clone());
+    let (at, own, own_log) = (
+        config.executor,
+        limits.clone(),
+        log.new(o!("actor" => "executor")),
+    );
+    let mailboxes = executor::Mailboxes {
+        commands: executor_inbox,
+        moves,
+        module: module.clone(),
+    };
+    spawn("executor", limits.stack, move || {
+        executor::run(at, &own, &mailboxes, &own_log)
+    })
+    .map_err(system("threads"))?;
+    let (at, own, own_log, own_board) = (
+        config.members,
+        limits.clone(),
+        log.new(o!("actor" => "list")),
+        board.clone(),
+    );
     let name = config.name.clone();
-    spawn("list", limits.stack, move || membership::run(at, &name, &own, &own_board, &list_inbox, &own_log))
-        .map_err(system("threads"))?;
+    spawn("list", limits.stack, move || {
+        membership::run(at, &name, &own, &own_board, &list_inbox, &own_log)
+    })
+    .map_err(system("threads"))?;
     let front_log = log.new(o!("actor" => "front"));
     let amqp_log = log.new(o!("actor" => "amqp"));
-    let amqp = Amqp::start(queues, (site.clone(), config.seed), &limits, &board, &module, &amqp_log)
+    let amqp = Amqp::start(
+        queues,
+        (site.clone(), config.seed),
+        &limits,
+        &board,
+        &module,
+        &amqp_log,
+    )
+    .map_err(system("threads"))?;
+    let front = Front::start(site.clone(), &limits, &board, &module, &front_log)
         .map_err(system("threads"))?;
-    let front =
-        Front::start(site.clone(), &limits, &board, &module, &front_log).map_err(system("threads"))?;
     let (to_main, changed) = bounded(1);
     if let Some(listener) = door {
         let door_log = log.new(o!("actor" => "door"));
-        let at =
-            door::start(listener, &board, to_main.clone(), &limits, &door_log).map_err(system("door"))?;
+        let at = door::start(listener, &board, to_main.clone(), &limits, &door_log)
+            .map_err(system("door"))?;
         info!(log, "door"; "at" => %at);
     }
     let listen = |clients: Socket| -> io::Result<SocketAddr> {
@@ -257,8 +322,9 @@
     }
 
     // Where there is a door another process may stand beside this one.
-    let mut standing =
-        config.door.map_or(Standing::Alone, |_| Standing::new(&std::env::temp_dir(), &config.name));
+    let mut standing = config.door.map_or(Standing::Alone, |_| {
+        Standing::new(&std::env::temp_dir(), &config.name)
+    });
     standing.look(board.state(), &log);
     let mut divide = Divide {
         parts: Parts::new(&std::env::temp_dir(), &config.name, &standing),
@@ -268,13 +334,21 @@
         log: log.clone(),
     };
     divide.look(&standing, front.connections());
-    let mut member =
-        Member::new(in_fleet, cli.fleet.as_deref(), &config.name, &limits, (guard, shares), &log);
+    let mut member = Member::new(
+        in_fleet,
+        cli.fleet.as_deref(),
+        &config.name,
+        &limits,
+        (guard, shares),
+        &log,
+    );
     // One that is to replace another stays out of the fleet until it takes clients: the name is the other's so long.
     let another = |standing: &Standing| !standing.may_take() || standing.beside() != Beside::Nobody;
     member.beside(another(&standing));
     if standing.beside() != Beside::Taking {
-        member.join(board.state(), serves).map_err(system("fleet"))?;
+        member
+            .join(board.state(), serves)
+            .map_err(system("fleet"))?;
     }
     let pace = |divide: &Divide| match config.door {
         Some(_) if divide.whole() => after(limits.seat_look_alone),
@@ -324,7 +398,9 @@
             // Said before the door says so: the platform ends the other process on the door's word.
             standing.say(State::Serving);
             let _ = board.step(Step::Taking);
-            member.join(board.state(), serves).map_err(system("fleet"))?;
+            member
+                .join(board.state(), serves)
+                .map_err(system("fleet"))?;
             let _ = to_list.try_send(membership::Report::Changed);
         }
     }
@@ -333,7 +409,11 @@
     let _ = board.step(beside.leave());
     let replaced = beside == Beside::Taking;
     standing.say(board.state());
-    let stop = if replaced { limits.replaced(&site) } else { config.stop };
+    let stop = if replaced {
+        limits.replaced(&site)
+    } else {
+        config.stop
+    };
     if replaced {
         info!(log, "replaced"; "left_ms" => stop.as_millis() as u64, "owed" => board.owed());
     }
@@ -341,7 +421,11 @@
     if !replaced {
         member.say(board.state());
     }
-    let _ = module.send(if replaced { Msg::Replaced(stop) } else { Msg::Drain });
+    let _ = module.send(if replaced {
+        Msg::Replaced(stop)
+    } else {
+        Msg::Drain
+    });
     let _ = to_list.try_send(membership::Report::Changed);
     let mut closed = replaced;
     if replaced {
@@ -397,7 +481,10 @@
     fn look(&mut self, standing: &Standing, connections: usize) {
         let taken = (connections * PARTS as usize).div_ceil(self.slots.max(1)) as u32;
         let used = self.board.used().max(taken);
-        if let Some(held) = self.parts.look(self.board.state(), standing.beside(), used, &self.log) {
+        if let Some(held) = self
+            .parts
+            .look(self.board.state(), standing.beside(), used, &self.log)
+        {
             self.board.set_parts(held);
             // It reads these at once; one that has ended ends the process.
             let _ = self.module.send(Msg::Parts(held));
@@ -427,7 +514,10 @@
             Err(e) => return warn!(self.log, "the new configuration is not used"; "error" => %e),
         };
         if config.name != name || config.listen != listen {
-            warn!(self.log, "name and listening address change with a restart only");
+            warn!(
+                self.log,
+                "name and listening address change with a restart only"
+            );
         }
         info!(self.log, "configuration read again"; "executor" => %config.executor, "database" => ?config.database,
             "members" => %config.members);
@@ -456,7 +546,11 @@
     let ((tell_leave, leave), (tell_reload, reload)) = (bounded(1), bounded(1));
     spawn("signals", limits.stack, move || {
         for signal in signals.forever() {
-            let tell = if signal == SIGHUP { &tell_reload } else { &tell_leave };
+            let tell = if signal == SIGHUP {
+                &tell_reload
+            } else {
+                &tell_leave
+            };
             let _ = tell.try_send(());
         }
     })?;
--- a/src/member.rs
+++ b/src/member.rs
@@ -65,7 +65,11 @@
     /// Becomes a member if it is none yet, and says how the process stands.
     pub fn join(&mut self, state: State, serves: Option<SocketAddr>) -> io::Result<()> {
         if let (None, Some(config)) = (&self.handle, self.config.take()) {
-            let me = fleet::Me { name: self.name.as_str().into(), serves: None, shares: self.shares.clone() };
+            let me = fleet::Me {
+                name: self.name.as_str().into(),
+                serves: None,
+                shares: self.shares.clone(),
+            };
             let budget = self.guard.clone();
             let changed = Box::new(move || budget.iter().for_each(|b| b.look()));
             let handle = fleet::start(config, me, self.stack, changed, &self.log)?;
@@ -98,7 +102,9 @@
     }
     /// Reads the fleet's file again; one that can't be used changes nothing.
     pub fn reload(&self) {
-        let (Some(handle), Some(file)) = (&self.handle, &self.file) else { return };
+        let (Some(handle), Some(file)) = (&self.handle, &self.file) else {
+            return;
+        };
         match fleet::Config::read(file) {
             Ok(config) => {
                 info!(self.log, "fleet's file read again"; "seeds" => config.seeds.len());
--- a/src/net/database.rs
+++ b/src/net/database.rs
@@ -62,16 +62,23 @@
 impl Budget {
     /// Whether there is a budget, and what is told of calls.
     pub fn new(budgeted: bool, shares: Option<Shares>) -> Budget {
-        Budget { budgeted, shares, ..Budget::default() }
+        Budget {
+            budgeted,
+            shares,
+            ..Budget::default()
+        }
     }
     /// Calls in hand that the fleet's budget allows; no bound where there is none.
     fn places(&self) -> Option<usize> {
-        self.budgeted.then(|| self.allowance.get().map_or(0, Allowance::limit) as usize)
+        self.budgeted
+            .then(|| self.allowance.get().map_or(0, Allowance::limit) as usize)
     }
     /// Whether the ledger is judged to be down, or out of this node's reach: then one call at a time shows when it serves
     /// again.
     fn holds_back(&self) -> bool {
-        self.shares.as_ref().is_some_and(|s| s.ledger().holds_back())
+        self.shares
+            .as_ref()
+            .is_some_and(|s| s.ledger().holds_back())
     }
     /// The node is a member from now on. It becomes one once.
     pub fn joined(&self, allowance: Allowance) {
@@ -124,7 +131,11 @@
         chunk: vec![0; limits.read],
     };
     spawn("database", limits.stack, move || lanes.run())?;
-    Ok(Calls { sender, waker, woken })
+    Ok(Calls {
+        sender,
+        waker,
+        woken,
+    })
 }
 
 /// One call on its connection.
@@ -144,9 +155,17 @@
 
 impl Exchange {
     /// Goes on as far as it can: the end of the call, or nothing while the peer is to do something.
-    fn go_on(&mut self, chunk: &mut [u8], limits: &Limits) -> Option<Result<HttpReply, ReplyError>> {
+    fn go_on(
+        &mut self,
+        chunk: &mut [u8],
+        limits: &Limits,
+    ) -> Option<Result<HttpReply, ReplyError>> {
         if !self.connected {
-            match self.stream.take_error().and_then(|error| error.map_or(Ok(()), Err)) {
+            match self
+                .stream
+                .take_error()
+                .and_then(|error| error.map_or(Ok(()), Err))
+            {
                 Ok(()) => {}
                 Err(e) => return Some(Err(ReplyError::NotSent(e))),
             }
@@ -219,7 +238,9 @@
             let mut wait = first.map(|at| at.saturating_duration_since(now));
             if self.guard.is_some() && !self.waiting.is_empty() {
                 // A place comes by time alone, as a lease or by the end of what lingers.
-                wait = Some(wait.map_or(self.limits.database_look, |w| w.min(self.limits.database_look)));
+                wait = Some(wait.map_or(self.limits.database_look, |w| {
+                    w.min(self.limits.database_look)
+                }));
             }
             match self.poll.poll(&mut events, wait) {
                 Err(e) if e.kind() != ErrorKind::Interrupted => {
@@ -230,7 +251,11 @@
                 _ => {}
             }
             self.woken.store(false, SeqCst);
-            let ready: Vec<usize> = events.iter().map(|e| e.token().0).filter(|n| *n != MAILBOX.0).collect();
+            let ready: Vec<usize> = events
+                .iter()
+                .map(|e| e.token().0)
+                .filter(|n| *n != MAILBOX.0)
+                .collect();
             let going_on = ready.into_iter().all(|number| self.go_on(number).is_ok());
             if !going_on || self.give_up_late().is_err() || self.take_up().is_err() {
                 return;
@@ -249,7 +274,9 @@
                 match self.inbox.try_recv() {
                     Ok(call) => self.waiting.push_back((now, call)),
                     Err(TryRecvError::Empty) => break,
-                    Err(TryRecvError::Disconnected) if in_hand + self.waiting.len() == 0 => return Err(Gone),
+                    Err(TryRecvError::Disconnected) if in_hand + self.waiting.len() == 0 => {
+                        return Err(Gone)
+                    }
                     Err(TryRecvError::Disconnected) => break,
                 }
             }
@@ -268,11 +295,17 @@
             }
             let judged = self.guard.as_ref().is_some_and(|b| b.holds_back());
             places = if judged { places.min(1) } else { places };
-            let Some((since, call)) = self.waiting.pop_front() else { return Ok(()) };
+            let Some((since, call)) = self.waiting.pop_front() else {
+                return Ok(());
+            };
             if self.guard.is_some() && now.saturating_duration_since(since) >= call.limit {
                 // Its time went by in the queue.
                 self.kept_out.log(|more| {
-                    let why = if judged { "judgement of the ledger" } else { "budget" };
+                    let why = if judged {
+                        "judgement of the ledger"
+                    } else {
+                        "budget"
+                    };
                     warn!(self.log, "call not made: the fleet's {} gave no place in its time", why;
                         "places" => places, "in_hand" => in_hand, "more" => more);
                 });
@@ -290,7 +323,11 @@
 
     /// How long a call may take: as long as the module says, and where the fleet counts calls, no longer than it does.
     fn limit(&self, call: &Call) -> Duration {
-        let longest = self.guard.as_ref().and_then(|b| b.allowance.get()).map(Allowance::longest);
+        let longest = self
+            .guard
+            .as_ref()
+            .and_then(|b| b.allowance.get())
+            .map(Allowance::longest);
         longest.map_or(call.limit, |longest| call.limit.min(longest))
     }
 
@@ -299,13 +336,19 @@
         let begun = Instant::now();
         // Nothing is below: no call can be made, and none was.
         let Some(to) = self.to.get() else {
-            return self.end(&call, begun, Err(ReplyError::NotSent(ErrorKind::AddrNotAvailable.into())));
+            return self.end(
+                &call,
+                begun,
+                Err(ReplyError::NotSent(ErrorKind::AddrNotAvailable.into())),
+            );
         };
         let number = self.next;
         self.next += 1;
         let both = Interest::READABLE | Interest::WRITABLE;
         let connecting = TcpStream::connect(to).and_then(|mut stream| {
-            self.poll.registry().register(&mut stream, Token(number), both)?;
+            self.poll
+                .registry()
+                .register(&mut stream, Token(number), both)?;
             Ok(stream)
         });
         let stream = match connecting {
@@ -322,14 +365,24 @@
         .into_bytes();
         request.extend_from_slice(&body);
         let late = begun + self.limits.connect.min(call.limit);
-        let exchange =
-            Exchange { call, stream, begun, connected: false, request, written: 0, held: Vec::new(), late };
+        let exchange = Exchange {
+            call,
+            stream,
+            begun,
+            connected: false,
+            request,
+            written: 0,
+            held: Vec::new(),
+            late,
+        };
         self.exchanges.insert(number, exchange);
         self.go_on(number)
     }
 
     fn go_on(&mut self, number: usize) -> Result<(), Gone> {
-        let Some(exchange) = self.exchanges.get_mut(&number) else { return Ok(()) };
+        let Some(exchange) = self.exchanges.get_mut(&number) else {
+            return Ok(());
+        };
         match exchange.go_on(&mut self.chunk, &self.limits) {
             Some(how) => self.close(number, how),
             None => Ok(()),
@@ -338,12 +391,19 @@
 
     fn give_up_late(&mut self) -> Result<(), Gone> {
         let now = Instant::now();
-        let late: Vec<usize> =
-            self.exchanges.iter().filter(|(_, e)| e.late <= now).map(|(number, _)| *number).collect();
+        let late: Vec<usize> = self
+            .exchanges
+            .iter()
+            .filter(|(_, e)| e.late <= now)
+            .map(|(number, _)| *number)
+            .collect();
         for number in late {
             let connected = self.exchanges.get(&number).is_some_and(|e| e.connected);
-            let why =
-                if connected { ReplyError::Late } else { ReplyError::NotSent(ErrorKind::TimedOut.into()) };
+            let why = if connected {
+                ReplyError::Late
+            } else {
+                ReplyError::NotSent(ErrorKind::TimedOut.into())
+            };
             self.close(number, Err(why))?;
         }
         Ok(())
@@ -351,7 +411,9 @@
 
     /// Closing gives up a call that is still out, and what else may come on the connection.
     fn close(&mut self, number: usize, how: Result<HttpReply, ReplyError>) -> Result<(), Gone> {
-        let Some(Exchange { call, begun, .. }) = self.exchanges.remove(&number) else { return Ok(()) };
+        let Some(Exchange { call, begun, .. }) = self.exchanges.remove(&number) else {
+            return Ok(());
+        };
         if self.guard.is_some() && !matches!(how, Ok(_) | Err(ReplyError::NotSent(_))) {
             // The database was told by when it has to end this, and may have it in hand until then.
             self.lingering.push(begun + call.limit);
@@ -359,7 +421,12 @@
         self.end(&call, begun, how)
     }
 
-    fn end(&self, call: &Call, begun: Instant, how: Result<HttpReply, ReplyError>) -> Result<(), Gone> {
+    fn end(
+        &self,
+        call: &Call,
+        begun: Instant,
+        how: Result<HttpReply, ReplyError>,
+    ) -> Result<(), Gone> {
         if let Some(shares) = self.guard.as_ref().and_then(|b| b.shares.as_ref()) {
             let served = how.as_ref().is_ok_and(|reply| reply.status < 500);
             shares.tried(served.then(|| begun.elapsed()));
@@ -376,7 +443,9 @@
                 }
             }
         };
-        self.module.send(Msg::CallDone(call.id, result, begun.elapsed())).map_err(|_| Gone)
+        self.module
+            .send(Msg::CallDone(call.id, result, begun.elapsed()))
+            .map_err(|_| Gone)
     }
 }
 
@@ -441,7 +510,9 @@
         let mut head = httparse::Response::new(&mut headers);
         let length = match head.parse(&held[at..]).map_err(|_| ReplyError::Head)? {
             httparse::Status::Complete(length) => length,
-            httparse::Status::Partial if held.len() > limits.database_head => return Err(ReplyError::Head),
+            httparse::Status::Partial if held.len() > limits.database_head => {
+                return Err(ReplyError::Head)
+            }
             httparse::Status::Partial => return Ok(None),
         };
         at += length;
@@ -450,14 +521,20 @@
         if (100..200).contains(&status) && status != 101 && at <= limits.database_head {
             continue;
         }
-        let values =
-            |name| head.headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value);
+        let values = |name| {
+            head.headers
+                .iter()
+                .filter(move |h| h.name.eq_ignore_ascii_case(name))
+                .map(|h| h.value)
+        };
         if values("Transfer-Encoding").next().is_some() {
             return Err(ReplyError::Length);
         }
         let mut lengths = values("Content-Length").map(length_of);
         let length = match lengths.next() {
-            Some(first) if lengths.all(|other| other == first) => first.ok_or(ReplyError::Length)?,
+            Some(first) if lengths.all(|other| other == first) => {
+                first.ok_or(ReplyError::Length)?
+            }
             // Without a body the status says it all.
             None if status != 200 => 0,
             _ => return Err(ReplyError::Length),
@@ -467,12 +544,18 @@
         }
         let never_started = values("Never-Started").next() == Some(b"1");
         let body = held.get(at..at + length).map(<[u8]>::to_vec);
-        return Ok(body.map(|body| HttpReply { status, never_started, body }));
+        return Ok(body.map(|body| HttpReply {
+            status,
+            never_started,
+            body,
+        }));
     }
 }
 
 /// A length as HTTP writes it: digits and nothing else.
 fn length_of(value: &[u8]) -> Option<usize> {
     let text = std::str::from_utf8(value).ok()?.trim();
-    text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok())?
+    text.bytes()
+        .all(|b| b.is_ascii_digit())
+        .then(|| text.parse().ok())?
 }
--- a/src/net/door.rs
+++ b/src/net/door.rs
@@ -56,7 +56,8 @@
     let mut listener = TcpListener::from_std(listener);
     let address = listener.local_addr()?;
     let poll = Poll::new()?;
-    poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
+    poll.registry()
+        .register(&mut listener, LISTENER, Interest::READABLE)?;
     let door = Door {
         poll,
         listener,
@@ -94,7 +95,11 @@
             }
             acceptable |= events.iter().any(|e| e.token() == LISTENER);
             // Who has something to say is heard before a newcomer may take its place.
-            for Token(number) in events.iter().map(mio::event::Event::token).filter(|t| *t != LISTENER) {
+            for Token(number) in events
+                .iter()
+                .map(mio::event::Event::token)
+                .filter(|t| *t != LISTENER)
+            {
                 self.hear(number);
             }
             if acceptable {
@@ -112,7 +117,10 @@
                 self.take_in(stream);
                 true
             }
-            Err(e) => matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted),
+            Err(e) => matches!(
+                e.kind(),
+                ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+            ),
         }
     }
 
@@ -121,11 +129,18 @@
             return;
         }
         // One that has its answer first, then the one that has held its place the longest.
-        let done = self.callers.iter().find(|(_, c)| c.answered).or_else(|| self.callers.iter().next());
-        let Some(number) = done.map(|(number, _)| *number) else { return };
+        let done = self
+            .callers
+            .iter()
+            .find(|(_, c)| c.answered)
+            .or_else(|| self.callers.iter().next());
+        let Some(number) = done.map(|(number, _)| *number) else {
+            return;
+        };
         self.hear(number);
         if self.callers.get(&number).is_some_and(|c| !c.answered) {
-            self.crowded.log(|more| warn!(self.log, "door: too many callers"; "more" => more));
+            self.crowded
+                .log(|more| warn!(self.log, "door: too many callers"; "more" => more));
             self.answer(number, Answer::Unheard(Unheard::Crowded));
         }
         self.callers.remove(&number);
@@ -134,12 +149,25 @@
     fn take_in(&mut self, mut stream: TcpStream) {
         let number = self.next;
         self.next += 1;
-        if self.poll.registry().register(&mut stream, Token(number), Interest::READABLE).is_err() {
+        if self
+            .poll
+            .registry()
+            .register(&mut stream, Token(number), Interest::READABLE)
+            .is_err()
+        {
             return;
         }
         let line = Line::new(self.limits.door_line);
         let until = Instant::now() + self.limits.door_wait;
-        self.callers.insert(number, Caller { stream, line, answered: false, until });
+        self.callers.insert(
+            number,
+            Caller {
+                stream,
+                line,
+                answered: false,
+                until,
+            },
+        );
         // Most have sent their line with the connection.
         self.hear(number);
     }
@@ -149,7 +177,9 @@
         let mut chunk = [0; 256];
         // What a caller goes on sending after its answer is read and dropped, in bounded turns.
         for _ in 0..16 {
-            let Some(caller) = self.callers.get_mut(&number) else { return };
+            let Some(caller) = self.callers.get_mut(&number) else {
+                return;
+            };
             let heard = match caller.stream.read(&mut chunk) {
                 Ok(0) if caller.answered => {
                     self.callers.remove(&number);
@@ -191,7 +221,9 @@
     }
 
     fn answer(&mut self, number: usize, answer: Answer) {
-        let Some(caller) = self.callers.get_mut(&number) else { return };
+        let Some(caller) = self.callers.get_mut(&number) else {
+            return;
+        };
         // A line fits any socket's buffer that nothing was written to.
         let _ = caller.stream.write_all(format!("{answer}\n").as_bytes());
         let _ = caller.stream.shutdown(Shutdown::Write);
@@ -201,8 +233,12 @@
 
     fn part_with_the_late(&mut self) {
         let now = Instant::now();
-        let late: Vec<usize> =
-            self.callers.iter().filter(|(_, c)| c.until <= now).map(|(number, _)| *number).collect();
+        let late: Vec<usize> = self
+            .callers
+            .iter()
+            .filter(|(_, c)| c.until <= now)
+            .map(|(number, _)| *number)
+            .collect();
         for number in late {
             if self.callers.get(&number).is_some_and(|c| c.answered) {
                 self.callers.remove(&number);
--- a/src/net/executor.rs
+++ b/src/net/executor.rs
@@ -16,23 +16,60 @@
 #[derive(Serialize)]
 #[serde(tag = "action", rename_all = "UPPERCASE")]
 enum Command<'a> {
-    Join { pos: u64 },
-    Exec { uid: &'a str, lane: &'a str, content: &'a str },
-    Kill { uid: &'a str },
-    Return { uid: &'a str, content: &'a str },
-    Bypass { uid: &'a str, pos: u64 },
-    Meter { echo: &'a str },
+    Join {
+        pos: u64,
+    },
+    Exec {
+        uid: &'a str,
+        lane: &'a str,
+        content: &'a str,
+    },
+    Kill {
+        uid: &'a str,
+    },
+    Return {
+        uid: &'a str,
+        content: &'a str,
+    },
+    Bypass {
+        uid: &'a str,
+        pos: u64,
+    },
+    Meter {
+        echo: &'a str,
+    },
 }
 
 #[derive(Deserialize)]
 #[serde(tag = "action", rename_all = "UPPERCASE")]
 enum Notice {
-    Welcome { code: String, wall_ms: f64 },
-    Exit { pos: u64, uid: String, code: String, content: Option<String> },
-    Callout { pos: u64, uid: String, content: String },
-    Meters { echo: String, meters: Vec<f64> },
-    Bad { code: String, uid: Option<String> },
-    Log { pos: u64, code: Option<String> },
+    Welcome {
+        code: String,
+        wall_ms: f64,
+    },
+    Exit {
+        pos: u64,
+        uid: String,
+        code: String,
+        content: Option<String>,
+    },
+    Callout {
+        pos: u64,
+        uid: String,
+        content: String,
+    },
+    Meters {
+        echo: String,
+        meters: Vec<f64>,
+    },
+    Bad {
+        code: String,
+        uid: Option<String>,
+    },
+    Log {
+        pos: u64,
+        code: Option<String>,
+    },
 }
 
 /// What the reader of a link tells the actor.
@@ -108,19 +145,38 @@
     position: &Arc<Position>,
     log: &Logger,
 ) -> io::Result<Gone> {
-    let Mailboxes { commands: inbox, moves, module } = mailboxes;
+    let Mailboxes {
+        commands: inbox,
+        moves,
+        module,
+    } = mailboxes;
     let stream = Arc::new(TcpStream::connect_timeout(&to, limits.connect)?);
     stream.set_nodelay(true)?;
     stream.set_write_timeout(Some(limits.write))?;
-    write(&stream, &Command::Join { pos: position.get() })?;
+    write(
+        &stream,
+        &Command::Join {
+            pos: position.get(),
+        },
+    )?;
     let (tell, told) = bounded(4);
-    let reader = Reader { module: module.clone(), position: position.clone(), tell, log: log.clone() };
+    let reader = Reader {
+        module: module.clone(),
+        position: position.clone(),
+        tell,
+        log: log.clone(),
+    };
     let (from, most, at_once) = (stream.clone(), limits.executor_line, limits.read);
-    spawn("executor-read", limits.stack, move || reader.run(&from, most, at_once))?;
+    spawn("executor-read", limits.stack, move || {
+        reader.run(&from, most, at_once)
+    })?;
     // What the reader has read comes before the news of what became of the link.
     let end = || {
         let _ = stream.shutdown(Shutdown::Both);
-        while told.recv().is_ok_and(|msg| !matches!(msg, FromReader::Ended)) {}
+        while told
+            .recv()
+            .is_ok_and(|msg| !matches!(msg, FromReader::Ended))
+        {}
     };
     let mut welcomed = false;
     loop {
@@ -173,15 +229,35 @@
 
 fn send(stream: &TcpStream, command: &ToExecutor) -> io::Result<()> {
     match command {
-        ToExecutor::Exec(rid, lane, body) => {
-            write(stream, &Command::Exec { uid: rid.as_str(), lane, content: body.as_base64() })
-        }
+        ToExecutor::Exec(rid, lane, body) => write(
+            stream,
+            &Command::Exec {
+                uid: rid.as_str(),
+                lane,
+                content: body.as_base64(),
+            },
+        ),
         ToExecutor::Kill(rid) => write(stream, &Command::Kill { uid: rid.as_str() }),
-        ToExecutor::Return(rid, body) => {
-            write(stream, &Command::Return { uid: rid.as_str(), content: body.as_base64() })
-        }
-        ToExecutor::Bypass(rid, pos) => write(stream, &Command::Bypass { uid: rid.as_str(), pos: *pos }),
-        ToExecutor::Meter(tag) => write(stream, &Command::Meter { echo: &tag.to_string() }),
+        ToExecutor::Return(rid, body) => write(
+            stream,
+            &Command::Return {
+                uid: rid.as_str(),
+                content: body.as_base64(),
+            },
+        ),
+        ToExecutor::Bypass(rid, pos) => write(
+            stream,
+            &Command::Bypass {
+                uid: rid.as_str(),
+                pos: *pos,
+            },
+        ),
+        ToExecutor::Meter(tag) => write(
+            stream,
+            &Command::Meter {
+                echo: &tag.to_string(),
+            },
+        ),
     }
 }
 
@@ -229,10 +305,20 @@
             Notice::Welcome { code, wall_ms } => {
                 let age = Duration::try_from_secs_f64(wall_ms / 1e3).unwrap_or_default();
                 // The module first: its commands go out only once the actor has heard as well.
-                self.module.send(Msg::ExecutorUp { cold: code == "COLD", age }).ok()?;
+                self.module
+                    .send(Msg::ExecutorUp {
+                        cold: code == "COLD",
+                        age,
+                    })
+                    .ok()?;
                 return self.tell.send(FromReader::Welcome).ok();
             }
-            Notice::Exit { pos, uid, code, content } => {
+            Notice::Exit {
+                pos,
+                uid,
+                code,
+                content,
+            } => {
                 if !self.position.advance(pos) {
                     return Some(());
                 }
@@ -242,24 +328,34 @@
                     ("MOOT", _) => RunExit::Moot,
                     _ => RunExit::Error,
                 };
-                let Some(rid) = Rid::parse(&uid) else { return Some(()) };
+                let Some(rid) = Rid::parse(&uid) else {
+                    return Some(());
+                };
                 Msg::Exit(rid, end)
             }
             Notice::Callout { pos, uid, content } => {
                 if !self.position.advance(pos) {
                     return Some(());
                 }
-                let Some(rid) = Rid::parse(&uid) else { return Some(()) };
+                let Some(rid) = Rid::parse(&uid) else {
+                    return Some(());
+                };
                 Msg::Callout(rid, pos, Body::from_base64(content))
             }
-            Notice::Meters { echo, .. } if echo == QUIET => return self.tell.send(FromReader::Quiet).ok(),
+            Notice::Meters { echo, .. } if echo == QUIET => {
+                return self.tell.send(FromReader::Quiet).ok()
+            }
             Notice::Meters { echo, meters } => match echo.parse() {
                 Ok(tag) => Msg::Meters(tag, meters),
                 Err(_) => return Some(()),
             },
             Notice::Bad { code, uid } => {
                 debug!(self.log, "executor: not carried out"; "command" => &code, "uid" => uid.as_deref().unwrap_or(""));
-                match uid.as_deref().and_then(Rid::parse).filter(|_| code == "EXEC") {
+                match uid
+                    .as_deref()
+                    .and_then(Rid::parse)
+                    .filter(|_| code == "EXEC")
+                {
                     Some(rid) => Msg::NotCarriedOut(rid),
                     None => return Some(()),
                 }
--- a/src/net/jsonrpc/events.rs
+++ b/src/net/jsonrpc/events.rs
@@ -96,7 +96,11 @@
             polled: mio::Events::with_capacity(limits.front_events),
             listener: None,
             acceptable: None,
-            mailbox: Arc::new(Mailbox { sender, waker, woken: false.into() }),
+            mailbox: Arc::new(Mailbox {
+                sender,
+                waker,
+                woken: false.into(),
+            }),
             inbox,
             counts: Arc::default(),
             connections: HashMap::new(),
@@ -160,11 +164,19 @@
         let now = Instant::now();
         if !self.turns.is_empty() {
             // While the module is behind, what waits stays with the machine.
-            return Some(if self.module_has_room() { Duration::ZERO } else { self.limits.front_hold });
+            return Some(if self.module_has_room() {
+                Duration::ZERO
+            } else {
+                self.limits.front_hold
+            });
         }
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
         let accept = self.acceptable.filter(|_| self.listener.is_some());
-        [timer, accept].into_iter().flatten().min().map(|at| at.saturating_duration_since(now))
+        [timer, accept]
+            .into_iter()
+            .flatten()
+            .min()
+            .map(|at| at.saturating_duration_since(now))
     }
 
     /// The module's mailbox has room for a turn's lines, so that handing them over never waits.
@@ -178,7 +190,9 @@
     pub fn listen(&mut self, listener: std::net::TcpListener, now: Instant) -> io::Result<()> {
         listener.set_nonblocking(true)?;
         let mut listener = TcpListener::from_std(listener);
-        self.poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
+        self.poll
+            .registry()
+            .register(&mut listener, LISTENER, Interest::READABLE)?;
         self.listener = Some(listener);
         // Some may wait already, and the poll tells of changes alone.
         self.acceptable = Some(now);
@@ -202,20 +216,27 @@
 
     fn accept(&mut self, now: Instant) {
         for _ in 0..self.limits.front_accepts {
-            let Some(listener) =
-                self.listener.as_ref().filter(|_| self.acceptable.is_some_and(|at| at <= now))
+            let Some(listener) = self
+                .listener
+                .as_ref()
+                .filter(|_| self.acceptable.is_some_and(|at| at <= now))
             else {
                 return;
             };
             match listener.accept() {
                 Ok((stream, _)) => {
                     if let Err(e) = self.connect(stream, now) {
-                        self.turned_away
-                            .log(|more| warn!(self.log, "connection"; "error" => %e, "more" => more));
+                        self.turned_away.log(
+                            |more| warn!(self.log, "connection"; "error" => %e, "more" => more),
+                        );
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => self.acceptable = None,
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+                    ) => {}
                 Err(e) => {
                     // Out of descriptors, say: give them time to come back.
                     warn!(self.log, "accept"; "error" => %e);
@@ -235,7 +256,10 @@
 
     fn connect(&mut self, mut stream: TcpStream, now: Instant) -> io::Result<()> {
         self.look_at_parts();
-        for (number, go) in self.room.make(self.connections.len(), &self.limits.front, now) {
+        for (number, go) in self
+            .room
+            .make(self.connections.len(), &self.limits.front, now)
+        {
             match go {
                 Go::Part => {
                     if let Some(c) = self.connections.get_mut(&number) {
@@ -253,7 +277,11 @@
         let number = self.next;
         self.next += 1;
         // Both at once: the poll tells of changes alone, so the one that is not waited for costs nothing.
-        self.poll.registry().register(&mut stream, Token(number), Interest::READABLE | Interest::WRITABLE)?;
+        self.poll.registry().register(
+            &mut stream,
+            Token(number),
+            Interest::READABLE | Interest::WRITABLE,
+        )?;
         let session = Session::new(&self.limits.front, now);
         let connection = Connection {
             stream,
@@ -265,7 +293,9 @@
             timer: None,
         };
         self.connections.insert(number, connection);
-        self.counts.connections.store(self.connections.len(), SeqCst);
+        self.counts
+            .connections
+            .store(self.connections.len(), SeqCst);
         self.settle(number, now);
         Ok(())
     }
@@ -273,7 +303,9 @@
     /// Reads no more than has come already, which may be a request that this node was too slow to read: that is still
     /// answered, and with the last answer the connection goes.
     fn part(&mut self, number: usize, now: Instant) {
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         if c.session.lingers() {
             return self.remove(number);
         }
@@ -294,7 +326,9 @@
     }
 
     fn farewell(&mut self, number: usize, now: Instant) {
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         if c.session.farewell(now) {
             self.put(number, message::FAREWELL, now);
         }
@@ -302,18 +336,26 @@
     }
 
     fn remove(&mut self, number: usize) {
-        let Some(c) = self.connections.remove(&number) else { return };
+        let Some(c) = self.connections.remove(&number) else {
+            return;
+        };
         self.room.set(number, None);
         self.unsent -= c.session.unsent().len();
         self.counts.open.fetch_sub(c.session.open(), SeqCst);
-        self.counts.unsent.fetch_sub(usize::from(!c.session.unsent().is_empty()), SeqCst);
-        self.counts.connections.store(self.connections.len(), SeqCst);
+        self.counts
+            .unsent
+            .fetch_sub(usize::from(!c.session.unsent().is_empty()), SeqCst);
+        self.counts
+            .connections
+            .store(self.connections.len(), SeqCst);
     }
 
     // ---- reading ----
 
     fn ready(&mut self, number: usize, event: &mio::event::Event, now: Instant) {
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         if event.is_error() {
             // Reset: nothing that is owed on it can be answered any more.
             return self.remove(number);
@@ -329,7 +371,9 @@
 
     /// Gives a connection its turn if there is anything to do for it.
     fn queue(&mut self, number: usize) {
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         let hears = c.session.hears(&self.limits.front) && (c.readable || c.session.has_more());
         if !c.queued && (hears || c.session.lingers() && c.readable) {
             c.queued = true;
@@ -343,14 +387,18 @@
             if !self.module_has_room() {
                 return;
             }
-            let Some(number) = self.turns.pop_front() else { return };
+            let Some(number) = self.turns.pop_front() else {
+                return;
+            };
             self.turn(number, now);
         }
     }
 
     /// Lines that came before and at most one read, up to what one turn allows.
     fn turn(&mut self, number: usize, now: Instant) {
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         c.queued = false;
         if c.session.lingers() {
             return self.pass_over(number, now);
@@ -400,7 +448,9 @@
     /// One read of what comes on a connection whose writing side is shut: a request among it crosses the close, and is sent
     /// again on another connection. Read and passed on it would be lost.
     fn pass_over(&mut self, number: usize, now: Instant) {
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         match c.stream.read(&mut self.chunk) {
             Ok(0) => return self.remove(number),
             Ok(n) => c.session.pass_over(n),
@@ -412,7 +462,9 @@
     }
 
     fn serve(&mut self, number: usize, incoming: Incoming, now: Instant) {
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         match incoming {
             Incoming::Alive(id) => {
                 c.session.touch(now);
@@ -421,7 +473,9 @@
             }
             // One that is answered, or was never here, does no harm.
             Incoming::Cancel(id) => {
-                let Some(rid) = c.open.remove(&id) else { return };
+                let Some(rid) = c.open.remove(&id) else {
+                    return;
+                };
                 if c.session.answered(id, now) {
                     self.counts.open.fetch_sub(1, SeqCst);
                 }
@@ -433,7 +487,8 @@
                 Ok(()) => {
                     self.counts.open.fetch_add(1, SeqCst);
                     let mailbox = self.mailbox.clone();
-                    let reply = Reply::new(move |answer| mailbox.tell(Out::Answer(number, id, answer)));
+                    let reply =
+                        Reply::new(move |answer| mailbox.tell(Out::Answer(number, id, answer)));
                     let arrival: Arrival = params.arrival(class, &self.core.site, reply);
                     if self.core.site.tells_gone {
                         c.open.insert(id, arrival.rid);
@@ -443,7 +498,11 @@
                 }
                 // An answer under this number would pass for that of the other request.
                 Err(Breach::IdInUse) => {
-                    self.breach(number, &message::breach("a request with this id is open"), now);
+                    self.breach(
+                        number,
+                        &message::breach("a request with this id is open"),
+                        now,
+                    );
                 }
                 // Those that the front end has given up are open here still, and it does not count them: that is no
                 // breach.
@@ -457,7 +516,9 @@
     /// no answer: no front end that is owed one sends this.
     fn breach(&mut self, number: usize, answer: &str, now: Instant) {
         self.put(number, answer, now);
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         c.session.close(now);
         self.turned_away.log(|more| {
             let peer = c.stream.peer_addr().map(|a| a.to_string()).unwrap_or_default();
@@ -473,7 +534,9 @@
         for out in mailbox.empty(&inbox) {
             match out {
                 Out::Answer(number, id, answer) => {
-                    let Some(c) = self.connections.get_mut(&number) else { continue };
+                    let Some(c) = self.connections.get_mut(&number) else {
+                        continue;
+                    };
                     c.open.remove(&id);
                     if c.session.answered(id, now) {
                         self.put(number, &message::answer(id, &answer), now);
@@ -482,7 +545,8 @@
                 }
                 Out::Farewell => {
                     let all: Vec<usize> = self.connections.keys().copied().collect();
-                    all.into_iter().for_each(|number| self.farewell(number, now));
+                    all.into_iter()
+                        .for_each(|number| self.farewell(number, now));
                 }
                 Out::Open(listener) => {
                     if let Err(e) = self.listen(listener, now) {
@@ -503,16 +567,23 @@
     /// A line for a connection, written as it settles. Bytes that wait are bounded for each and over all: past that,
     /// who takes least of them is cut off.
     fn put(&mut self, number: usize, line: &str, now: Instant) {
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         let before = c.session.unsent().len();
         c.session.put(line.as_bytes(), now);
         let more = c.session.unsent().len() - before;
         self.unsent += more;
-        self.counts.unsent.fetch_add(usize::from(before == 0 && more > 0), SeqCst);
+        self.counts
+            .unsent
+            .fetch_add(usize::from(before == 0 && more > 0), SeqCst);
         if c.session.unsent().len() > self.limits.front.output {
             self.remove(number);
         } else if self.unsent > self.limits.front_output_all {
-            let most = self.connections.iter().max_by_key(|(_, c)| c.session.unsent().len());
+            let most = self
+                .connections
+                .iter()
+                .max_by_key(|(_, c)| c.session.unsent().len());
             if let Some(number) = most.map(|(number, _)| *number) {
                 self.remove(number);
             }
@@ -522,7 +593,9 @@
     /// After anything that happened on a connection: writes what can be written, then sees whether it stays, where it
     /// stands among those that may go, and when to look at it again.
     fn settle(&mut self, number: usize, now: Instant) {
-        let Some(c) = self.connections.get_mut(&number) else { return };
+        let Some(c) = self.connections.get_mut(&number) else {
+            return;
+        };
         while !c.session.unsent().is_empty() {
             match c.stream.write(c.session.unsent()) {
                 Ok(n) => {
@@ -552,8 +625,10 @@
         }
         self.room.set(number, c.session.dispensable());
         let idle = self.core.board.idle().unwrap_or(self.limits.front_idle);
-        if let Some(due) =
-            c.session.due(idle, &self.limits.front).filter(|due| c.timer.is_none_or(|timer| *due < timer))
+        if let Some(due) = c
+            .session
+            .due(idle, &self.limits.front)
+            .filter(|due| c.timer.is_none_or(|timer| *due < timer))
         {
             c.timer = Some(due);
             self.timers.push(Reverse((due, number)));
@@ -563,11 +638,20 @@
 
     fn look_at_timers(&mut self, now: Instant) {
         let idle = self.core.board.idle().unwrap_or(self.limits.front_idle);
-        while let Some(Reverse((at, number))) =
-            self.timers.peek().copied().filter(|Reverse((at, _))| *at <= now)
+        while let Some(Reverse((at, number))) = self
+            .timers
+            .peek()
+            .copied()
+            .filter(|Reverse((at, _))| *at <= now)
         {
             self.timers.pop();
-            let Some(c) = self.connections.get_mut(&number).filter(|c| c.timer == Some(at)) else { continue };
+            let Some(c) = self
+                .connections
+                .get_mut(&number)
+                .filter(|c| c.timer == Some(at))
+            else {
+                continue;
+            };
             c.timer = None;
             match c.session.on_time(idle, &self.limits.front, now) {
                 Some(Due::Farewell) => self.farewell(number, now),
--- a/src/net/jsonrpc/message.rs
+++ b/src/net/jsonrpc/message.rs
@@ -66,7 +66,10 @@
             tenant: acct.as_deref().map(|name| site.tenant(name)),
             named: acct.map(|name| (name.into(), self.obj.map(Into::into))),
             at: Time((self.t0 * 1e3) as i64),
-            wait: self.budget.filter(|_| site.passes_deadline).map(Span::from_ms),
+            wait: self
+                .budget
+                .filter(|_| site.passes_deadline)
+                .map(Span::from_ms),
             caller: CallerId(self.peer),
             resent: self.again == Some(1),
             held_kb: self.mem,
@@ -79,27 +82,59 @@
     }
     /// Whether every field is what the protocol allows at this site.
     fn check(&self, class: ClassId, site: &Site) -> Result<(), &'static str> {
-        let by_key = site.settings.classes.get(class.0).is_some_and(|c| c.effect == Effect::ByKey);
+        let by_key = site
+            .settings
+            .classes
+            .get(class.0)
+            .is_some_and(|c| c.effect == Effect::ByKey);
         let is_token = |t: &str| t.len() == TOKEN && t.bytes().all(|b| b.is_ascii_hexdigit());
         let is_budget = |ms: f64| ms > 0.0 && ms <= BUDGET;
         let body = STANDARD.decode(&self.body).map(|bytes| bytes.len());
         let faults = [
             (Rid::parse(&self.rid).is_none(), "rid is not 16 hex digits"),
-            (!(self.mem > 0.0 && self.mem < 2000.0), "mem is out of range"),
-            (!(self.prio >= 0.0 && self.prio < 1.0), "prio is out of range"),
+            (
+                !(self.mem > 0.0 && self.mem < 2000.0),
+                "mem is out of range",
+            ),
+            (
+                !(self.prio >= 0.0 && self.prio < 1.0),
+                "prio is out of range",
+            ),
             // Unix milliseconds that a number holds exactly.
             (!(self.t0 > 0.0 && self.t0 < 9e15), "t0 is out of range"),
             (self.again.is_some_and(|again| again != 1), "again is not 1"),
-            (self.obj.as_deref().is_some_and(|obj| Rid::parse(obj).is_none()), "obj is not 16 hex digits"),
-            (self.acct.as_deref().is_some_and(|name| !site.may_name(name)), "no such tenant"),
-            (by_key && self.token.is_none(), "no token in a class that is run by key"),
-            (self.token.as_deref().is_some_and(|t| !is_token(t)), "token is not 32 hex digits"),
+            (
+                self.obj
+                    .as_deref()
+                    .is_some_and(|obj| Rid::parse(obj).is_none()),
+                "obj is not 16 hex digits",
+            ),
+            (
+                self.acct
+                    .as_deref()
+                    .is_some_and(|name| !site.may_name(name)),
+                "no such tenant",
+            ),
+            (
+                by_key && self.token.is_none(),
+                "no token in a class that is run by key",
+            ),
+            (
+                self.token.as_deref().is_some_and(|t| !is_token(t)),
+                "token is not 32 hex digits",
+            ),
             (site.passes_deadline && self.budget.is_none(), "no budget"),
-            (self.budget.is_some_and(|ms| !is_budget(ms)), "budget is out of range"),
+            (
+                self.budget.is_some_and(|ms| !is_budget(ms)),
+                "budget is out of range",
+            ),
             (body.is_err(), "body is not base64"),
             (body.is_ok_and(|length| length > BODY), "body is too long"),
         ];
-        faults.iter().find(|(fault, _)| *fault).map_or(Ok(()), |(_, what)| Err(what))
+        faults
+            .iter()
+            .find(|(fault, _)| *fault)
+            .map_or(Ok(()), |(_, what)| Err(what))
     }
 }
 
@@ -120,7 +155,10 @@
         return malformed(id, INVALID_REQUEST, "no method");
     };
     if value.get("id").is_none() {
-        let left = value.pointer("/params/id").and_then(Value::as_u64).filter(|_| method == CANCEL);
+        let left = value
+            .pointer("/params/id")
+            .and_then(Value::as_u64)
+            .filter(|_| method == CANCEL);
         return left.map_or(Incoming::Notification, Incoming::Cancel);
     }
     let Some(number) = id else {
@@ -180,7 +218,13 @@
 
 fn write(id: u64, result: Option<Served<'_>>, error: Option<Fault>) -> String {
     // Numbers and strings alone: this can't fail.
-    let mut line = serde_json::to_string(&Line { jsonrpc: "2.0", id, result, error }).unwrap_or_default();
+    let mut line = serde_json::to_string(&Line {
+        jsonrpc: "2.0",
+        id,
+        result,
+        error,
+    })
+    .unwrap_or_default();
     line.push('\n');
     line
 }
@@ -189,38 +233,92 @@
 pub(super) fn answer(id: u64, answer: &Answer) -> String {
     let hint = answer.hint;
     match &answer.outcome {
-        Outcome::Served(body) => {
-            write(id, Some(Served { body: Some(body.as_base64()), ready: None, hint }), None)
-        }
+        Outcome::Served(body) => write(
+            id,
+            Some(Served {
+                body: Some(body.as_base64()),
+                ready: None,
+                hint,
+            }),
+            None,
+        ),
         Outcome::Refused { stay_away, give_up } => {
             let backoff = Some(stay_away.ms().ceil() as u64).filter(|ms| *ms > 0);
-            let data = Data { backoff, last: give_up.then_some(1), hint, epoch: None };
-            write(id, None, Some(Fault { code: REFUSED, message: "refused: never ran here", data }))
+            let data = Data {
+                backoff,
+                last: give_up.then_some(1),
+                hint,
+                epoch: None,
+            };
+            write(
+                id,
+                None,
+                Some(Fault {
+                    code: REFUSED,
+                    message: "refused: never ran here",
+                    data,
+                }),
+            )
         }
         Outcome::Elsewhere { epoch } => {
-            let data = Data { hint, epoch: Some(*epoch), ..Data::default() };
+            let data = Data {
+                hint,
+                epoch: Some(*epoch),
+                ..Data::default()
+            };
             write(
                 id,
                 None,
-                Some(Fault { code: REFUSED, message: "refused: its tenant is in another cell", data }),
+                Some(Fault {
+                    code: REFUSED,
+                    message: "refused: its tenant is in another cell",
+                    data,
+                }),
             )
         }
         Outcome::Failed(why) => {
-            let data = Data { hint, ..Data::default() };
-            write(id, None, Some(Fault { code: FAILED, message: why.word(), data }))
+            let data = Data {
+                hint,
+                ..Data::default()
+            };
+            write(
+                id,
+                None,
+                Some(Fault {
+                    code: FAILED,
+                    message: why.word(),
+                    data,
+                }),
+            )
         }
     }
 }
 
 /// The line of a health answer.
 pub(super) fn health(id: u64, ready: bool, hint: Option<f64>) -> String {
-    write(id, Some(Served { body: None, ready: Some(ready), hint }), None)
+    write(
+        id,
+        Some(Served {
+            body: None,
+            ready: Some(ready),
+            hint,
+        }),
+        None,
+    )
 }
 
 /// The refusal of a request for which there is no place on its connection.
 pub(super) fn crowded(id: u64) -> String {
     let message = "refused: too many requests are open on this connection";
-    write(id, None, Some(Fault { code: REFUSED, message, data: Data::default() }))
+    write(
+        id,
+        None,
+        Some(Fault {
+            code: REFUSED,
+            message,
+            data: Data::default(),
+        }),
+    )
 }
 
 /// The last line to a peer that breaks the protocol's bounds on a connection. It answers no request.
--- a/src/net/jsonrpc/mod.rs
+++ b/src/net/jsonrpc/mod.rs
@@ -86,7 +86,11 @@
         module: &Sender<Msg>,
         log: &Logger,
     ) -> io::Result<Front> {
-        let core = Core { site, board: board.clone(), module: module.clone() };
+        let core = Core {
+            site,
+            board: board.clone(),
+            module: module.clone(),
+        };
         let events = Events::new(core, limits, log)?;
         let (mailbox, counts) = (events.mailbox(), events.counts());
         spawn("front", limits.stack, move || events.run())?;
--- a/src/net/membership.rs
+++ b/src/net/membership.rs
@@ -46,7 +46,11 @@
             }
         }
         // Until the executor is up there is nothing to report, but the first report should not wait long.
-        let pause = if word.is_some() { limits.report } else { limits.report / 20 };
+        let pause = if word.is_some() {
+            limits.report
+        } else {
+            limits.report / 20
+        };
         select! {
             recv(inbox) -> msg => match msg {
                 Ok(Report::Changed) => {}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -16,7 +16,11 @@
 
 /// Starts a named thread with a small stack.
 pub fn spawn(name: &str, stack: usize, body: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    thread::Builder::new().name(name.into()).stack_size(stack).spawn(body).map(drop)
+    thread::Builder::new()
+        .name(name.into())
+        .stack_size(stack)
+        .spawn(body)
+        .map(drop)
 }
 
 /// Where a peer is now: a reload may move it. What is open stays where it is, new connections go to the new place.
@@ -61,14 +65,20 @@
 impl<R: Read> Lines<R> {
     /// Lines of at most `most` bytes, read so many at once.
     pub fn new(from: R, most: usize, at_once: usize) -> Lines<R> {
-        Lines { from: BufReader::with_capacity(at_once, from), most, line: Vec::new() }
+        Lines {
+            from: BufReader::with_capacity(at_once, from),
+            most,
+            line: Vec::new(),
+        }
     }
 
     /// The next line without its end, or nothing at the end of the stream. A last line that was cut off is not a
     /// line. A longer one is an error of the kind `InvalidData`: a peer must not fill our memory with one line.
     pub fn next_line(&mut self) -> io::Result<Option<&[u8]>> {
         self.line.clear();
-        let read = (&mut self.from).take(self.most as u64 + 1).read_until(b'\n', &mut self.line)?;
+        let read = (&mut self.from)
+            .take(self.most as u64 + 1)
+            .read_until(b'\n', &mut self.line)?;
         if self.line.pop_if(|last| *last == b'\n').is_some() {
             self.line.pop_if(|last| *last == b'\r');
             return Ok(Some(&self.line));
@@ -90,7 +100,11 @@
 impl Backoff {
     /// From `first` up to `most`.
     pub fn new(first: Duration, most: Duration) -> Backoff {
-        Backoff { next: first, first, most }
+        Backoff {
+            next: first,
+            first,
+            most,
+        }
     }
     /// The pause before the next try.
     pub fn pause(&mut self) -> Duration {
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -58,7 +58,10 @@
 }
 impl Default for FileLimits {
     fn default() -> FileLimits {
-        FileLimits { sockets: 1024, memory_mb: MEMORY_MB }
+        FileLimits {
+            sockets: 1024,
+            memory_mb: MEMORY_MB,
+        }
     }
 }
 
@@ -98,7 +101,9 @@
         let mut config = Config::parse(&text)?;
         // The variable is this process's own, while a file may be shared with the one that it replaces.
         if let Ok(text) = std::env::var(DOOR) {
-            let door = text.parse().map_err(|_| ConfigError::Malformed(format!("{DOOR} is no address")))?;
+            let door = text
+                .parse()
+                .map_err(|_| ConfigError::Malformed(format!("{DOOR} is no address")))?;
             config.door = Some(door);
         }
         Ok(config)
@@ -106,9 +111,11 @@
 
     /// Reads the text of that file.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
-        let file: File = serde_json::from_str(text).map_err(|e| ConfigError::Malformed(e.to_string()))?;
+        let file: File =
+            serde_json::from_str(text).map_err(|e| ConfigError::Malformed(e.to_string()))?;
         let malformed = |what: &str| ConfigError::Malformed(what.into());
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| malformed("seed is not a hex number"))?;
+        let seed = u64::from_str_radix(&file.seed, 16)
+            .map_err(|_| malformed("seed is not a hex number"))?;
         let stop = Duration::try_from_secs_f64(file.stop_ms / 1e3)
             .map_err(|_| malformed("stop_ms is not a length of time"))?;
         if !(file.limits.memory_mb.is_finite() && file.limits.memory_mb > 0.0) {
@@ -118,7 +125,9 @@
         site.settings.check().map_err(ConfigError::Settings)?;
         // What has nothing below it is told of no database.
         if site.settings.below != Below::Nothing && file.db.is_none() {
-            return Err(malformed("missing field `db`, though the settings have calls below"));
+            return Err(malformed(
+                "missing field `db`, though the settings have calls below",
+            ));
         }
         // On these wires an answer must be one that a run of its own request made, unless it is run by key: a read is not
         // served from another's run, whatever the settings allow the module.
--- a/src/node/confinement.rs
+++ b/src/node/confinement.rs
@@ -26,7 +26,11 @@
             CellsError::File(e) => write!(f, "{e}"),
             CellsError::Layout(path, e) => write!(f, "{}: {e}", path.display()),
             CellsError::NotInFile(path, node) => {
-                write!(f, "{}: nodes: {node}, this node, is not there", path.display())
+                write!(
+                    f,
+                    "{}: nodes: {node}, this node, is not there",
+                    path.display()
+                )
             }
         }
     }
@@ -44,20 +48,30 @@
 impl Confinement {
     /// Reads the file of cells for the node of this name.
     pub fn read(file: &Path, node: &str) -> Result<Confinement, CellsError> {
-        let own = Confinement { node: node.into(), file: file.to_path_buf(), map: Arc::default() };
+        let own = Confinement {
+            node: node.into(),
+            file: file.to_path_buf(),
+            map: Arc::default(),
+        };
         own.reload()?;
         Ok(own)
     }
 
     /// Reads the file again; one that can't be used changes nothing. The epoch that is in force then.
     pub fn reload(&self) -> Result<u64, CellsError> {
-        let text =
-            std::fs::read_to_string(&self.file).map_err(|e| CellsError::Unreadable(self.file.clone(), e))?;
-        let layout = Layout::parse(&self.file.display().to_string(), &text).map_err(CellsError::File)?;
+        let text = std::fs::read_to_string(&self.file)
+            .map_err(|e| CellsError::Unreadable(self.file.clone(), e))?;
+        let layout =
+            Layout::parse(&self.file.display().to_string(), &text).map_err(CellsError::File)?;
         let before = self.map.load();
-        let (map, _) = before.next(&layout).map_err(|e| CellsError::Layout(self.file.clone(), e))?;
+        let (map, _) = before
+            .next(&layout)
+            .map_err(|e| CellsError::Layout(self.file.clone(), e))?;
         if map.node(&self.node).is_none() {
-            return Err(CellsError::NotInFile(self.file.clone(), self.node.to_string()));
+            return Err(CellsError::NotInFile(
+                self.file.clone(),
+                self.node.to_string(),
+            ));
         }
         self.map.publish(map);
         Ok(self.map.load().epoch())
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -124,13 +124,23 @@
 impl Limits {
     /// How long a process that was replaced is let live.
     pub fn replaced(&self, site: &Site) -> Duration {
-        let longest = site.settings.classes.iter().map(|c| c.deadline.0).max().unwrap_or(0);
-        Duration::from_micros(longest.unsigned_abs()).min(self.replaced_deadline) + self.replaced_grace
+        let longest = site
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.deadline.0)
+            .max()
+            .unwrap_or(0);
+        Duration::from_micros(longest.unsigned_abs()).min(self.replaced_deadline)
+            + self.replaced_grace
     }
 
     /// The limits of a process that may take so many megabytes.
     pub fn within(self, memory_mb: f64) -> Limits {
-        Limits { keys_bytes: (memory_mb.max(0.0) * KEYS_PART * 1024.0 * 1024.0) as usize, ..self }
+        Limits {
+            keys_bytes: (memory_mb.max(0.0) * KEYS_PART * 1024.0 * 1024.0) as usize,
+            ..self
+        }
     }
 
     /// The limits under so many descriptors, with as much memory as the platform gives at the most.
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -8,7 +8,9 @@
 mod request;
 mod request_table;
 
-use std::sync::atomic::{AtomicBool, AtomicI64, AtomicU32, AtomicU64, AtomicUsize, Ordering::Relaxed};
+use std::sync::atomic::{
+    AtomicBool, AtomicI64, AtomicU32, AtomicU64, AtomicUsize, Ordering::Relaxed,
+};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -24,7 +26,9 @@
 
 /// The system's Unix clock, which all due times are told in.
 pub fn unix_now() -> Time {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     Time(i64::try_from(since.as_micros()).unwrap_or(i64::MAX))
 }
 
@@ -153,7 +157,10 @@
     }
     /// How long a connection may carry nothing, once the module has said so.
     pub fn idle(&self) -> Option<Duration> {
-        u64::try_from(self.idle_us.load(Relaxed)).ok().filter(|us| *us > 0).map(Duration::from_micros)
+        u64::try_from(self.idle_us.load(Relaxed))
+            .ok()
+            .filter(|us| *us > 0)
+            .map(Duration::from_micros)
     }
     /// So many parts of what the node may have are this process's from now on.
     pub fn set_parts(&self, parts: u32) {
@@ -202,7 +209,10 @@
 impl Seldom {
     /// At most one in `pause`.
     pub fn new(pause: Duration) -> Seldom {
-        Seldom { pause, last: Mutex::new((None, 0)) }
+        Seldom {
+            pause,
+            last: Mutex::new((None, 0)),
+        }
     }
     /// Has the line written, if it is time, with the number of those left out before it.
     pub fn log(&self, write: impl FnOnce(u64)) {
--- a/src/node/module.rs
+++ b/src/node/module.rs
@@ -21,7 +21,8 @@
 use crate::wire::Site;
 use policy::Policy;
 use policy::{
-    Action, CallEnd, ClassId, Effect, Event, Gauges, Request, RequestId, RunEnd, Settings, Span, Time,
+    Action, CallEnd, ClassId, Effect, Event, Gauges, Request, RequestId, RunEnd, Settings, Span,
+    Time,
 };
 
 /// The module keeps a tenth of memory and places free.
@@ -92,7 +93,13 @@
         log: Logger,
     ) -> Module {
         // A try that lay unread for longer is refused as it is read.
-        let longest = site.settings.classes.iter().map(|c| c.deadline.0).max().unwrap_or(0);
+        let longest = site
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.deadline.0)
+            .max()
+            .unwrap_or(0);
         let unread = longest + site.settings.answer_slack.0;
         let requests = RequestTable::new(Table::new(limits.keys_bytes, limits.key_result, unread));
         let seldom = || Seldom::new(limits.log_seldom);
@@ -157,7 +164,11 @@
         let set = &self.site.settings;
         let part = f64::from(parts) / f64::from(PARTS);
         // Where the fleet shares calls, its budget has both processes' in it.
-        let calls_out = self.peers.waiting.is_none().then_some(set.calls_out * part.max(NEXT_TO_NOTHING));
+        let calls_out = self
+            .peers
+            .waiting
+            .is_none()
+            .then_some(set.calls_out * part.max(NEXT_TO_NOTHING));
         let of = Event::Part {
             memory_kb: set.memory_kb * part,
             crowd_per_core: set.crowd_per_core * part,
@@ -170,14 +181,19 @@
         let set = &self.site.settings;
         let crowd = set.crowd_per_core * f64::from(set.cores);
         let (_, running, ghosts) = self.requests.counts();
-        let used =
-            (booked_kb / set.memory_kb.max(1.0)).max((running + ghosts) as f64 / crowd.max(1.0)) * MARGIN;
-        (used * f64::from(PARTS)).ceil().clamp(0.0, f64::from(PARTS)) as u32
+        let used = (booked_kb / set.memory_kb.max(1.0))
+            .max((running + ghosts) as f64 / crowd.max(1.0))
+            * MARGIN;
+        (used * f64::from(PARTS))
+            .ceil()
+            .clamp(0.0, f64::from(PARTS)) as u32
     }
 
     /// Tells the module what the others have in flight, as long as that is known.
     fn tell_others(&mut self) {
-        let Some(fleet) = &self.peers.fleet else { return };
+        let Some(fleet) = &self.peers.fleet else {
+            return;
+        };
         let told = (fleet.others)(&self.tenant_keys);
         if told.is_none() && !self.told_others {
             return;
@@ -185,7 +201,8 @@
         self.told_others = told.is_some();
         let (nodes, others) = told.unwrap_or_default();
         let others = others.into_iter().map(f64::from).collect();
-        self.pending.push(Pending::Other(Event::Others(f64::from(nodes), others)));
+        self.pending
+            .push(Pending::Other(Event::Others(f64::from(nodes), others)));
     }
 
     /// Looks after runs that nobody waits for: their end may never be told, if a command was lost with a link. Each
@@ -193,18 +210,27 @@
     fn sweep(&mut self) {
         self.tell_others();
         if let Some(waiting) = &self.peers.waiting {
-            waiting(self.requests.all().filter(|e| matches!(e.stage, Stage::AtCall(..))).count());
+            waiting(
+                self.requests
+                    .all()
+                    .filter(|e| matches!(e.stage, Stage::AtCall(..)))
+                    .count(),
+            );
         }
         let (again, over) = (self.limits.stop_again, self.limits.stop_given_up);
         let classes = &self.site.settings.classes;
         // One run by key goes on, as another try may come for its result.
         let grace = |class: ClassId| match classes.get(class.0) {
-            Some(c) if c.effect == Effect::ByKey => Duration::from_micros(c.deadline.0.unsigned_abs()),
+            Some(c) if c.effect == Effect::ByKey => {
+                Duration::from_micros(c.deadline.0.unsigned_abs())
+            }
             _ => Duration::ZERO,
         };
         let mut gone = Vec::new();
         for entry in self.requests.all().filter(|e| e.ran()) {
-            let Some(since) = entry.answered.map(|at| at.elapsed()) else { continue };
+            let Some(since) = entry.answered.map(|at| at.elapsed()) else {
+                continue;
+            };
             if since < again + grace(entry.class) {
                 continue;
             }
@@ -216,7 +242,12 @@
         }
         for rid in gone {
             warn!(self.log, "the end of a run never came"; "rid" => %rid);
-            self.over(rid, RunEnd::Moot, Outcome::Failed(Failure::Internal), Some(End::Failed));
+            self.over(
+                rid,
+                RunEnd::Moot,
+                Outcome::Failed(Failure::Internal),
+                Some(End::Failed),
+            );
         }
         self.requests.keys.expire(unix_now().0);
         let booked_kb = self.requests.booked_kb(self.site.settings.run_factor);
@@ -236,8 +267,16 @@
 
     /// When there is something to do without a message: the next batch, a timer, or gauges that don't come.
     fn next_look(&self) -> Option<Instant> {
-        let batch = if self.pending.is_empty() { None } else { Some(self.earliest()) };
-        let timer = self.timers.peek().map(|Reverse(at)| *at).filter(|_| self.meter.is_none());
+        let batch = if self.pending.is_empty() {
+            None
+        } else {
+            Some(self.earliest())
+        };
+        let timer = self
+            .timers
+            .peek()
+            .map(|Reverse(at)| *at)
+            .filter(|_| self.meter.is_none());
         let meter = self.meter.map(|(_, late)| late);
         [batch, timer, meter].into_iter().flatten().min()
     }
@@ -258,13 +297,15 @@
             if self.linked && self.peers.executor.try_send(ToExecutor::Meter(tag)).is_ok() {
                 self.meter = Some((tag, now + self.limits.meter));
             } else {
-                self.pending.push(Pending::Other(Event::Wake(Gauges::default())));
+                self.pending
+                    .push(Pending::Other(Event::Wake(Gauges::default())));
             }
         }
         if self.meter.is_some_and(|(_, late)| late <= now) {
             // Due times are watched at wake-ups, so a wake-up never waits long for an executor that is busy.
             self.meter = None;
-            self.pending.push(Pending::Other(Event::Wake(Gauges::default())));
+            self.pending
+                .push(Pending::Other(Event::Wake(Gauges::default())));
         }
         if !self.pending.is_empty() && self.earliest() <= now {
             self.last = now;
@@ -278,13 +319,17 @@
     }
 
     fn batch(&mut self) {
-        let Some(policy) = &mut self.policy else { return self.pending.clear() };
+        let Some(policy) = &mut self.policy else {
+            return self.pending.clear();
+        };
         let now = unix_now();
         let oldest = &mut self.peaks.age;
         let told = |p: Pending| match p {
             Pending::Read(mut request, arrived) => {
                 request.age = Span((now - arrived).0.max(0));
-                request.wait_left = request.wait_left.map(|wait| Span((wait.0 - request.age.0).max(0)));
+                request.wait_left = request
+                    .wait_left
+                    .map(|wait| Span((wait.0 - request.age.0).max(0)));
                 *oldest = request.age.max(*oldest);
                 Event::Read(request)
             }
@@ -314,11 +359,16 @@
             Msg::ExecutorUp { cold, age } => self.executor_up(cold, age),
             Msg::ExecutorDown => {
                 self.linked = false;
-                self.requests.all().filter(|e| e.ran()).for_each(|e| e.unsure = true);
+                self.requests
+                    .all()
+                    .filter(|e| e.ran())
+                    .for_each(|e| e.unsure = true);
             }
             Msg::Exit(rid, how) => self.exit(rid, how),
             Msg::Callout(rid, pos, body) => {
-                let Some(id) = self.requests.find(rid) else { return };
+                let Some(id) = self.requests.find(rid) else {
+                    return;
+                };
                 if let Some(entry) = self.requests.get(id) {
                     entry.unsure = false;
                     entry.stage = Stage::AtCall(body, pos);
@@ -328,7 +378,8 @@
             Msg::Meters(tag, values) => {
                 if self.meter.is_some_and(|(asked, _)| asked == tag) {
                     self.meter = None;
-                    self.pending.push(Pending::Other(Event::Wake(self.site.gauges(&values))));
+                    self.pending
+                        .push(Pending::Other(Event::Wake(self.site.gauges(&values))));
                 }
                 if self.barrier == Some(tag) {
                     self.barrier = None;
@@ -343,34 +394,59 @@
             }
             Msg::CallerLeft(rid) => self.caller_left(rid),
             Msg::CallDone(id, result, took) => self.call_done(id, result, took),
-            Msg::CallsOut(places) => self.pending.push(Pending::Other(Event::CallsOut(places as f64))),
+            Msg::CallsOut(places) => self
+                .pending
+                .push(Pending::Other(Event::CallsOut(places as f64))),
             Msg::Parts(parts) => self.told_parts(parts),
             Msg::Replaced(left) => {
                 let left = left.saturating_sub(self.limits.stop_margin);
-                self.pending.push(Pending::Other(Event::Replaced(Span::from_ms(left.as_secs_f64() * 1e3))));
+                self.pending
+                    .push(Pending::Other(Event::Replaced(Span::from_ms(
+                        left.as_secs_f64() * 1e3,
+                    ))));
             }
             Msg::Drain => {
                 self.leaving = true;
                 let left = self.stop.saturating_sub(self.limits.stop_margin);
                 info!(self.log, "notice to leave"; "left_ms" => left.as_millis() as u64, "owed" => self.board.owed());
-                self.pending.push(Pending::Other(Event::Leaving(Span::from_ms(left.as_secs_f64() * 1e3))));
+                self.pending
+                    .push(Pending::Other(Event::Leaving(Span::from_ms(
+                        left.as_secs_f64() * 1e3,
+                    ))));
             }
         }
     }
 
     fn arrived(&mut self, a: Arrival) {
-        let Arrival { rid, class, tenant, at, wait, caller, resent, held_kb, body, reply, .. } = a;
+        let Arrival {
+            rid,
+            class,
+            tenant,
+            at,
+            wait,
+            caller,
+            resent,
+            held_kb,
+            body,
+            reply,
+            ..
+        } = a;
         let told = self.site.settings.classes.get(class.0);
         let effect = told.map_or(Effect::Once, |c| c.effect);
         let once = effect != Effect::Repeatable;
         let hint = self.board.hint();
         let give = |reply: Reply, outcome| reply.give(Answer { outcome, hint });
         let digests = &self.requests.digests;
-        let first = a
-            .key
-            .filter(|_| once)
-            .map(|key| (digests.of((class, tenant, &key)), digests.of(body.as_base64()), at.0));
-        let found = first.map_or(Found::Free, |(key, body, at)| self.requests.keys.find(key, body, at));
+        let first = a.key.filter(|_| once).map(|key| {
+            (
+                digests.of((class, tenant, &key)),
+                digests.of(body.as_base64()),
+                at.0,
+            )
+        });
+        let found = first.map_or(Found::Free, |(key, body, at)| {
+            self.requests.keys.find(key, body, at)
+        });
         let repeats = match found {
             Found::Repeat(owner) => Some(RequestId(owner)),
             Found::Ran => return give(reply, Outcome::Failed(Failure::MayHaveRun)),
@@ -391,7 +467,13 @@
         }
         if self.policy.is_none() || found == Found::Full || a.unwanted {
             let stay_away = self.site.settings.max_retry_after;
-            return give(reply, Outcome::Refused { stay_away, give_up: false });
+            return give(
+                reply,
+                Outcome::Refused {
+                    stay_away,
+                    give_up: false,
+                },
+            );
         }
         // Nobody waits for it any more, and an age that no line here explains must not count as one: the module would
         // take the node for jammed.
@@ -399,19 +481,39 @@
         let patience = wait.map_or(patience, |wait| wait.min(patience));
         if at + patience + self.site.settings.answer_slack < unix_now() {
             // Turned away, one whose effect may have come about could be taken elsewhere.
-            let refused = Outcome::Refused { stay_away: Span(0), give_up: true };
-            return give(reply, repeats.map_or(refused, |_| Outcome::Failed(Failure::MayHaveRun)));
+            let refused = Outcome::Refused {
+                stay_away: Span(0),
+                give_up: true,
+            };
+            return give(
+                reply,
+                repeats.map_or(refused, |_| Outcome::Failed(Failure::MayHaveRun)),
+            );
         }
         if self.requests.find(rid).is_some() {
-            self.twice.log(|more| warn!(self.log, "a request id came twice"; "rid" => %rid, "more" => more));
-            return reply.give(Answer { outcome: Outcome::Failed(Failure::Internal), hint });
+            self.twice.log(
+                |more| warn!(self.log, "a request id came twice"; "rid" => %rid, "more" => more),
+            );
+            return reply.give(Answer {
+                outcome: Outcome::Failed(Failure::Internal),
+                hint,
+            });
         }
         let (stage, reply) = (Stage::Held, Some(reply));
-        let counted = self.peers.fleet.as_ref().zip(tenant).map(|(fleet, tenant)| {
-            let key = self.tenant_keys.get(tenant.0 as usize).copied().unwrap_or(tenant.0);
-            fleet.live.enters(key);
-            key
-        });
+        let counted = self
+            .peers
+            .fleet
+            .as_ref()
+            .zip(tenant)
+            .map(|(fleet, tenant)| {
+                let key = self
+                    .tenant_keys
+                    .get(tenant.0 as usize)
+                    .copied()
+                    .unwrap_or(tenant.0);
+                fleet.live.enters(key);
+                key
+            });
         let entry = Entry {
             rid,
             class,
@@ -425,7 +527,9 @@
             keyed: first.is_some() && repeats.is_none(),
             counted,
         };
-        let id = self.requests.enter(entry, first.filter(|_| repeats.is_none()));
+        let id = self
+            .requests
+            .enter(entry, first.filter(|_| repeats.is_none()));
         if effect == Effect::Once {
             self.requests.keys.keep(id.0, NEVER);
         }
@@ -451,7 +555,8 @@
         self.linked = true;
         if self.policy.is_some() {
             let tag = self.tag();
-            self.barrier = Some(tag).filter(|_| self.peers.executor.try_send(ToExecutor::Meter(tag)).is_ok());
+            self.barrier =
+                Some(tag).filter(|_| self.peers.executor.try_send(ToExecutor::Meter(tag)).is_ok());
             return;
         }
         // Told to leave before there was anyone to serve it: it takes nothing up any more.
@@ -461,7 +566,10 @@
         // The module counts its warming from the executor's start, which may lie before the link. A warm one may
         // have been up for hours, which would only run the module's clocks past all that they measure.
         let age = if cold { age } else { Duration::ZERO };
-        let settings = Settings { cold, ..self.site.settings.clone() };
+        let settings = Settings {
+            cold,
+            ..self.site.settings.clone()
+        };
         let mut policy = match Policy::new(settings, self.seed) {
             Ok(policy) => policy,
             Err(e) => return warn!(self.log, "settings"; "error" => %e),
@@ -482,14 +590,22 @@
     /// run again is sent again, which does nothing if it runs; what must run once is never sent a second time
     /// and, if its command was lost, fails at its due time.
     fn send_again(&mut self) {
-        let Module { site, requests, peers, .. } = self;
+        let Module {
+            site,
+            requests,
+            peers,
+            ..
+        } = self;
         for entry in requests.all() {
             let unsure = std::mem::take(&mut entry.unsure);
             let class = site.settings.classes.get(entry.class.0);
             let safe = class.is_some_and(|c| c.effect == Effect::Repeatable);
             if unsure && safe && entry.reply.is_some() && entry.stage == Stage::Running {
                 let name = site.class_name(entry.class).to_string();
-                let _ = peers.executor.try_send(ToExecutor::Exec(entry.rid, name, entry.body.clone()));
+                let _ =
+                    peers
+                        .executor
+                        .try_send(ToExecutor::Exec(entry.rid, name, entry.body.clone()));
             }
         }
     }
@@ -497,7 +613,11 @@
     fn exit(&mut self, rid: Rid, how: RunExit) {
         let failed = Some(End::Failed);
         let (end, outcome, came) = match how {
-            RunExit::Done(body) => (RunEnd::Served, Outcome::Served(body.clone()), Some(End::Served(body))),
+            RunExit::Done(body) => (
+                RunEnd::Served,
+                Outcome::Served(body.clone()),
+                Some(End::Served(body)),
+            ),
             RunExit::Error => (RunEnd::Failed, Outcome::Failed(Failure::Run), failed),
             RunExit::Stopped => (RunEnd::Stopped, Outcome::Failed(Failure::Run), failed),
             RunExit::Moot => (RunEnd::Moot, Outcome::Failed(Failure::Internal), None),
@@ -517,7 +637,11 @@
                 self.requests.keys.end(id.0, End::Failed, 0)
             }
             Some(came) => {
-                let size = if let End::Served(body) = &came { body.as_base64().len() } else { 0 };
+                let size = if let End::Served(body) = &came {
+                    body.as_base64().len()
+                } else {
+                    0
+                };
                 self.requests.keys.end(id.0, came, size)
             }
             None => self.requests.keys.never_ran(id.0),
@@ -537,7 +661,13 @@
     fn remove(&mut self, id: RequestId) {
         let waiting = self.requests.remove(id);
         let stay_away = self.site.settings.max_retry_after;
-        self.tell_waiting(waiting, &Outcome::Refused { stay_away, give_up: false });
+        self.tell_waiting(
+            waiting,
+            &Outcome::Refused {
+                stay_away,
+                give_up: false,
+            },
+        );
     }
 
     /// Answers those that joined a request which is over.
@@ -548,7 +678,11 @@
     }
 
     fn end_joined(&mut self, id: RequestId, outcome: Outcome) {
-        let end = if matches!(outcome, Outcome::Served(_)) { RunEnd::Served } else { RunEnd::Failed };
+        let end = if matches!(outcome, Outcome::Served(_)) {
+            RunEnd::Served
+        } else {
+            RunEnd::Failed
+        };
         self.answer(id, outcome);
         self.remove(id);
         self.pending.push(Pending::Other(Event::Finished(id, end)));
@@ -556,24 +690,33 @@
 
     /// Serves a request from the one that it repeats.
     fn join(&mut self, id: RequestId) {
-        let Some(entry) = self.requests.get(id).filter(|e| e.stage == Stage::Held) else { return };
-        let Some(original) = entry.repeats else { return };
+        let Some(entry) = self.requests.get(id).filter(|e| e.stage == Stage::Held) else {
+            return;
+        };
+        let Some(original) = entry.repeats else {
+            return;
+        };
         entry.stage = Stage::Joined;
         let outcome = match self.requests.keys.join(id.0, original.0) {
             Joined::Waits => return,
             Joined::Over(End::Served(body)) => Outcome::Served(body),
             Joined::Over(End::Failed) => Outcome::Failed(Failure::MayHaveRun),
-            Joined::NeverRan => {
-                Outcome::Refused { stay_away: self.site.settings.max_retry_after, give_up: false }
-            }
+            Joined::NeverRan => Outcome::Refused {
+                stay_away: self.site.settings.max_retry_after,
+                give_up: false,
+            },
         };
         self.end_joined(id, outcome);
     }
 
     /// Nobody waits for its answer any more. What never ran is over with that; the module decides on what runs.
     fn caller_left(&mut self, rid: Rid) {
-        let Some(id) = self.requests.find(rid) else { return };
-        let Some(reply) = self.take_reply(id) else { return };
+        let Some(id) = self.requests.find(rid) else {
+            return;
+        };
+        let Some(reply) = self.take_reply(id) else {
+            return;
+        };
         reply.forgo();
         self.pending.push(Pending::Other(Event::CallerLeft(id)));
         if self.requests.get(id).is_some_and(|e| !e.ran()) {
@@ -582,8 +725,12 @@
     }
 
     fn call_done(&mut self, id: RequestId, result: CallResult, took: Duration) {
-        let Some(entry) = self.requests.get(id) else { return };
-        let Stage::Calling(body, pos) = &entry.stage else { return };
+        let Some(entry) = self.requests.get(id) else {
+            return;
+        };
+        let Stage::Calling(body, pos) = &entry.stage else {
+            return;
+        };
         let end = match result {
             CallResult::Reply(reply) => {
                 entry.stage = Stage::Running;
@@ -603,7 +750,8 @@
             }
         };
         let took = Span::from_ms(took.as_secs_f64() * 1e3);
-        self.pending.push(Pending::Other(Event::CallEnded(id, end, took)));
+        self.pending
+            .push(Pending::Other(Event::CallEnded(id, end, took)));
     }
 
     // ---- what goes out ----
@@ -611,7 +759,9 @@
     /// Gives the answer if it is still owed.
     fn answer(&mut self, id: RequestId, outcome: Outcome) {
         let hint = self.board.hint();
-        let Some(reply) = self.take_reply(id) else { return };
+        let Some(reply) = self.take_reply(id) else {
+            return;
+        };
         if let (Outcome::Failed(why), Some(entry)) = (&outcome, self.requests.get(id)) {
             let (rid, class, stage) = (entry.rid, entry.class.0, entry.stage.word());
             info!(self.log, "failed"; "rid" => %rid, "class" => class, "why" => why.word(), "at" => stage);
@@ -642,8 +792,14 @@
                     let _ = self.peers.executor.try_send(ToExecutor::Kill(entry.rid));
                 }
             }
-            Action::Refuse { id, stay_away, give_up } => {
-                let Some(entry) = self.requests.get(id) else { return };
+            Action::Refuse {
+                id,
+                stay_away,
+                give_up,
+            } => {
+                let Some(entry) = self.requests.get(id) else {
+                    return;
+                };
                 let class = self.site.settings.classes.get(entry.class.0);
                 let safe = class.is_some_and(|c| c.effect == Effect::Repeatable);
                 let outcome = if entry.ran() && !safe {
@@ -654,17 +810,32 @@
                 self.end_held(id, outcome);
             }
             Action::Fail(id) => {
-                let Some(entry) = self.requests.get(id) else { return };
-                let why = if entry.repeats.is_some() { Failure::MayHaveRun } else { Failure::GivenUp };
+                let Some(entry) = self.requests.get(id) else {
+                    return;
+                };
+                let why = if entry.repeats.is_some() {
+                    Failure::MayHaveRun
+                } else {
+                    Failure::GivenUp
+                };
                 self.end_held(id, Outcome::Failed(why));
             }
             Action::Call(id, limit) => {
-                let Some(entry) = self.requests.get(id) else { return };
-                let Stage::AtCall(body, pos) = &entry.stage else { return };
+                let Some(entry) = self.requests.get(id) else {
+                    return;
+                };
+                let Stage::AtCall(body, pos) = &entry.stage else {
+                    return;
+                };
                 let (rid, body) = (entry.rid, body.clone());
                 entry.stage = Stage::Calling(body.clone(), *pos);
                 let limit = Duration::from_micros(limit.0.unsigned_abs());
-                if !(self.peers.database)(Call { id, rid, body, limit }) {
+                if !(self.peers.database)(Call {
+                    id,
+                    rid,
+                    body,
+                    limit,
+                }) {
                     self.call_done(id, CallResult::NeverRan, Duration::ZERO);
                 }
             }
@@ -677,10 +848,17 @@
             }
             Action::Log(text) => info!(self.log, "{}", text),
             Action::SkipCall(id) => {
-                let Some(entry) = self.requests.get(id) else { return };
-                let Stage::AtCall(_, pos) = entry.stage else { return };
+                let Some(entry) = self.requests.get(id) else {
+                    return;
+                };
+                let Stage::AtCall(_, pos) = entry.stage else {
+                    return;
+                };
                 entry.stage = Stage::Running;
-                let _ = self.peers.executor.try_send(ToExecutor::Bypass(entry.rid, pos));
+                let _ = self
+                    .peers
+                    .executor
+                    .try_send(ToExecutor::Bypass(entry.rid, pos));
             }
             Action::Remember(id, span) => self.requests.keys.keep(id.0, (unix_now() + span).0),
             // The key of what never ran goes with it, in the same batch.
@@ -690,7 +868,9 @@
     }
 
     fn start(&mut self, id: RequestId) {
-        let Some(entry) = self.requests.get(id).filter(|e| e.stage == Stage::Held) else { return };
+        let Some(entry) = self.requests.get(id).filter(|e| e.stage == Stage::Held) else {
+            return;
+        };
         let name = self.site.class_name(entry.class).to_string();
         let exec = ToExecutor::Exec(entry.rid, name, entry.body.clone());
         if self.peers.executor.try_send(exec).is_ok() {
@@ -698,8 +878,15 @@
             self.requests.keys.ran(id.0);
         } else {
             let stay_away = self.site.settings.max_retry_after;
-            self.end_held(id, Outcome::Refused { stay_away, give_up: false });
-            self.pending.push(Pending::Other(Event::Finished(id, RunEnd::Moot)));
+            self.end_held(
+                id,
+                Outcome::Refused {
+                    stay_away,
+                    give_up: false,
+                },
+            );
+            self.pending
+                .push(Pending::Other(Event::Finished(id, RunEnd::Moot)));
         }
     }
 
--- a/src/node/request.rs
+++ b/src/node/request.rs
@@ -15,7 +15,10 @@
     /// Takes 16 hex digits and nothing else.
     pub fn parse(text: &str) -> Option<Rid> {
         let bytes: [u8; 16] = text.as_bytes().try_into().ok()?;
-        bytes.iter().all(u8::is_ascii_hexdigit).then_some(Rid(bytes))
+        bytes
+            .iter()
+            .all(u8::is_ascii_hexdigit)
+            .then_some(Rid(bytes))
     }
     /// The id of this number.
     pub fn from_number(n: u64) -> Rid {
@@ -139,7 +142,10 @@
 impl Drop for Reply {
     fn drop(&mut self) {
         if let Some(send) = self.0.take() {
-            send(Answer { outcome: Outcome::Failed(Failure::Internal), hint: None });
+            send(Answer {
+                outcome: Outcome::Failed(Failure::Internal),
+                hint: None,
+            });
         }
     }
 }
--- a/src/node/request_table.rs
+++ b/src/node/request_table.rs
@@ -90,7 +90,13 @@
 impl RequestTable {
     pub(super) fn new(keys: Table<Body>) -> RequestTable {
         let digests = Digests(RandomState::new(), RandomState::new());
-        RequestTable { entries: HashMap::new(), by_rid: HashMap::new(), next: 1, digests, keys }
+        RequestTable {
+            entries: HashMap::new(),
+            by_rid: HashMap::new(),
+            next: 1,
+            digests,
+            keys,
+        }
     }
 
     /// Enters a request; with the digest of its key and of its body, if it is the first to bring it, and when it arrived.
@@ -108,13 +114,19 @@
     /// Takes out a request that is over, and tells who waited for what came of one that never ran. The key of one that was
     /// ever sent to run stays in the table.
     pub(super) fn remove(&mut self, id: RequestId) -> Vec<RequestId> {
-        let Some(entry) = self.entries.remove(&id) else { return Vec::new() };
+        let Some(entry) = self.entries.remove(&id) else {
+            return Vec::new();
+        };
         self.by_rid.remove(&entry.rid);
         if entry.repeats.is_some() {
             self.keys.leave(id.0);
         }
         let dropped = entry.keyed && !entry.ran();
-        let waiting = if dropped { self.keys.never_ran(id.0) } else { Vec::new() };
+        let waiting = if dropped {
+            self.keys.never_ran(id.0)
+        } else {
+            Vec::new()
+        };
         waiting.into_iter().map(RequestId).collect()
     }
 
@@ -127,12 +139,19 @@
     /// Requests held, with a run that someone waits for, and with one that nobody does.
     pub(super) fn counts(&self) -> (usize, usize, usize) {
         let held = self.entries.values().filter(|e| !e.ran()).count();
-        let ghosts = self.entries.values().filter(|e| e.ran() && e.reply.is_none()).count();
+        let ghosts = self
+            .entries
+            .values()
+            .filter(|e| e.ran() && e.reply.is_none())
+            .count();
         (held, self.entries.len() - held - ghosts, ghosts)
     }
     /// Kilobytes that the platform books for all of them, where a run takes `run_factor` times what is held.
     pub(super) fn booked_kb(&self, run_factor: f64) -> f64 {
-        self.entries.values().map(|e| e.held_kb * if e.ran() { run_factor } else { 1.0 }).sum()
+        self.entries
+            .values()
+            .map(|e| e.held_kb * if e.ran() { run_factor } else { 1.0 })
+            .sum()
     }
     pub(super) fn all(&mut self) -> impl Iterator<Item = &mut Entry> {
         self.entries.values_mut()
--- a/src/seat.rs
+++ b/src/seat.rs
@@ -33,7 +33,9 @@
 
     /// Takes a seat if it waits for one and one is free.
     pub fn look(&mut self, state: State, log: &Logger) {
-        let Standing::Waiting(seats) = self else { return };
+        let Standing::Waiting(seats) = self else {
+            return;
+        };
         match take(seats) {
             Ok(Some(seated)) => *self = seated,
             Ok(None) => return,
@@ -61,8 +63,12 @@
 
     /// What stands beside this process now. Nothing is created for the look.
     pub fn beside(&self) -> Beside {
-        let Standing::Seated { other, .. } = self else { return Beside::Nobody };
-        let Ok(mut file) = File::open(other) else { return Beside::Nobody };
+        let Standing::Seated { other, .. } = self else {
+            return Beside::Nobody;
+        };
+        let Ok(mut file) = File::open(other) else {
+            return Beside::Nobody;
+        };
         // A shared lock for a moment, let go with the file: two that look at once do not see each other.
         let lives = matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock));
         let mut text = Vec::new();
@@ -83,7 +89,12 @@
     pub fn new(folder: &Path, name: &str, standing: &Standing) -> Parts {
         let path = |n: u32| folder.join(format!("mothwinch-{}.part{n}", plain(name)));
         let alone = matches!(standing, Standing::Alone);
-        Parts { files: (0..if alone { 0 } else { PARTS }).map(|n| (path(n), None)).collect(), alone }
+        Parts {
+            files: (0..if alone { 0 } else { PARTS })
+                .map(|n| (path(n), None))
+                .collect(),
+            alone,
+        }
     }
     /// How many are held.
     pub fn held(&self) -> u32 {
@@ -99,15 +110,26 @@
         }
         let before = self.held();
         let wanted = parts(before, used, own, other);
-        let held = self.files.iter_mut().rev().map(|(_, lock)| lock).filter(|lock| lock.is_some());
+        let held = self
+            .files
+            .iter_mut()
+            .rev()
+            .map(|(_, lock)| lock)
+            .filter(|lock| lock.is_some());
         // The lock goes with the file.
-        held.take(before.saturating_sub(wanted) as usize).for_each(|lock| *lock = None);
+        held.take(before.saturating_sub(wanted) as usize)
+            .for_each(|lock| *lock = None);
         let mut missing = wanted.saturating_sub(before);
         for (path, lock) in self.files.iter_mut().filter(|(_, lock)| lock.is_none()) {
             if missing == 0 {
                 break;
             }
-            match OpenOptions::new().write(true).create(true).truncate(false).open(&*path) {
+            match OpenOptions::new()
+                .write(true)
+                .create(true)
+                .truncate(false)
+                .open(&*path)
+            {
                 Ok(file) if file.try_lock().is_ok() => {
                     *lock = Some(file);
                     missing -= 1;
@@ -131,14 +153,32 @@
 
 /// A name as part of a file's: it is the platform's word and may hold anything.
 fn plain(name: &str) -> String {
-    name.chars().map(|c| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' }).collect()
+    name.chars()
+        .map(|c| {
+            if c.is_ascii_alphanumeric() || c == '-' {
+                c
+            } else {
+                '_'
+            }
+        })
+        .collect()
 }
 
 fn take(seats: &[PathBuf; 2]) -> io::Result<Option<Standing>> {
     for (seat, other) in [(&seats[0], &seats[1]), (&seats[1], &seats[0])] {
-        let own = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(seat)?;
+        let own = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(seat)?;
         match own.try_lock() {
-            Ok(()) => return Ok(Some(Standing::Seated { own, other: other.clone() })),
+            Ok(()) => {
+                return Ok(Some(Standing::Seated {
+                    own,
+                    other: other.clone(),
+                }))
+            }
             Err(TryLockError::WouldBlock) => {}
             Err(TryLockError::Error(e)) => return Err(e),
         }
