--- a/src/wire.rs
+++ b/src/wire.rs
@@ -8,8 +8,8 @@
 
 use policy::Policy;
 use policy::{
-    Action, Below, CallEnd, CallerId, Class, ClassId, Effect, Event, FreeValue, Gauges, Request, RequestId,
-    RunEnd, Settings, Span, Stopping, Tenant, TenantId, Time,
+    Action, Below, CallEnd, CallerId, Class, ClassId, Effect, Event, FreeValue, Gauges, Request,
+    RequestId, RunEnd, Settings, Span, Stopping, Tenant, TenantId, Time,
 };
 
 #[derive(Deserialize)]
@@ -177,21 +177,57 @@
 #[derive(Serialize)]
 #[serde(rename_all_fields = "camelCase")]
 enum StepOut {
-    Admit { msg_id: u64 },
-    Preempt { msg_id: u64 },
-    Reject { msg_id: u64, retry_after: f64, give_up: bool },
-    Lose { msg_id: u64 },
-    ReachOut { msg_id: u64, timeout: f64 },
-    Skip { msg_id: u64 },
-    RecordKey { msg_id: u64, hold_for: f64 },
-    Unpin { msg_id: u64 },
-    Join { msg_id: u64 },
-    Readiness { cached: bool, active: bool },
-    Stamp { value: f64 },
-    TrimAfter { hold_for: f64 },
-    WakeAt { span: f64, r#ref: u64 },
-    Debug { body_text: String },
-    InternalError { body_text: String },
+    Admit {
+        msg_id: u64,
+    },
+    Preempt {
+        msg_id: u64,
+    },
+    Reject {
+        msg_id: u64,
+        retry_after: f64,
+        give_up: bool,
+    },
+    Lose {
+        msg_id: u64,
+    },
+    ReachOut {
+        msg_id: u64,
+        timeout: f64,
+    },
+    Skip {
+        msg_id: u64,
+    },
+    RecordKey {
+        msg_id: u64,
+        hold_for: f64,
+    },
+    Unpin {
+        msg_id: u64,
+    },
+    Join {
+        msg_id: u64,
+    },
+    Readiness {
+        cached: bool,
+        active: bool,
+    },
+    Stamp {
+        value: f64,
+    },
+    TrimAfter {
+        hold_for: f64,
+    },
+    WakeAt {
+        span: f64,
+        r#ref: u64,
+    },
+    Debug {
+        body_text: String,
+    },
+    InternalError {
+        body_text: String,
+    },
 }
 
 /// What a server is told at its start, and the names it is told by.
@@ -210,7 +246,9 @@
 impl Site {
     /// Reads the settings object of the first message; a real node finds the same one in its configuration.
     pub fn from_json(value: &Value) -> Result<Site, String> {
-        Facts::deserialize(value).map(|facts| Site::new(&facts)).map_err(|e| e.to_string())
+        Facts::deserialize(value)
+            .map(|facts| Site::new(&facts))
+            .map_err(|e| e.to_string())
     }
 
     fn new(facts: &Facts) -> Site {
@@ -218,8 +256,18 @@
             settings: settings(facts),
             passes_deadline: facts.specifics.passes_deadline,
             tells_gone: facts.specifics.tells_gone,
-            classes: facts.lanes.iter().enumerate().map(|(i, l)| (l.name.clone(), i)).collect(),
-            tenants: facts.tenants.iter().enumerate().map(|(i, t)| (t.name.clone(), i as u64)).collect(),
+            classes: facts
+                .lanes
+                .iter()
+                .enumerate()
+                .map(|(i, l)| (l.name.clone(), i))
+                .collect(),
+            tenants: facts
+                .tenants
+                .iter()
+                .enumerate()
+                .map(|(i, t)| (t.name.clone(), i as u64))
+                .collect(),
             gauges: facts.specifics.gauges.clone(),
         }
     }
@@ -231,12 +279,20 @@
 
     /// The name of a class, empty past the last.
     pub fn class_name(&self, id: ClassId) -> &str {
-        self.classes.iter().find(|(_, at)| **at == id.0).map_or("", |(name, _)| name)
+        self.classes
+            .iter()
+            .find(|(_, at)| **at == id.0)
+            .map_or("", |(name, _)| name)
     }
 
     /// The tenant of this name; one that the settings lack gets a steady number past all told ones.
     pub fn tenant(&self, name: &str) -> TenantId {
-        TenantId(self.tenants.get(name).copied().unwrap_or_else(|| stranger(name)))
+        TenantId(
+            self.tenants
+                .get(name)
+                .copied()
+                .unwrap_or_else(|| stranger(name)),
+        )
     }
 
     /// Keys of the named tenants by their numbers, the same wherever the settings name them.
@@ -288,17 +344,25 @@
 impl Host {
     /// Answers one line of events with one line of actions, or tells in one line what is wrong with it.
     pub fn line(&mut self, line: &str) -> Result<String, String> {
-        let batch: BatchIn = serde_json::from_str(line).map_err(|e| format!("{}{e}", whose(line)))?;
+        let batch: BatchIn =
+            serde_json::from_str(line).map_err(|e| format!("{}{e}", whose(line)))?;
         if !batch.t.is_finite() {
             return Err("the clock is not a number".into());
         }
         let now = Time((batch.t * 1e3).round() as i64);
-        let mut out = BatchOut { backends: Vec::new() };
+        let mut out = BatchOut {
+            backends: Vec::new(),
+        };
         for group in batch.backends {
             let id = group.backend_id;
-            let steps = self.group(now, group).map_err(|e| format!("backend {id}: {e}"))?;
+            let steps = self
+                .group(now, group)
+                .map_err(|e| format!("backend {id}: {e}"))?;
             if !steps.is_empty() {
-                out.backends.push(GroupOut { backend_id: id, steps });
+                out.backends.push(GroupOut {
+                    backend_id: id,
+                    steps,
+                });
             }
         }
         serde_json::to_string(&out).map_err(|e| e.to_string())
@@ -319,22 +383,34 @@
                     events.clear();
                 }
                 other => {
-                    let server = self.servers.get(&id).ok_or("event for an instance never started")?;
+                    let server = self
+                        .servers
+                        .get(&id)
+                        .ok_or("event for an instance never started")?;
                     events.push(server.event(other)?);
                 }
             }
         }
-        let Some(server) = self.servers.get_mut(&id) else { return Ok(Vec::new()) };
+        let Some(server) = self.servers.get_mut(&id) else {
+            return Ok(Vec::new());
+        };
         let mut actions = Vec::new();
         // A panic is the module's own failure: the simulator is told, and this process goes on to say so.
-        let run = catch_unwind(AssertUnwindSafe(|| server.policy.handle(now, &events, &mut actions)));
+        let run = catch_unwind(AssertUnwindSafe(|| {
+            server.policy.handle(now, &events, &mut actions)
+        }));
         Ok(match run {
             Ok(()) => actions.into_iter().map(step).collect(),
             Err(cause) => {
                 let text = cause.downcast_ref::<String>().cloned();
-                let text =
-                    text.or_else(|| cause.downcast_ref::<&str>().map(std::string::ToString::to_string));
-                vec![StepOut::InternalError { body_text: text.unwrap_or_else(|| "panic".into()) }]
+                let text = text.or_else(|| {
+                    cause
+                        .downcast_ref::<&str>()
+                        .map(std::string::ToString::to_string)
+                });
+                vec![StepOut::InternalError {
+                    body_text: text.unwrap_or_else(|| "panic".into()),
+                }]
             }
         })
     }
@@ -342,8 +418,12 @@
 
 /// The instance a malformed line speaks of, where it can be told.
 fn whose(line: &str) -> String {
-    let Ok(value) = serde_json::from_str::<Value>(line) else { return String::new() };
-    let Some(groups) = value.get("backends").and_then(Value::as_array) else { return String::new() };
+    let Ok(value) = serde_json::from_str::<Value>(line) else {
+        return String::new();
+    };
+    let Some(groups) = value.get("backends").and_then(Value::as_array) else {
+        return String::new();
+    };
     let broken = |g: &&Value| GroupIn::deserialize(*g).is_err();
     let first = groups.iter().find(broken);
     match first.and_then(|g| g.get("backendId")) {
@@ -378,19 +458,28 @@
                     Code::Full | Code::Noconn | Code::Nop => CallEnd::NeverRan,
                     Code::Bad | Code::Late | Code::Rst | Code::Cxl => CallEnd::Failed,
                 };
-                Event::CallEnded(RequestId(end.msg_id), how, span(end.duration.unwrap_or(0.0))?)
+                Event::CallEnded(
+                    RequestId(end.msg_id),
+                    how,
+                    span(end.duration.unwrap_or(0.0))?,
+                )
             }
             EventIn::Blocked(b) => Event::NeedsCall(RequestId(b.msg_id)),
             EventIn::Left(l) => Event::CallerLeft(RequestId(l.msg_id)),
             EventIn::Notice { time_left } => Event::Leaving(span(time_left)?),
             EventIn::Reminder { pressure } => Event::Wake(self.site.gauges(&pressure)),
-            EventIn::Spawn(_) | EventIn::Retire {} => return Err("start or stop out of place".into()),
+            EventIn::Spawn(_) | EventIn::Retire {} => {
+                return Err("start or stop out of place".into())
+            }
         })
     }
 
     fn request(&self, q: QueryIn) -> Result<Request, String> {
         let wait = q.time_left.filter(|t| *t > 0.0).map(span).transpose()?;
-        let class = self.site.class(&q.r#type).unwrap_or(ClassId(self.site.classes.len()));
+        let class = self
+            .site
+            .class(&q.r#type)
+            .unwrap_or(ClassId(self.site.classes.len()));
         let tenant = match &q.user_group {
             Some(Value::String(name)) if !name.is_empty() => Some(self.site.tenant(name)),
             _ => None,
@@ -422,8 +511,9 @@
 
 /// A steady number, past all told tenants, for a name that the settings lack (FNV-1a with the top bit set).
 fn stranger(name: &str) -> u64 {
-    let hash =
-        name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
+    let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
+    });
     hash | 1 << 63
 }
 
@@ -450,7 +540,13 @@
         servers: f.servers,
         callers: s.upstreams,
         classes: classes.collect(),
-        tenants: f.tenants.iter().map(|t| Tenant { allowance_per_s: t.allowance_per_s }).collect(),
+        tenants: f
+            .tenants
+            .iter()
+            .map(|t| Tenant {
+                allowance_per_s: t.allowance_per_s,
+            })
+            .collect(),
         over_share_worth: f.over_share_worth.unwrap_or(1.0),
         worth_by_work: f.worth_by == "work",
         memory_kb: s.heap_kb,
@@ -495,19 +591,39 @@
     match action {
         Action::Run(id) => StepOut::Admit { msg_id: id.0 },
         Action::Stop(id) => StepOut::Preempt { msg_id: id.0 },
-        Action::Refuse { id, stay_away, give_up } => {
-            StepOut::Reject { msg_id: id.0, retry_after: stay_away.ms(), give_up }
-        }
+        Action::Refuse {
+            id,
+            stay_away,
+            give_up,
+        } => StepOut::Reject {
+            msg_id: id.0,
+            retry_after: stay_away.ms(),
+            give_up,
+        },
         Action::Fail(id) => StepOut::Lose { msg_id: id.0 },
-        Action::Call(id, limit) => StepOut::ReachOut { msg_id: id.0, timeout: limit.ms() },
+        Action::Call(id, limit) => StepOut::ReachOut {
+            msg_id: id.0,
+            timeout: limit.ms(),
+        },
         Action::SkipCall(id) => StepOut::Skip { msg_id: id.0 },
-        Action::Remember(id, span) => StepOut::RecordKey { msg_id: id.0, hold_for: span.ms() },
+        Action::Remember(id, span) => StepOut::RecordKey {
+            msg_id: id.0,
+            hold_for: span.ms(),
+        },
         Action::Forget(id) => StepOut::Unpin { msg_id: id.0 },
         Action::Join(id) => StepOut::Join { msg_id: id.0 },
-        Action::Health(active) => StepOut::Readiness { cached: true, active },
+        Action::Health(active) => StepOut::Readiness {
+            cached: true,
+            active,
+        },
         Action::FreeValue(value) => StepOut::Stamp { value },
-        Action::CloseIdle(span) => StepOut::TrimAfter { hold_for: span.ms() },
-        Action::WakeIn(span) => StepOut::WakeAt { span: span.ms(), r#ref: 0 },
+        Action::CloseIdle(span) => StepOut::TrimAfter {
+            hold_for: span.ms(),
+        },
+        Action::WakeIn(span) => StepOut::WakeAt {
+            span: span.ms(),
+            r#ref: 0,
+        },
         Action::Log(body_text) => StepOut::Debug { body_text },
     }
 }
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -45,10 +45,17 @@
     broker.publish(READS, Message::new("serve:a"));
     broker.publish(POSTS, Message::new("call:ok#b"));
     until("both are answered", || replies(&broker) == 2);
-    until("both are acknowledged", || broker.with(|seen| seen.acked) == 2);
+    until("both are acknowledged", || {
+        broker.with(|seen| seen.acked) == 2
+    });
     broker.with(|seen| {
-        let reply =
-            |about: &str| seen.replies.iter().find(|r| r.correlation() == about).expect("a reply").clone();
+        let reply = |about: &str| {
+            seen.replies
+                .iter()
+                .find(|r| r.correlation() == about)
+                .expect("a reply")
+                .clone()
+        };
         assert_eq!(reply("about serve:a").body, "done serve:a");
         assert_eq!(reply("about call:ok#b").body, "rows for ok#b");
         assert!(seen.replies.iter().all(|r| r.text(STATUS) == "served"));
@@ -87,18 +94,40 @@
         broker.publish(POSTS, Message::new(body));
     }
     until("all are answered", || replies(&broker) == 20);
-    until("all are acknowledged", || broker.with(|seen| seen.acked) == 20);
-    let statuses: Vec<(String, String)> =
-        broker.with(|seen| seen.replies.iter().map(|r| (r.correlation(), r.text(STATUS))).collect());
-    let refused: Vec<&String> =
-        statuses.iter().filter(|(_, s)| s == "refused").map(|(about, _)| about).collect();
-    assert!(!refused.is_empty() && refused.len() < 20, "six cores can't run twenty that hang: {refused:?}");
+    until("all are acknowledged", || {
+        broker.with(|seen| seen.acked) == 20
+    });
+    let statuses: Vec<(String, String)> = broker.with(|seen| {
+        seen.replies
+            .iter()
+            .map(|r| (r.correlation(), r.text(STATUS)))
+            .collect()
+    });
+    let refused: Vec<&String> = statuses
+        .iter()
+        .filter(|(_, s)| s == "refused")
+        .map(|(about, _)| about)
+        .collect();
+    assert!(
+        !refused.is_empty() && refused.len() < 20,
+        "six cores can't run twenty that hang: {refused:?}"
+    );
     for about in &refused {
-        assert_eq!(node.executor.runs(about.trim_start_matches("about ")), 0, "{about}");
+        assert_eq!(
+            node.executor.runs(about.trim_start_matches("about ")),
+            0,
+            "{about}"
+        );
     }
     broker.with(|seen| {
         for reply in seen.replies.iter().filter(|r| r.text(STATUS) == "refused") {
-            assert!(matches!(reply.header(RETRY_AFTER), Some(AMQPValue::LongLongInt(0..=1000))), "{reply:?}");
+            assert!(
+                matches!(
+                    reply.header(RETRY_AFTER),
+                    Some(AMQPValue::LongLongInt(0..=1000))
+                ),
+                "{reply:?}"
+            );
             assert_eq!(reply.header(MAY_RETRY), Some(&AMQPValue::Boolean(true)));
         }
     });
@@ -115,7 +144,10 @@
     broker.with(|seen| {
         assert_eq!(seen.replies[0].text(STATUS), "failed");
         assert_eq!(seen.replies[0].text(REASON), "given up");
-        assert_eq!(seen.replies[0].header(MAY_RETRY), Some(&AMQPValue::Boolean(false)));
+        assert_eq!(
+            seen.replies[0].header(MAY_RETRY),
+            Some(&AMQPValue::Boolean(false))
+        );
     });
     until("it is acknowledged", || broker.with(|seen| seen.acked) == 1);
     until("its run is stopped", || node.executor.killed() == 1);
@@ -133,8 +165,20 @@
 #[test]
 fn what_can_not_be_a_request_is_rejected_unrun() {
     let (broker, mut node) = start(4);
-    broker.publish(POSTS, Message { body: "serve:keyless".into(), ..Message::default() });
-    broker.publish(READS, Message { body: "x".repeat(9000), ..Message::new("serve:long") });
+    broker.publish(
+        POSTS,
+        Message {
+            body: "serve:keyless".into(),
+            ..Message::default()
+        },
+    );
+    broker.publish(
+        READS,
+        Message {
+            body: "x".repeat(9000),
+            ..Message::new("serve:long")
+        },
+    );
     until("both are dead", || dead(&broker) == 2);
     broker.publish(READS, Message::new("serve:after"));
     until("the next is served", || replies(&broker) == 1);
@@ -154,9 +198,16 @@
     }
     until("the second ones are dead", || dead(&broker) == 2);
     until("all are answered", || replies(&broker) == 4);
-    assert_eq!((node.executor.runs("serve:a"), node.executor.runs("fail")), (1, 1));
     assert_eq!(
-        broker.with(|seen| seen.replies.iter().filter(|r| r.text(REASON) == "may have run").count()),
+        (node.executor.runs("serve:a"), node.executor.runs("fail")),
+        (1, 1)
+    );
+    assert_eq!(
+        broker.with(|seen| seen
+            .replies
+            .iter()
+            .filter(|r| r.text(REASON) == "may have run")
+            .count()),
         2
     );
     stop(&broker, &mut node);
@@ -168,7 +219,14 @@
     let (broker, mut node) = start(4);
     for again in [false, true] {
         let message = Message::new("serve:a");
-        broker.publish(READS, if again { message.redelivered() } else { message });
+        broker.publish(
+            READS,
+            if again {
+                message.redelivered()
+            } else {
+                message
+            },
+        );
     }
     until("both are served", || replies(&broker) == 2);
     assert_eq!(node.executor.runs("serve:a"), 2);
@@ -183,11 +241,16 @@
     until("it runs", || node.executor.runs("hang") == 1);
     broker.break_links();
     until("it is dead", || dead(&broker) == 1);
-    assert_eq!(broker.with(|seen| seen.replies[0].text(REASON)), "may have run");
+    assert_eq!(
+        broker.with(|seen| seen.replies[0].text(REASON)),
+        "may have run"
+    );
     // The run goes on to its end, and its result finds no one: the delivery was settled once already.
     node.executor.finish("hang");
     broker.publish(POSTS, Message::new("serve:next"));
-    until("the new link serves", || node.executor.runs("serve:next") == 1);
+    until("the new link serves", || {
+        node.executor.runs("serve:next") == 1
+    });
     until("and answers", || replies(&broker) == 2);
     assert_eq!(node.executor.runs("hang"), 1);
     stop(&broker, &mut node);
@@ -202,11 +265,19 @@
     until("it runs", || first.executor.runs("hang") == 1);
     first.process.kill().expect("a child");
     first.exit();
-    until("the broker has noticed", || broker.with(|seen| seen.unacked) == 0);
+    until("the broker has noticed", || {
+        broker.with(|seen| seen.unacked) == 0
+    });
     let mut second = node_at(&broker, 4);
     until("it is dead", || dead(&broker) == 1);
-    assert_eq!(first.executor.runs("hang") + second.executor.runs("hang"), 1);
-    assert_eq!(broker.with(|seen| seen.replies[0].text(REASON)), "may have run");
+    assert_eq!(
+        first.executor.runs("hang") + second.executor.runs("hang"),
+        1
+    );
+    assert_eq!(
+        broker.with(|seen| seen.replies[0].text(REASON)),
+        "may have run"
+    );
     stop(&broker, &mut second);
 }
 
@@ -219,10 +290,15 @@
     until("one runs", || node.executor.runs("hang") == 1);
     broker.with(|seen| {
         for n in 0..3 {
-            seen.push_on_cancel.push((POSTS.into(), Message::new(&format!("serve:post {n}"))));
-            seen.push_on_cancel.push((READS.into(), Message::new(&format!("serve:read {n}"))));
+            seen.push_on_cancel
+                .push((POSTS.into(), Message::new(&format!("serve:post {n}"))));
+            seen.push_on_cancel
+                .push((READS.into(), Message::new(&format!("serve:read {n}"))));
         }
-        seen.push_on_cancel.push((POSTS.into(), Message::new("serve:second time").redelivered()));
+        seen.push_on_cancel.push((
+            POSTS.into(),
+            Message::new("serve:second time").redelivered(),
+        ));
     });
     stop(&broker, &mut node);
     let mut ran = 0;
@@ -235,8 +311,20 @@
             ran += node.executor.runs(&copy.body);
         }
         // A mark of an earlier delivery must not be lost by a copy.
-        assert_eq!(seen.dead.iter().map(|m| m.body.as_str()).collect::<Vec<_>>(), ["serve:second time"]);
-        assert_eq!(seen.replies.iter().filter(|r| r.text(STATUS) == "failed").count(), 2);
+        assert_eq!(
+            seen.dead
+                .iter()
+                .map(|m| m.body.as_str())
+                .collect::<Vec<_>>(),
+            ["serve:second time"]
+        );
+        assert_eq!(
+            seen.replies
+                .iter()
+                .filter(|r| r.text(STATUS) == "failed")
+                .count(),
+            2
+        );
     });
     assert_eq!(ran, 0, "nothing that was handed back has run");
     let mut next = node_at(&broker, 8);
@@ -257,15 +345,30 @@
     let mut headers = FieldTable::default();
     headers.insert("CC".into(), AMQPValue::LongString("elsewhere".into()));
     headers.insert("trace".into(), AMQPValue::LongLongInt(7));
-    message.properties =
-        message.properties.with_headers(headers).with_user_id("partner".into()).with_priority(3);
+    message.properties = message
+        .properties
+        .with_headers(headers)
+        .with_user_id("partner".into())
+        .with_priority(3);
     broker.with(|seen| seen.push_on_cancel.push((POSTS.into(), message.clone())));
     stop(&broker, &mut node);
     let copy = broker.with(|seen| seen.ready[POSTS][0].clone());
-    assert_eq!((copy.header("CC"), copy.header("trace")), (None, Some(&AMQPValue::LongLongInt(7))));
-    assert_eq!((copy.properties.user_id(), copy.properties.priority()), (&None, &Some(3)));
-    assert_eq!(copy.properties.message_id(), message.properties.message_id());
-    assert_eq!((copy.body, copy.properties.reply_to()), (message.body, message.properties.reply_to()));
+    assert_eq!(
+        (copy.header("CC"), copy.header("trace")),
+        (None, Some(&AMQPValue::LongLongInt(7)))
+    );
+    assert_eq!(
+        (copy.properties.user_id(), copy.properties.priority()),
+        (&None, &Some(3))
+    );
+    assert_eq!(
+        copy.properties.message_id(),
+        message.properties.message_id()
+    );
+    assert_eq!(
+        (copy.body, copy.properties.reply_to()),
+        (message.body, message.properties.reply_to())
+    );
 }
 
 /// A copy that can't be routed comes back before its confirm; then the original must not be lost.
@@ -275,10 +378,14 @@
     until("it consumes", || broker.with(|seen| seen.consumers) == 2);
     broker.with(|seen| {
         seen.unroutable = true;
-        seen.push_on_cancel.push((POSTS.into(), Message::new("serve:a")));
+        seen.push_on_cancel
+            .push((POSTS.into(), Message::new("serve:a")));
     });
     stop(&broker, &mut node);
-    assert_eq!(broker.with(|seen| (seen.requeued, seen.ready[POSTS].len(), seen.acked)), (1, 1, 0));
+    assert_eq!(
+        broker.with(|seen| (seen.requeued, seen.ready[POSTS].len(), seen.acked)),
+        (1, 1, 0)
+    );
     assert_eq!(node.executor.runs("serve:a"), 0);
 }
 
@@ -311,7 +418,10 @@
     }
     until("the queue's are answered", || replies(&broker) == 6);
     let most = node.database.most_silent();
-    assert!((2..=5).contains(&most), "{most} calls in hand of a share of 5");
+    assert!(
+        (2..=5).contains(&most),
+        "{most} calls in hand of a share of 5"
+    );
     stop(&broker, &mut node);
 }
 
@@ -320,8 +430,12 @@
     let broker = Broker::start();
     broker.with(|seen| seen.heartbeat = 1);
     let mut node = node_at(&broker, 4);
-    until("heartbeats come", || broker.with(|seen| seen.heartbeats) >= 2);
-    until("the silent link is given up for a new one", || broker.with(|seen| seen.connections) >= 2);
+    until("heartbeats come", || {
+        broker.with(|seen| seen.heartbeats) >= 2
+    });
+    until("the silent link is given up for a new one", || {
+        broker.with(|seen| seen.connections) >= 2
+    });
     stop(&broker, &mut node);
 }
 
@@ -334,8 +448,13 @@
         .replace("username: guest", "username: eve");
     let inventory = Scratch::new("other.yaml", &text);
     let mut node = Node::start_with(Some(&inventory), |_| {});
-    until("it is tried again", || broker.with(|seen| seen.connections) >= 2);
-    assert_eq!(node.front().ask("statement-read", "serve")["error"], serde_json::Value::Null);
+    until("it is tried again", || {
+        broker.with(|seen| seen.connections) >= 2
+    });
+    assert_eq!(
+        node.front().ask("statement-read", "serve")["error"],
+        serde_json::Value::Null
+    );
     assert!(node.log().contains("403 ACCESS_REFUSED"));
     stop(&broker, &mut node);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -24,8 +24,19 @@
         round: Span::from_ms(2.0),
         servers: 4,
         callers: 3,
-        classes: vec![class(Effect::Repeatable), class(Effect::ByKey), class(Effect::Once)],
-        tenants: vec![Tenant { allowance_per_s: 8.0 }, Tenant { allowance_per_s: 8.0 }],
+        classes: vec![
+            class(Effect::Repeatable),
+            class(Effect::ByKey),
+            class(Effect::Once),
+        ],
+        tenants: vec![
+            Tenant {
+                allowance_per_s: 8.0,
+            },
+            Tenant {
+                allowance_per_s: 8.0,
+            },
+        ],
         over_share_worth: 0.1,
         worth_by_work: false,
         memory_kb: 2000.0,
@@ -77,12 +88,16 @@
 
 impl Server {
     pub(crate) fn new(settings: Settings) -> Server {
-        Server { policy: Policy::new(settings, 7).expect("settings are sound"), now: 1000.0 }
+        Server {
+            policy: Policy::new(settings, 7).expect("settings are sound"),
+            now: 1000.0,
+        }
     }
     pub(crate) fn at(&mut self, ms: f64, events: &[Event]) -> Vec<Action> {
         self.now = ms;
         let mut out = Vec::new();
-        self.policy.handle(Time((ms * 1e3) as i64), events, &mut out);
+        self.policy
+            .handle(Time((ms * 1e3) as i64), events, &mut out);
         out
     }
     pub(crate) fn read(&mut self, ids: std::ops::Range<u64>, class: usize) -> Vec<Action> {
@@ -92,14 +107,50 @@
 }
 
 pub(crate) fn runs(actions: &[Action]) -> Vec<u64> {
-    actions.iter().filter_map(|a| if let Action::Run(id) = a { Some(id.0) } else { None }).collect()
+    actions
+        .iter()
+        .filter_map(|a| {
+            if let Action::Run(id) = a {
+                Some(id.0)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
 pub(crate) fn refused(actions: &[Action]) -> Vec<u64> {
-    actions.iter().filter_map(|a| if let Action::Refuse { id, .. } = a { Some(id.0) } else { None }).collect()
+    actions
+        .iter()
+        .filter_map(|a| {
+            if let Action::Refuse { id, .. } = a {
+                Some(id.0)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
 pub(crate) fn failed(actions: &[Action]) -> Vec<u64> {
-    actions.iter().filter_map(|a| if let Action::Fail(id) = a { Some(id.0) } else { None }).collect()
+    actions
+        .iter()
+        .filter_map(|a| {
+            if let Action::Fail(id) = a {
+                Some(id.0)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
 pub(crate) fn calls(actions: &[Action]) -> Vec<u64> {
-    actions.iter().filter_map(|a| if let Action::Call(id, _) = a { Some(id.0) } else { None }).collect()
+    actions
+        .iter()
+        .filter_map(|a| {
+            if let Action::Call(id, _) = a {
+                Some(id.0)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
--- a/tests/common/steps.rs
+++ b/tests/common/steps.rs
@@ -7,5 +7,8 @@
 where
     fn(Vec<S>) -> bool: Testable,
 {
-    QuickCheck::new().rng(Gen::from_size_and_seed(60, 0x6d6f_7468)).tests(2000).quickcheck(check);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(60, 0x6d6f_7468))
+        .tests(2000)
+        .quickcheck(check);
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -19,7 +19,11 @@
     answer["error"]["code"].as_i64().unwrap_or(0)
 }
 fn body(answer: &Value) -> String {
-    unbase64(answer["result"]["body"].as_str().unwrap_or_else(|| panic!("no result: {answer}")))
+    unbase64(
+        answer["result"]["body"]
+            .as_str()
+            .unwrap_or_else(|| panic!("no result: {answer}")),
+    )
 }
 
 /// A front that is stepped, and the module's mailbox.
@@ -37,7 +41,11 @@
         let (module, inbox) = bounded(limits.module_mailbox);
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
         let at = listener.local_addr().expect("bound");
-        let core = Core { site, board: Arc::default(), module };
+        let core = Core {
+            site,
+            board: Arc::default(),
+            module,
+        };
         let mut front = Events::new(core, &limits, &Logger::root(Discard, o!())).expect("a front");
         front.listen(listener, Instant::now()).expect("it listens");
         Stepped { front, inbox, at }
@@ -47,7 +55,9 @@
         let end = Instant::now() + Duration::from_secs(20);
         while !holds(self) {
             assert!(Instant::now() < end, "waited in vain: {what}");
-            self.front.step(Some(Duration::from_millis(1))).expect("a step");
+            self.front
+                .step(Some(Duration::from_millis(1)))
+                .expect("a step");
         }
     }
     fn connect(&mut self) -> Front {
@@ -79,8 +89,14 @@
         }
     }
     fn refuse(arrival: Arrival) {
-        let outcome = Outcome::Refused { stay_away: Span(0), give_up: false };
-        arrival.reply.give(Answer { outcome, hint: None });
+        let outcome = Outcome::Refused {
+            stay_away: Span(0),
+            give_up: false,
+        };
+        arrival.reply.give(Answer {
+            outcome,
+            hint: None,
+        });
     }
 }
 
@@ -128,7 +144,9 @@
     let mut s = Stepped::new(|_| {});
     let mut peer = s.connect();
     peer.raw("{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"alive\"}");
-    peer.stream.write_all(b"{\"jsonrpc\":\"2.0\",\"id\":6,").expect("written");
+    peer.stream
+        .write_all(b"{\"jsonrpc\":\"2.0\",\"id\":6,")
+        .expect("written");
     s.front.part_all(Instant::now());
     // More of it comes while the writing side is shut already.
     peer.stream.write_all(b"\"method\":").expect("written");
@@ -161,7 +179,11 @@
         let _ = other.stream.write(&bytes);
         s.front.connections() <= 1
     });
-    assert!(begun.elapsed() < Duration::from_secs(3), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        begun.elapsed()
+    );
 }
 
 /// Slots run short among peers that never close: each newcomer gets one at once, though those who go would wait for their
@@ -203,7 +225,9 @@
     let id = peer.send("statement-read", "serve");
     peer.stream.shutdown(Shutdown::Write).expect("shut");
     let arrival = s.arrival();
-    s.until("the end is read", |s| s.front.step(Some(Duration::from_millis(1))).is_ok());
+    s.until("the end is read", |s| {
+        s.front.step(Some(Duration::from_millis(1))).is_ok()
+    });
     Stepped::refuse(arrival);
     s.until("it is gone", |s| s.front.connections() == 0);
     let answer = peer.next();
@@ -282,13 +306,18 @@
     let mut peer = s.connect();
     let socket = socket2::SockRef::from(&peer.stream);
     socket.set_recv_buffer_size(32 * 1024).expect("an option");
-    let ids: Vec<u64> = (0..2).map(|_| peer.send("statement-read", "serve")).collect();
+    let ids: Vec<u64> = (0..2)
+        .map(|_| peer.send("statement-read", "serve"))
+        .collect();
     let arrivals: Vec<Arrival> = ids.iter().map(|_| s.arrival()).collect();
     // More than the buffers between them take, and less than may wait to be written on one connection.
     let long = "x".repeat(256 * 1024);
     for arrival in arrivals {
         let outcome = Outcome::Served(Body::from_bytes(long.as_bytes()));
-        arrival.reply.give(Answer { outcome, hint: None });
+        arrival.reply.give(Answer {
+            outcome,
+            hint: None,
+        });
         s.front.step(Some(Duration::ZERO)).expect("a step");
         s.front.part_all(Instant::now());
     }
@@ -305,7 +334,9 @@
             }
         }
     });
-    s.until("all is read and the peer is gone", |s| s.front.connections() == 0);
+    s.until("all is read and the peer is gone", |s| {
+        s.front.connections() == 0
+    });
     assert_eq!(read.join().expect("a peer"), ids);
 }
 
@@ -314,7 +345,10 @@
 fn who_waits_at_the_listener_as_it_closes_is_taken_in() {
     let mut s = Stepped::new(|_| {});
     let mut waiting: Vec<Front> = (0..40).map(|_| Front::connect(s.at)).collect();
-    let ids: Vec<u64> = waiting.iter_mut().map(|peer| peer.send("statement-read", "serve")).collect();
+    let ids: Vec<u64> = waiting
+        .iter_mut()
+        .map(|peer| peer.send("statement-read", "serve"))
+        .collect();
     s.front.stop_listening(Instant::now());
     assert_eq!(s.front.connections(), 40);
     // One that comes later is refused by the machine, which proves that nothing ran.
@@ -336,7 +370,9 @@
     let mut flood: Vec<Front> = (0..60).map(|_| s.connect()).collect();
     let mut true_one = s.connect();
     for peer in &mut flood {
-        peer.stream.write_all(&b"{\"jsonrpc\":\"2.0\"\n".repeat(200)).expect("written");
+        peer.stream
+            .write_all(&b"{\"jsonrpc\":\"2.0\"\n".repeat(200))
+            .expect("written");
     }
     let id = true_one.send("statement-read", "serve");
     let arrival = s.arrival();
@@ -354,9 +390,15 @@
 fn requests_around_the_notice_to_leave_are_all_answered() {
     let mut node = Node::start();
     let mut fronts: Vec<Front> = (0..8).map(|_| node.front()).collect();
-    let before: Vec<u64> = fronts.iter_mut().map(|front| front.send("settlement-post", "serve")).collect();
+    let before: Vec<u64> = fronts
+        .iter_mut()
+        .map(|front| front.send("settlement-post", "serve"))
+        .collect();
     node.terminate();
-    let behind: Vec<u64> = fronts.iter_mut().map(|front| front.send("statement-read", "serve")).collect();
+    let behind: Vec<u64> = fronts
+        .iter_mut()
+        .map(|front| front.send("statement-read", "serve"))
+        .collect();
     for ((front, first), second) in fronts.iter_mut().zip(before).zip(behind) {
         let mut ids = [front.answer()["id"].as_u64(), front.answer()["id"].as_u64()];
         ids.sort_unstable();
@@ -373,7 +415,9 @@
     let (mut runs, mut calls, mut half) = (node.front(), node.front(), node.front());
     let run = runs.send("settlement-post", "hang:a");
     let call = calls.send("statement-read", "call:silent");
-    until("both are at work", || node.executor.runs("hang:a") == 1 && node.database.calls("silent") == 1);
+    until("both are at work", || {
+        node.executor.runs("hang:a") == 1 && node.database.calls("silent") == 1
+    });
     let (id, line) = half.line("statement-read", "serve", json!({}));
     let (begin, rest) = line.split_at(line.len() / 2);
     half.stream.write_all(begin.as_bytes()).expect("written");
@@ -398,15 +442,26 @@
     until("it runs", || node.executor.runs("hang:a") == 1);
     node.terminate();
     until("it leaves", || node.log().contains("notice to leave"));
-    let moved = config(node.executor.elsewhere(), node.database.address, node.list.address);
+    let moved = config(
+        node.executor.elsewhere(),
+        node.database.address,
+        node.list.address,
+    );
     node.reload(&moved.to_string());
-    until("it is joined at the new place", || node.executor.joins().len() == 2);
+    until("it is joined at the new place", || {
+        node.executor.joins().len() == 2
+    });
     // Again, and one that can't be used.
     node.reload("{\"name\":");
-    until("the bad one is passed over", || node.log().contains("the new configuration is not used"));
+    until("the bad one is passed over", || {
+        node.log().contains("the new configuration is not used")
+    });
     node.executor.finish("hang:a");
     let answer = front.answer();
-    assert_eq!((answer["id"].as_u64(), body(&answer).as_str()), (Some(run), "late result"));
+    assert_eq!(
+        (answer["id"].as_u64(), body(&answer).as_str()),
+        (Some(run), "late result")
+    );
     drop(front);
     assert_eq!(node.exit().code(), Some(0));
 }
@@ -415,7 +470,9 @@
 #[test]
 fn a_list_that_is_silent_throughout() {
     // Bound and dropped: nobody listens there.
-    let nowhere = std::net::UdpSocket::bind("127.0.0.1:0").and_then(|s| s.local_addr()).expect("loopback");
+    let nowhere = std::net::UdpSocket::bind("127.0.0.1:0")
+        .and_then(|s| s.local_addr())
+        .expect("loopback");
     let mut node = Node::start_with(None, |config| config["members"] = json!(nowhere));
     let mut front = node.front();
     for _ in 0..20 {
@@ -443,9 +500,13 @@
     let mut lines = std::io::BufReader::new(link.try_clone().expect("a link"));
     let mut join = String::new();
     std::io::BufRead::read_line(&mut lines, &mut join).expect("a line");
-    assert!(join.contains("\"JOIN\"") && join.contains("\"pos\":0"), "{join}");
+    assert!(
+        join.contains("\"JOIN\"") && join.contains("\"pos\":0"),
+        "{join}"
+    );
     assert_eq!(front.alive()["result"]["ready"], false);
-    link.write_all(b"{\"action\":\"WELCOME\",\"code\":\"COLD\",\"wall_ms\":1}\n").expect("written");
+    link.write_all(b"{\"action\":\"WELCOME\",\"code\":\"COLD\",\"wall_ms\":1}\n")
+        .expect("written");
     until("it is ready", || front.alive()["result"]["ready"] == true);
     until("the list hears", || node.list.heard("HB n3 UP"));
 }
@@ -460,12 +521,18 @@
     node.executor.break_link();
     node.executor.finish("hang:a");
     let answer = front.answer();
-    assert_eq!((answer["id"].as_u64(), body(&answer).as_str()), (Some(id), "late result"));
+    assert_eq!(
+        (answer["id"].as_u64(), body(&answer).as_str()),
+        (Some(id), "late result")
+    );
     // All notices are told once more from there on.
     node.executor.break_link();
     until("it is joined again", || node.executor.joins().len() == 3);
     assert_eq!(body(&front.ask("settlement-post", "serve")), "done serve");
-    assert_eq!((node.executor.runs("hang:a"), node.executor.runs("serve")), (1, 1));
+    assert_eq!(
+        (node.executor.runs("hang:a"), node.executor.runs("serve")),
+        (1, 1)
+    );
 }
 
 /// The reply to a call comes when its run is over: it goes nowhere, and the next call is made as ever.
@@ -495,12 +562,22 @@
     });
     let (mut at_one, mut at_two) = (one.front(), two.front());
     let t0 = unix_ms();
-    at_two.send_with("charge-card", "hang", json!({"acct": "ring-line", "t0": t0}));
+    at_two.send_with(
+        "charge-card",
+        "hang",
+        json!({"acct": "ring-line", "t0": t0}),
+    );
     at_one.send("statement-read", "hang");
     let answer = at_two.answer();
-    assert!(code(&answer) != 0 && unix_ms() - t0 < 600, "{answer} after {} ms", unix_ms() - t0);
+    assert!(
+        code(&answer) != 0 && unix_ms() - t0 < 600,
+        "{answer} after {} ms",
+        unix_ms() - t0
+    );
     // No free value where the settings give none.
-    assert!(answer["error"]["data"]["hint"].is_null() && at_two.alive()["result"]["hint"].is_null());
+    assert!(
+        answer["error"]["data"]["hint"].is_null() && at_two.alive()["result"]["hint"].is_null()
+    );
     one.executor.finish("hang");
     assert_eq!(body(&at_one.answer()), "late result");
     assert!(!at_one.alive()["result"]["hint"].is_null());
--- a/tests/crowd.rs
+++ b/tests/crowd.rs
@@ -26,7 +26,8 @@
 fn flood(node: &Node, number: u64, requests: u64) -> thread::JoinHandle<u128> {
     let begun = Instant::now();
     let mut to = TcpStream::connect(node.address).expect("room");
-    to.set_read_timeout(Some(Duration::from_secs(20))).expect("an option");
+    to.set_read_timeout(Some(Duration::from_secs(20)))
+        .expect("an option");
     let line = move |id: u64| {
         let rid = format!("{number:08x}{id:08x}");
         let params = json!({"rid": rid, "t0": unix_ms(), "peer": 9, "acct": "alpenergia", "mem": 24.5, "prio": 0.5,
@@ -61,7 +62,9 @@
     let node = small_node();
     let mut front = node.front();
     assert!(front.ask(READ, "serve")["result"].is_object());
-    let silent: Vec<TcpStream> = (0..400).map(|_| TcpStream::connect(node.address).expect("room")).collect();
+    let silent: Vec<TcpStream> = (0..400)
+        .map(|_| TcpStream::connect(node.address).expect("room"))
+        .collect();
     let floods: Vec<_> = (0..100).map(|n| flood(&node, n, 200)).collect();
     let (mut asked, mut worst, mut peak) = (0, 0, node.usage());
     let mut answers: VecDeque<Value> = VecDeque::new();
@@ -82,20 +85,30 @@
     }
     // Served, or refused and truly so: the flood may fill the hold, but nobody is left without an answer or a place.
     for answer in &answers {
-        assert!(answer["result"].is_object() || answer["error"]["code"] == -32002, "{answer}");
+        assert!(
+            answer["result"].is_object() || answer["error"]["code"] == -32002,
+            "{answer}"
+        );
     }
     // One that is older than its deadline by then is no answer in time.
     assert!(worst < 2 * 1600, "two requests took {worst} ms");
     for flood in floods {
         let heard = flood.join().expect("a client");
-        assert!(heard < 3000, "a flooding client heard nothing for {heard} ms");
+        assert!(
+            heard < 3000,
+            "a flooding client heard nothing for {heard} ms"
+        );
     }
     assert!(peak.threads < 80, "{peak:?}");
     assert!(peak.descriptors < 512, "{peak:?}");
-    until("the flood is over", || front.ask(READ, "serve")["result"].is_object());
+    until("the flood is over", || {
+        front.ask(READ, "serve")["result"].is_object()
+    });
     // The silent are told to go, and gone.
     for mut stream in silent {
-        stream.set_read_timeout(Some(Duration::from_secs(20))).expect("an option");
+        stream
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .expect("an option");
         let mut said = String::new();
         let _ = std::io::Read::read_to_string(&mut stream, &mut said);
         assert!(said.is_empty() || said.contains("farewell"), "{said}");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -30,7 +30,12 @@
     let mut rig = Rig::new(7).expect("sockets");
     for n in 0..count {
         let fleet = format!("period_ms: {period_ms},");
-        rig.plan(Plan { fleet, open, ..Plan::node(n) }).expect("sockets");
+        rig.plan(Plan {
+            fleet,
+            open,
+            ..Plan::node(n)
+        })
+        .expect("sockets");
     }
     rig.seeds(seeds);
     let all = rig.names();
@@ -45,11 +50,16 @@
 }
 /// Whether every one of these holds none of those.
 fn gave_up(rig: &Rig, those: &[String]) -> bool {
-    rig.names().iter().filter(|n| rig.runs(n) && !those.contains(n)).all(|n| {
-        rig.told(n).is_some_and(|t| {
-            !t.members.iter().any(|r| r.word.present() && those.iter().any(|x| **x == *r.name))
+    rig.names()
+        .iter()
+        .filter(|n| rig.runs(n) && !those.contains(n))
+        .all(|n| {
+            rig.told(n).is_some_and(|t| {
+                !t.members
+                    .iter()
+                    .any(|r| r.word.present() && those.iter().any(|x| **x == *r.name))
+            })
         })
-    })
 }
 /// Who is held to be gone by anybody.
 fn gone(rig: &Rig) -> BTreeSet<String> {
@@ -58,10 +68,14 @@
 fn gone_by(rig: &Rig, whom: &[String]) -> BTreeSet<String> {
     let tell = |n: &String| rig.told(n).map_or(vec![], |t| t.members);
     let all: Vec<Record> = whom.iter().filter(|n| rig.runs(n)).flat_map(tell).collect();
-    all.iter().filter(|r| r.word.standing == Standing::Gone).map(|r| r.name.to_string()).collect()
+    all.iter()
+        .filter(|r| r.word.standing == Standing::Gone)
+        .map(|r| r.name.to_string())
+        .collect()
 }
 fn conclusion(rig: &Rig, name: &str) -> String {
-    rig.told(name).map_or("silent".into(), |t| t.summary.conclusion.to_string())
+    rig.told(name)
+        .map_or("silent".into(), |t| t.summary.conclusion.to_string())
 }
 
 // ---- the hard cases, for any size and pace ----
@@ -71,19 +85,25 @@
 }
 fn third_killed(count: usize, period: u64) -> Duration {
     let mut rig = fleet(count, period);
-    names((0..count).filter(|n| n % 3 == 2)).iter().for_each(|n| rig.kill(n));
+    names((0..count).filter(|n| n % 3 == 2))
+        .iter()
+        .for_each(|n| rig.kill(n));
     rig.settle(MOST)
 }
 /// Cut into so many parts until all is given up, then healed.
 fn parted(count: usize, period: u64, part: impl Fn(usize) -> usize, parts: usize) -> Duration {
     let mut rig = fleet(count, period);
-    let of: Vec<Vec<String>> = (0..parts).map(|p| names((0..count).filter(|n| part(*n) == p))).collect();
+    let of: Vec<Vec<String>> = (0..parts)
+        .map(|p| names((0..count).filter(|n| part(*n) == p)))
+        .collect();
     rig.partition(&of);
     // One by itself knows that it is alone long before it has given up each of the others.
     match of.iter().find(|side| side.len() == 1) {
         Some(one) => drop(
-            rig.wait("it is given up", MOST, |rig| gave_up(rig, one) && conclusion(rig, &one[0]) == "alone")
-                .expect("it is given up, and knows"),
+            rig.wait("it is given up", MOST, |rig| {
+                gave_up(rig, one) && conclusion(rig, &one[0]) == "alone"
+            })
+            .expect("it is given up, and knows"),
         ),
         None => drop(rig.settle(MOST)),
     }
@@ -108,18 +128,28 @@
     } else {
         rig.silence(&one, &rest);
     }
-    rig.wait("it is given up", MOST, |rig| gave_up(rig, &one)).expect("it is given up");
+    rig.wait("it is given up", MOST, |rig| gave_up(rig, &one))
+        .expect("it is given up");
     if deaf {
-        rig.wait("it knows that it is alone", MOST, |rig| conclusion(rig, "n1") == "alone")
-            .expect("it hears nobody");
+        rig.wait("it knows that it is alone", MOST, |rig| {
+            conclusion(rig, "n1") == "alone"
+        })
+        .expect("it hears nobody");
     }
-    assert_eq!(gone_by(&rig, &rest), BTreeSet::from(["n1".to_string()]), "nobody else is given up");
+    assert_eq!(
+        gone_by(&rig, &rest),
+        BTreeSet::from(["n1".to_string()]),
+        "nobody else is given up"
+    );
     rig.heal();
     rig.settle(MOST)
 }
 fn replaced_while_parted(count: usize, period: u64) -> Duration {
     let mut rig = fleet(count, period);
-    rig.partition(&[names((0..count).filter(|n| n % 2 == 0)), names((0..count).filter(|n| n % 2 == 1))]);
+    rig.partition(&[
+        names((0..count).filter(|n| n % 2 == 0)),
+        names((0..count).filter(|n| n % 2 == 1)),
+    ]);
     rig.settle(MOST);
     for name in names(2..4) {
         rig.kill(&name);
@@ -149,7 +179,11 @@
     rig.wait("it is given up", MOST, |rig| {
         let others = names((0..count).filter(|n| *n != 1));
         others.iter().all(|n| {
-            rig.told(n).is_some_and(|t| !t.members.iter().any(|r| &*r.name == "n1" && r.word.present()))
+            rig.told(n).is_some_and(|t| {
+                !t.members
+                    .iter()
+                    .any(|r| &*r.name == "n1" && r.word.present())
+            })
         })
     })
     .expect("it is given up");
@@ -166,7 +200,12 @@
     rig.start("n1");
     rig.up(&["n1"]);
     let took = rig.settle(MOST);
-    let held = rig.told("n0").expect("it answers").members.into_iter().find(|r| &*r.name == "n1");
+    let held = rig
+        .told("n0")
+        .expect("it answers")
+        .members
+        .into_iter()
+        .find(|r| &*r.name == "n1");
     assert!(held.is_some_and(|r| r.word.life > life));
     took
 }
@@ -177,7 +216,8 @@
         rig.start(&name);
         rig.up(&[&name]);
         rig.wait("it is back", MOST, |rig| {
-            rig.told(&name).is_some_and(|t| t.summary.present == count as u32)
+            rig.told(&name)
+                .is_some_and(|t| t.summary.present == count as u32)
         })
         .expect("it is back");
     }
@@ -230,18 +270,39 @@
     rig.start("n2");
     rig.up(&["n2"]);
     rig.settle(MOST);
-    let held =
-        rig.told("n0").expect("it answers").members.into_iter().find(|r| &*r.name == "n2").expect("held");
+    let held = rig
+        .told("n0")
+        .expect("it answers")
+        .members
+        .into_iter()
+        .find(|r| &*r.name == "n2")
+        .expect("held");
     let late = |said, standing, incarnation| {
-        let word = Word { life: held.word.life - 1, incarnation, said, standing };
-        let news = vec![Record { word, ..held.clone() }];
-        Packet { fleet: "rig".into(), from: None, body: Body::Gossip, news }.encode()
+        let word = Word {
+            life: held.word.life - 1,
+            incarnation,
+            said,
+            standing,
+        };
+        let news = vec![Record {
+            word,
+            ..held.clone()
+        }];
+        Packet {
+            fleet: "rig".into(),
+            from: None,
+            body: Body::Gossip,
+            news,
+        }
+        .encode()
     };
     let socket = UdpSocket::bind("127.0.0.1:0").expect("loopback");
     let at = rig.node("n0").logged("fleet").expect("logged");
     let whole = late(Said::Up, Standing::Gone, 1 << 30);
     for said in [Said::Left, Said::Quiesced, Said::Up] {
-        socket.send_to(&late(said, Standing::Suspected, 9), at).expect("sent");
+        socket
+            .send_to(&late(said, Standing::Suspected, 9), at)
+            .expect("sent");
     }
     socket.send_to(&whole, at).expect("sent");
     let mut sent = 0;
@@ -262,10 +323,17 @@
         "{} of {sent}",
         seen.summary.dropped
     );
-    let now = seen.members.into_iter().find(|r| &*r.name == "n2").expect("held");
+    let now = seen
+        .members
+        .into_iter()
+        .find(|r| &*r.name == "n2")
+        .expect("held");
     assert_eq!(now.word, held.word);
     let mut front = rig.front("n0");
-    assert_eq!(front.ask("statement-read", "serve:flood")["error"], serde_json::Value::Null);
+    assert_eq!(
+        front.ask("statement-read", "serve:flood")["error"],
+        serde_json::Value::Null
+    );
     assert!(rig.node("n0").log().contains("datagram dropped"));
 }
 
@@ -278,22 +346,33 @@
     let held = |rig: &Rig| {
         let told = rig.told("n0").expect("it answers");
         assert_eq!(told.summary.present, 3);
-        told.members.into_iter().find(|r| &*r.name == "n1").expect("held")
+        told.members
+            .into_iter()
+            .find(|r| &*r.name == "n1")
+            .expect("held")
     };
     let before = held(&rig);
     let mut second = rig.successor("n1", hears);
-    until("the second is a member", || second.logged("fleet").is_some());
-    until("it has the name", || held(&rig).word.life > before.word.life && held(&rig).word.said == Said::Up);
+    until("the second is a member", || {
+        second.logged("fleet").is_some()
+    });
+    until("it has the name", || {
+        held(&rig).word.life > before.word.life && held(&rig).word.said == Said::Up
+    });
     assert_ne!(held(&rig).at, hears, "the address was taken");
     // The first one ends on the platform's word and says nothing of the name.
     rig.end("n1");
-    until("the second takes the address over", || held(&rig).at == hears);
+    until("the second takes the address over", || {
+        held(&rig).at == hears
+    });
     assert!(held(&rig).word.present());
     second.terminate();
     second.exit();
     until("it said goodbye", || {
         let told = rig.told("n0").expect("it answers");
-        told.members.iter().any(|r| &*r.name == "n1" && r.word.left())
+        told.members
+            .iter()
+            .any(|r| &*r.name == "n1" && r.word.left())
     });
 }
 
@@ -305,11 +384,16 @@
     let held = |rig: &Rig| {
         let told = rig.told("n0").expect("it answers");
         assert_eq!((told.summary.present, told.summary.lost), (3, 0));
-        told.members.into_iter().find(|r| &*r.name == "n1").expect("held")
+        told.members
+            .into_iter()
+            .find(|r| &*r.name == "n1")
+            .expect("held")
     };
     let before = held(&rig);
     let second = rig.successor("n1", hears);
-    until("the second takes clients", || second.logged("listening").is_some());
+    until("the second takes clients", || {
+        second.logged("listening").is_some()
+    });
     assert_eq!(held(&rig).word.life, before.word.life);
     rig.end("n1");
     until("the second has the name", || {
@@ -326,26 +410,46 @@
         let file = rig.fleet_file_of("n0");
         let at = rig.node("n0").logged("fleet").expect("logged").to_string();
         let mut command = std::process::Command::new(test_doubles::program());
-        command.args(["fleet", "status", "--at", &at]).args(more).arg(file);
+        command
+            .args(["fleet", "status", "--at", &at])
+            .args(more)
+            .arg(file);
         let out = command.output().expect("it runs");
-        assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+        assert!(
+            out.status.success(),
+            "{}",
+            String::from_utf8_lossy(&out.stderr)
+        );
         String::from_utf8(out.stdout).expect("text")
     };
     assert_eq!(rig.call("n3", "quiesce"), "ok quiesced");
-    rig.wait("n0 hears of it", MOST, |rig| status(rig, &[]).contains("quiesced")).expect("it is said");
+    rig.wait("n0 hears of it", MOST, |rig| {
+        status(rig, &[]).contains("quiesced")
+    })
+    .expect("it is said");
     let text = status(&rig, &[]);
-    assert!(text.starts_with("n0 sees 4 present, 0 lost; it concludes: whole"), "{text}");
+    assert!(
+        text.starts_with("n0 sees 4 present, 0 lost; it concludes: whole"),
+        "{text}"
+    );
     rig.settle(MOST);
     assert!(status(&rig, &["--all"]).contains("all that answered see the same"));
     rig.kill("n2");
     rig.settle(MOST);
-    let all: serde_json::Value = serde_json::from_str(&status(&rig, &["--all", "--json"])).expect("JSON");
-    assert_eq!((&all["same"], &all["views"]["n1"]["members"]["n2"]["state"]), (&json!(true), &json!("gone")));
-    let all: serde_json::Value = serde_json::from_str(&status(&rig, &["--all", "--json"])).expect("JSON");
+    let all: serde_json::Value =
+        serde_json::from_str(&status(&rig, &["--all", "--json"])).expect("JSON");
+    assert_eq!(
+        (&all["same"], &all["views"]["n1"]["members"]["n2"]["state"]),
+        (&json!(true), &json!("gone"))
+    );
+    let all: serde_json::Value =
+        serde_json::from_str(&status(&rig, &["--all", "--json"])).expect("JSON");
     assert_eq!(all["views"]["n3"]["members"]["n3"]["state"], "quiesced");
     // One that does not answer is told as such, and is not taken for one that sees the same.
     rig.stop("n1");
-    assert!(status(&rig, &["--all"]).lines().any(|l| l.starts_with("n1") && l.ends_with("no answer")));
+    assert!(status(&rig, &["--all"])
+        .lines()
+        .any(|l| l.starts_with("n1") && l.ends_with("no answer")));
     rig.resume("n1");
 }
 
@@ -355,7 +459,11 @@
 fn routed(count: usize, view: bool) -> Rig {
     let mut rig = Rig::new(11).expect("sockets");
     for n in 0..count {
-        rig.plan(Plan { fleet: "period_ms: 200,".into(), ..Plan::node(n) }).expect("sockets");
+        rig.plan(Plan {
+            fleet: "period_ms: 200,".into(),
+            ..Plan::node(n)
+        })
+        .expect("sockets");
     }
     rig.seeds(&["n0"]);
     rig.plan(Plan {
@@ -401,13 +509,18 @@
     // Nothing is asked of a node that empties itself, as soon as the news is there.
     assert_eq!(rig.call("n1", "quiesce"), "ok quiesced");
     let heard = rig.wait("the router hears of it", MOST, |rig| {
-        rig.told("r0")
-            .is_some_and(|t| t.members.iter().any(|r| &*r.name == "n1" && r.word.said == Said::Quiesced))
+        rig.told("r0").is_some_and(|t| {
+            t.members
+                .iter()
+                .any(|r| &*r.name == "n1" && r.word.said == Said::Quiesced)
+        })
     });
     heard.expect("it hears");
     std::thread::sleep(Duration::from_millis(50));
     let before = rig.executor("n1").all_runs();
-    assert!(trickle(&rig, Duration::from_millis(500)).iter().all(|(_, _, served, _)| *served));
+    assert!(trickle(&rig, Duration::from_millis(500))
+        .iter()
+        .all(|(_, _, served, _)| *served));
     assert_eq!(rig.executor("n1").all_runs(), before);
     assert_eq!(rig.call("n1", "resume"), "ok serving");
     until("it is asked again", || {
@@ -417,7 +530,11 @@
     // One that is killed costs no read: another serves it.
     rig.kill("n2");
     let asked = trickle(&rig, Duration::from_secs(2));
-    assert!(asked.len() > 20 && asked.iter().all(|(_, _, served, _)| *served), "{} asked", asked.len());
+    assert!(
+        asked.len() > 20 && asked.iter().all(|(_, _, served, _)| *served),
+        "{} asked",
+        asked.len()
+    );
 }
 
 /// A router that hears nothing of the fleet goes on with the nodes that it knew, and finds out by asking them.
@@ -431,7 +548,11 @@
         conclusion(&rig, "r0") == "alone"
     });
     served.extend(trickle(&rig, Duration::from_secs(1)));
-    assert!(served.iter().all(|(_, _, well, _)| *well), "of {} not all were served", served.len());
+    assert!(
+        served.iter().all(|(_, _, well, _)| *well),
+        "of {} not all were served",
+        served.len()
+    );
     assert_eq!(rig.call("n1", "quiesce"), "ok quiesced");
     let before = std::cell::Cell::new(rig.executor("n1").all_runs());
     until("a check finds that one is quiesced", || {
@@ -454,18 +575,39 @@
             let from = Instant::now();
             assert_eq!(rig.call("n1", "quiesce"), "ok quiesced");
             let asked = trickle(&rig, Duration::from_millis(800));
-            let there = asked.iter().filter(|(_, _, _, body)| rig.executor("n1").runs(body) > 0);
-            quiesced.push(there.map(|(at, ..)| at.duration_since(from).as_millis()).max().unwrap_or(0));
+            let there = asked
+                .iter()
+                .filter(|(_, _, _, body)| rig.executor("n1").runs(body) > 0);
+            quiesced.push(
+                there
+                    .map(|(at, ..)| at.duration_since(from).as_millis())
+                    .max()
+                    .unwrap_or(0),
+            );
             let from = Instant::now();
             rig.kill("n2");
             let asked = trickle(&rig, Duration::from_secs(4));
-            let harmed = asked.iter().filter(|(_, took, served, _)| !served || took.as_millis() > 50);
-            killed.push(harmed.map(|(at, ..)| at.duration_since(from).as_millis()).max().unwrap_or(0));
+            let harmed = asked
+                .iter()
+                .filter(|(_, took, served, _)| !served || took.as_millis() > 50);
+            killed.push(
+                harmed
+                    .map(|(at, ..)| at.duration_since(from).as_millis())
+                    .max()
+                    .unwrap_or(0),
+            );
         }
         quiesced.sort_unstable();
         killed.sort_unstable();
-        let name = if view { "by the view" } else { "by asking, as before" };
-        println!("| {name} | {}, {} | {}, {} |", quiesced[5], quiesced[9], killed[5], killed[9]);
+        let name = if view {
+            "by the view"
+        } else {
+            "by asking, as before"
+        };
+        println!(
+            "| {name} | {}, {} | {}, {} |",
+            quiesced[5], quiesced[9], killed[5], killed[9]
+        );
     }
 }
 
@@ -479,7 +621,10 @@
         .flatten()
         .map(|t| std::fs::read_to_string(t.path().join("comm")).expect("a name"))
         .collect();
-    assert!(!names.is_empty() && !names.iter().any(|n| n.contains("fleet")), "{names:?}");
+    assert!(
+        !names.is_empty() && !names.iter().any(|n| n.contains("fleet")),
+        "{names:?}"
+    );
     assert!(!node.log().contains("fleet"));
 }
 
@@ -490,11 +635,15 @@
 fn hard_cases_of_24_nodes() {
     let one = |n: usize| usize::from(n == 3);
     let cases: [(&str, &dyn Fn() -> Duration); 11] = [
-        ("start at once, one seed", &|| started(24, 500, &["n0"]).settle(MOST)),
+        ("start at once, one seed", &|| {
+            started(24, 500, &["n0"]).settle(MOST)
+        }),
         ("start at once, a seed down", &|| seed_down(24, 500)),
         ("8 killed", &|| third_killed(24, 500)),
         ("halves, healed", &|| parted(24, 500, |n| n % 2, 2)),
-        ("2:1, healed", &|| parted(24, 500, |n| usize::from(n % 3 == 0), 2)),
+        ("2:1, healed", &|| {
+            parted(24, 500, |n| usize::from(n % 3 == 0), 2)
+        }),
         ("in three, healed", &|| parted(24, 500, |n| n % 3, 3)),
         ("one cut off, healed", &|| parted(24, 500, one, 2)),
         ("one deaf, healed", &|| one_way(24, 500, true)),
@@ -507,8 +656,14 @@
     }
     lossy(24, 500, Duration::from_secs(60));
     println!("| a fifth lost for 60 s: nobody given up | |");
-    println!("| rolling restart of all | {:.2} |", rolling(24, 500).as_secs_f64());
-    println!("| replaced on both sides | {:.2} |", replaced_while_parted(24, 500).as_secs_f64());
+    println!(
+        "| rolling restart of all | {:.2} |",
+        rolling(24, 500).as_secs_f64()
+    );
+    println!(
+        "| replaced on both sides | {:.2} |",
+        replaced_while_parted(24, 500).as_secs_f64()
+    );
 }
 
 /// What the view costs a node in a fleet of 256: 255 views on sockets of this process, and the node with and without its own.
@@ -525,10 +680,20 @@
         );
         wire::Config::parse("f", &text).expect("it can be used")
     };
-    let me = |name: usize| wire::Me { name: format!("v{name}").into(), serves: None, shares: None };
+    let me = |name: usize| wire::Me {
+        name: format!("v{name}").into(),
+        serves: None,
+        shares: None,
+    };
     let start = |name, seed| {
-        let view =
-            wire::start(config(name, seed), me(name), 160 * 1024, Box::new(|| {}), &log).expect("a socket");
+        let view = wire::start(
+            config(name, seed),
+            me(name),
+            160 * 1024,
+            Box::new(|| {}),
+            &log,
+        )
+        .expect("a socket");
         view.say(Said::Up);
         view
     };
@@ -536,20 +701,30 @@
     let views: Vec<wire::Handle> = (1..255).map(|n| start(n, first.at)).collect();
     let file = Scratch::new(
         "own.json5",
-        &format!("{{ version: 1, fleet: 'rig', site: 's', listen: '127.0.0.1:0', seeds: ['{}'] }}", first.at),
+        &format!(
+            "{{ version: 1, fleet: 'rig', site: 's', listen: '127.0.0.1:0', seeds: ['{}'] }}",
+            first.at
+        ),
     );
     println!("| | CPU at rest, % of a core | resident MB | threads | answer, µs: median, 99th |");
     for round in 0..2 {
         for with in [false, true] {
-            let node = if with { Node::start_in(&file) } else { Node::start() };
+            let node = if with {
+                Node::start_in(&file)
+            } else {
+                Node::start()
+            };
             if with {
-                until("all see it", || views.iter().all(|v| v.seen().present == 256));
+                until("all see it", || {
+                    views.iter().all(|v| v.seen().present == 256)
+                });
             }
             std::thread::sleep(Duration::from_secs(10));
             let before = (Instant::now(), node.usage());
             std::thread::sleep(Duration::from_secs(20));
             let (rest, after) = (before.0.elapsed(), node.usage());
-            let cpu = (after.processor_ms - before.1.processor_ms) as f64 / rest.as_secs_f64() / 10.0;
+            let cpu =
+                (after.processor_ms - before.1.processor_ms) as f64 / rest.as_secs_f64() / 10.0;
             let mut front = node.front();
             let mut took: Vec<u128> = (0..20_000)
                 .map(|_| {
@@ -582,7 +757,9 @@
     for event in ["\"cut\"", "\"stall\"", "\"served\""] {
         assert!(timeline.contains(event), "{event} is missing: {timeline}");
     }
-    let text = std::fs::read_to_string(&file).expect("readable").replace("router: true", "router: false");
+    let text = std::fs::read_to_string(&file)
+        .expect("readable")
+        .replace("router: true", "router: false");
     let refused = fault_testbed::script::Script::parse("play", &text).expect_err("nobody to ask");
     assert!(refused.to_string().contains("steps[2]"), "{refused}");
 }
--- a/tests/frames.rs
+++ b/tests/frames.rs
@@ -23,7 +23,10 @@
 #[test]
 fn protocol_header() {
     let header = AMQPFrame::ProtocolHeader(ProtocolVersion::amqp_0_9_1());
-    assert_eq!(codec::encode(&header).expect("a header"), b"AMQP\x00\x00\x09\x01");
+    assert_eq!(
+        codec::encode(&header).expect("a header"),
+        b"AMQP\x00\x00\x09\x01"
+    );
 }
 
 #[test]
@@ -34,13 +37,19 @@
 #[test]
 fn connection_methods() {
     // class 10, method 31: channel-max, frame-max, heartbeat
-    let tune_ok = connection::TuneOk { channel_max: 2, frame_max: 8192, heartbeat: 10 };
+    let tune_ok = connection::TuneOk {
+        channel_max: 2,
+        frame_max: 8192,
+        heartbeat: 10,
+    };
     same(
         &AMQPFrame::Method(0, AMQPClass::Connection(Method::TuneOk(tune_ok))),
         b"\x01\x00\x00\x00\x00\x00\x0c\x00\x0a\x00\x1f\x00\x02\x00\x00\x20\x00\x00\x0a\xce",
     );
     // class 10, method 40: the virtual host and two reserved fields
-    let open = connection::Open { virtual_host: short("/") };
+    let open = connection::Open {
+        virtual_host: short("/"),
+    };
     same(
         &AMQPFrame::Method(0, AMQPClass::Connection(Method::Open(open))),
         b"\x01\x00\x00\x00\x00\x00\x08\x00\x0a\x00\x28\x01/\x00\x00\xce",
@@ -51,15 +60,25 @@
 fn settlements() {
     let (delivery_tag, multiple, requeue) = (5, false, true);
     basic(
-        Basic::Ack(basic::Ack { delivery_tag, multiple }),
+        Basic::Ack(basic::Ack {
+            delivery_tag,
+            multiple,
+        }),
         b"\x01\x00\x01\x00\x00\x00\x0d\x00\x3c\x00\x50\x00\x00\x00\x00\x00\x00\x00\x05\x00\xce",
     );
     basic(
-        Basic::Reject(basic::Reject { delivery_tag, requeue: false }),
+        Basic::Reject(basic::Reject {
+            delivery_tag,
+            requeue: false,
+        }),
         b"\x01\x00\x01\x00\x00\x00\x0d\x00\x3c\x00\x5a\x00\x00\x00\x00\x00\x00\x00\x05\x00\xce",
     );
     basic(
-        Basic::Nack(basic::Nack { delivery_tag, multiple, requeue }),
+        Basic::Nack(basic::Nack {
+            delivery_tag,
+            multiple,
+            requeue,
+        }),
         b"\x01\x00\x01\x00\x00\x00\x0d\x00\x3c\x00\x78\x00\x00\x00\x00\x00\x00\x00\x05\x02\xce",
     );
 }
@@ -67,11 +86,17 @@
 #[test]
 fn consuming() {
     basic(
-        Basic::Qos(basic::Qos { prefetch_count: 16, global: false }),
+        Basic::Qos(basic::Qos {
+            prefetch_count: 16,
+            global: false,
+        }),
         b"\x01\x00\x01\x00\x00\x00\x0b\x00\x3c\x00\x0a\x00\x00\x00\x00\x00\x10\x00\xce",
     );
     basic(
-        Basic::Cancel(basic::Cancel { consumer_tag: short("c"), nowait: false }),
+        Basic::Cancel(basic::Cancel {
+            consumer_tag: short("c"),
+            nowait: false,
+        }),
         b"\x01\x00\x01\x00\x00\x00\x07\x00\x3c\x00\x1e\x01c\x00\xce",
     );
     let deliver = basic::Deliver {
@@ -95,14 +120,21 @@
         .with_headers(headers)
         .with_correlation_id(short("x"))
         .with_reply_to(short("r"));
-    let header = AMQPContentHeader { class_id: 60, body_size: 3, properties };
+    let header = AMQPContentHeader {
+        class_id: 60,
+        body_size: 3,
+        properties,
+    };
     // class, weight, size; flags for headers (13), correlation-id (10) and reply-to (9); the table; the strings
     same(
         &AMQPFrame::Header(1, header),
         b"\x02\x00\x01\x00\x00\x00\x21\x00\x3c\x00\x00\x00\x00\x00\x00\x00\x00\x00\x03\x26\x00\
           \x00\x00\x00\x0b\x01al\x00\x00\x00\x00\x00\x00\x00\x01\x01x\x01r\xce",
     );
-    same(&AMQPFrame::Body(1, b"abc".to_vec()), b"\x03\x00\x01\x00\x00\x00\x03abc\xce");
+    same(
+        &AMQPFrame::Body(1, b"abc".to_vec()),
+        b"\x03\x00\x01\x00\x00\x00\x03abc\xce",
+    );
 }
 
 /// Guards our memory and our parser: lengths are bounded before anything is read for them.
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -14,14 +14,20 @@
     answer["error"]["code"].as_i64().unwrap_or(0)
 }
 fn body(answer: &Value) -> String {
-    unbase64(answer["result"]["body"].as_str().unwrap_or_else(|| panic!("no result: {answer}")))
+    unbase64(
+        answer["result"]["body"]
+            .as_str()
+            .unwrap_or_else(|| panic!("no result: {answer}")),
+    )
 }
 
 /// A site as the small one, with a class that is run by key, and callers that tell of their leaving.
 fn keyed(config: &mut Value) {
     let lanes = config["settings"]["lanes"].as_array_mut().expect("classes");
-    lanes.push(json!({"name": "version-submit", "promise": 1000.0, "deadline": 1500.0, "effect": "by_key",
-                      "lateWorth": 0.2, "window": WINDOW, "worth": 1.0}));
+    lanes.push(
+        json!({"name": "version-submit", "promise": 1000.0, "deadline": 1500.0, "effect": "by_key",
+                      "lateWorth": 0.2, "window": WINDOW, "worth": 1.0}),
+    );
     let specifics = &mut config["settings"]["specifics"];
     specifics["classCalls"] = json!([true, true, true]);
     specifics["classSkipWorth"] = json!([0.5, 0.0, 0.0]);
@@ -66,14 +72,26 @@
     let t0 = unix_ms();
     front.send_with("version-submit", "serve", json!({"token": TOKEN, "t0": t0}));
     assert_eq!(body(&front.answer()), "done serve");
-    front.send_with("version-submit", "serve", json!({"token": TOKEN, "t0": t0 + WINDOW}));
+    front.send_with(
+        "version-submit",
+        "serve",
+        json!({"token": TOKEN, "t0": t0 + WINDOW}),
+    );
     assert_eq!(body(&front.answer()), "done serve");
     assert_eq!(node.executor.runs("serve"), 1);
-    front.send_with("version-submit", "serve", json!({"token": TOKEN, "t0": t0 + WINDOW + 10 * SLACK}));
+    front.send_with(
+        "version-submit",
+        "serve",
+        json!({"token": TOKEN, "t0": t0 + WINDOW + 10 * SLACK}),
+    );
     assert_eq!(body(&front.answer()), "done serve");
     assert_eq!(node.executor.runs("serve"), 2);
     // One that lay unread since before that is a repeat still.
-    front.send_with("version-submit", "serve", json!({"token": TOKEN, "t0": t0 + WINDOW - 1}));
+    front.send_with(
+        "version-submit",
+        "serve",
+        json!({"token": TOKEN, "t0": t0 + WINDOW - 1}),
+    );
     let answer = front.answer();
     assert_ne!(code(&answer), REFUSED, "{answer}");
     assert_eq!(node.executor.runs("serve"), 2);
@@ -111,8 +129,14 @@
     assert_eq!(body(&front.ask("statement-read", "serve")), "done serve");
     node.executor.finish("hang:a");
     let answer = front.answer();
-    assert_eq!((answer["id"].as_u64(), body(&answer).as_str()), (Some(second), "late result"));
-    assert_eq!((node.executor.runs("hang:a"), node.executor.killed()), (1, 0));
+    assert_eq!(
+        (answer["id"].as_u64(), body(&answer).as_str()),
+        (Some(second), "late result")
+    );
+    assert_eq!(
+        (node.executor.runs("hang:a"), node.executor.killed()),
+        (1, 0)
+    );
     // A read that nobody waits for is stopped, and leaving is not held up by what is owed nothing.
     let read = front.send("statement-read", "hang:b");
     until("it runs", || node.executor.runs("hang:b") == 1);
@@ -120,7 +144,11 @@
     until("it is stopped", || node.executor.killed() == 1);
     node.terminate();
     assert_eq!(node.exit().code(), Some(0));
-    assert!(node.log().contains("left, ms: ") && node.log().contains("owed: 0"), "{}", node.log());
+    assert!(
+        node.log().contains("left, ms: ") && node.log().contains("owed: 0"),
+        "{}",
+        node.log()
+    );
 }
 
 /// A leave right behind its request, before the module has decided on it: nothing runs for nobody, nothing stays open.
@@ -130,7 +158,11 @@
     let mut front = node.front();
     for n in 0..20 {
         let token = format!("{n:032x}");
-        let (id, line) = front.line("version-submit", &format!("hang:{n}"), json!({"token": token}));
+        let (id, line) = front.line(
+            "version-submit",
+            &format!("hang:{n}"),
+            json!({"token": token}),
+        );
         let cancel = json!({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": id}});
         front.raw(&format!("{line}\n{cancel}"));
         // Its key is free again, or its run is joined: never two runs, and an answer for the second in any case.
@@ -139,7 +171,10 @@
         until("it runs", || node.executor.runs(&format!("hang:{n}")) == 1);
         node.executor.finish(&format!("hang:{n}"));
         let answer = front.answer();
-        assert_eq!((answer["id"].as_u64(), body(&answer).as_str()), (Some(id), "late result"));
+        assert_eq!(
+            (answer["id"].as_u64(), body(&answer).as_str()),
+            (Some(id), "late result")
+        );
         assert_eq!(node.executor.runs(&format!("hang:{n}")), 1);
     }
     node.terminate();
@@ -182,7 +217,10 @@
         if answer["id"].as_u64() == Some(left) {
             answer = front.answer();
         }
-        assert_eq!((answer["id"].as_u64(), body(&answer).as_str()), (Some(id), "done serve"));
+        assert_eq!(
+            (answer["id"].as_u64(), body(&answer).as_str()),
+            (Some(id), "done serve")
+        );
     }
     node.terminate();
     assert_eq!(node.exit().code(), Some(0));
@@ -215,7 +253,9 @@
     let mut front = node.front();
     node.executor.lose_next();
     let first = submit(&mut front, "serve", TOKEN);
-    until("the link is joined again", || node.executor.joins().len() == 2);
+    until("the link is joined again", || {
+        node.executor.joins().len() == 2
+    });
     let second = submit(&mut front, "serve", TOKEN);
     let mut answered: Vec<u64> = Vec::new();
     for _ in 0..2 {
@@ -271,7 +311,12 @@
     submit(&mut front, "serve:other", TOKEN);
     let answer = front.answer();
     assert!(!matches!(code(&answer), 0 | REFUSED), "{answer}");
-    assert!(answer["error"]["message"].as_str().is_some_and(|m| m.contains("another body")), "{answer}");
+    assert!(
+        answer["error"]["message"]
+            .as_str()
+            .is_some_and(|m| m.contains("another body")),
+        "{answer}"
+    );
     // It costs nothing else on the connection.
     assert_eq!(body(&front.ask("statement-read", "serve")), "done serve");
     assert_eq!(node.executor.runs("serve:other"), 0);
@@ -297,13 +342,20 @@
     assert_eq!(body(&another.answer()), "done serve");
     submit(&mut front, "hang:a", TOKEN);
     assert_eq!(body(&front.answer()), "late result");
-    assert_eq!((node.executor.runs("hang:a"), node.executor.runs("serve")), (1, 1));
+    assert_eq!(
+        (node.executor.runs("hang:a"), node.executor.runs("serve")),
+        (1, 1)
+    );
 }
 
 #[test]
 fn a_keyed_class_wants_a_token() {
     let node = node();
-    for token in [json!(null), json!("5c0f"), json!("zc0f6e1a2b3d4c59a8b7c6d5e4f30211")] {
+    for token in [
+        json!(null),
+        json!("5c0f"),
+        json!("zc0f6e1a2b3d4c59a8b7c6d5e4f30211"),
+    ] {
         let mut front = node.front();
         front.send_with("version-submit", "serve", json!({"token": token}));
         assert_eq!(code(&front.next()), -32602);
@@ -332,7 +384,11 @@
     assert!(code(&answer) != 0, "{answer}");
     assert!(unix_ms() - t0 < 500 + SLACK, "{} ms", unix_ms() - t0);
     // Spent before it was read: nothing is begun for it.
-    front.send_with("statement-read", "serve", json!({"budget": 5, "t0": unix_ms() - 300}));
+    front.send_with(
+        "statement-read",
+        "serve",
+        json!({"budget": 5, "t0": unix_ms() - 300}),
+    );
     assert_eq!(code(&front.answer()), REFUSED);
     assert_eq!(node.executor.runs("serve"), 0);
     front.send_with("statement-read", "serve", json!({"budget": 1000}));
@@ -344,8 +400,15 @@
 fn a_call_that_would_come_too_late_is_left_out() {
     let node = node();
     let mut front = node.front();
-    assert_eq!(body(&front.ask("statement-read", "call:hold#400")), "rows for hold#400");
-    front.send_with("statement-read", "call:hold#401", json!({"t0": unix_ms() - 700}));
+    assert_eq!(
+        body(&front.ask("statement-read", "call:hold#400")),
+        "rows for hold#400"
+    );
+    front.send_with(
+        "statement-read",
+        "call:hold#401",
+        json!({"t0": unix_ms() - 700}),
+    );
     assert_eq!(body(&front.answer()), "without the call");
     assert_eq!(node.database.calls("hold#401"), 0);
 }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -62,7 +62,9 @@
     assert!(code(&answer) != 0 && code(&answer) != REFUSED, "{answer}");
     assert_eq!(node.database.calls("break#post"), 1);
     front.send(READ, "call:break#read");
-    until("the read's call is repeated", || node.database.calls("break#read") > 1);
+    until("the read's call is repeated", || {
+        node.database.calls("break#read") > 1
+    });
 }
 
 #[test]
@@ -94,7 +96,11 @@
     front.send_from(POST, "hang", begun - 1200);
     let answer = front.next();
     assert!(code(&answer) != 0, "{answer}");
-    assert!(unix_ms() - begun < 1300, "answered {} ms after the reading", unix_ms() - begun);
+    assert!(
+        unix_ms() - begun < 1300,
+        "answered {} ms after the reading",
+        unix_ms() - begun
+    );
 }
 
 /// Guards against requests that no executor should see and against peers that send them without end: each gets the
@@ -112,11 +118,31 @@
     let cases = [
         ("{".to_string(), -32700, Value::Null),
         ("[]".to_string(), -32600, Value::Null),
-        (json!({"id": 7, "method": READ}).to_string(), -32600, json!(7)),
-        (json!({"jsonrpc": "2.0", "id": "x", "method": READ}).to_string(), -32600, Value::Null),
-        (json!({"jsonrpc": "2.0", "id": 7}).to_string(), -32600, json!(7)),
-        (json!({"jsonrpc": "2.0", "id": 7, "method": "nonsense"}).to_string(), -32601, json!(7)),
-        (json!({"jsonrpc": "2.0", "id": 7, "method": READ}).to_string(), -32602, json!(7)),
+        (
+            json!({"id": 7, "method": READ}).to_string(),
+            -32600,
+            json!(7),
+        ),
+        (
+            json!({"jsonrpc": "2.0", "id": "x", "method": READ}).to_string(),
+            -32600,
+            Value::Null,
+        ),
+        (
+            json!({"jsonrpc": "2.0", "id": 7}).to_string(),
+            -32600,
+            json!(7),
+        ),
+        (
+            json!({"jsonrpc": "2.0", "id": 7, "method": "nonsense"}).to_string(),
+            -32601,
+            json!(7),
+        ),
+        (
+            json!({"jsonrpc": "2.0", "id": 7, "method": READ}).to_string(),
+            -32602,
+            json!(7),
+        ),
         (with("rid", json!("short")), -32602, json!(7)),
         (with("mem", json!(-1)), -32602, json!(7)),
         (with("mem", json!(1e300)), -32602, json!(7)),
@@ -128,7 +154,11 @@
         (with("acct", json!("nobody")), -32602, json!(7)),
         (with("obj", json!("x")), -32602, json!(7)),
         (with("body", json!("not base64!")), -32602, json!(7)),
-        (with("body", json!(base64(&"x".repeat(2049)))), -32602, json!(7)),
+        (
+            with("body", json!(base64(&"x".repeat(2049)))),
+            -32602,
+            json!(7),
+        ),
     ];
     for (line, want, id) in cases {
         let mut front = node.front();
@@ -159,7 +189,9 @@
 /// Guards the slots: a peer that says nothing, or half a message, goes soon, and never one that waits for an answer.
 #[test]
 fn the_silent_are_closed_and_those_that_wait_for_an_answer_stay() {
-    let node = Node::start_with(None, |config| config["settings"]["lanes"][1]["deadline"] = json!(6000));
+    let node = Node::start_with(None, |config| {
+        config["settings"]["lanes"][1]["deadline"] = json!(6000)
+    });
     let mut waits = node.front();
     waits.send(POST, "hang");
     let (mut silent, mut half) = (node.front(), node.front());
@@ -168,7 +200,11 @@
     assert_eq!(silent.next()["method"], "farewell");
     assert_eq!(silent.next(), Value::Null);
     assert_eq!(half.next(), Value::Null);
-    assert!(unix_ms() - begun < 3000, "closed after {} ms", unix_ms() - begun);
+    assert!(
+        unix_ms() - begun < 3000,
+        "closed after {} ms",
+        unix_ms() - begun
+    );
     node.executor.finish("hang");
     assert_eq!(body(&waits.next()), "late result");
 }
@@ -252,11 +288,20 @@
 fn a_command_lost_with_its_link_is_sent_again_for_reads_only() {
     let node = Node::start();
     node.executor.lose_next();
-    assert_eq!(body(&node.front().ask(READ, "serve:read")), "done serve:read");
+    assert_eq!(
+        body(&node.front().ask(READ, "serve:read")),
+        "done serve:read"
+    );
     node.executor.lose_next();
     let answer = node.front().ask(POST, "serve:post");
     assert!(code(&answer) != 0 && code(&answer) != REFUSED, "{answer}");
-    assert_eq!((node.executor.runs("serve:read"), node.executor.runs("serve:post")), (1, 0));
+    assert_eq!(
+        (
+            node.executor.runs("serve:read"),
+            node.executor.runs("serve:post")
+        ),
+        (1, 0)
+    );
 }
 
 /// Guards the count of what runs: a command lost with its link left a run in the books for good, which no notice would
@@ -268,8 +313,12 @@
     let mut front = node.front();
     assert!(code(&front.ask(POST, "serve:lost")) != 0);
     until("it is stopped again", || node.executor.killed() >= 2);
-    until("it is over", || node.log().contains("the end of a run never came"));
-    until("reads are served", || front.ask(READ, "serve")["result"].is_object());
+    until("it is over", || {
+        node.log().contains("the end of a run never came")
+    });
+    until("reads are served", || {
+        front.ask(READ, "serve")["result"].is_object()
+    });
 }
 
 /// The requests of a connection that closes go on: the module and the executor still count them.
@@ -280,7 +329,9 @@
     front.send(POST, "hang");
     until("it runs", || node.executor.runs("hang") == 1);
     drop(front);
-    until("it is stopped at its due time and no sooner", || node.executor.killed() == 1);
+    until("it is stopped at its due time and no sooner", || {
+        node.executor.killed() == 1
+    });
     assert_eq!(body(&node.front().ask(READ, "serve")), "done serve");
 }
 
@@ -293,10 +344,15 @@
     for n in 0..2 {
         let params = json!({"rid": format!("{n:016x}"), "t0": unix_ms(), "peer": 1, "mem": 1.0, "prio": 0.1,
                             "body": base64("hang")});
-        front.raw(&json!({"jsonrpc": "2.0", "id": 1, "method": POST, "params": params}).to_string());
+        front
+            .raw(&json!({"jsonrpc": "2.0", "id": 1, "method": POST, "params": params}).to_string());
     }
     let answer = front.next();
-    assert_eq!((code(&answer), &answer["id"]), (-32600, &Value::Null), "{answer}");
+    assert_eq!(
+        (code(&answer), &answer["id"]),
+        (-32600, &Value::Null),
+        "{answer}"
+    );
     assert_eq!(front.next(), Value::Null);
 }
 
@@ -310,11 +366,20 @@
     let ids: Vec<u64> = (0..70).map(|_| front.send(POST, "hang")).collect();
     let answers: Vec<Value> = ids.iter().map(|_| front.next()).collect();
     assert!(answers.iter().all(|a| a["error"].is_object()));
-    let crowded =
-        |a: &&Value| a["error"]["message"].as_str().is_some_and(|m| m.contains("on this connection"));
-    let refused: Vec<u64> = answers.iter().filter(crowded).filter_map(|a| a["id"].as_u64()).collect();
+    let crowded = |a: &&Value| {
+        a["error"]["message"]
+            .as_str()
+            .is_some_and(|m| m.contains("on this connection"))
+    };
+    let refused: Vec<u64> = answers
+        .iter()
+        .filter(crowded)
+        .filter_map(|a| a["id"].as_u64())
+        .collect();
     assert_eq!(refused, ids[64..]);
-    until("the connection serves", || front.ask(READ, "serve")["result"].is_object());
+    until("the connection serves", || {
+        front.ask(READ, "serve")["result"].is_object()
+    });
 }
 
 /// Guards a node in service: SIGHUP used to end it. The new addresses are taken, what runs carries on over the new
@@ -329,16 +394,28 @@
     let (database, list) = (Database::start(), List::start());
     let moved = config(node.executor.elsewhere(), database.address, list.address);
     node.reload(&moved.to_string());
-    until("the executor is joined at its new place", || node.executor.joins() == [0, 1]);
-    until("the list hears of it at its new place", || list.heard("HB n3 UP"));
+    until("the executor is joined at its new place", || {
+        node.executor.joins() == [0, 1]
+    });
+    until("the list hears of it at its new place", || {
+        list.heard("HB n3 UP")
+    });
     node.executor.finish("hang");
     assert_eq!(body(&front.next()), "late result");
     assert_eq!(body(&front.ask(POST, "call:ok#moved")), "rows for ok#moved");
-    assert_eq!((database.calls("ok#moved"), node.database.calls("ok#moved")), (1, 0));
+    assert_eq!(
+        (database.calls("ok#moved"), node.database.calls("ok#moved")),
+        (1, 0)
+    );
     node.reload("{ not a configuration");
-    until("it says so", || node.log().contains("the new configuration is not used"));
+    until("it says so", || {
+        node.log().contains("the new configuration is not used")
+    });
     assert_eq!(body(&front.ask(POST, "call:ok#kept")), "rows for ok#kept");
-    assert_eq!((database.calls("ok#kept"), node.executor.joins().len()), (1, 2));
+    assert_eq!(
+        (database.calls("ok#kept"), node.executor.joins().len()),
+        (1, 2)
+    );
 }
 
 #[test]
@@ -381,11 +458,18 @@
     let mut front = node.front();
     assert_eq!(front.alive()["result"]["ready"], false);
     let answer = front.ask(READ, "serve");
-    assert_eq!((code(&answer), &answer["error"]["data"]["backoff"]), (REFUSED, &json!(1000)), "{answer}");
+    assert_eq!(
+        (code(&answer), &answer["error"]["data"]["backoff"]),
+        (REFUSED, &json!(1000)),
+        "{answer}"
+    );
     node.terminate();
     assert_eq!(front.next()["method"], "farewell");
-    std::io::Write::write_all(&mut link, b"{\"action\":\"WELCOME\",\"code\":\"WARM\",\"wall_ms\":5}\n")
-        .expect("written");
+    std::io::Write::write_all(
+        &mut link,
+        b"{\"action\":\"WELCOME\",\"code\":\"WARM\",\"wall_ms\":5}\n",
+    )
+    .expect("written");
     assert_eq!(code(&front.ask(READ, "serve")), REFUSED);
     assert_eq!(front.alive()["result"]["ready"], false);
     drop(front);
@@ -415,7 +499,10 @@
     let mut coreless = config(unused, unused, unused);
     coreless["settings"]["specifics"]["cores"] = json!(0);
     let mut without_database = config(unused, unused, unused);
-    without_database.as_object_mut().expect("an object").remove("db");
+    without_database
+        .as_object_mut()
+        .expect("an object")
+        .remove("db");
     let cases = [
         ("{".to_string(), "configuration:"),
         (without_database.to_string(), "`db`"),
@@ -457,16 +544,24 @@
     let mut open: Vec<std::net::TcpStream> = Vec::new();
     for n in 0..400 {
         let mut stream = std::net::TcpStream::connect(node.address).expect("room");
-        let line = format!("{{\"jsonrpc\":\"2.0\",\"id\":{},\"method\":\"alive\"}}\n", n + 1);
+        let line = format!(
+            "{{\"jsonrpc\":\"2.0\",\"id\":{},\"method\":\"alive\"}}\n",
+            n + 1
+        );
         std::io::Write::write_all(&mut stream, line.as_bytes()).expect("written");
         open.push(stream);
     }
     // Some hear farewell beside it, as more are unused than the node keeps.
     for stream in &open {
-        let mut lines = std::io::BufRead::lines(std::io::BufReader::new(stream)).map_while(Result::ok);
+        let mut lines =
+            std::io::BufRead::lines(std::io::BufReader::new(stream)).map_while(Result::ok);
         assert!(lines.any(|line| line.contains("\"ready\":true")));
     }
-    let Usage { resident_kb: kb, descriptors, .. } = node.usage();
+    let Usage {
+        resident_kb: kb,
+        descriptors,
+        ..
+    } = node.usage();
     assert!(kb < 96 * 1024, "{kb} kB of 192 MB");
     assert!(descriptors < 500, "{descriptors} descriptors");
     println!("400 connections: {kb} kB, {descriptors} descriptors");
@@ -496,7 +591,10 @@
     round(400, 2400);
     let after = anonymous();
     println!("{before} kB after 400 connections, {after} kB after 2,400");
-    assert!(after < before + 500, "{before} kB after 400 connections, {after} kB after 2,400");
+    assert!(
+        after < before + 500,
+        "{before} kB after 400 connections, {after} kB after 2,400"
+    );
 }
 
 /// Guards the cells: a tenant of another cell is refused before anything runs, with the epoch that the node knows; a
@@ -513,17 +611,28 @@
     let node = Node::start_as(None, Some(&file), |_| {});
     let mut front = node.front();
     let answer = front.ask(POST, "serve:elsewhere");
-    assert_eq!((code(&answer), &answer["error"]["data"]["epoch"]), (REFUSED, &json!(1)));
+    assert_eq!(
+        (code(&answer), &answer["error"]["data"]["epoch"]),
+        (REFUSED, &json!(1))
+    );
     assert_eq!(node.executor.runs("serve:elsewhere"), 0);
-    let config = config(node.executor.address, node.database.address, node.list.address);
+    let config = config(
+        node.executor.address,
+        node.database.address,
+        node.list.address,
+    );
     std::fs::write(&file.0, &cells("a")[..60]).expect("a file");
     node.reload(&config.to_string());
-    until("the broken file is told", || node.log().contains("the new cells are not used"));
+    until("the broken file is told", || {
+        node.log().contains("the new cells are not used")
+    });
     assert_eq!(code(&front.ask(POST, "serve:elsewhere")), REFUSED);
     // Nobody moves by a file: the tenant lives in b until a move is committed.
     std::fs::write(&file.0, cells("a")).expect("a file");
     node.reload(&config.to_string());
-    until("the good one is in force", || node.log().contains("cells read again"));
+    until("the good one is in force", || {
+        node.log().contains("cells read again")
+    });
     assert_eq!(code(&front.ask(POST, "serve:elsewhere")), REFUSED);
     assert_eq!(node.executor.runs("serve:elsewhere"), 0);
     // Started anew with it, the node serves the tenant.
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -8,7 +8,9 @@
 
 use crossbeam_channel::{bounded, Receiver};
 use protocol_gateway::net::{database, Address, Lines};
-use protocol_gateway::node::{Answer, Body, Call, CallResult, Failure, Limits, Msg, Outcome, Reply, Rid};
+use protocol_gateway::node::{
+    Answer, Body, Call, CallResult, Failure, Limits, Msg, Outcome, Reply, Rid,
+};
 use protocol_gateway::RequestId;
 use slog::{o, Discard, Logger};
 use stand_ins::{unix_ms, until, Database};
@@ -24,15 +26,27 @@
         change(&mut limits);
         let (module, done) = bounded(8);
         let log = Logger::root(Discard, o!());
-        let calls =
-            database::start(&Arc::new(Address::new(to)), None, &limits, &module, &log).expect("threads");
+        let calls = database::start(&Arc::new(Address::new(to)), None, &limits, &module, &log)
+            .expect("threads");
         Pool { calls, done }
     }
     /// Makes a call and tells how it ended.
     fn call(&self, body: &str, limit: Duration) -> String {
         let (rid, body) = (Rid::from_number(7), Body::from_bytes(body.as_bytes()));
-        assert!(self.calls.make(Call { id: RequestId(1), rid, body, limit }), "there is room");
-        match self.done.recv_timeout(Duration::from_secs(20)).expect("an end") {
+        assert!(
+            self.calls.make(Call {
+                id: RequestId(1),
+                rid,
+                body,
+                limit
+            }),
+            "there is room"
+        );
+        match self
+            .done
+            .recv_timeout(Duration::from_secs(20))
+            .expect("an end")
+        {
             Msg::CallDone(RequestId(1), CallResult::Reply(body), _) => {
                 String::from_utf8(body.to_bytes().expect("base64")).expect("utf-8")
             }
@@ -80,9 +94,20 @@
     let reply = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nrows";
     for n in 0..3 {
         let before = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
-        for (early, late) in [(before, ""), ("", reply), ("", "\u{1}\u{2}noise"), (before, reply)] {
-            assert_eq!(pool.call(&format!("raw#{early}{reply}{late}"), LONG), "rows");
-            assert_eq!(pool.call(&format!("ok#{n}"), LONG), format!("rows for ok#{n}"));
+        for (early, late) in [
+            (before, ""),
+            ("", reply),
+            ("", "\u{1}\u{2}noise"),
+            (before, reply),
+        ] {
+            assert_eq!(
+                pool.call(&format!("raw#{early}{reply}{late}"), LONG),
+                "rows"
+            );
+            assert_eq!(
+                pool.call(&format!("ok#{n}"), LONG),
+                format!("rows for ok#{n}")
+            );
         }
     }
     until("no connection stays open", || database.open() == 0);
@@ -113,7 +138,11 @@
     for body in spoilt {
         let begun = unix_ms();
         assert_eq!(pool.call(&body, LONG), "unknown", "{body:?}");
-        assert!(unix_ms() - begun < 5000, "{body:?} took {} ms of 20 s", unix_ms() - begun);
+        assert!(
+            unix_ms() - begun < 5000,
+            "{body:?} took {} ms of 20 s",
+            unix_ms() - begun
+        );
     }
     assert_eq!(pool.call("ok", LONG), "rows for ok");
 }
@@ -121,7 +150,10 @@
 #[test]
 fn a_refused_connection_proves_that_no_call_ran() {
     // No other test listens at this address, so the port stays closed.
-    let address = TcpListener::bind("127.0.0.77:0").expect("loopback").local_addr().expect("bound");
+    let address = TcpListener::bind("127.0.0.77:0")
+        .expect("loopback")
+        .local_addr()
+        .expect("bound");
     let pool = Pool::start(address, |limits| limits.database_lanes = 1);
     assert_eq!(pool.call("ok", LONG), "never ran");
 }
@@ -134,10 +166,19 @@
         let tell = tell.clone();
         Reply::new(move |answer| tell.send(answer.outcome).expect("a listener"))
     };
-    reply().give(Answer { outcome: Outcome::Failed(Failure::Run), hint: None });
+    reply().give(Answer {
+        outcome: Outcome::Failed(Failure::Run),
+        hint: None,
+    });
     drop(reply());
     let all: Vec<Outcome> = told.try_iter().collect();
-    assert_eq!(all, [Outcome::Failed(Failure::Run), Outcome::Failed(Failure::Internal)]);
+    assert_eq!(
+        all,
+        [
+            Outcome::Failed(Failure::Run),
+            Outcome::Failed(Failure::Internal)
+        ]
+    );
 }
 
 #[test]
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -11,10 +11,22 @@
         Policy::new(s, 1).err()
     };
     assert_eq!(broken(|s| s.cores = 0), Some(SettingsError::NoCores));
-    assert_eq!(broken(|s| s.classes.clear()), Some(SettingsError::NoClasses));
-    assert_eq!(broken(|s| s.drain_grace = Span(-1)), Some(SettingsError::NegativeTime("drain_grace")));
-    assert_eq!(broken(|s| s.classes[1].aim = Span(-1)), Some(SettingsError::NegativeTime("aim")));
-    assert_eq!(broken(|s| s.memory_kb = f64::NAN), Some(SettingsError::BadFigure("memory_kb")));
+    assert_eq!(
+        broken(|s| s.classes.clear()),
+        Some(SettingsError::NoClasses)
+    );
+    assert_eq!(
+        broken(|s| s.drain_grace = Span(-1)),
+        Some(SettingsError::NegativeTime("drain_grace"))
+    );
+    assert_eq!(
+        broken(|s| s.classes[1].aim = Span(-1)),
+        Some(SettingsError::NegativeTime("aim"))
+    );
+    assert_eq!(
+        broken(|s| s.memory_kb = f64::NAN),
+        Some(SettingsError::BadFigure("memory_kb"))
+    );
     assert_eq!(broken(|_| ()), None);
 }
 
@@ -39,7 +51,9 @@
     ids.sort_unstable();
     assert_eq!(ids, (1..9).collect::<Vec<_>>());
     // What ran was failed, not refused: it may have taken effect.
-    assert!(runs(&answered).iter().all(|id| failed(&answered).contains(id)));
+    assert!(runs(&answered)
+        .iter()
+        .all(|id| failed(&answered).contains(id)));
 }
 
 #[test]
@@ -49,8 +63,13 @@
     set.classes[0].aim = Span::from_ms(60_000.0);
     set.classes[0].deadline = Span::from_ms(90_000.0);
     let old = Span::from_ms(16_000.0);
-    let read =
-        |id, tenant, age| Event::Read(Request { tenant: Some(TenantId(tenant)), age, ..request(id, 0) });
+    let read = |id, tenant, age| {
+        Event::Read(Request {
+            tenant: Some(TenantId(tenant)),
+            age,
+            ..request(id, 0)
+        })
+    };
     let mut s = Server::new(set);
     // Threshold 5 a core on 2 cores: ten in flight. The hold is not late yet, so the eleventh is taken.
     let first: Vec<Event> = (1..13).map(|id| read(id, 0, old)).collect();
@@ -71,17 +90,36 @@
     set.tenants[1].allowance_per_s = 24.0;
     let read = |id, tenant, age| {
         let age = Span::from_ms(age);
-        Event::Read(Request { tenant: Some(TenantId(tenant)), age, ..request(id, 0) })
+        Event::Read(Request {
+            tenant: Some(TenantId(tenant)),
+            age,
+            ..request(id, 0)
+        })
     };
     let mut s = Server::new(set);
     // Ten in flight are heavy on one server. A quarter of the allowances are tenant 0's: on eight servers that is 20.
     let others = Event::Others(8.0, vec![16.0, 40.0]);
-    let first = [others, read(1, 0, 16_000.0), read(2, 0, 16_000.0), read(3, 0, 16_000.0)];
+    let first = [
+        others,
+        read(1, 0, 16_000.0),
+        read(2, 0, 16_000.0),
+        read(3, 0, 16_000.0),
+    ];
     assert!(refused(&s.at(1000.0, &first)).is_empty());
     let out = s.at(1001.0, &[read(4, 0, 0.0), read(5, 0, 0.0), read(6, 1, 0.0)]);
-    assert_eq!((refused(&out), s.policy.heavy), (vec![5], 1), "16 elsewhere and 4 here are its part");
-    let out = s.at(1002.0, &[Event::Others(0.0, vec![]), read(7, 0, 0.0), read(8, 0, 0.0)]);
-    assert!(refused(&out).is_empty(), "by its own counts it is thin: {out:?}");
+    assert_eq!(
+        (refused(&out), s.policy.heavy),
+        (vec![5], 1),
+        "16 elsewhere and 4 here are its part"
+    );
+    let out = s.at(
+        1002.0,
+        &[Event::Others(0.0, vec![]), read(7, 0, 0.0), read(8, 0, 0.0)],
+    );
+    assert!(
+        refused(&out).is_empty(),
+        "by its own counts it is thin: {out:?}"
+    );
 }
 
 #[test]
@@ -89,9 +127,15 @@
     let mut s = Server::new(settings());
     let mut events: Vec<Event> = Vec::new();
     for id in 1..20 {
-        events.push(Event::Read(Request { tenant: Some(TenantId(0)), ..request(id, 0) }));
+        events.push(Event::Read(Request {
+            tenant: Some(TenantId(0)),
+            ..request(id, 0)
+        }));
     }
-    events.push(Event::Read(Request { tenant: Some(TenantId(1)), ..request(50, 0) }));
+    events.push(Event::Read(Request {
+        tenant: Some(TenantId(1)),
+        ..request(50, 0)
+    }));
     let out = s.at(1000.0, &events);
     assert!(runs(&out).contains(&50), "{out:?}");
 }
@@ -100,12 +144,21 @@
 fn a_keyed_request_is_remembered_before_its_run_and_its_repeat_joins() {
     let mut s = Server::new(settings());
     let out = s.read(1..2, 1);
-    let kept = out.iter().position(|a| matches!(a, Action::Remember(RequestId(1), _)));
+    let kept = out
+        .iter()
+        .position(|a| matches!(a, Action::Remember(RequestId(1), _)));
     let run = out.iter().position(|a| *a == Action::Run(RequestId(1)));
     assert!(kept.is_some() && kept < run, "{out:?}");
-    let again = Request { repeats: Some(RequestId(1)), ..request(2, 1) };
+    let again = Request {
+        repeats: Some(RequestId(1)),
+        ..request(2, 1)
+    };
     let out = s.at(1010.0, &[Event::Read(again)]);
-    assert!(out.contains(&Action::Join(RequestId(2))) && runs(&out).is_empty() && refused(&out).is_empty());
+    assert!(
+        out.contains(&Action::Join(RequestId(2)))
+            && runs(&out).is_empty()
+            && refused(&out).is_empty()
+    );
 }
 
 #[test]
@@ -114,7 +167,10 @@
         let mut s = Server::new(settings());
         s.read(1..2, 2);
         assert_eq!(calls(&s.at(1010.0, &[Event::NeedsCall(RequestId(1))])), [1]);
-        let mut out = s.at(1020.0, &[Event::CallEnded(RequestId(1), end, Span::from_ms(10.0))]);
+        let mut out = s.at(
+            1020.0,
+            &[Event::CallEnded(RequestId(1), end, Span::from_ms(10.0))],
+        );
         out.extend(s.at(1500.0, &[Event::Wake(Gauges::default())]));
         assert_eq!(!calls(&out).is_empty(), again);
         assert_eq!(!failed(&out).is_empty(), !again);
@@ -129,17 +185,30 @@
     let mut s = Server::new(settings());
     s.read(1..3, 0);
     let limit = |out: &[Action]| {
-        out.iter().find_map(|a| if let Action::Call(_, l) = a { Some(l.ms()) } else { None })
+        out.iter().find_map(|a| {
+            if let Action::Call(_, l) = a {
+                Some(l.ms())
+            } else {
+                None
+            }
+        })
     };
     let (one, two) = (RequestId(1), RequestId(2));
     // Nothing is known of calls yet: only the due time bounds the first.
     assert!(limit(&s.at(1010.0, &[Event::NeedsCall(one)])) > Some(5000.0));
-    s.at(1020.0, &[Event::CallEnded(one, CallEnd::Good, Span::from_ms(10.0))]);
+    s.at(
+        1020.0,
+        &[Event::CallEnded(one, CallEnd::Good, Span::from_ms(10.0))],
+    );
     let least = limit(&s.at(1030.0, &[Event::NeedsCall(two)])).expect("a call");
     assert!((500.0..1000.0).contains(&least), "{least} ms");
-    s.at(1030.0 + least, &[Event::CallEnded(two, CallEnd::Failed, Span::from_ms(least))]);
+    s.at(
+        1030.0 + least,
+        &[Event::CallEnded(two, CallEnd::Failed, Span::from_ms(least))],
+    );
     // It is made again, under much the same limit.
-    let next = limit(&s.at(1100.0 + 2.0 * least, &[Event::Wake(Gauges::default())])).expect("a call");
+    let next =
+        limit(&s.at(1100.0 + 2.0 * least, &[Event::Wake(Gauges::default())])).expect("a call");
     assert!(next < 2.0 * least, "{next} ms after {least}");
 }
 
@@ -150,13 +219,26 @@
     let mut s = Server::new(set);
     let ran = runs(&s.read(1..9, 0));
     assert_eq!(ran.len(), 8);
-    let events: Vec<Event> = ran.iter().map(|id| Event::NeedsCall(RequestId(*id))).collect();
+    let events: Vec<Event> = ran
+        .iter()
+        .map(|id| Event::NeedsCall(RequestId(*id)))
+        .collect();
     // Share 4, of which nine tenths: three at once, and a failed one lingers.
     assert_eq!(calls(&s.at(1010.0, &events)).len(), 3);
     let first = RequestId(ran[0]);
-    let out = s.at(1020.0, &[Event::CallEnded(first, CallEnd::Failed, Span::from_ms(10.0))]);
+    let out = s.at(
+        1020.0,
+        &[Event::CallEnded(
+            first,
+            CallEnd::Failed,
+            Span::from_ms(10.0),
+        )],
+    );
     assert!(calls(&out).is_empty());
-    assert_eq!(calls(&s.at(1300.0, &[Event::Wake(Gauges::default())])).len(), 1);
+    assert_eq!(
+        calls(&s.at(1300.0, &[Event::Wake(Gauges::default())])).len(),
+        1
+    );
 }
 
 #[test]
@@ -233,7 +315,10 @@
         now += 100.0;
         s.at(now, &[Event::Finished(RequestId(id), RunEnd::Served)]);
     }
-    s.at(now, &[Event::Read(request(100, 0)), Event::Read(request(101, 0))]);
+    s.at(
+        now,
+        &[Event::Read(request(100, 0)), Event::Read(request(101, 0))],
+    );
     now += 4000.0;
     // A fresh request that would have had ample time is sent on to another server at once.
     let out = s.at(now, &[Event::Read(request(102, 0))]);
@@ -260,7 +345,11 @@
 #[test]
 fn a_class_and_a_tenant_that_nobody_told_of_are_served_with_care() {
     let mut s = Server::new(settings());
-    let odd = Request { class: ClassId(99), tenant: Some(TenantId(u64::MAX)), ..request(1, 0) };
+    let odd = Request {
+        class: ClassId(99),
+        tenant: Some(TenantId(u64::MAX)),
+        ..request(1, 0)
+    };
     assert_eq!(runs(&s.at(1000.0, &[Event::Read(odd)])), [1]);
 }
 
@@ -271,10 +360,16 @@
     let mut s = Server::new(set);
     let mut out = s.read(1..9, 0);
     for k in 0..400 {
-        out.extend(s.at(1000.0 + 20.0 * f64::from(k), &[Event::Wake(Gauges::default())]));
+        out.extend(s.at(
+            1000.0 + 20.0 * f64::from(k),
+            &[Event::Wake(Gauges::default())],
+        ));
     }
     assert_eq!(failed(&out).len() + refused(&out).len(), 8);
-    assert!(!out.iter().any(|a| matches!(a, Action::FreeValue(_) | Action::Stop(_) | Action::SkipCall(_))));
+    assert!(!out.iter().any(|a| matches!(
+        a,
+        Action::FreeValue(_) | Action::Stop(_) | Action::SkipCall(_)
+    )));
 }
 
 /// Reads and refusals or runs of `n` requests of this age and mark, one every 50 ms, each served at once.
@@ -282,14 +377,30 @@
     let mut out = Vec::new();
     for id in ids {
         let now = s.now + 50.0;
-        let read = Request { age: Span::from_ms(age), resent, ..request(id, 0) };
+        let read = Request {
+            age: Span::from_ms(age),
+            resent,
+            ..request(id, 0)
+        };
         out.extend(s.at(now, &[Event::Read(read)]));
-        out.extend(s.at(now + 10.0, &[Event::Finished(RequestId(id), RunEnd::Served)]));
+        out.extend(s.at(
+            now + 10.0,
+            &[Event::Finished(RequestId(id), RunEnd::Served)],
+        ));
     }
     out
 }
 fn health(actions: &[Action]) -> Vec<bool> {
-    actions.iter().filter_map(|a| if let Action::Health(good) = a { Some(*good) } else { None }).collect()
+    actions
+        .iter()
+        .filter_map(|a| {
+            if let Action::Health(good) = a {
+                Some(*good)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
 
 #[test]
@@ -307,28 +418,58 @@
     let mut out = stream(&mut s, 1..60, 5.0, true);
     out.extend(stream(&mut s, 300..360, 1500.0, true));
     let crowd = |resent| -> Vec<Event> {
-        (400..700).map(|id| Event::Read(Request { resent, ..request(id, 0) })).collect()
+        (400..700)
+            .map(|id| {
+                Event::Read(Request {
+                    resent,
+                    ..request(id, 0)
+                })
+            })
+            .collect()
     };
     out.extend(s.at(s.now, &crowd(true)));
     assert_eq!(health(&out), [true]);
-    assert!(out.iter().any(|a| matches!(a, Action::Refuse { give_up: true, .. })));
+    assert!(out
+        .iter()
+        .any(|a| matches!(a, Action::Refuse { give_up: true, .. })));
     let mut calm = Server::new(settings());
     let out = calm.at(1000.0, &crowd(false));
     assert!(out.iter().any(|a| matches!(a, Action::Refuse { .. })));
-    assert!(!out.iter().any(|a| matches!(a, Action::Refuse { give_up: true, .. })));
+    assert!(!out
+        .iter()
+        .any(|a| matches!(a, Action::Refuse { give_up: true, .. })));
 }
 
 #[test]
 fn scarce_calls_go_to_what_still_brings_most() {
     let mut set = settings();
     set.calls_out = 1.0;
-    set.classes[1] = Class { worth: 3.0, ..class(Effect::Repeatable) };
+    set.classes[1] = Class {
+        worth: 3.0,
+        ..class(Effect::Repeatable)
+    };
     let mut s = Server::new(set);
-    s.at(1000.0, &[Event::Read(request(1, 0)), Event::Read(request(2, 1))]);
-    let out = s.at(1100.0, &[Event::NeedsCall(RequestId(1)), Event::NeedsCall(RequestId(2))]);
+    s.at(
+        1000.0,
+        &[Event::Read(request(1, 0)), Event::Read(request(2, 1))],
+    );
+    let out = s.at(
+        1100.0,
+        &[
+            Event::NeedsCall(RequestId(1)),
+            Event::NeedsCall(RequestId(2)),
+        ],
+    );
     assert_eq!(calls(&out), [2]);
     // Both in time, the worthier had the one call; once it is back the other has its turn.
-    let out = s.at(1200.0, &[Event::CallEnded(RequestId(2), CallEnd::Good, Span::from_ms(100.0))]);
+    let out = s.at(
+        1200.0,
+        &[Event::CallEnded(
+            RequestId(2),
+            CallEnd::Good,
+            Span::from_ms(100.0),
+        )],
+    );
     assert_eq!(calls(&out), [1]);
 }
 
@@ -336,10 +477,14 @@
 fn a_server_whose_runs_outlast_their_aims_leaves_the_lists_and_comes_back() {
     let mut s = Server::new(settings());
     stream(&mut s, 1..60, 5.0, false);
-    s.at(s.now, &[Event::Read(request(100, 0)), Event::Read(request(101, 0))]);
+    s.at(
+        s.now,
+        &[Event::Read(request(100, 0)), Event::Read(request(101, 0))],
+    );
     // Nothing ends for seconds: off the lists.
-    let out: Vec<Action> =
-        (1..100).flat_map(|_| s.at(s.now + 100.0, &[Event::Wake(Gauges::default())])).collect();
+    let out: Vec<Action> = (1..100)
+        .flat_map(|_| s.at(s.now + 100.0, &[Event::Wake(Gauges::default())]))
+        .collect();
     assert_eq!(health(&out), [false]);
     // What ran ends; once the memory of it has faded the server is back.
     let ends = [100, 101].map(|id| Event::Finished(RequestId(id), RunEnd::Served));
@@ -360,7 +505,13 @@
             last = out
                 .iter()
                 .rev()
-                .find_map(|a| if let Action::CloseIdle(t) = a { Some(*t) } else { None })
+                .find_map(|a| {
+                    if let Action::CloseIdle(t) = a {
+                        Some(*t)
+                    } else {
+                        None
+                    }
+                })
                 .or(last);
         }
         last.expect("an idle time is said at the start").ms()
@@ -371,13 +522,24 @@
 
 /// A server whose calls took 20 ms for a while, then one has been out for long.
 fn slow_below(below: Below) -> Server {
-    let mut s = Server::new(Settings { below, calls_out: 1.0, ..settings() });
+    let mut s = Server::new(Settings {
+        below,
+        calls_out: 1.0,
+        ..settings()
+    });
     let mut now = 1000.0;
     for id in 1..40 {
         s.at(now, &[Event::Read(request(id, 0))]);
         s.at(now, &[Event::NeedsCall(RequestId(id))]);
         now += 20.0;
-        s.at(now, &[Event::CallEnded(RequestId(id), CallEnd::Good, Span::from_ms(20.0))]);
+        s.at(
+            now,
+            &[Event::CallEnded(
+                RequestId(id),
+                CallEnd::Good,
+                Span::from_ms(20.0),
+            )],
+        );
         s.at(now, &[Event::Finished(RequestId(id), RunEnd::Served)]);
     }
     s.at(now, &[Event::Read(request(100, 0))]);
@@ -394,7 +556,8 @@
         out.retain(|a| matches!(a, Action::Refuse { .. }));
         assert!(!out.is_empty());
         assert!(
-            out.iter().all(|a| matches!(a, Action::Refuse { give_up, .. } if *give_up == asked)),
+            out.iter()
+                .all(|a| matches!(a, Action::Refuse { give_up, .. } if *give_up == asked)),
             "{out:?}"
         );
     }
@@ -414,7 +577,10 @@
             } else {
                 [4000, 2500][id as usize % 2]
             };
-            let read = Request { wait_left: Some(Span(wait * 1000)), ..request(id, 0) };
+            let read = Request {
+                wait_left: Some(Span(wait * 1000)),
+                ..request(id, 0)
+            };
             out = s.at(1000.0 + 50.0 * id as f64, &[Event::Read(read)]);
         }
         let gives_up = |a: &Action| matches!(a, Action::Refuse { give_up: true, .. });
@@ -425,7 +591,12 @@
 #[test]
 fn half_the_cores_are_left_to_reading_once_it_falls_behind() {
     let mut s = Server::new(settings());
-    let aged = |id, ms| Event::Read(Request { age: Span::from_ms(ms), ..request(id, 0) });
+    let aged = |id, ms| {
+        Event::Read(Request {
+            age: Span::from_ms(ms),
+            ..request(id, 0)
+        })
+    };
     assert_eq!(runs(&s.at(1000.0, &[aged(1, 1.0), aged(2, 1.0)])).len(), 2);
     let old: Vec<Event> = (10..30).map(|id| aged(id, 700.0)).collect();
     assert!(runs(&s.at(1010.0, &old)).is_empty());
@@ -435,7 +606,8 @@
 }
 
 #[test]
-fn an_ill_server_leaves_the_lists_for_its_unread_line_again_and_again_a_well_one_for_one_spell_in_five() {
+fn an_ill_server_leaves_the_lists_for_its_unread_line_again_and_again_a_well_one_for_one_spell_in_five(
+) {
     let spells = |ill: bool, resent: bool| {
         let mut set = settings();
         (set.cold, set.warm_up) = (ill, Span::from_ms(60_000.0));
@@ -444,11 +616,21 @@
         let mut since = f64::MIN;
         for id in 1..400_u64 {
             // Out of the lists nothing arrives and the line is gone seconds later.
-            let age = if s.now + 100.0 - since > 2500.0 { 1200.0 } else { 1.0 };
-            let read = Event::Read(Request { age: Span::from_ms(age), resent, ..request(id, 0) });
+            let age = if s.now + 100.0 - since > 2500.0 {
+                1200.0
+            } else {
+                1.0
+            };
+            let read = Event::Read(Request {
+                age: Span::from_ms(age),
+                resent,
+                ..request(id, 0)
+            });
             let out = s.at(s.now + 100.0, &[read]);
-            let ends: Vec<Event> =
-                runs(&out).iter().map(|id| Event::Finished(RequestId(*id), RunEnd::Served)).collect();
+            let ends: Vec<Event> = runs(&out)
+                .iter()
+                .map(|id| Event::Finished(RequestId(*id), RunEnd::Served))
+                .collect();
             s.at(s.now + 40.0, &ends);
             if health(&out).contains(&false) {
                 (off, since) = (off + 1, s.now);
@@ -473,13 +655,29 @@
     let last = |busy: bool| {
         let mut s = Server::new(settings());
         for k in 0..40 {
-            let ids = if busy { vec![10 + 2 * k, 11 + 2 * k] } else { vec![10 + 2 * k] };
-            s.at(s.now + 10.0, &ids.iter().map(|id| Event::Read(request(*id, 0))).collect::<Vec<_>>());
-            let ends: Vec<Event> =
-                ids.iter().map(|id| Event::Finished(RequestId(*id), RunEnd::Served)).collect();
+            let ids = if busy {
+                vec![10 + 2 * k, 11 + 2 * k]
+            } else {
+                vec![10 + 2 * k]
+            };
+            s.at(
+                s.now + 10.0,
+                &ids.iter()
+                    .map(|id| Event::Read(request(*id, 0)))
+                    .collect::<Vec<_>>(),
+            );
+            let ends: Vec<Event> = ids
+                .iter()
+                .map(|id| Event::Finished(RequestId(*id), RunEnd::Served))
+                .collect();
             s.at(s.now + if k % 2 == 0 { 60.0 } else { 340.0 }, &ends);
         }
-        let long = |id| Event::Read(Request { hint: Some(Span::from_ms(600.0)), ..request(id, 0) });
+        let long = |id| {
+            Event::Read(Request {
+                hint: Some(Span::from_ms(600.0)),
+                ..request(id, 0)
+            })
+        };
         refused(&s.at(s.now + 10.0, &[long(1), long(2), long(3)]))
     };
     assert_eq!((last(false).len(), last(true).len()), (0, 1));
@@ -488,45 +686,81 @@
 #[test]
 fn rough_hints_and_waits_that_grow_with_no_hint_do_not_swell_the_estimate() {
     // Every run takes 300 ms, whatever its hint said.
-    let hint = |id, ms| Event::Read(Request { hint: Some(Span::from_ms(ms)), ..request(id, 0) });
+    let hint = |id, ms| {
+        Event::Read(Request {
+            hint: Some(Span::from_ms(ms)),
+            ..request(id, 0)
+        })
+    };
     let mut s = Server::new(settings());
     for id in 1..60 {
-        s.at(s.now + 10.0, &[hint(id, if id % 2 == 0 { 50.0 } else { 1000.0 })]);
-        s.at(s.now + 300.0, &[Event::Finished(RequestId(id), RunEnd::Served)]);
+        s.at(
+            s.now + 10.0,
+            &[hint(id, if id % 2 == 0 { 50.0 } else { 1000.0 })],
+        );
+        s.at(
+            s.now + 300.0,
+            &[Event::Finished(RequestId(id), RunEnd::Served)],
+        );
     }
     // The mean of the ratios would make over three seconds of the long one, past the aim of two.
-    let out = s.at(s.now + 10.0, &[hint(100, 1000.0), hint(101, 1000.0), hint(102, 50.0)]);
+    let out = s.at(
+        s.now + 10.0,
+        &[hint(100, 1000.0), hint(101, 1000.0), hint(102, 50.0)],
+    );
     assert!(refused(&out).is_empty(), "{out:?}");
     // Where hints are good they are followed: a request told as ten times as long as the aim allows is refused.
     let mut s = Server::new(settings());
     for id in 1..60 {
         let ms = if id % 2 == 0 { 50.0 } else { 1000.0 };
         s.at(s.now + 10.0, &[hint(id, ms)]);
-        s.at(s.now + ms, &[Event::Finished(RequestId(id), RunEnd::Served)]);
+        s.at(
+            s.now + ms,
+            &[Event::Finished(RequestId(id), RunEnd::Served)],
+        );
     }
-    assert_eq!(refused(&s.at(s.now + 10.0, &[hint(100, 1000.0), hint(101, 3000.0)])), [101]);
+    assert_eq!(
+        refused(&s.at(s.now + 10.0, &[hint(100, 1000.0), hint(101, 3000.0)])),
+        [101]
+    );
 }
 
 #[test]
 fn what_is_worth_most_runs_before_cheap_work_even_beyond_its_tenants_share() {
     // Class 1 brings ten times as much; one tenant sends it all, far beyond its share.
     let mut set = settings();
-    set.classes[1] = Class { worth: 10.0, ..class(Effect::Repeatable) };
+    set.classes[1] = Class {
+        worth: 10.0,
+        ..class(Effect::Repeatable)
+    };
     set.tenants[0].allowance_per_s = 1.0;
     let mut s = Server::new(set);
-    let of =
-        |id, class, tenant| Event::Read(Request { tenant: Some(TenantId(tenant)), ..request(id, class) });
+    let of = |id, class, tenant| {
+        Event::Read(Request {
+            tenant: Some(TenantId(tenant)),
+            ..request(id, class)
+        })
+    };
     for k in 0..40 {
         let ids = [10 + 2 * k, 11 + 2 * k];
-        s.at(s.now + 10.0, &[of(ids[0], usize::from(k % 4 == 0), 0), of(ids[1], 0, 1)]);
-        let ends: Vec<Event> = ids.iter().map(|id| Event::Finished(RequestId(*id), RunEnd::Served)).collect();
+        s.at(
+            s.now + 10.0,
+            &[of(ids[0], usize::from(k % 4 == 0), 0), of(ids[1], 0, 1)],
+        );
+        let ends: Vec<Event> = ids
+            .iter()
+            .map(|id| Event::Finished(RequestId(*id), RunEnd::Served))
+            .collect();
         s.at(s.now + if k % 2 == 0 { 200.0 } else { 1200.0 }, &ends);
     }
     // Two run; the worthy one goes before a cheap one that came earlier.
     let mut out = s.at(s.now + 10.0, &[of(1, 0, 1), of(2, 0, 1)]);
     out.extend(s.at(s.now + 1.0, &[of(3, 0, 1), of(4, 1, 0)]));
     assert_eq!(runs(&out), [1, 2]);
-    let out = s.at(s.now + 300.0, &[Event::Finished(RequestId(1), RunEnd::Served)]);
+    let out = s.at(
+        s.now + 300.0,
+        &[Event::Finished(RequestId(1), RunEnd::Served)],
+    );
     assert_eq!(runs(&out), [4]);
 }
 
@@ -543,33 +777,66 @@
             resent: !id.is_multiple_of(5),
             ..request(*id, 0)
         };
-        s.at(s.now + 490.0, &ids.iter().map(|id| Event::Read(read(id))).collect::<Vec<_>>());
-        let ends: Vec<Event> = ids.iter().map(|id| Event::Finished(RequestId(*id), RunEnd::Served)).collect();
+        s.at(
+            s.now + 490.0,
+            &ids.iter()
+                .map(|id| Event::Read(read(id)))
+                .collect::<Vec<_>>(),
+        );
+        let ends: Vec<Event> = ids
+            .iter()
+            .map(|id| Event::Finished(RequestId(*id), RunEnd::Served))
+            .collect();
         s.at(s.now + 10.0, &ends);
     }
     // So it stands behind nobody: requests of both tenants run in order of arrival.
-    let of = |id, tenant| Event::Read(Request { tenant: Some(TenantId(tenant)), ..request(id, 0) });
-    assert_eq!(runs(&s.at(s.now + 10.0, &[of(1, 0), of(2, 0), of(3, 1), of(4, 1)])), [1, 2]);
+    let of = |id, tenant| {
+        Event::Read(Request {
+            tenant: Some(TenantId(tenant)),
+            ..request(id, 0)
+        })
+    };
+    assert_eq!(
+        runs(&s.at(s.now + 10.0, &[of(1, 0), of(2, 0), of(3, 1), of(4, 1)])),
+        [1, 2]
+    );
 }
 
 #[test]
 fn a_server_whose_runs_outlast_the_aim_asks_callers_to_stay_away_though_it_holds_nothing() {
     let away = |s: &mut Server, id| {
-        s.at(s.now + 1.0, &[Event::Read(request(id, 0))]).iter().find_map(|a| match a {
-            Action::Refuse { stay_away, .. } => Some(stay_away.ms()),
-            _ => None,
-        })
+        s.at(s.now + 1.0, &[Event::Read(request(id, 0))])
+            .iter()
+            .find_map(|a| match a {
+                Action::Refuse { stay_away, .. } => Some(stay_away.ms()),
+                _ => None,
+            })
     };
     // Well: a request far too long for its aim is refused with no advice to speak of.
     let mut s = Server::new(settings());
     stream(&mut s, 1..60, 5.0, false);
-    let long = Request { hint: Some(Span::from_ms(9000.0)), ..request(90, 0) };
+    let long = Request {
+        hint: Some(Span::from_ms(9000.0)),
+        ..request(90, 0)
+    };
     let out = s.at(s.now + 1.0, &[Event::Read(long)]);
-    assert!(out.iter().any(|a| matches!(a, Action::Refuse { stay_away: Span(0), .. })), "{out:?}");
+    assert!(
+        out.iter().any(|a| matches!(
+            a,
+            Action::Refuse {
+                stay_away: Span(0),
+                ..
+            }
+        )),
+        "{out:?}"
+    );
     let mut s = Server::new(settings());
     stream(&mut s, 1..60, 5.0, false);
     // A hang: two run and nothing ends. What comes is refused at once, and told to come back later.
-    s.at(s.now + 1.0, &[Event::Read(request(100, 0)), Event::Read(request(101, 0))]);
+    s.at(
+        s.now + 1.0,
+        &[Event::Read(request(100, 0)), Event::Read(request(101, 0))],
+    );
     s.now += 5000.0;
     assert_eq!(away(&mut s, 102), Some(1000.0));
 }
@@ -577,30 +844,56 @@
 #[test]
 fn a_further_try_has_only_what_is_left_of_the_first_ones_aim() {
     let told = |id, ms: f64, resent| {
-        Event::Read(Request { wait_left: Some(Span::from_ms(ms)), resent, ..request(id, 0) })
+        Event::Read(Request {
+            wait_left: Some(Span::from_ms(ms)),
+            resent,
+            ..request(id, 0)
+        })
     };
     // Marked or not: callers wait four seconds for a first try; one with half of that left began two ago.
     for resent in [false, true] {
         let mut s = Server::new(settings());
         for id in 1..60 {
             s.at(s.now + 100.0, &[told(id, 4000.0, false)]);
-            s.at(s.now + 100.0, &[Event::Finished(RequestId(id), RunEnd::Served)]);
+            s.at(
+                s.now + 100.0,
+                &[Event::Finished(RequestId(id), RunEnd::Served)],
+            );
         }
-        assert_eq!(runs(&s.at(s.now + 10.0, &[told(100, 3900.0, resent)])), [100]);
-        assert_eq!(refused(&s.at(s.now + 10.0, &[told(101, 2050.0, resent)])), [101]);
+        assert_eq!(
+            runs(&s.at(s.now + 10.0, &[told(100, 3900.0, resent)])),
+            [100]
+        );
+        assert_eq!(
+            refused(&s.at(s.now + 10.0, &[told(101, 2050.0, resent)])),
+            [101]
+        );
         // One that waits as long as a first try is taken for one.
-        assert_eq!(runs(&s.at(s.now + 10.0, &[told(102, 4000.0, resent)])), [102]);
+        assert_eq!(
+            runs(&s.at(s.now + 10.0, &[told(102, 4000.0, resent)])),
+            [102]
+        );
     }
 }
 
 #[test]
 fn what_can_bring_nothing_any_more_is_answered_at_its_aim_and_stopped_where_it_can_be() {
     // Class by class: one runs, one waits at a call that may not be made, one is out at a call.
-    for (class, stopping) in
-        [(0, Stopping::Discard), (1, Stopping::Discard), (2, Stopping::Freeze), (0, Stopping::Off)]
-    {
-        let mut set = Settings { stopping, cores: 4, calls_out: 1.0, ..settings() };
-        set.classes.iter_mut().for_each(|c| c.deadline = Span::from_ms(9000.0));
+    for (class, stopping) in [
+        (0, Stopping::Discard),
+        (1, Stopping::Discard),
+        (2, Stopping::Freeze),
+        (0, Stopping::Off),
+    ] {
+        let mut set = Settings {
+            stopping,
+            cores: 4,
+            calls_out: 1.0,
+            ..settings()
+        };
+        set.classes
+            .iter_mut()
+            .for_each(|c| c.deadline = Span::from_ms(9000.0));
         let mut s = Server::new(set);
         assert_eq!(runs(&s.read(1..4, class)), [1, 2, 3]);
         s.at(1100.0, &[Event::NeedsCall(RequestId(2))]);
@@ -619,20 +912,36 @@
         assert!(out.contains(&Action::Stop(RequestId(1))));
         // Only what may run again is turned away, and asked not to be tried elsewhere: nothing else may be.
         let gives_up = |a: &Action| matches!(a, Action::Refuse { give_up: true, .. });
-        assert_eq!(out.iter().filter(|a| gives_up(a)).count(), if class == 0 { 3 } else { 0 });
+        assert_eq!(
+            out.iter().filter(|a| gives_up(a)).count(),
+            if class == 0 { 3 } else { 0 }
+        );
         assert_eq!(refused(&out).is_empty(), class != 0);
     }
 }
 
 fn said(actions: &[Action]) -> Option<f64> {
-    actions.iter().rev().find_map(|a| if let Action::FreeValue(v) = a { Some(*v) } else { None })
+    actions.iter().rev().find_map(|a| {
+        if let Action::FreeValue(v) = a {
+            Some(*v)
+        } else {
+            None
+        }
+    })
 }
 
 #[test]
 fn the_level_rises_with_refusals_up_to_the_classes_worth_less_than_the_mean_and_comes_back() {
     for (worth, most) in [([1.0, 3.0, 3.0], 1.0 / 3.0), ([1.0, 1.0, 1.0], 0.0)] {
-        let mut set = Settings { free_value: FreeValue::Floor, memory_kb: 300.0, ..settings() };
-        set.classes.iter_mut().zip(worth).for_each(|(c, w)| c.worth = w);
+        let mut set = Settings {
+            free_value: FreeValue::Floor,
+            memory_kb: 300.0,
+            ..settings()
+        };
+        set.classes
+            .iter_mut()
+            .zip(worth)
+            .for_each(|(c, w)| c.worth = w);
         let mut s = Server::new(set);
         let mut last = 0.0;
         let mut running: Vec<u64> = Vec::new();
@@ -656,19 +965,34 @@
 }
 
 #[test]
-fn where_no_list_follows_health_the_free_value_says_that_a_jammed_or_leaving_server_wants_nothing() {
-    for (free_value, none) in [(FreeValue::Floor, 1.0), (FreeValue::Weight, 0.0), (FreeValue::Allowance, 0.0)]
-    {
+fn where_no_list_follows_health_the_free_value_says_that_a_jammed_or_leaving_server_wants_nothing()
+{
+    for (free_value, none) in [
+        (FreeValue::Floor, 1.0),
+        (FreeValue::Weight, 0.0),
+        (FreeValue::Allowance, 0.0),
+    ] {
         for lists_follow_health in [false, true] {
-            let mut s = Server::new(Settings { free_value, lists_follow_health, ..settings() });
+            let mut s = Server::new(Settings {
+                free_value,
+                lists_follow_health,
+                ..settings()
+            });
             stream(&mut s, 1..60, 5.0, false);
             let jam = stream(&mut s, 100..140, 1500.0, false);
             assert_eq!(health(&jam), [false]);
             let silent = jam.contains(&Action::FreeValue(none));
             assert_eq!(silent, !lists_follow_health, "{free_value:?}");
-            let mut s = Server::new(Settings { free_value, lists_follow_health, ..settings() });
+            let mut s = Server::new(Settings {
+                free_value,
+                lists_follow_health,
+                ..settings()
+            });
             assert_ne!(said(&s.at(1000.0, &[])), Some(none));
-            assert_eq!(said(&s.at(1010.0, &[Event::Leaving(Span::from_ms(2500.0))])), Some(none));
+            assert_eq!(
+                said(&s.at(1010.0, &[Event::Leaving(Span::from_ms(2500.0))])),
+                Some(none)
+            );
         }
     }
 }
@@ -677,8 +1001,17 @@
 fn a_marked_further_try_is_as_old_as_what_is_refused_here_becomes() {
     // No told waits. Requests sit unread for long and are refused; a further try has been through as much.
     let mut s = Server::new(settings());
-    let old = |id, age, resent| Event::Read(Request { age: Span::from_ms(age), resent, ..request(id, 0) });
-    assert_eq!(runs(&s.at(1000.0, &[old(1, 0.0, true), old(2, 0.0, false)])), [1, 2]);
+    let old = |id, age, resent| {
+        Event::Read(Request {
+            age: Span::from_ms(age),
+            resent,
+            ..request(id, 0)
+        })
+    };
+    assert_eq!(
+        runs(&s.at(1000.0, &[old(1, 0.0, true), old(2, 0.0, false)])),
+        [1, 2]
+    );
     let ends = [1, 2].map(|id| Event::Finished(RequestId(id), RunEnd::Served));
     s.at(1100.0, &ends);
     for k in 10..60 {
@@ -699,10 +1032,28 @@
     for id in 200..230 {
         // One run is long; the others end in their usual time.
         out.extend(s.at(s.now + 40.0, &[Event::Read(request(id, 0))]));
-        out.extend(s.at(s.now + 40.0, &[Event::Finished(RequestId(id), RunEnd::Served)]));
+        out.extend(s.at(
+            s.now + 40.0,
+            &[Event::Finished(RequestId(id), RunEnd::Served)],
+        ));
     }
-    let long = out.iter().find(|a| matches!(a, Action::Refuse { id: RequestId(100), .. }));
-    assert_eq!(long, Some(&Action::Refuse { id: RequestId(100), stay_away: Span(0), give_up: true }));
+    let long = out.iter().find(|a| {
+        matches!(
+            a,
+            Action::Refuse {
+                id: RequestId(100),
+                ..
+            }
+        )
+    });
+    assert_eq!(
+        long,
+        Some(&Action::Refuse {
+            id: RequestId(100),
+            stay_away: Span(0),
+            give_up: true
+        })
+    );
 }
 
 #[test]
@@ -718,19 +1069,37 @@
         if let Some(id) = on.get(k) {
             out.extend(s.at(s.now + 1.0, &[Event::NeedsCall(RequestId(*id))]));
         }
-        out.extend(s.at(s.now + 1.0, &[Event::Wake(Gauges { runnable: Some(0.0), ..Gauges::default() })]));
+        out.extend(s.at(
+            s.now + 1.0,
+            &[Event::Wake(Gauges {
+                runnable: Some(0.0),
+                ..Gauges::default()
+            })],
+        ));
     }
     assert_eq!(runs(&out).len().min(calls(&out).len()), 3);
 }
 
 #[test]
 fn repeats_that_wait_for_their_first_try_do_not_fill_the_memory() {
-    let mut s = Server::new(Settings { memory_kb: 300.0, ..settings() });
+    let mut s = Server::new(Settings {
+        memory_kb: 300.0,
+        ..settings()
+    });
     let mut out = s.read(1..2, 1);
-    let again = |id| Event::Read(Request { repeats: Some(RequestId(1)), ..request(id, 1) });
+    let again = |id| {
+        Event::Read(Request {
+            repeats: Some(RequestId(1)),
+            ..request(id, 1)
+        })
+    };
     out.extend(s.at(1010.0, &(2..60).map(again).collect::<Vec<_>>()));
     // Of nine tenths of 300 kB the run takes 40 and its key 5: at most 22 wait, and none is refused.
-    assert!(failed(&out).len() >= 36 && refused(&out).is_empty(), "{}", failed(&out).len());
+    assert!(
+        failed(&out).len() >= 36 && refused(&out).is_empty(),
+        "{}",
+        failed(&out).len()
+    );
 }
 
 /// One request after another makes a call of 40 ms, beside one whose call is never answered.
@@ -741,17 +1110,33 @@
     let mut last = Vec::new();
     for id in 1000..1000 + rounds {
         let begun = server.now + 1.0;
-        assert_eq!(runs(&server.at(begun, &[Event::Read(request(id, 0))])), [id]);
+        assert_eq!(
+            runs(&server.at(begun, &[Event::Read(request(id, 0))])),
+            [id]
+        );
         last = server.at(begun + 5.0, &[Event::NeedsCall(RequestId(id))]);
         assert_eq!(calls(&last), [id]);
-        server.at(begun + 5.0 + ms, &[Event::CallEnded(RequestId(id), CallEnd::Good, Span::from_ms(ms))]);
-        server.at(begun + 10.0 + ms, &[Event::Finished(RequestId(id), RunEnd::Served)]);
+        server.at(
+            begun + 5.0 + ms,
+            &[Event::CallEnded(
+                RequestId(id),
+                CallEnd::Good,
+                Span::from_ms(ms),
+            )],
+        );
+        server.at(
+            begun + 10.0 + ms,
+            &[Event::Finished(RequestId(id), RunEnd::Served)],
+        );
     }
     last
 }
 fn silent_call(server: &mut Server) -> f64 {
     server.read(0..1, 0);
-    assert_eq!(calls(&server.at(server.now + 5.0, &[Event::NeedsCall(RequestId(0))])), [0]);
+    assert_eq!(
+        calls(&server.at(server.now + 5.0, &[Event::NeedsCall(RequestId(0))])),
+        [0]
+    );
     server.now
 }
 
@@ -765,11 +1150,17 @@
     let begun = silent_call(&mut server);
     calls_beside_a_silent_one(&mut server, 40);
     let took = Span::from_ms(server.now - begun);
-    server.at(server.now, &[Event::CallEnded(RequestId(0), CallEnd::Failed, took)]);
+    server.at(
+        server.now,
+        &[Event::CallEnded(RequestId(0), CallEnd::Failed, took)],
+    );
     calls_beside_a_silent_one(&mut server, 1);
     let [.., of_late, best] = server.policy.calls_seen();
     assert!((30.0..60.0).contains(&of_late), "{of_late} ms of late");
-    assert!(best > 0.9 * best_before.min(40.0), "{best} ms at best, {best_before} before");
+    assert!(
+        best > 0.9 * best_before.min(40.0),
+        "{best} ms at best, {best_before} before"
+    );
 }
 
 /// Guards the mean while an answer goes missing: the call in hand used to add to it for as long as its request lived, and
@@ -785,9 +1176,15 @@
     assert!((30.0..60.0).contains(&of_late), "{of_late} ms of late");
     // One that is answered after all counts as it was.
     let took = Span::from_ms(server.now - begun);
-    server.at(server.now, &[Event::CallEnded(RequestId(0), CallEnd::Good, took)]);
+    server.at(
+        server.now,
+        &[Event::CallEnded(RequestId(0), CallEnd::Good, took)],
+    );
     let [in_hand, .., after, _] = server.policy.calls_seen();
-    assert!(in_hand == 0.0 && after > 1.2 * of_late, "{after} ms, {of_late} ms before");
+    assert!(
+        in_hand == 0.0 && after > 1.2 * of_late,
+        "{after} ms, {of_late} ms before"
+    );
 }
 
 /// A dependency whose calls all take longer is slow and loses nothing: what is late is not overtaken by others.
@@ -796,10 +1193,19 @@
     let mut server = Server::new(settings());
     calls_of(&mut server, 20, 40.0);
     let last = calls_of(&mut server, 10, 480.0);
-    let patience =
-        last.iter().find_map(|a| if let Action::Call(_, limit) = a { Some(limit.ms()) } else { None });
+    let patience = last.iter().find_map(|a| {
+        if let Action::Call(_, limit) = a {
+            Some(limit.ms())
+        } else {
+            None
+        }
+    });
     assert!(patience.is_some_and(|ms| ms > 2500.0), "{patience:?}");
-    assert!(server.policy.calls_seen()[3] > 300.0, "{:?}", server.policy.calls_seen());
+    assert!(
+        server.policy.calls_seen()[3] > 300.0,
+        "{:?}",
+        server.policy.calls_seen()
+    );
 }
 
 /// Guards the places at the dependency against answers that go missing: once so many overtook a call that it can't be
@@ -807,7 +1213,13 @@
 #[test]
 fn where_answers_go_missing_calls_are_waited_for_less_long() {
     let patience = |actions: &[Action]| {
-        actions.iter().find_map(|a| if let Action::Call(_, limit) = a { Some(limit.ms()) } else { None })
+        actions.iter().find_map(|a| {
+            if let Action::Call(_, limit) = a {
+                Some(limit.ms())
+            } else {
+                None
+            }
+        })
     };
     let mut server = Server::new(settings());
     let before = patience(&calls_beside_a_silent_one(&mut server, 20)).expect("a call");
@@ -815,5 +1227,8 @@
     let after = patience(&calls_beside_a_silent_one(&mut server, 40)).expect("a call");
     // 80 times the best mean of 40 ms, then 8 times with what calls stray: never less than a quarter of the aim.
     assert!(before > 2500.0, "{before} ms");
-    assert!((500.0..1000.0).contains(&after), "{after} ms after, {before} ms before");
+    assert!(
+        (500.0..1000.0).contains(&after),
+        "{after} ms after, {before} ms before"
+    );
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -34,11 +34,20 @@
 
 impl Judge {
     fn new(set: Settings) -> Judge {
-        Judge { set, reqs: BTreeMap::new(), keys: BTreeMap::new(), leaving: None }
+        Judge {
+            set,
+            reqs: BTreeMap::new(),
+            keys: BTreeMap::new(),
+            leaving: None,
+        }
     }
     fn pick(&self, n: usize, at: &[At]) -> Option<u64> {
-        let ids: Vec<u64> =
-            self.reqs.iter().filter(|(_, r)| !r.over && at.contains(&r.at)).map(|(id, _)| *id).collect();
+        let ids: Vec<u64> = self
+            .reqs
+            .iter()
+            .filter(|(_, r)| !r.over && at.contains(&r.at))
+            .map(|(id, _)| *id)
+            .collect();
         (!ids.is_empty()).then(|| ids[n % ids.len()])
     }
     /// Takes the actions of one reply and tells which rule they break.
@@ -51,7 +60,10 @@
                     if r.ran && effect != Effect::Repeatable || r.answered || r.at != At::Held {
                         return Err(format!("{id:?} runs though it may not"));
                     }
-                    if self.leaving.is_some_and(|(n, _)| r.arrived > n + self.set.drain_grace.ms()) {
+                    if self
+                        .leaving
+                        .is_some_and(|(n, _)| r.arrived > n + self.set.drain_grace.ms())
+                    {
                         return Err(format!("{id:?} runs after the grace"));
                     }
                     if effect == Effect::ByKey && !self.keys.contains_key(&id.0) {
@@ -81,10 +93,14 @@
                     }
                     r.at = At::Calling;
                 }
-                Action::Join(id) => self.reqs.get_mut(&id.0).ok_or("joins a stranger")?.at = At::Joined,
+                Action::Join(id) => {
+                    self.reqs.get_mut(&id.0).ok_or("joins a stranger")?.at = At::Joined
+                }
                 Action::Stop(_) if self.set.stopping == Stopping::Off => return Err("stops".into()),
                 Action::SkipCall(_) => return Err("leaves out a call".into()),
-                Action::FreeValue(_) if self.set.free_value == FreeValue::Off => return Err("says".into()),
+                Action::FreeValue(_) if self.set.free_value == FreeValue::Off => {
+                    return Err("says".into())
+                }
                 Action::Remember(id, span) => drop(self.keys.insert(id.0, now + span.ms())),
                 Action::Forget(id) => drop(self.keys.remove(&id.0)),
                 _ => {}
@@ -93,7 +109,10 @@
         self.keys.retain(|_, lapse| *lapse > now);
         let live = || self.reqs.values().filter(|r| !r.over);
         let late = live().find(|r| !r.answered && now > r.due + self.set.answer_slack.ms());
-        if late.is_some() || self.leaving.is_some_and(|(_, kill)| now >= kill && live().any(|r| !r.answered))
+        if late.is_some()
+            || self
+                .leaving
+                .is_some_and(|(_, kill)| now >= kill && live().any(|r| !r.answered))
         {
             return Err("something read is not answered".into());
         }
@@ -104,7 +123,11 @@
             return Err("memory".into());
         }
         // Cold all along, at the least that it may be sure of.
-        let warm = if self.set.cold { self.set.start_capacity } else { 1.0 };
+        let warm = if self.set.cold {
+            self.set.start_capacity
+        } else {
+            1.0
+        };
         let crowd = (1.0 + (self.set.crowd_per_core - 1.0) * warm) * f64::from(self.set.cores);
         if of(At::OnCore) > crowd || of(At::Calling) > self.set.calls_out.max(1.0) {
             return Err("crowd or calls".into());
@@ -116,8 +139,12 @@
 fn variant(n: u32) -> Settings {
     let mut set = settings();
     set.stopping = [Stopping::Off, Stopping::Discard, Stopping::Freeze][n as usize % 3];
-    set.free_value =
-        [FreeValue::Off, FreeValue::Floor, FreeValue::Allowance, FreeValue::Weight][n as usize / 3 % 4];
+    set.free_value = [
+        FreeValue::Off,
+        FreeValue::Floor,
+        FreeValue::Allowance,
+        FreeValue::Weight,
+    ][n as usize / 3 % 4];
     set.below = [Below::Shared, Below::Nothing, Below::Tier][n as usize / 12 % 3];
     set.calls_out = [4.0, 0.4, 1.5][n as usize / 36 % 3];
     if set.below != Below::Shared {
@@ -127,7 +154,10 @@
     set.memory_kb = [2000.0, 120.0, 400.0][n as usize / 216 % 3];
     set.cores = [2, 1, 4][n as usize / 648 % 3];
     set.run_factor = [4.0, 16.0][n as usize % 2];
-    (set.answer_slack, set.drain_grace) = (Span::from_ms(60.0), Span::from_ms([1000.0, 0.0][n as usize % 2]));
+    (set.answer_slack, set.drain_grace) = (
+        Span::from_ms(60.0),
+        Span::from_ms([1000.0, 0.0][n as usize % 2]),
+    );
     set
 }
 
@@ -140,7 +170,10 @@
             break;
         }
         s.now += 2.0 + (pick % 9) as f64 * 2.0;
-        let mut events = vec![Event::Wake(Gauges { runnable: Some((pick % 4) as f64), ..Gauges::default() })];
+        let mut events = vec![Event::Wake(Gauges {
+            runnable: Some((pick % 4) as f64),
+            ..Gauges::default()
+        })];
         match op % 16 {
             0..=6 => {
                 for k in 0..=(pick % 4) {
@@ -180,12 +213,19 @@
                     (r.over, r.answered) = (true, true);
                     events.push(Event::Finished(
                         RequestId(id),
-                        if pick % 8 == 0 { RunEnd::Failed } else { RunEnd::Served },
+                        if pick % 8 == 0 {
+                            RunEnd::Failed
+                        } else {
+                            RunEnd::Served
+                        },
                     ));
                 }
             }
             10 | 11 => {
-                if let Some(id) = judge.pick(pick, &[At::OnCore]).filter(|id| !judge.reqs[id].answered) {
+                if let Some(id) = judge
+                    .pick(pick, &[At::OnCore])
+                    .filter(|id| !judge.reqs[id].answered)
+                {
                     judge.reqs.get_mut(&id).expect("picked").at = At::Waiting;
                     events.push(Event::NeedsCall(RequestId(id)));
                 }
@@ -194,7 +234,11 @@
                 if let Some(id) = judge.pick(pick, &[At::Calling]) {
                     let end = [CallEnd::Good, CallEnd::Failed, CallEnd::NeverRan][pick % 3];
                     let r = judge.reqs.get_mut(&id).expect("picked");
-                    r.at = if end == CallEnd::Good { At::OnCore } else { At::Waiting };
+                    r.at = if end == CallEnd::Good {
+                        At::OnCore
+                    } else {
+                        At::Waiting
+                    };
                     r.no_more_calls |=
                         end == CallEnd::Failed && set.classes[r.class].effect != Effect::Repeatable;
                     events.push(Event::CallEnded(RequestId(id), end, Span::from_ms(30.0)));
@@ -217,19 +261,30 @@
         }
         let now = s.now;
         let actions = s.at(now, &events);
-        judge.judge(now, &actions).map_err(|e| format!("variant {n} at {now}: {e}"))?;
+        judge
+            .judge(now, &actions)
+            .map_err(|e| format!("variant {n} at {now}: {e}"))?;
         // What waits at a call ends once its answer is out.
         for r in judge.reqs.values_mut() {
             r.over |= r.answered && matches!(r.at, At::Waiting);
         }
     }
     // Left alone, all is answered in time.
-    while judge.leaving.map_or(s.now < 14_000.0, |(_, kill)| s.now + 20.0 < kill) {
+    while judge
+        .leaving
+        .map_or(s.now < 14_000.0, |(_, kill)| s.now + 20.0 < kill)
+    {
         let now = s.now + 20.0;
         let actions = s.at(now, &[Event::Wake(Gauges::default())]);
-        judge.judge(now, &actions).map_err(|e| format!("variant {n} left alone at {now}: {e}"))?;
+        judge
+            .judge(now, &actions)
+            .map_err(|e| format!("variant {n} left alone at {now}: {e}"))?;
     }
-    match judge.reqs.iter().find(|(_, r)| !r.answered && judge.leaving.is_some()) {
+    match judge
+        .reqs
+        .iter()
+        .find(|(_, r)| !r.answered && judge.leaving.is_some())
+    {
         Some((id, _)) => Err(format!("variant {n}: {id} has no answer at the stop")),
         None => Ok(()),
     }
@@ -238,11 +293,23 @@
 #[test]
 fn the_four_rules_hold_under_arbitrary_events() {
     let mut runner = TestRunner::new_with_rng(
-        Config { cases: 300, failure_persistence: None, max_shrink_iters: 300, ..Config::default() },
-        proptest::test_runner::TestRng::deterministic_rng(proptest::test_runner::RngAlgorithm::ChaCha),
+        Config {
+            cases: 300,
+            failure_persistence: None,
+            max_shrink_iters: 300,
+            ..Config::default()
+        },
+        proptest::test_runner::TestRng::deterministic_rng(
+            proptest::test_runner::RngAlgorithm::ChaCha,
+        ),
     );
-    let input = (0u32..1944, prop::collection::vec((any::<u8>(), any::<u16>()), 1..250));
-    if let Err(e) = runner.run(&input, |(n, steps)| play(n, &steps).map_err(TestCaseError::fail)) {
+    let input = (
+        0u32..1944,
+        prop::collection::vec((any::<u8>(), any::<u16>()), 1..250),
+    );
+    if let Err(e) = runner.run(&input, |(n, steps)| {
+        play(n, &steps).map_err(TestCaseError::fail)
+    }) {
         panic!("{e}");
     }
 }
@@ -266,12 +333,34 @@
         judge.leaving = Some((-5000.0, 1e9));
         judge.judge(now, actions).is_err()
     };
-    let refuse = Action::Refuse { id, stay_away: Span(0), give_up: false };
+    let refuse = Action::Refuse {
+        id,
+        stay_away: Span(0),
+        give_up: false,
+    };
     assert!(judged(2, At::Held, true, 1.0, &[Action::Run(id)]));
     assert!(judged(0, At::Held, false, 1.0, &[Action::Run(id)]));
-    assert!(judged(2, At::OnCore, true, 1.0, std::slice::from_ref(&refuse)));
-    assert!(judged(2, At::Waiting, true, 1.0, &[Action::Call(id, Span(1))]));
-    assert!(judged(0, At::Held, false, 1.0, &[refuse.clone(), Action::Fail(id)]));
+    assert!(judged(
+        2,
+        At::OnCore,
+        true,
+        1.0,
+        std::slice::from_ref(&refuse)
+    ));
+    assert!(judged(
+        2,
+        At::Waiting,
+        true,
+        1.0,
+        &[Action::Call(id, Span(1))]
+    ));
+    assert!(judged(
+        0,
+        At::Held,
+        false,
+        1.0,
+        &[refuse.clone(), Action::Fail(id)]
+    ));
     assert!(judged(0, At::Held, false, 161.0, &[]));
     assert!(!judged(0, At::Held, false, 1.0, &[refuse]));
 }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -23,15 +23,23 @@
     answer(stream)
 }
 fn answer(stream: TcpStream) -> String {
-    stream.set_read_timeout(Some(Duration::from_secs(15))).expect("a timeout");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(15)))
+        .expect("a timeout");
     let mut text = String::new();
-    BufReader::new(stream).read_line(&mut text).expect("an answer");
+    BufReader::new(stream)
+        .read_line(&mut text)
+        .expect("an answer");
     assert!(text.ends_with('\n'), "a whole line: {text:?}");
     text.trim_end().to_string()
 }
 
 fn result(answer: &serde_json::Value) -> String {
-    unbase64(answer["result"]["body"].as_str().unwrap_or_else(|| panic!("not served: {answer}")))
+    unbase64(
+        answer["result"]["body"]
+            .as_str()
+            .unwrap_or_else(|| panic!("not served: {answer}")),
+    )
 }
 
 #[test]
@@ -48,7 +56,10 @@
     until("the list hears of it", || node.list.heard("HB n3 OUT"));
     // It is not the notice to leave: what comes after the grace of 500 ms is served all the same.
     std::thread::sleep(Duration::from_millis(700));
-    assert_eq!(result(&front.ask(READ, "serve:quiesced")), "done serve:quiesced");
+    assert_eq!(
+        result(&front.ask(READ, "serve:quiesced")),
+        "done serve:quiesced"
+    );
     assert_eq!(call(door, b"health\n"), "ok quiesced");
     assert_eq!(call(door, b" quiesce \r\n"), "ok quiesced");
     assert_eq!(call(door, b"resume\n"), "ok serving");
@@ -66,8 +77,17 @@
     let door = node.door();
     let mut front = node.front();
     assert_eq!(call(door, b"quiesce\n"), "ok quiesced");
-    node.reload(&config(node.executor.address, node.database.address, node.list.address).to_string());
-    until("it is read again", || node.log().contains("configuration read again"));
+    node.reload(
+        &config(
+            node.executor.address,
+            node.database.address,
+            node.list.address,
+        )
+        .to_string(),
+    );
+    until("it is read again", || {
+        node.log().contains("configuration read again")
+    });
     assert_eq!(front.alive()["result"]["ready"], false);
     // What hangs keeps the process until all has been asked.
     front.send("settlement-post", "hang");
@@ -78,7 +98,9 @@
     assert_eq!(call(door, b"health\n"), "fail leaving");
     assert_eq!(call(door, b"quiesce\n"), "ok leaving");
     assert_eq!(node.front().alive()["result"]["ready"], false);
-    assert!(front.next()["error"]["code"].as_i64().is_some_and(|code| code != REFUSED));
+    assert!(front.next()["error"]["code"]
+        .as_i64()
+        .is_some_and(|code| code != REFUSED));
     drop(front);
     assert_eq!(node.exit().code(), Some(0));
 }
@@ -98,23 +120,41 @@
     let door = node.door();
     assert_eq!(call(door, b"health\n"), "fail starting");
     assert_eq!(call(door, b"quiesce\n"), "ok starting, to be quiesced");
-    assert!(node.logged("listening").is_none(), "it takes no clients yet");
-    link.write_all(b"{\"action\":\"WELCOME\",\"code\":\"WARM\",\"wall_ms\":5}\n").expect("written");
+    assert!(
+        node.logged("listening").is_none(),
+        "it takes no clients yet"
+    );
+    link.write_all(b"{\"action\":\"WELCOME\",\"code\":\"WARM\",\"wall_ms\":5}\n")
+        .expect("written");
     until("it is up", || call(door, b"health\n") == "ok quiesced");
     // Its log is read by a thread of the test's, which may be behind the door's answer.
-    until("the log tells where it listens", || node.logged("listening").is_some());
+    until("the log tells where it listens", || {
+        node.logged("listening").is_some()
+    });
     let address = node.logged("listening").expect("it listens");
     assert_eq!(Front::connect(address).alive()["result"]["ready"], false);
     assert_eq!(call(door, b"resume\n"), "ok serving");
-    until("the module has begun", || Front::connect(address).alive()["result"]["ready"] == true);
+    until("the module has begun", || {
+        Front::connect(address).alive()["result"]["ready"] == true
+    });
 }
 
 #[test]
 fn what_is_no_call_fails_and_changes_nothing() {
     let node = with_door();
     let door = node.door();
-    for line in [&b"drain\n"[..], b"\n", b"QUIESCE\n", b"quiesce now\n", b"\xff\xfe\x00\n", b"quiesce\0\n"] {
-        assert!(call(door, line).starts_with("fail unknown call"), "{line:?}");
+    for line in [
+        &b"drain\n"[..],
+        b"\n",
+        b"QUIESCE\n",
+        b"quiesce now\n",
+        b"\xff\xfe\x00\n",
+        b"quiesce\0\n",
+    ] {
+        assert!(
+            call(door, line).starts_with("fail unknown call"),
+            "{line:?}"
+        );
     }
     assert_eq!(call(door, &[b'q'; 4096]), "fail the line is too long");
     // A line that was cut short is no call, however much it looks like one.
@@ -144,7 +184,9 @@
         let held: Vec<TcpStream> = (0..100)
             .map(|n| {
                 let mut stream = TcpStream::connect(door).expect("a door");
-                stream.write_all(if n % 2 == 0 { b"heal" } else { b"" }).expect("written");
+                stream
+                    .write_all(if n % 2 == 0 { b"heal" } else { b"" })
+                    .expect("written");
                 stream
             })
             .collect();
@@ -157,7 +199,10 @@
         drop(held);
         worst
     });
-    assert!(worst > Duration::ZERO && worst < Duration::from_secs(1), "the worst after {worst:?}");
+    assert!(
+        worst > Duration::ZERO && worst < Duration::from_secs(1),
+        "the worst after {worst:?}"
+    );
 }
 
 #[test]
@@ -169,25 +214,41 @@
         (json!("nowhere"), None, "configuration: "),
         (json!(7), None, "configuration: "),
         (taken, None, "door: "),
-        (json!(null), Some("here"), "configuration: PROXY_ADMIN is no address"),
+        (
+            json!(null),
+            Some("here"),
+            "configuration: PROXY_ADMIN is no address",
+        ),
     ] {
         let mut config = config(unused, unused, unused);
         config["admin"] = admin;
         let file = Scratch::new("door.json", &config.to_string());
-        let output = command(&file).envs(variable.map(|at| ("PROXY_ADMIN", at))).output().expect("it starts");
+        let output = command(&file)
+            .envs(variable.map(|at| ("PROXY_ADMIN", at)))
+            .output()
+            .expect("it starts");
         let said = String::from_utf8_lossy(&output.stderr);
-        assert!(!output.status.success() && said.contains(says) && said.lines().count() == 1, "{said}");
+        assert!(
+            !output.status.success() && said.contains(says) && said.lines().count() == 1,
+            "{said}"
+        );
     }
 }
 
 fn taking(node: &Node) {
     until("there is a door", || node.logged("door").is_some());
-    until("it takes clients", || call(node.door(), b"health\n").starts_with("ok"));
+    until("it takes clients", || {
+        call(node.door(), b"health\n").starts_with("ok")
+    });
 }
 
 /// A steady load on new and old connections: each request is answered once, whatever process it comes to. Gives the bodies
 /// that were served; a request on a connection that ends with nothing read is sent again, as front ends do.
-fn load(address: SocketAddr, name: &str, stop: &std::sync::atomic::AtomicBool) -> (Vec<String>, usize) {
+fn load(
+    address: SocketAddr,
+    name: &str,
+    stop: &std::sync::atomic::AtomicBool,
+) -> (Vec<String>, usize) {
     let (mut served, mut unheard, mut n) = (Vec::new(), 0, 0);
     let mut kept: Option<Front> = None;
     while !stop.load(std::sync::atomic::Ordering::SeqCst) {
@@ -234,9 +295,14 @@
             executors.push(next.executor.clone());
             let mut watcher = node.front();
             node.terminate();
-            until("the old process is told", || node.log().contains("replaced"));
+            until("the old process is told", || {
+                node.log().contains("replaced")
+            });
             let health = watcher.alive();
-            assert!(health["method"] == "farewell" || health["result"]["ready"] == true, "{health}");
+            assert!(
+                health["method"] == "farewell" || health["result"]["ready"] == true,
+                "{health}"
+            );
             drop(watcher);
             assert_eq!(node.exit().code(), Some(0));
             assert!(!node.list.heard("HB n3 OUT"));
@@ -244,12 +310,18 @@
         }
         stop.store(true, std::sync::atomic::Ordering::SeqCst);
         let ended = loads.into_iter().map(|load| load.join().expect("a client"));
-        ended.reduce(|all, more| ([all.0, more.0].concat(), all.1 + more.1)).expect("clients")
+        ended
+            .reduce(|all, more| ([all.0, more.0].concat(), all.1 + more.1))
+            .expect("clients")
     });
     assert!(served.len() > 20, "{} served", served.len());
     assert_eq!(unheard, 0, "sent back unheard");
     for body in &served {
-        assert_eq!(executors.iter().map(|e| e.runs(body)).sum::<usize>(), 1, "{body}");
+        assert_eq!(
+            executors.iter().map(|e| e.runs(body)).sum::<usize>(),
+            1,
+            "{body}"
+        );
     }
 }
 
@@ -261,14 +333,24 @@
     for round in 0..10 {
         let mut fronts: Vec<Front> = (0..4).map(|_| node.front()).collect();
         let mut word = TcpStream::connect(node.door()).expect("a door");
-        let before: Vec<u64> = fronts.iter_mut().map(|f| f.send("settlement-post", "serve")).collect();
+        let before: Vec<u64> = fronts
+            .iter_mut()
+            .map(|f| f.send("settlement-post", "serve"))
+            .collect();
         word.write_all(b"quiesce\n").expect("written");
         let behind: Vec<u64> = fronts.iter_mut().map(|f| f.send(READ, "serve")).collect();
         for ((front, first), second) in fronts.iter_mut().zip(before).zip(behind) {
             let mut answers = [front.answer(), front.answer()];
             answers.sort_unstable_by_key(|answer| answer["id"].as_u64());
-            assert_eq!(answers.each_ref().map(|a| a["id"].as_u64()), [Some(first), Some(second)]);
-            assert_eq!(answers.each_ref().map(result), ["done serve", "done serve"], "round {round}");
+            assert_eq!(
+                answers.each_ref().map(|a| a["id"].as_u64()),
+                [Some(first), Some(second)]
+            );
+            assert_eq!(
+                answers.each_ref().map(result),
+                ["done serve", "done serve"],
+                "round {round}"
+            );
         }
         assert_eq!(answer(word), "ok quiesced");
         assert_eq!(node.front().alive()["result"]["ready"], false);
@@ -287,26 +369,48 @@
     let second = first.successor();
     taking(&second);
     let moved = |node: &Node| {
-        let mut moved = config(node.executor.elsewhere(), node.database.address, node.list.address);
+        let mut moved = config(
+            node.executor.elsewhere(),
+            node.database.address,
+            node.list.address,
+        );
         moved["listen"] = json!(first.address);
         moved.to_string()
     };
     let (one, two) = (moved(&first), moved(&second));
     first.reload(&one);
     second.reload(&two);
-    until("both have moved", || [&first, &second].iter().all(|n| n.executor.joins().len() == 2));
+    until("both have moved", || {
+        [&first, &second]
+            .iter()
+            .all(|n| n.executor.joins().len() == 2)
+    });
     first.terminate();
-    until("the old process is told", || first.log().contains("replaced"));
+    until("the old process is told", || {
+        first.log().contains("replaced")
+    });
     // One more while the old one leaves.
     first.reload(&one);
     second.reload(&two);
     first.executor.finish("hang:first");
     let answer = runs.answer();
-    assert_eq!((answer["id"].as_u64(), result(&answer).as_str()), (Some(run), "late result"));
+    assert_eq!(
+        (answer["id"].as_u64(), result(&answer).as_str()),
+        (Some(run), "late result")
+    );
     drop(runs);
     assert_eq!(first.exit().code(), Some(0));
-    assert_eq!(result(&second.front().ask(READ, "serve:after")), "done serve:after");
-    assert_eq!((first.executor.runs("hang:first"), second.executor.runs("hang:first")), (1, 0));
+    assert_eq!(
+        result(&second.front().ask(READ, "serve:after")),
+        "done serve:after"
+    );
+    assert_eq!(
+        (
+            first.executor.runs("hang:first"),
+            second.executor.runs("hang:first")
+        ),
+        (1, 0)
+    );
     assert!(!second.list.heard("HB n3 OUT"));
 }
 
@@ -322,7 +426,9 @@
     until("each has a half", || said(&first, 4) && said(&second, 4));
     assert!(!said(&second, 8));
     second.kill();
-    until("the first has all again", || first.log().matches("held: 8").count() == 2);
+    until("the first has all again", || {
+        first.log().matches("held: 8").count() == 2
+    });
     let third = first.successor();
     taking(&third);
     until("each has a half again", || said(&third, 4));
@@ -354,7 +460,10 @@
     third.terminate();
     assert_eq!(third.exit().code(), Some(0));
     assert!(third.log().contains("replaced") && !third.list.heard("HB n3 OUT"));
-    assert_eq!(result(&Front::connect(first.address).ask(READ, "serve:after")), "done serve:after");
+    assert_eq!(
+        result(&Front::connect(first.address).ask(READ, "serve:after")),
+        "done serve:after"
+    );
 }
 
 /// What was left in the scratch folder, or lies there from someone else, is not believed: alone, the node leaves as ever.
--- a/tests/shared.rs
+++ b/tests/shared.rs
@@ -18,13 +18,21 @@
 /// Nodes that share so many calls at once, of which each has one of its own; three of them are keepers.
 fn fleet(count: usize, floors: bool) -> Rig {
     let mut rig = Rig::new(5).expect("sockets");
-    let floors: Vec<String> = names(0..count).iter().filter(|_| floors).map(|n| format!("{n}: 1")).collect();
+    let floors: Vec<String> = names(0..count)
+        .iter()
+        .filter(|_| floors)
+        .map(|n| format!("{n}: 1"))
+        .collect();
     for n in 0..count {
         let fleet = format!(
             "period_ms: 200, keepers: ['n0', 'n1', 'n2'], budgets: {{ ledger: {{ total: {TOTAL}, floors: {{ {} }} }} }},",
             floors.join(", ")
         );
-        rig.plan(Plan { fleet, ..Plan::node(n) }).expect("sockets");
+        rig.plan(Plan {
+            fleet,
+            ..Plan::node(n)
+        })
+        .expect("sockets");
     }
     rig.seeds(&["n0", "n1"]);
     let all = rig.names();
@@ -41,12 +49,17 @@
 }
 impl Clients {
     fn at(rig: &Rig, name: &str, count: usize) -> Clients {
-        let clients = Clients { end: Arc::default(), served: Arc::default() };
+        let clients = Clients {
+            end: Arc::default(),
+            served: Arc::default(),
+        };
         let at = rig.node(name).address;
         for _ in 0..count {
             let (end, served) = (clients.end.clone(), clients.served.clone());
             thread::spawn(move || {
-                let Ok(stream) = std::net::TcpStream::connect(at) else { return };
+                let Ok(stream) = std::net::TcpStream::connect(at) else {
+                    return;
+                };
                 drop(stream);
                 let mut front = Front::connect(at);
                 while !end.load(Relaxed) {
@@ -92,10 +105,16 @@
 #[test]
 fn the_ledger_never_has_more_in_hand_than_the_total() {
     let mut rig = fleet(5, true);
-    let mut clients: Vec<Clients> = rig.names().iter().map(|n| Clients::at(&rig, n, 12)).collect();
+    let mut clients: Vec<Clients> = rig
+        .names()
+        .iter()
+        .map(|n| Clients::at(&rig, n, 12))
+        .collect();
     until("calls are made", || rig.database().held().all > 50);
-    rig.wait("most of the total is used", MOST, |rig| watch(rig, Duration::from_millis(300)).1 > 0.7)
-        .expect("it is used");
+    rig.wait("most of the total is used", MOST, |rig| {
+        watch(rig, Duration::from_millis(300)).1 > 0.7
+    })
+    .expect("it is used");
     let granter = rig.granter("n4").expect("one grants");
     rig.kill(&granter);
     assert!(watch(&rig, Duration::from_secs(5)).0 <= TOTAL);
@@ -112,11 +131,17 @@
     assert!(watch(&rig, Duration::from_secs(9)).0 <= TOTAL);
     for name in names([3, 4]) {
         let look = rig.look(&name).expect("it answers");
-        assert_eq!((look.budgets[0].leased.0, look.budgets[0].floor), (0, (1, true)), "{name}");
+        assert_eq!(
+            (look.budgets[0].leased.0, look.budgets[0].floor),
+            (0, (1, true)),
+            "{name}"
+        );
     }
     rig.heal();
-    rig.wait("the total is used again", MOST, |rig| watch(rig, Duration::from_millis(300)).1 > 0.7)
-        .expect("it is used");
+    rig.wait("the total is used again", MOST, |rig| {
+        watch(rig, Duration::from_millis(300)).1 > 0.7
+    })
+    .expect("it is used");
     assert!(watch(&rig, Duration::from_secs(1)).0 <= TOTAL);
 }
 
@@ -125,10 +150,17 @@
 fn parts_move_to_where_demand_is() {
     let rig = fleet(3, false);
     let one = Clients::at(&rig, "n2", 24);
-    let leased = |rig: &Rig, name: &str| rig.look(name).map_or(0, |l| l.budgets[0].leased.0 as usize);
-    rig.wait("one has nearly all", MOST, |rig| leased(rig, "n2") * 10 >= TOTAL * 8).expect("it moves");
+    let leased =
+        |rig: &Rig, name: &str| rig.look(name).map_or(0, |l| l.budgets[0].leased.0 as usize);
+    rig.wait("one has nearly all", MOST, |rig| {
+        leased(rig, "n2") * 10 >= TOTAL * 8
+    })
+    .expect("it moves");
     let (most, used) = watch(&rig, Duration::from_secs(1));
-    assert!(most <= TOTAL && used > 0.5, "{most} at most, {used:.2} used");
+    assert!(
+        most <= TOTAL && used > 0.5,
+        "{most} at most, {used:.2} used"
+    );
     let other = Clients::at(&rig, "n1", 24);
     rig.wait("both have about half", MOST, |rig| {
         leased(rig, "n1") >= TOTAL / 3 && leased(rig, "n2") <= TOTAL * 2 / 3
@@ -136,7 +168,9 @@
     .expect("it moves back");
     assert!(watch(&rig, Duration::from_secs(1)).0 <= TOTAL);
     let before = (one.served(), other.served());
-    until("both are served", || one.served() > before.0 + 20 && other.served() > before.1 + 20);
+    until("both are served", || {
+        one.served() > before.0 + 20 && other.served() > before.1 + 20
+    });
 }
 
 /// Guards a start: a node that no granter has answered makes no call past what is its own, and one whose own is nothing
@@ -147,8 +181,10 @@
     rig.kill("n0");
     rig.kill("n1");
     let _clients = Clients::at(&rig, "n2", 6);
-    rig.wait("no lease is left", MOST, |rig| rig.look("n2").is_some_and(|l| l.budgets[0].leased.0 == 0))
-        .expect("leases end");
+    rig.wait("no lease is left", MOST, |rig| {
+        rig.look("n2").is_some_and(|l| l.budgets[0].leased.0 == 0)
+    })
+    .expect("leases end");
     thread::sleep(Duration::from_millis(100));
     rig.database().held();
     let (most, _) = watch(&rig, Duration::from_secs(2));
@@ -164,11 +200,15 @@
     rig.kill("n0");
     rig.kill("n1");
     let first = Clients::at(&rig, "n2", 6);
-    rig.wait("no lease is left", MOST, |rig| rig.look("n2").is_some_and(|l| l.budgets[0].leased.0 == 0))
-        .expect("leases end");
+    rig.wait("no lease is left", MOST, |rig| {
+        rig.look("n2").is_some_and(|l| l.budgets[0].leased.0 == 0)
+    })
+    .expect("leases end");
     until("it goes on with its own", || first.served() > 0);
     let second = rig.successor("n2", hears);
-    until("the second takes clients", || second.logged("listening").is_some());
+    until("the second takes clients", || {
+        second.logged("listening").is_some()
+    });
     let _more = Clients::at(&rig, "n2", 6);
     rig.database().held();
     assert_eq!(watch(&rig, Duration::from_secs(2)).0, 1, "both live");
@@ -185,24 +225,42 @@
 #[ignore = "takes three minutes"]
 fn hard_cases() {
     let mut rig = fleet(12, true);
-    let mut clients: Vec<Clients> = rig.names().iter().map(|n| Clients::at(&rig, n, 4)).collect();
+    let mut clients: Vec<Clients> = rig
+        .names()
+        .iter()
+        .map(|n| Clients::at(&rig, n, 4))
+        .collect();
     let row = |rig: &Rig, case: &str, long: u64, total: usize| {
         let (most, used) = watch(rig, Duration::from_secs(long));
-        println!("| {case} | {most} of {total} | {:.2} |", used * TOTAL as f64 / total as f64);
+        println!(
+            "| {case} | {most} of {total} | {:.2} |",
+            used * TOTAL as f64 / total as f64
+        );
         assert!(most <= total, "{case}: {most}");
     };
     let full = |rig: &Rig, total: usize, case: &str| {
-        let part = |rig: &Rig| watch(rig, Duration::from_millis(300)).1 * TOTAL as f64 / total as f64;
-        let took = rig.wait(case, MOST, |rig| part(rig) > 0.95).expect("used again");
+        let part =
+            |rig: &Rig| watch(rig, Duration::from_millis(300)).1 * TOTAL as f64 / total as f64;
+        let took = rig
+            .wait(case, MOST, |rig| part(rig) > 0.95)
+            .expect("used again");
         println!("| {case}: 95% used | | after {:.1} s |", took.as_secs_f64());
     };
     println!("| case | most in hand | mean part used |\n| --- | --- | --- |");
     full(&rig, TOTAL, "start");
-    rig.weather(serde_json::json!({"loss": 0.2, "double": 1.0, "delay_ms": [0, 300]}), |link| {
-        (link.loss, link.double) = (0.2, 1.0);
-        link.delay = (Duration::ZERO, Duration::from_millis(300));
-    });
-    row(&rig, "all doubled, a fifth lost, reordered by up to 0.3 s", 20, TOTAL);
+    rig.weather(
+        serde_json::json!({"loss": 0.2, "double": 1.0, "delay_ms": [0, 300]}),
+        |link| {
+            (link.loss, link.double) = (0.2, 1.0);
+            link.delay = (Duration::ZERO, Duration::from_millis(300));
+        },
+    );
+    row(
+        &rig,
+        "all doubled, a fifth lost, reordered by up to 0.3 s",
+        20,
+        TOTAL,
+    );
     rig.heal();
     full(&rig, TOTAL, "that healed");
     let half = names(6..12);
@@ -214,8 +272,16 @@
     for n in 12..24 {
         let text = std::fs::read_to_string(rig.fleet_file_of("n0")).expect("a file");
         let from = text.find("period_ms").expect("lines of ours");
-        let fleet = text[from..].split(" advertise").next().expect("a part").to_string();
-        rig.plan(Plan { fleet, ..Plan::node(n) }).expect("sockets");
+        let fleet = text[from..]
+            .split(" advertise")
+            .next()
+            .expect("a part")
+            .to_string();
+        rig.plan(Plan {
+            fleet,
+            ..Plan::node(n)
+        })
+        .expect("sockets");
         rig.start(&format!("n{n}"));
     }
     let more = names(12..24);
@@ -244,13 +310,23 @@
 fn routers_share_one_budget_of_further_tries() {
     const TRIES: u64 = 10;
     let mut rig = Rig::new(9).expect("sockets");
-    let fleet =
-        format!("period_ms: 200, keepers: ['n0', 'n1', 'n2'], budgets: {{ tries: {{ total: {TRIES} }} }},");
+    let fleet = format!(
+        "period_ms: 200, keepers: ['n0', 'n1', 'n2'], budgets: {{ tries: {{ total: {TRIES} }} }},"
+    );
     for n in 0..3 {
-        rig.plan(Plan { fleet: fleet.clone(), ..Plan::node(n) }).expect("sockets");
+        rig.plan(Plan {
+            fleet: fleet.clone(),
+            ..Plan::node(n)
+        })
+        .expect("sockets");
     }
     for name in ["r0", "r1"] {
-        rig.plan(Plan { name: name.into(), fleet: fleet.clone(), ..Plan::node(0) }).expect("sockets");
+        rig.plan(Plan {
+            name: name.into(),
+            fleet: fleet.clone(),
+            ..Plan::node(0)
+        })
+        .expect("sockets");
     }
     rig.seeds(&["n0", "n1"]);
     names(0..3).iter().for_each(|n| rig.start(n));
@@ -264,11 +340,14 @@
     let look = |rig: &Rig, name: &str| rig.look(name).map(|l| l.budgets[0].clone());
     let cut = std::cell::Cell::new(Instant::now());
     let parts = |rig: &Rig| {
-        let (Some(a), Some(b)) = (look(rig, "r0"), look(rig, "r1")) else { return false };
+        let (Some(a), Some(b)) = (look(rig, "r0"), look(rig, "r1")) else {
+            return false;
+        };
         assert!(a.in_use.0 + b.in_use.0 <= TRIES, "{a:?} {b:?}");
         if cut.get().elapsed() > Duration::from_millis(200) {
             cut.set(Instant::now());
-            rig.switch().links(|links| names(0..3).iter().for_each(|n| links.cut("r0", n)));
+            rig.switch()
+                .links(|links| names(0..3).iter().for_each(|n| links.cut("r0", n)));
         }
         a.leased.0 > 0 && b.leased.0 > 0
     };
--- a/tests/states.rs
+++ b/tests/states.rs
@@ -68,11 +68,18 @@
             Step::Send(frame) => match *frame {
                 AMQPFrame::Method(_, AMQPClass::Basic(method)) => match method {
                     // Settled once, and only after the core has answered.
-                    Basic::Ack(basic::Ack { delivery_tag: tag, multiple: false })
-                    | Basic::Nack(basic::Nack { delivery_tag: tag, multiple: false, .. })
-                    | Basic::Reject(basic::Reject { delivery_tag: tag, .. }) => {
-                        self.owed.remove(&tag) && !self.in_hand.contains(&tag)
-                    }
+                    Basic::Ack(basic::Ack {
+                        delivery_tag: tag,
+                        multiple: false,
+                    })
+                    | Basic::Nack(basic::Nack {
+                        delivery_tag: tag,
+                        multiple: false,
+                        ..
+                    })
+                    | Basic::Reject(basic::Reject {
+                        delivery_tag: tag, ..
+                    }) => self.owed.remove(&tag) && !self.in_hand.contains(&tag),
                     Basic::Publish(_) => {
                         self.published += 1;
                         self.publishes.push(self.published);
@@ -98,7 +105,9 @@
     fn answer(&mut self) -> Option<AMQPClass> {
         let consumer_tag = ShortString::default();
         Some(match self.asked.pop()? {
-            AMQPClass::Channel(Channel::Open(_)) => AMQPClass::Channel(Channel::OpenOk(channel::OpenOk {})),
+            AMQPClass::Channel(Channel::Open(_)) => {
+                AMQPClass::Channel(Channel::OpenOk(channel::OpenOk {}))
+            }
             AMQPClass::Channel(Channel::Close(_)) => {
                 AMQPClass::Channel(Channel::CloseOk(channel::CloseOk {}))
             }
@@ -156,7 +165,11 @@
                             routing_key: name(),
                         };
                         let method = AMQPClass::Basic(Basic::Deliver(deliver));
-                        let header = AMQPContentHeader { class_id: 60, body_size: 2, properties };
+                        let header = AMQPContentHeader {
+                            class_id: 60,
+                            body_size: 2,
+                            properties,
+                        };
                         consumer.frame(AMQPFrame::Method(1, method), &mut out);
                         consumer.frame(AMQPFrame::Header(1, header), &mut out);
                         consumer.frame(AMQPFrame::Body(1, b"hi".to_vec()), &mut out);
@@ -164,13 +177,19 @@
                     Queue::Answer(how, which) if !model.in_hand.is_empty() => {
                         let outcome = match how {
                             0 => Outcome::Served(Body::from_bytes(b"yes")),
-                            1 => Outcome::Refused { stay_away: Span(0), give_up: false },
+                            1 => Outcome::Refused {
+                                stay_away: Span(0),
+                                give_up: false,
+                            },
                             2 => Outcome::Failed(Failure::GivenUp),
                             _ => Outcome::Failed(Failure::MayHaveRun),
                         };
                         let tag = model.in_hand.swap_remove(which % model.in_hand.len());
                         model.answered += 1;
-                        let answer = Answer { outcome, hint: None };
+                        let answer = Answer {
+                            outcome,
+                            hint: None,
+                        };
                         consumer.answer(tag, &answer, &mut out);
                         // A second answer to the same delivery changes nothing.
                         consumer.answer(tag, &answer, &mut out);
@@ -178,9 +197,16 @@
                     Queue::Confirm(which, taken) if !model.publishes.is_empty() => {
                         let delivery_tag = model.publishes.remove(which % model.publishes.len());
                         let method = if taken {
-                            Basic::Ack(basic::Ack { delivery_tag, multiple: false })
+                            Basic::Ack(basic::Ack {
+                                delivery_tag,
+                                multiple: false,
+                            })
                         } else {
-                            Basic::Nack(basic::Nack { delivery_tag, multiple: false, requeue: false })
+                            Basic::Nack(basic::Nack {
+                                delivery_tag,
+                                multiple: false,
+                                requeue: false,
+                            })
                         };
                         consumer.frame(AMQPFrame::Method(1, AMQPClass::Basic(method)), &mut out);
                     }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -22,14 +22,21 @@
 
 fn started() -> Host {
     let mut host = Host::default();
-    let reply = host.line(&batch(1.0, 3, json!([{"Spawn": {"nonce64": 9, "facts": facts()}}])));
+    let reply = host.line(&batch(
+        1.0,
+        3,
+        json!([{"Spawn": {"nonce64": 9, "facts": facts()}}]),
+    ));
     assert!(reply.expect("starts").contains("\"backendId\":3"));
     host
 }
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    assert_eq!(Host::default().line(r#"{"t":1,"backends":[]}"#).as_deref(), Ok(r#"{"backends":[]}"#));
+    assert_eq!(
+        Host::default().line(r#"{"t":1,"backends":[]}"#).as_deref(),
+        Ok(r#"{"backends":[]}"#)
+    );
 }
 
 #[test]
@@ -54,11 +61,30 @@
 fn what_is_malformed_is_told_with_its_instance() {
     for (line, words) in [
         ("no json".to_string(), "expected"),
-        (batch(2.0, 8, json!([{"Left": {"msgId": 1}}])), "backend 8: event for an instance never started"),
-        (batch(2.0, 3, json!([{"Nonsense": {}}])), "backend 3: unknown variant"),
-        (batch(2.0, 3, json!([{"Left": {}}])), "backend 3: missing field `msgId`"),
-        (batch(2.0, 3, json!([{"Finished": {"msgId": 1, "outcome": "HM"}}])), "unknown variant `HM`"),
-        (batch(2.0, 3, json!([{"Finished": {"msgId": 1, "outcome": "FULL"}}])), "backend 3: a run can't end"),
+        (
+            batch(2.0, 8, json!([{"Left": {"msgId": 1}}])),
+            "backend 8: event for an instance never started",
+        ),
+        (
+            batch(2.0, 3, json!([{"Nonsense": {}}])),
+            "backend 3: unknown variant",
+        ),
+        (
+            batch(2.0, 3, json!([{"Left": {}}])),
+            "backend 3: missing field `msgId`",
+        ),
+        (
+            batch(2.0, 3, json!([{"Finished": {"msgId": 1, "outcome": "HM"}}])),
+            "unknown variant `HM`",
+        ),
+        (
+            batch(
+                2.0,
+                3,
+                json!([{"Finished": {"msgId": 1, "outcome": "FULL"}}]),
+            ),
+            "backend 3: a run can't end",
+        ),
     ] {
         let error = started().line(&line).expect_err("is malformed");
         assert!(error.contains(words) && !error.contains('\n'), "{error}");
@@ -66,26 +92,42 @@
     let mut none = facts();
     none["specifics"]["cores"] = json!(0);
     let spawn = batch(1.0, 2, json!([{"Spawn": {"nonce64": 1, "facts": none}}]));
-    assert_eq!(Host::default().line(&spawn), Err("backend 2: settings name no cores".into()));
+    assert_eq!(
+        Host::default().line(&spawn),
+        Err("backend 2: settings name no cores".into())
+    );
 }
 
 #[test]
 fn a_restart_leaves_nothing_of_the_earlier_life() {
     let mut host = started();
-    host.line(&batch(2.0, 3, json!([{"Query": {"msgId": 7, "type": "look"}}]))).expect("is read");
+    host.line(&batch(
+        2.0,
+        3,
+        json!([{"Query": {"msgId": 7, "type": "look"}}]),
+    ))
+    .expect("is read");
     let spawn = json!({"Spawn": {"nonce64": 9, "facts": facts()}});
-    let reply = host.line(&batch(3.0, 3, json!([{"Retire": {}}, spawn]))).expect("starts anew");
-    assert!(!reply.contains("\"msgId\":7") && reply.contains("Readiness"), "{reply}");
+    let reply = host
+        .line(&batch(3.0, 3, json!([{"Retire": {}}, spawn])))
+        .expect("starts anew");
+    assert!(
+        !reply.contains("\"msgId\":7") && reply.contains("Readiness"),
+        "{reply}"
+    );
     assert!(host.line(&batch(4.0, 3, json!([{"Retire": {}}]))).is_ok());
-    assert!(host.line(&batch(5.0, 3, json!([{"Left": {"msgId": 7}}]))).is_err());
+    assert!(host
+        .line(&batch(5.0, 3, json!([{"Left": {"msgId": 7}}])))
+        .is_err());
 }
 
 #[test]
 fn equal_events_give_equal_actions_in_any_host() {
     let play = || {
         let mut host = started();
-        let queries: Vec<Value> =
-            (1..40).map(|id| json!({"Query": {"msgId": id, "type": "look", "userGroup": "a"}})).collect();
+        let queries: Vec<Value> = (1..40)
+            .map(|id| json!({"Query": {"msgId": id, "type": "look", "userGroup": "a"}}))
+            .collect();
         host.line(&batch(2.0, 3, Value::Array(queries)))
     };
     assert_eq!(play(), play());
