--- a/crates/cells/src/moves.rs
+++ b/crates/cells/src/moves.rs
@@ -476,7 +476,7 @@
             // Once it is decided, it goes through: a target may serve already. Where a source was lost there is nobody
             // to go back to.
             Event::GiveUp if self.step < Step::Commit && self.fenced.is_empty() => {
-                self.go(Step::Abort)
+                self.go(Step::Abort);
             }
             Event::GiveUp => {}
         }
--- a/crates/fault-testbed/src/rig.rs
+++ b/crates/fault-testbed/src/rig.rs
@@ -460,13 +460,13 @@
     /// Nothing passes from these to those, in this direction only.
     pub fn silence(&mut self, from: &[String], to: &[String]) {
         self.between("silence", from, to, |links, a, b| {
-            links.change(a, b, |link| link.silent = true)
+            links.change(a, b, |link| link.silent = true);
         });
     }
     /// Streams from these to those stall, and nobody is told; datagrams pass.
     pub fn stall(&mut self, from: &[String], to: &[String]) {
         self.between("stall", from, to, |links, a, b| {
-            links.change(a, b, |link| link.stalled = true)
+            links.change(a, b, |link| link.stalled = true);
         });
     }
     /// Streams that are open from these to those are cut.
--- a/crates/fleet-simulation/src/plays.rs
+++ b/crates/fleet-simulation/src/plays.rs
@@ -105,7 +105,7 @@
         return none;
     };
     let cut = |fleet: &mut Fleet<P>, part: &dyn Fn(Id) -> u8| {
-        (0..size).for_each(|id| fleet.part(id, part(id)))
+        (0..size).for_each(|id| fleet.part(id, part(id)));
     };
     let one = fleet.draw(size);
     match case {
--- a/crates/membership-model/src/lib.rs
+++ b/crates/membership-model/src/lib.rs
@@ -129,7 +129,7 @@
                 member.held[on] = Some(Word {
                     standing: Standing::Suspected,
                     ..*word
-                })
+                });
             }
         }
         if let (Some(before), Some(after)) = (held, member.held[on]) {
--- a/crates/membership/tests/words.rs
+++ b/crates/membership/tests/words.rs
@@ -34,7 +34,7 @@
                 held = Some(Word {
                     standing: Standing::Suspected,
                     ..*word
-                })
+                });
             }
         }
         if *ends {
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -250,7 +250,7 @@
                     LISTENER => self.accept = true,
                     WAKER => {}
                     Token(number) if self.links.contains_key(&number) => {
-                        self.link_ready(number, event, now)
+                        self.link_ready(number, event, now);
                     }
                     Token(number) => self.client_ready(number, event, now),
                 }
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -117,7 +117,7 @@
         let first = sent(route);
         match router.ended(ticket, end, None, &map, all, ms(5)) {
             After::Again(node) => {
-                assert!(again && *node != *first, "{end:?}: {first}, then {node}")
+                assert!(again && *node != *first, "{end:?}: {first}, then {node}");
             }
             other => {
                 assert!(!again, "{end:?}: {other:?}");
--- a/src/amqp/consumer.rs
+++ b/src/amqp/consumer.rs
@@ -275,7 +275,7 @@
             // The broker has ended the consumer, as when the queue is deleted.
             Basic::Cancel(_) => self.gone("consumer cancelled by the broker".into(), out),
             Basic::Deliver(deliver) if self.partial.is_none() => {
-                self.begin(Content::Deliver(deliver))
+                self.begin(Content::Deliver(deliver));
             }
             Basic::Return(_) if self.partial.is_none() => self.begin(Content::Return),
             Basic::Ack(ack) => self.confirmed(ack.delivery_tag, ack.multiple, true, out),
@@ -423,9 +423,9 @@
         let Some(reply_to) = reply_to else {
             // A result that nobody asked for is done with; an error that nobody hears of goes to the dead letters.
             return if status == "served" {
-                self.ack(tag, out)
+                self.ack(tag, out);
             } else {
-                self.reject(tag, false, out)
+                self.reject(tag, false, out);
             };
         };
         held.settling = true;
--- a/src/main.rs
+++ b/src/main.rs
@@ -270,7 +270,7 @@
         module: module.clone(),
     };
     spawn("executor", limits.stack, move || {
-        executor::run(at, &own, &mailboxes, &own_log)
+        executor::run(at, &own, &mailboxes, &own_log);
     })
     .map_err(system("threads"))?;
     let (at, own, own_log, own_board) = (
@@ -281,7 +281,7 @@
     );
     let name = config.name.clone();
     spawn("list", limits.stack, move || {
-        membership::run(at, &name, &own, &own_board, &list_inbox, &own_log)
+        membership::run(at, &name, &own, &own_board, &list_inbox, &own_log);
     })
     .map_err(system("threads"))?;
     let front_log = log.new(o!("actor" => "front"));
--- a/src/net/executor.rs
+++ b/src/net/executor.rs
@@ -168,7 +168,7 @@
     };
     let (from, most, at_once) = (stream.clone(), limits.executor_line, limits.read);
     spawn("executor-read", limits.stack, move || {
-        reader.run(&from, most, at_once)
+        reader.run(&from, most, at_once);
     })?;
     // What the reader has read comes before the news of what became of the link.
     let end = || {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -397,7 +397,7 @@
         let mut actions = Vec::new();
         // A panic is the module's own failure: the simulator is told, and this process goes on to say so.
         let run = catch_unwind(AssertUnwindSafe(|| {
-            server.policy.handle(now, &events, &mut actions)
+            server.policy.handle(now, &events, &mut actions);
         }));
         Ok(match run {
             Ok(()) => actions.into_iter().map(step).collect(),
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -190,7 +190,7 @@
 #[test]
 fn the_silent_are_closed_and_those_that_wait_for_an_answer_stay() {
     let node = Node::start_with(None, |config| {
-        config["settings"]["lanes"][1]["deadline"] = json!(6000)
+        config["settings"]["lanes"][1]["deadline"] = json!(6000);
     });
     let mut waits = node.front();
     waits.send(POST, "hang");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -94,7 +94,7 @@
                     r.at = At::Calling;
                 }
                 Action::Join(id) => {
-                    self.reqs.get_mut(&id.0).ok_or("joins a stranger")?.at = At::Joined
+                    self.reqs.get_mut(&id.0).ok_or("joins a stranger")?.at = At::Joined;
                 }
                 Action::Stop(_) if self.set.stopping == Stopping::Off => return Err("stops".into()),
                 Action::SkipCall(_) => return Err("leaves out a call".into()),
--- a/tests/stand_ins/broker.rs
+++ b/tests/stand_ins/broker.rs
@@ -135,7 +135,7 @@
             seen.ready
                 .entry(queue.into())
                 .or_default()
-                .push_back(message)
+                .push_back(message);
         });
     }
     pub(crate) fn with<T>(&self, look: impl FnOnce(&mut Seen) -> T) -> T {
