--- a/crates/fleet-wire/tests/golden.rs
+++ b/crates/fleet-runtime/tests/golden.rs
@@ -5,11 +5,11 @@
 use std::thread;
 use std::time::Duration;
 
-use mothwinch_fleet::packet::Summary;
-use mothwinch_fleet::word::Word;
-use mothwinch_fleet::{Body, Packet, Record, Said, Standing};
-use mothwinch_fleet_wire::{ask, look};
-use mothwinch_shared::{BudgetLook, Look, Message};
+use fleet_runtime::{ask, look};
+use membership::packet::Summary;
+use membership::word::Word;
+use membership::{Body, Packet, Record, Said, Standing};
+use shared_state::{BudgetLook, Look, Message};
 
 const LONG: Duration = Duration::from_secs(20);
 
@@ -22,12 +22,22 @@
         site: "north".into(),
         at: SocketAddr::from(([192, 0, 2, 17], 7946)),
         serves: None,
-        word: Word { life, incarnation: 3, said: Said::Up, standing: Standing::Present },
+        word: Word {
+            life,
+            incarnation: 3,
+            said: Said::Up,
+            standing: Standing::Present,
+        },
         by: 0,
     }
 }
 fn answer(body: Body, news: Vec<Record>) -> Packet {
-    Packet { fleet: "billing".into(), from: Some(record("me", 2)), body, news }
+    Packet {
+        fleet: "billing".into(),
+        from: Some(record("me", 2)),
+        body,
+        news,
+    }
 }
 fn page(seq: u32, more: bool, member: &str) -> Packet {
     let summary = Summary {
@@ -51,7 +61,11 @@
         holders: vec![("h".into(), 7, 8)],
         counted: 9,
     };
-    Look { granter: Some("g".into()), budgets: vec![budget], gathered: None }
+    Look {
+        granter: Some("g".into()),
+        budgets: vec![budget],
+        gathered: None,
+    }
 }
 fn member() -> UdpSocket {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
@@ -68,17 +82,26 @@
     let tool = thread::spawn(move || ask(at, "billing", LONG));
     let mut bytes = [0; 1400];
     let mut first = None;
-    socket.set_read_timeout(Some(Duration::from_millis(20))).expect("a time");
+    socket
+        .set_read_timeout(Some(Duration::from_millis(20)))
+        .expect("a time");
     while !tool.is_finished() {
-        let Ok((n, from)) = socket.recv_from(&mut bytes) else { continue };
+        let Ok((n, from)) = socket.recv_from(&mut bytes) else {
+            continue;
+        };
         first.get_or_insert_with(|| hex(&bytes[..n]));
         let asked = Packet::decode(&bytes[..n], "billing").expect("a datagram");
-        let Body::Query { seq, after } = asked.body else { panic!("no question") };
+        let Body::Query { seq, after } = asked.body else {
+            panic!("no question")
+        };
         let more = after.is_empty();
         let told = page(seq, more, if more { "n1" } else { "n2" });
         socket.send_to(&told.encode(), from).expect("sent");
     }
-    assert_eq!(first.as_deref(), Some(include_str!("golden/query.txt").trim()));
+    assert_eq!(
+        first.as_deref(),
+        Some(include_str!("golden/query.txt").trim())
+    );
     let told = tool.join().expect("the tool").expect("an answer");
     assert_eq!(told.members, [record("n1", 9), record("n2", 9)]);
     assert_eq!(told.me, record("me", 2));
@@ -95,5 +118,8 @@
     let told = answer(Body::Carried(Message::Looked(1, held()).encode()), vec![]).encode();
     assert_eq!(hex(&told), include_str!("golden/looked.txt").trim());
     socket.send_to(&told, from).expect("sent");
-    assert_eq!(tool.join().expect("the tool").expect("an answer"), (record("me", 2), held()));
+    assert_eq!(
+        tool.join().expect("the tool").expect("an answer"),
+        (record("me", 2), held())
+    );
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/fleet-simulation/src/lib.rs
@@ -1,7 +1,5 @@
 //! A drawn fleet: many nodes in one process over a network and a clock that are drawn, the same for the same seed. The
 //! views in it are the shipped ones; beside them stand baselines to measure against.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod baselines;
 pub mod budgets;
@@ -28,7 +26,14 @@
     /// Its name in tables.
     const NAME: &'static str;
     /// A process that starts, with what it is told: its number, its life, the fleet's size and the seeds' numbers.
-    fn start(id: Id, life: u64, size: usize, seeds: &[Id], now: Duration, rng: &mut ChaCha8Rng) -> Self;
+    fn start(
+        id: Id,
+        life: u64,
+        size: usize,
+        seeds: &[Id],
+        now: Duration,
+        rng: &mut ChaCha8Rng,
+    ) -> Self;
     /// A datagram came.
     fn hear(
         &mut self,
--- a/crates/fleet/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -58,7 +58,7 @@
             datagram: 1200,
             exchange: Duration::from_millis(500),
             pages: 24,
-            revive: Duration::from_millis(1000),
+            revive: Duration::from_secs(1),
             forget: Duration::from_secs(3600),
             tombstones: 1024,
             members: 8192,
@@ -82,10 +82,13 @@
     }
     /// Times that each piece of news is told in a fleet of `members`.
     pub(crate) fn tellings(&self, members: usize) -> u8 {
-        ((members.max(2) as f64).log2() * self.telling).ceil().clamp(2.0, 60.0) as u8
+        ((members.max(2) as f64).log2() * self.telling)
+            .ceil()
+            .clamp(2.0, 60.0) as u8
     }
     /// How long suspicion lasts at the least in a fleet of `members`.
     pub(crate) fn least_suspicion(&self, members: usize) -> Duration {
-        self.period.mul_f64(self.suspicion * (members.max(10) as f64).log10())
+        self.period
+            .mul_f64(self.suspicion * (members.max(10) as f64).log10())
     }
 }
--- a/crates/coordinator/tests/golden.rs
+++ b/crates/migration-coordinator/tests/golden.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-use mothwinch_cells::map::Place;
-use mothwinch_cells::moves::{Known, Move, Step};
-use mothwinch_coordinator::{Journal, Kept, Record, Work};
+use cells::map::Place;
+use cells::moves::{Known, Move, Step};
+use migration_coordinator::{Journal, Kept, Record, Work};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 
 /// A file of this test's own that goes with the value.
@@ -57,7 +57,11 @@
             keys: BTreeMap::from([(u64::MAX, Known::MayHaveRun), (7, Known::Ran)]),
             doubtful: at % 3 == 0,
         },
-        nodes: BTreeMap::from([(1, "n-one".into()), (2, "n-two".into()), (3, "n-three".into())]),
+        nodes: BTreeMap::from([
+            (1, "n-one".into()),
+            (2, "n-two".into()),
+            (3, "n-three".into()),
+        ]),
     };
     (0..).zip(steps).map(work).collect()
 }
@@ -66,41 +70,66 @@
     let homes = vec![
         ("h-by-hand".into(), Place::One("c4".into()), 31, true),
         ("h-by-map".into(), Place::One("c5".into()), 32, false),
-        ("h-split".into(), Place::Split(["c6".into(), "c7".into()].into()), 33, false),
+        (
+            "h-split".into(),
+            Place::Split(["c6".into(), "c7".into()].into()),
+            33,
+            false,
+        ),
     ];
-    Kept { works: works(), homes, epoch: 999 }
+    Kept {
+        works: works(),
+        homes,
+        epoch: 999,
+    }
 }
 
 /// Writes every kind of record; a move that is over leaves nothing.
 fn write(path: &Path) {
     let (journal, kept) = Journal::open(path).expect("a new journal");
     assert_eq!(kept, Kept::default());
-    let mut records: Vec<Record> = works().into_iter().map(|w| Record::Work(Box::new(w), 998)).collect();
+    let mut records: Vec<Record> = works()
+        .into_iter()
+        .map(|w| Record::Work(Box::new(w), 998))
+        .collect();
     for (tenant, place, since, by_hand) in expected().homes {
         records.push(Record::Home(tenant, place, since, by_hand));
     }
-    let over = Work { tenant: "t-over".into(), ..works().remove(0) };
+    let over = Work {
+        tenant: "t-over".into(),
+        ..works().remove(0)
+    };
     records.push(Record::Work(Box::new(over), 999));
     journal.write(&records).expect("written");
-    journal.write(&[Record::Over("t-over".into())]).expect("written");
+    journal
+        .write(&[Record::Over("t-over".into())])
+        .expect("written");
 }
 
 /// All rows of a journal's file as text, read without the journal's own code.
 fn rows(path: &Path) -> String {
     let db = Database::open(path).expect("a database");
     let read = db.begin_read().expect("a transaction");
-    let mut tables: Vec<String> = read.list_tables().expect("tables").map(|t| t.name().to_string()).collect();
+    let mut tables: Vec<String> = read
+        .list_tables()
+        .expect("tables")
+        .map(|t| t.name().to_string())
+        .collect();
     tables.sort();
     let mut rows = String::new();
     for table in &tables {
         if table == "figures" {
-            let figures = read.open_table(TableDefinition::<&str, u64>::new(table)).expect("a table");
+            let figures = read
+                .open_table(TableDefinition::<&str, u64>::new(table))
+                .expect("a table");
             for row in figures.iter().expect("rows") {
                 let (key, value) = row.expect("a row");
                 rows += &format!("{table} {} {}\n", key.value(), value.value());
             }
         } else {
-            let texts = read.open_table(TableDefinition::<&str, &[u8]>::new(table)).expect("a table");
+            let texts = read
+                .open_table(TableDefinition::<&str, &[u8]>::new(table))
+                .expect("a table");
             for row in texts.iter().expect("rows") {
                 let (key, value) = row.expect("a row");
                 let text = std::str::from_utf8(value.value()).expect("JSON");
--- a/crates/shared/src/terms.rs
+++ b/crates/shared-state/src/terms.rs
@@ -21,11 +21,11 @@
 impl Default for Terms {
     fn default() -> Terms {
         Terms {
-            lease: Duration::from_millis(5000),
+            lease: Duration::from_secs(5),
             ask: Duration::from_millis(400),
             least: Duration::from_millis(50),
             longest: Duration::from_millis(1500),
-            reign: Duration::from_millis(2000),
+            reign: Duration::from_secs(2),
             drift_ppm: 10_000,
         }
     }
@@ -34,7 +34,10 @@
 impl Terms {
     /// A time by which one that another measures as `time` is over on any clock.
     pub(crate) fn over(&self, time: Duration) -> Duration {
-        let (slow, fast) = (1_000_000u32.saturating_sub(self.drift_ppm).max(1), 1_000_000 + self.drift_ppm);
+        let (slow, fast) = (
+            1_000_000u32.saturating_sub(self.drift_ppm).max(1),
+            1_000_000 + self.drift_ppm,
+        );
         time * fast / slow
     }
     /// After this long nothing of a part can be spent, or be in hand, that was asked for before.
--- a/crates/shared/tests/golden.rs
+++ b/crates/shared-state/tests/golden.rs
@@ -1,18 +1,26 @@
 //! Golden bytes of the messages about shared state. `postcard` writes by position: the order of fields and variants is the
 //! format, and old and new programs of a fleet exchange it. The files under `golden/` never change.
 
-use mothwinch_shared::evidence::Found;
-use mothwinch_shared::{
-    cells_of, Answer, BudgetLook, Change, Condition, GatheredLook, Judgement, Look, Message, Report, Said,
-    Tally, Term, Vote, LEDGER,
+use shared_state::evidence::Found;
+use shared_state::{
+    cells_of, Answer, BudgetLook, Change, Condition, GatheredLook, Judgement, Look, Message,
+    Report, Said, Tally, Term, Vote, LEDGER,
 };
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 fn tally(n: u32) -> Tally {
-    let found = |n| Found { sound: n, slow: n + 1, failing: n + 2 };
-    Tally { here: found(n), elsewhere: found(n + 10), sites: found(n + 20) }
+    let found = |n| Found {
+        sound: n,
+        slow: n + 1,
+        failing: n + 2,
+    };
+    Tally {
+        here: found(n),
+        elsewhere: found(n + 10),
+        sites: found(n + 20),
+    }
 }
 fn gathered(judgement: Judgement) -> Message {
     let gathered = GatheredLook {
@@ -25,12 +33,22 @@
         calls: (44, 45),
         others: tally(60),
     };
-    Message::Looked(46, Look { granter: None, budgets: vec![], gathered: Some(gathered) })
+    Message::Looked(
+        46,
+        Look {
+            granter: None,
+            budgets: vec![],
+            gathered: Some(gathered),
+        },
+    )
 }
 
 /// Every message, and every variant of what is inside.
 fn cases() -> Vec<(&'static str, Message)> {
-    let term = Term { number: 0x0102_0304_0506_0708, keeper: 2 };
+    let term = Term {
+        number: 0x0102_0304_0506_0708,
+        keeper: 2,
+    };
     let budget = |name: &str, counts: bool| BudgetLook {
         name: name.into(),
         total: 1_001,
@@ -47,10 +65,19 @@
         echo: Some((0x00fe_dcba, 77)),
         holds: (0x0021_4365, 88),
         cells: vec![Change(3, 4), Change(255, 2_097_151)],
-        found: vec![(LEDGER, Condition::Sound), (1, Condition::Slow), (2, Condition::Failing)],
+        found: vec![
+            (LEDGER, Condition::Sound),
+            (1, Condition::Slow),
+            (2, Condition::Failing),
+        ],
         site: "north".into(),
     };
-    let bare = Report { echo: None, cells: vec![], found: vec![], ..report.clone() };
+    let bare = Report {
+        echo: None,
+        cells: vec![],
+        found: vec![],
+        ..report.clone()
+    };
     let answer = Answer {
         life: 0x0012_3456_789a_bcdf,
         seq: 2_001,
@@ -70,16 +97,35 @@
     };
     vec![
         ("vote-prepare", Message::Vote(Vote::Prepare(term))),
-        ("vote-promise-free", Message::Vote(Vote::Promise(term, None))),
-        ("vote-promise-given", Message::Vote(Vote::Promise(term, Some("keeper".into())))),
+        (
+            "vote-promise-free",
+            Message::Vote(Vote::Promise(term, None)),
+        ),
+        (
+            "vote-promise-given",
+            Message::Vote(Vote::Promise(term, Some("keeper".into()))),
+        ),
         ("vote-promised", Message::Vote(Vote::Promised(term))),
         ("vote-propose", Message::Vote(Vote::Propose(term))),
         ("vote-accept", Message::Vote(Vote::Accept(term))),
         (
             "ask",
-            Message::Ask { term, life: 301, seq: 402, applied: 503, parts: vec![(604, 705), (806, 907)] },
+            Message::Ask {
+                term,
+                life: 301,
+                seq: 402,
+                applied: 503,
+                parts: vec![(604, 705), (806, 907)],
+            },
+        ),
+        (
+            "grant",
+            Message::Grant {
+                term,
+                seq: 11,
+                units: vec![0, 127, 128, u64::MAX],
+            },
         ),
-        ("grant", Message::Grant { term, seq: 11, units: vec![0, 127, 128, u64::MAX] }),
         ("reigns", Message::Reigns("granter".into(), term)),
         ("look", Message::Look(0x0a0b_0c0d)),
         ("looked-empty", Message::Looked(1, Look::default())),
@@ -119,6 +165,9 @@
 #[test]
 fn cells_of_a_key_are_stable() {
     let keys = [0, 1, 0x0123_4567_89ab_cdef, u64::MAX];
-    let written: String = keys.iter().map(|key| format!("{key:016x} {:?}\n", cells_of(*key))).collect();
+    let written: String = keys
+        .iter()
+        .map(|key| format!("{key:016x} {:?}\n", cells_of(*key)))
+        .collect();
     assert_eq!(written, include_str!("golden/cells.txt"));
 }
--- a/examples/repeat.rs
+++ b/examples/repeat.rs
@@ -1,9 +1,8 @@
 //! A node with a class that is run by key, among stand-ins on loopback: a request, its repeat on another connection, and the
 //! same key with another body. Build the program first: `cargo build && cargo run --example repeat`.
-#![forbid(unsafe_code)]
 
-use mothwinch_stand_ins::{unbase64, Node};
 use serde_json::{json, Value};
+use test_doubles::{unbase64, Node};
 
 const TOKEN: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
@@ -17,9 +16,11 @@
         settings["specifics"]["keyKb"] = json!(1.0);
     });
     println!("a node listens at {}", node.address);
-    for (what, body) in
-        [("first try", "serve:scan 7"), ("repeat", "serve:scan 7"), ("other body", "serve:scan 8")]
-    {
+    for (what, body) in [
+        ("first try", "serve:scan 7"),
+        ("repeat", "serve:scan 7"),
+        ("other body", "serve:scan 8"),
+    ] {
         let mut front = node.front();
         front.send_with("version-submit", body, json!({"token": TOKEN}));
         println!("{what}: {}", told(&front.answer()));
@@ -30,6 +31,9 @@
 fn told(answer: &Value) -> String {
     match answer["result"]["body"].as_str() {
         Some(body) => format!("served, {:?}", unbase64(body)),
-        None => format!("error {}, {}", answer["error"]["code"], answer["error"]["message"]),
+        None => format!(
+            "error {}, {}",
+            answer["error"]["code"], answer["error"]["message"]
+        ),
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,18 +7,13 @@
 //!
 //! [`node`] is the core that drives it on real time and knows no wire; [`net`] holds the platform's wires and
 //! [`amqp`] the queues', which an [`inventory`] names.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod amqp;
-mod interface;
 pub mod inventory;
-mod logic;
 pub mod member;
 pub mod net;
 pub mod node;
 pub mod seat;
 pub mod wire;
 
-pub use interface::*;
-pub use logic::{Policy, Sketch};
+pub use policy::*;
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mothwinch_connections::Bounds;
+use connections::Bounds;
 
 use crate::wire::Site;
 
@@ -124,13 +124,23 @@
 impl Limits {
     /// How long a process that was replaced is let live.
     pub fn replaced(&self, site: &Site) -> Duration {
-        let longest = site.settings.classes.iter().map(|c| c.deadline.0).max().unwrap_or(0);
-        Duration::from_micros(longest.unsigned_abs()).min(self.replaced_deadline) + self.replaced_grace
+        let longest = site
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.deadline.0)
+            .max()
+            .unwrap_or(0);
+        Duration::from_micros(longest.unsigned_abs()).min(self.replaced_deadline)
+            + self.replaced_grace
     }
 
     /// The limits of a process that may take so many megabytes.
     pub fn within(self, memory_mb: f64) -> Limits {
-        Limits { keys_bytes: (memory_mb.max(0.0) * KEYS_PART * 1024.0 * 1024.0) as usize, ..self }
+        Limits {
+            keys_bytes: (memory_mb.max(0.0) * KEYS_PART * 1024.0 * 1024.0) as usize,
+            ..self
+        }
     }
 
     /// The limits under so many descriptors, with as much memory as the platform gives at the most.
@@ -143,7 +153,7 @@
             front_idle: Duration::from_secs(60),
             sweep: Duration::from_millis(200),
             stop_again: Duration::from_millis(400),
-            stop_given_up: Duration::from_millis(2000),
+            stop_given_up: Duration::from_secs(2),
             log_state: Duration::from_secs(10),
             log_seldom: Duration::from_secs(1),
             front_accepts: 16,
@@ -170,7 +180,7 @@
             database_look: Duration::from_millis(10),
             database_head: 8 * 1024,
             database_rest: Duration::from_millis(400),
-            connect: Duration::from_millis(1000),
+            connect: Duration::from_secs(1),
             reconnect: Duration::from_millis(20),
             reconnect_most: Duration::from_millis(500),
             write: Duration::from_secs(10),
--- a/tests/common/golden.rs
+++ b/tests/common/golden.rs
@@ -12,33 +12,41 @@
 use serde_json::Value;
 
 /// The program under test; its name reads `PROGRAM` in the data files.
-pub const PROGRAM: &str = env!("CARGO_BIN_EXE_mothwinch");
+pub(crate) const PROGRAM: &str = env!("CARGO_BIN_EXE_protocol-gateway");
 /// The adapter for the simulator.
-pub const ADAPTER: &str = env!("CARGO_BIN_EXE_mothwinch-adapter");
+pub(crate) const ADAPTER: &str = env!("CARGO_BIN_EXE_simulator-adapter");
 
 /// The repository.
-pub fn root() -> &'static Path {
+pub(crate) fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
 /// The file name of a program.
-pub fn name_of(program: &str) -> &str {
-    Path::new(program).file_name().and_then(|name| name.to_str()).expect("a program has a name")
+pub(crate) fn name_of(program: &str) -> &str {
+    Path::new(program)
+        .file_name()
+        .and_then(|name| name.to_str())
+        .expect("a program has a name")
 }
 
 /// A data file of `tests/golden`.
-pub fn data<T: for<'a> Deserialize<'a>>(name: &str) -> T {
-    let text = std::fs::read_to_string(root().join("tests/golden").join(name)).expect("a data file");
+pub(crate) fn data<T: for<'a> Deserialize<'a>>(name: &str) -> T {
+    let text =
+        std::fs::read_to_string(root().join("tests/golden").join(name)).expect("a data file");
     serde_json::from_str(&text).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
 /// A temporary folder that goes with the value.
-pub struct Folder(pub PathBuf);
+pub(crate) struct Folder(pub PathBuf);
 
 impl Folder {
-    pub fn new() -> Folder {
+    pub(crate) fn new() -> Folder {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
-        let own = format!("golden-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::SeqCst));
+        let own = format!(
+            "golden-{}-{}",
+            std::process::id(),
+            COUNT.fetch_add(1, Ordering::SeqCst)
+        );
         let path = std::env::temp_dir().join(own);
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
@@ -53,31 +61,42 @@
 
 /// How a run of the program ended.
 #[derive(Debug, PartialEq)]
-pub struct Ended {
+pub(crate) struct Ended {
     pub code: Option<i32>,
     pub out: String,
     pub err: String,
 }
 
 /// Runs the program in a folder and without variables of its own but these; the program's name reads `PROGRAM` afterwards.
-pub fn run(folder: &Path, args: &[String], env: &BTreeMap<String, String>) -> Ended {
+pub(crate) fn run(folder: &Path, args: &[String], env: &BTreeMap<String, String>) -> Ended {
     let mut command = Command::new(PROGRAM);
     command.args(args).current_dir(folder).stdin(Stdio::null());
-    command.env_remove("PROXY_CONFIG").env_remove("PROXY_ADMIN").env("TMPDIR", folder).envs(env);
+    command
+        .env_remove("PROXY_CONFIG")
+        .env_remove("PROXY_ADMIN")
+        .env("TMPDIR", folder)
+        .envs(env);
     let output = command.output().expect("the program starts");
     let text = |bytes: Vec<u8>| {
         let text = String::from_utf8(bytes).expect("text");
-        let own = |text: &str| text.strip_prefix(name_of(PROGRAM)).map(|rest| format!("PROGRAM{rest}"));
+        let own = |text: &str| {
+            text.strip_prefix(name_of(PROGRAM))
+                .map(|rest| format!("PROGRAM{rest}"))
+        };
         own(&text).unwrap_or(text)
     };
-    Ended { code: output.status.code(), out: text(output.stdout), err: text(output.stderr) }
+    Ended {
+        code: output.status.code(),
+        out: text(output.stdout),
+        err: text(output.stderr),
+    }
 }
 
 /// Files that a command accepts, and changes to one of them that it doesn't. `TAKEN` stands for an address that is in use,
 /// `ROOT` for the repository.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Group {
+pub(crate) struct Group {
     pub name: String,
     pub args: Vec<String>,
     #[serde(default)]
@@ -96,7 +115,7 @@
 /// One change, and the line on standard error that follows.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Bad {
+pub(crate) struct Bad {
     pub from: String,
     pub to: String,
     pub error: String,
@@ -104,7 +123,13 @@
 
 /// Whether the program failed with this one line and nothing else. `...` stands for words that are not frozen.
 fn failed_with(ended: &Ended, want: &str) -> bool {
-    let Some(line) = ended.err.strip_suffix('\n').filter(|line| !line.contains('\n')) else { return false };
+    let Some(line) = ended
+        .err
+        .strip_suffix('\n')
+        .filter(|line| !line.contains('\n'))
+    else {
+        return false;
+    };
     let fits = match want.split_once("...") {
         None => line == want,
         Some((start, end)) => {
@@ -116,12 +141,19 @@
 
 impl Group {
     /// Runs the files as they are and each change; tells what differs.
-    pub fn check(&self) -> Vec<String> {
+    pub(crate) fn check(&self) -> Vec<String> {
         let taken = TcpListener::bind("127.0.0.1:0").expect("loopback");
         let at = taken.local_addr().expect("bound").to_string();
-        let real = |text: &str| text.replace("TAKEN", &at).replace("ROOT", &root().display().to_string());
+        let real = |text: &str| {
+            text.replace("TAKEN", &at)
+                .replace("ROOT", &root().display().to_string())
+        };
         let args: Vec<String> = self.args.iter().map(|a| real(a)).collect();
-        let env = self.env.iter().map(|(name, value)| (name.clone(), real(value))).collect();
+        let env = self
+            .env
+            .iter()
+            .map(|(name, value)| (name.clone(), real(value)))
+            .collect();
         let ended = |change: Option<(&str, &str)>| {
             let folder = Folder::new();
             for (name, lines) in &self.files {
@@ -136,14 +168,25 @@
         };
         let mut differ = Vec::new();
         let found = ended(None);
-        let nothing = Ended { code: Some(0), out: String::new(), err: String::new() };
-        if !self.error.as_ref().map_or(found == nothing, |want| failed_with(&found, want)) {
+        let nothing = Ended {
+            code: Some(0),
+            out: String::new(),
+            err: String::new(),
+        };
+        if !self
+            .error
+            .as_ref()
+            .map_or(found == nothing, |want| failed_with(&found, want))
+        {
             differ.push(format!("{}: unchanged: {found:?}", self.name));
         }
         for bad in &self.bad {
             let found = ended(Some((&bad.from, &bad.to)));
             if !failed_with(&found, &bad.error) {
-                differ.push(format!("{}: {:?} to {:?}: {found:?}", self.name, bad.from, bad.to));
+                differ.push(format!(
+                    "{}: {:?} to {:?}: {found:?}",
+                    self.name, bad.from, bad.to
+                ));
             }
         }
         differ
@@ -151,7 +194,7 @@
 }
 
 /// Runs every group of a data file.
-pub fn check_groups(file: &str) {
+pub(crate) fn check_groups(file: &str) {
     let groups: Vec<Group> = data(file);
     assert!(!groups.is_empty());
     let differ: Vec<String> = groups.iter().flat_map(Group::check).collect();
@@ -159,13 +202,16 @@
 }
 
 /// The field names and types of a JSON value; a list has the shape of each element.
-pub fn shape(value: &Value) -> Value {
+pub(crate) fn shape(value: &Value) -> Value {
     match value {
         Value::Null => "null".into(),
         Value::Bool(_) => "bool".into(),
         Value::Number(_) => "number".into(),
         Value::String(_) => "string".into(),
         Value::Array(all) => all.iter().map(shape).collect(),
-        Value::Object(fields) => fields.iter().map(|(name, value)| (name.clone(), shape(value))).collect(),
+        Value::Object(fields) => fields
+            .iter()
+            .map(|(name, value)| (name.clone(), shape(value)))
+            .collect(),
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! Settings and short-hands shared by the tests.
 #![allow(dead_code)]
 
-use mothwinch::*;
+use protocol_gateway::*;
 
-pub fn class(effect: Effect) -> Class {
+pub(crate) fn class(effect: Effect) -> Class {
     Class {
         aim: Span::from_ms(2000.0),
         deadline: Span::from_ms(6000.0),
@@ -18,14 +18,25 @@
 }
 
 /// Three classes, one of each effect: 0 repeatable, 1 by key, 2 once. Two tenants.
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         cores: 2,
         round: Span::from_ms(2.0),
         servers: 4,
         callers: 3,
-        classes: vec![class(Effect::Repeatable), class(Effect::ByKey), class(Effect::Once)],
-        tenants: vec![Tenant { allowance_per_s: 8.0 }, Tenant { allowance_per_s: 8.0 }],
+        classes: vec![
+            class(Effect::Repeatable),
+            class(Effect::ByKey),
+            class(Effect::Once),
+        ],
+        tenants: vec![
+            Tenant {
+                allowance_per_s: 8.0,
+            },
+            Tenant {
+                allowance_per_s: 8.0,
+            },
+        ],
         over_share_worth: 0.1,
         worth_by_work: false,
         memory_kb: 2000.0,
@@ -52,7 +63,7 @@
     }
 }
 
-pub fn request(id: u64, class: usize) -> Request {
+pub(crate) fn request(id: u64, class: usize) -> Request {
     Request {
         id: RequestId(id),
         class: ClassId(class),
@@ -70,36 +81,76 @@
 }
 
 /// A policy and its clock in milliseconds.
-pub struct Server {
+pub(crate) struct Server {
     pub policy: Policy,
     pub now: f64,
 }
 
 impl Server {
-    pub fn new(settings: Settings) -> Server {
-        Server { policy: Policy::new(settings, 7).expect("settings are sound"), now: 1000.0 }
+    pub(crate) fn new(settings: Settings) -> Server {
+        Server {
+            policy: Policy::new(settings, 7).expect("settings are sound"),
+            now: 1000.0,
+        }
     }
-    pub fn at(&mut self, ms: f64, events: &[Event]) -> Vec<Action> {
+    pub(crate) fn at(&mut self, ms: f64, events: &[Event]) -> Vec<Action> {
         self.now = ms;
         let mut out = Vec::new();
-        self.policy.handle(Time((ms * 1e3) as i64), events, &mut out);
+        self.policy
+            .handle(Time((ms * 1e3) as i64), events, &mut out);
         out
     }
-    pub fn read(&mut self, ids: std::ops::Range<u64>, class: usize) -> Vec<Action> {
+    pub(crate) fn read(&mut self, ids: std::ops::Range<u64>, class: usize) -> Vec<Action> {
         let events: Vec<Event> = ids.map(|id| Event::Read(request(id, class))).collect();
         self.at(self.now, &events)
     }
 }
 
-pub fn runs(actions: &[Action]) -> Vec<u64> {
-    actions.iter().filter_map(|a| if let Action::Run(id) = a { Some(id.0) } else { None }).collect()
+pub(crate) fn runs(actions: &[Action]) -> Vec<u64> {
+    actions
+        .iter()
+        .filter_map(|a| {
+            if let Action::Run(id) = a {
+                Some(id.0)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
-pub fn refused(actions: &[Action]) -> Vec<u64> {
-    actions.iter().filter_map(|a| if let Action::Refuse { id, .. } = a { Some(id.0) } else { None }).collect()
+pub(crate) fn refused(actions: &[Action]) -> Vec<u64> {
+    actions
+        .iter()
+        .filter_map(|a| {
+            if let Action::Refuse { id, .. } = a {
+                Some(id.0)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
-pub fn failed(actions: &[Action]) -> Vec<u64> {
-    actions.iter().filter_map(|a| if let Action::Fail(id) = a { Some(id.0) } else { None }).collect()
+pub(crate) fn failed(actions: &[Action]) -> Vec<u64> {
+    actions
+        .iter()
+        .filter_map(|a| {
+            if let Action::Fail(id) = a {
+                Some(id.0)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
-pub fn calls(actions: &[Action]) -> Vec<u64> {
-    actions.iter().filter_map(|a| if let Action::Call(id, _) = a { Some(id.0) } else { None }).collect()
+pub(crate) fn calls(actions: &[Action]) -> Vec<u64> {
+    actions
+        .iter()
+        .filter_map(|a| {
+            if let Action::Call(id, _) = a {
+                Some(id.0)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -8,15 +8,15 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
+use fault_testbed::{Plan, Rig};
+use fleet_cli::{state, All, Shown, Status};
 use golden::{data, run, shape, Folder};
-use mothwinch_fleet::word::Word;
-use mothwinch_fleet::{Conclusion, Record, Said, Standing};
-use mothwinch_fleet_cli::{state, All, Shown, Status};
-use mothwinch_rig::{Plan, Rig};
-use mothwinch_service::{Answer, Call, State, Unheard};
-use mothwinch_shared::{Judgement, Look};
-use mothwinch_stand_ins::Node;
+use lifecycle::{Answer, Call, State, Unheard};
+use membership::word::Word;
+use membership::{Conclusion, Record, Said, Standing};
 use serde_json::{json, Value};
+use shared_state::{Judgement, Look};
+use test_doubles::Node;
 
 /// The names in a help text by section, with their defaults, and its line of usage; descriptions are left out.
 fn names(help: &str) -> BTreeMap<String, Vec<String>> {
@@ -31,8 +31,13 @@
         } else if line.starts_with(' ') && !section.is_empty() {
             let line = line.trim();
             let name = line.split("  ").next().unwrap_or(line);
-            let default = line.rfind("[default: ").map_or(String::new(), |at| format!(" {}", &line[at..]));
-            sections.entry(section.clone()).or_default().push(format!("{name}{default}"));
+            let default = line
+                .rfind("[default: ")
+                .map_or(String::new(), |at| format!(" {}", &line[at..]));
+            sections
+                .entry(section.clone())
+                .or_default()
+                .push(format!("{name}{default}"));
         }
     }
     sections
@@ -44,7 +49,12 @@
     let ended = run(&Folder::new().0, &args, &BTreeMap::new());
     assert_eq!(ended.code, Some(0), "{words:?}: {}", ended.err);
     let found = names(&ended.out);
-    for command in found.get("commands").into_iter().flatten().filter(|c| *c != "help") {
+    for command in found
+        .get("commands")
+        .into_iter()
+        .flatten()
+        .filter(|c| *c != "help")
+    {
         let longer: Vec<String> = words.iter().chain([command]).cloned().collect();
         commands(&longer, into);
     }
@@ -67,7 +77,12 @@
     for n in 0..3 {
         let fleet = "period_ms: 200, keepers: ['n0', 'n1', 'n2'], counts: true, judgements: true, \
                      budgets: { ledger: { total: 18, floors: { n0: 1, n1: 1, n2: 1 } } },";
-        rig.plan(Plan { fleet: fleet.into(), open: true, ..Plan::node(n) }).expect("sockets");
+        rig.plan(Plan {
+            fleet: fleet.into(),
+            open: true,
+            ..Plan::node(n)
+        })
+        .expect("sockets");
     }
     rig.seeds(&["n0"]);
     rig.names().iter().for_each(|name| rig.start(name));
@@ -80,13 +95,22 @@
             let name = rig.granter("n0")?;
             let at = rig.node(&name).logged("fleet")?.to_string();
             let file = rig.fleet_file_of(&name).display().to_string();
-            let args =
-                words.split(' ').map(String::from).chain(["--at".into(), at, file]).collect::<Vec<_>>();
+            let args = words
+                .split(' ')
+                .map(String::from)
+                .chain(["--at".into(), at, file])
+                .collect::<Vec<_>>();
             let ended = run(&Folder::new().0, &args, &BTreeMap::new());
-            serde_json::from_str(&ended.out).ok().map(|value: Value| shape(&value))
+            serde_json::from_str(&ended.out)
+                .ok()
+                .map(|value: Value| shape(&value))
         };
         let fits = rig.wait(words, MOST, |rig| found(rig).as_ref() == Some(want));
-        assert!(fits.is_some(), "{words}: found {:?}", found(&rig).map(|v| v.to_string()));
+        assert!(
+            fits.is_some(),
+            "{words}: found {:?}",
+            found(&rig).map(|v| v.to_string())
+        );
     }
 }
 
@@ -121,21 +145,45 @@
         },
         "state": Look::default(),
     });
-    assert_eq!(found, data::<Value>("fleet_json_gaps.json"), "found {found}");
+    assert_eq!(
+        found,
+        data::<Value>("fleet_json_gaps.json"),
+        "found {found}"
+    );
 }
 
 #[test]
 fn states_and_conclusions_have_their_names_in_the_json() {
     let state = |said, standing| {
-        let word = Word { life: 1, incarnation: 0, said, standing };
+        let word = Word {
+            life: 1,
+            incarnation: 0,
+            said,
+            standing,
+        };
         let at = SocketAddr::from(([127, 0, 0, 1], 7946));
-        state(&Record { name: "n0".into(), site: "milano".into(), at, serves: None, word, by: 0 })
+        state(&Record {
+            name: "n0".into(),
+            site: "milano".into(),
+            at,
+            serves: None,
+            word,
+            by: 0,
+        })
     };
     let mut states = Vec::new();
-    for said in [Said::Joining, Said::Up, Said::Quiesced, Said::Leaving, Said::Left] {
-        states.push([Standing::Present, Standing::Suspected, Standing::Gone].map(|s| state(said, s)));
+    for said in [
+        Said::Joining,
+        Said::Up,
+        Said::Quiesced,
+        Said::Leaving,
+        Said::Left,
+    ] {
+        states
+            .push([Standing::Present, Standing::Suspected, Standing::Gone].map(|s| state(said, s)));
     }
-    let conclusions = [Conclusion::Whole, Conclusion::Part, Conclusion::Alone].map(Conclusion::name);
+    let conclusions =
+        [Conclusion::Whole, Conclusion::Part, Conclusion::Alone].map(Conclusion::name);
     let dependency = [
         Judgement::Unknown,
         Judgement::Sound,
@@ -159,8 +207,12 @@
 
 fn ask(admin: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(admin).expect("it listens");
-    stream.set_read_timeout(Some(Duration::from_secs(15))).expect("a timeout");
-    stream.write_all(&line.chars().map(|c| c as u8).collect::<Vec<_>>()).expect("written");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(15)))
+        .expect("a timeout");
+    stream
+        .write_all(&line.chars().map(|c| c as u8).collect::<Vec<_>>())
+        .expect("written");
     if !line.ends_with('\n') {
         stream.shutdown(Shutdown::Write).expect("ended");
     }
@@ -176,17 +228,46 @@
         ("starting, quiesced", State::Starting { quiesced: true }),
         ("serving", State::Serving),
         ("quiesced", State::Quiesced),
-        ("leaving", State::Leaving { replaced: false, quiesced: false }),
-        ("leaving, quiesced", State::Leaving { replaced: false, quiesced: true }),
-        ("replaced", State::Leaving { replaced: true, quiesced: false }),
-        ("replaced, quiesced", State::Leaving { replaced: true, quiesced: true }),
+        (
+            "leaving",
+            State::Leaving {
+                replaced: false,
+                quiesced: false,
+            },
+        ),
+        (
+            "leaving, quiesced",
+            State::Leaving {
+                replaced: false,
+                quiesced: true,
+            },
+        ),
+        (
+            "replaced",
+            State::Leaving {
+                replaced: true,
+                quiesced: false,
+            },
+        ),
+        (
+            "replaced, quiesced",
+            State::Leaving {
+                replaced: true,
+                quiesced: true,
+            },
+        ),
     ];
     let mut found: BTreeMap<&str, BTreeMap<&str, [String; 2]>> = BTreeMap::new();
     for (name, before) in states {
         for line in ["health", "quiesce", "resume"] {
             let mut state = before;
-            let answer = Call::parse(line.as_bytes()).expect("a command").carry_out(&mut state);
-            found.entry(name).or_default().insert(line, [answer.to_string(), state.to_string()]);
+            let answer = Call::parse(line.as_bytes())
+                .expect("a command")
+                .carry_out(&mut state);
+            found
+                .entry(name)
+                .or_default()
+                .insert(line, [answer.to_string(), state.to_string()]);
         }
     }
     let found = json!(found);
--- a/tests/golden_config.rs
+++ b/tests/golden_config.rs
@@ -6,8 +6,8 @@
 use std::net::TcpListener;
 
 use golden::check_groups;
-use mothwinch_stand_ins::{command, config, until, Database, Executor, List, Node, Scratch};
 use serde_json::json;
+use test_doubles::{command, config, until, Database, Executor, List, Node, Scratch};
 
 #[test]
 fn each_key_of_the_configuration_is_read_and_each_fault_is_one_line() {
@@ -29,5 +29,7 @@
     let mut command = command(&file);
     command.env("PROXY_ADMIN", "127.0.0.1:0");
     let node = Node::run(command, peers, file);
-    until("the admin address of the variable is in use", || node.logged("door").is_some());
+    until("the admin address of the variable is in use", || {
+        node.logged("door").is_some()
+    });
 }
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -6,8 +6,8 @@
 
 use std::collections::BTreeMap;
 
+use fault_testbed::script::Script;
 use golden::{check_groups, data, name_of, root, run, Ended, Folder, ADAPTER, PROGRAM};
-use mothwinch_rig::script::Script;
 use serde_json::Value;
 
 #[test]
@@ -40,14 +40,25 @@
 fn the_files_under_deploy_are_read_without_an_error() {
     let deploy = root().join("deploy");
     let folder = Folder::new();
-    for (args, file) in [(["fleet", "check"], "fleet.json5"), (["cells", "check"], "cells.json5")] {
-        let args = [args[0].into(), args[1].into(), deploy.join(file).display().to_string()];
-        let well = Ended { code: Some(0), out: String::new(), err: String::new() };
+    for (args, file) in [
+        (["fleet", "check"], "fleet.json5"),
+        (["cells", "check"], "cells.json5"),
+    ] {
+        let args = [
+            args[0].into(),
+            args[1].into(),
+            deploy.join(file).display().to_string(),
+        ];
+        let well = Ended {
+            code: Some(0),
+            out: String::new(),
+            err: String::new(),
+        };
         assert_eq!(run(&folder.0, &args, &BTreeMap::new()), well, "{file}");
         // Without an argument the same file is read, beside the working folder.
         assert_eq!(run(root(), &args[..2], &BTreeMap::new()), well, "{file}");
     }
-    let router = mothwinch_router::Config::read(&deploy.join("router.json5"));
+    let router = router::Config::read(&deploy.join("router.json5"));
     assert!(router.is_ok(), "{router:?}");
     let plays = std::fs::read_dir(deploy.join("plays")).expect("plays");
     let mut count = 0;
@@ -67,15 +78,23 @@
     let text = std::fs::read_to_string(root().join("deploy/balancer.toml")).expect("a file");
     let read = |line: &str| {
         let (key, value) = line.split_once(" = ").expect("a key and a value");
-        (key.to_string(), serde_json::from_str::<Value>(value).expect("a text or a list of texts"))
+        (
+            key.to_string(),
+            serde_json::from_str::<Value>(value).expect("a text or a list of texts"),
+        )
     };
     let found: BTreeMap<String, Value> = text.lines().map(read).collect();
-    assert_eq!(found.keys().collect::<Vec<_>>(), want.keys().collect::<Vec<_>>());
+    assert_eq!(
+        found.keys().collect::<Vec<_>>(),
+        want.keys().collect::<Vec<_>>()
+    );
     for (key, value) in &want {
         match value.as_str() {
             // `run` and `sim` name the programs that the workspace builds.
             Some(text) => {
-                let text = text.replace("PROGRAM", name_of(PROGRAM)).replace("ADAPTER", name_of(ADAPTER));
+                let text = text
+                    .replace("PROGRAM", name_of(PROGRAM))
+                    .replace("ADAPTER", name_of(ADAPTER));
                 assert_eq!(found[key], text, "{key}");
             }
             None if key == "packages" => assert_eq!(found[key], *value),
@@ -83,7 +102,10 @@
                 let paths = found[key].as_array().expect("a list of paths");
                 assert!(!paths.is_empty(), "{key}");
                 for path in paths {
-                    assert!(root().join(path.as_str().expect("a path")).exists(), "{key}: {path}");
+                    assert!(
+                        root().join(path.as_str().expect("a path")).exists(),
+                        "{key}: {path}"
+                    );
                 }
             }
         }
--- a/tests/golden_locks.rs
+++ b/tests/golden_locks.rs
@@ -5,8 +5,8 @@
 use std::io::{Read, Seek, Write};
 use std::path::{Path, PathBuf};
 
-use mothwinch::seat::{Parts, Standing};
-use mothwinch_service::{word, Beside, State, PARTS, WORD};
+use lifecycle::{word, Beside, State, PARTS, WORD};
+use protocol_gateway::seat::{Parts, Standing};
 use slog::{o, Discard, Logger};
 
 /// A folder of this test's own that goes with the value.
@@ -21,7 +21,9 @@
     fn files(&self) -> Vec<String> {
         let entry = |e: std::io::Result<std::fs::DirEntry>| e.expect("an entry").file_name();
         let read = std::fs::read_dir(&self.0).expect("the folder");
-        let mut files: Vec<String> = read.map(|e| entry(e).to_string_lossy().into_owned()).collect();
+        let mut files: Vec<String> = read
+            .map(|e| entry(e).to_string_lossy().into_owned())
+            .collect();
         files.sort();
         files
     }
@@ -38,7 +40,12 @@
 
 /// A lock as an old program holds it, with this text in its file.
 fn held(path: &Path, text: &[u8]) -> File {
-    let options = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path);
+    let options = OpenOptions::new()
+        .read(true)
+        .write(true)
+        .create(true)
+        .truncate(false)
+        .open(path);
     let mut file = options.expect("a lock file");
     file.try_lock().expect("nobody holds it");
     file.write_all(text).expect("written");
@@ -57,10 +64,34 @@
     ("starting-quiesced", State::Starting { quiesced: true }),
     ("serving", State::Serving),
     ("quiesced", State::Quiesced),
-    ("leaving", State::Leaving { replaced: false, quiesced: false }),
-    ("leaving-quiesced", State::Leaving { replaced: false, quiesced: true }),
-    ("leaving-replaced", State::Leaving { replaced: true, quiesced: false }),
-    ("leaving-replaced-quiesced", State::Leaving { replaced: true, quiesced: true }),
+    (
+        "leaving",
+        State::Leaving {
+            replaced: false,
+            quiesced: false,
+        },
+    ),
+    (
+        "leaving-quiesced",
+        State::Leaving {
+            replaced: false,
+            quiesced: true,
+        },
+    ),
+    (
+        "leaving-replaced",
+        State::Leaving {
+            replaced: true,
+            quiesced: false,
+        },
+    ),
+    (
+        "leaving-replaced-quiesced",
+        State::Leaving {
+            replaced: true,
+            quiesced: true,
+        },
+    ),
 ];
 
 #[test]
@@ -81,9 +112,15 @@
         let first = seated(&scratch.0, name, State::Serving);
         let second = seated(&scratch.0, name, State::Serving);
         let mut parts = Parts::new(&scratch.0, name, &first);
-        assert_eq!(parts.look(State::Serving, Beside::Nobody, 0, &log()), Some(PARTS));
+        assert_eq!(
+            parts.look(State::Serving, Beside::Nobody, 0, &log()),
+            Some(PARTS)
+        );
         written += &format!("{name:?}\n");
-        scratch.files().iter().for_each(|file| written += &format!("  {file}\n"));
+        scratch
+            .files()
+            .iter()
+            .for_each(|file| written += &format!("  {file}\n"));
         drop((first, second));
     }
     assert_eq!(written, include_str!("golden/lock_names.txt"));
@@ -92,8 +129,10 @@
 #[test]
 fn words_of_all_states_are_stable() {
     let hex = |bytes: &[u8]| bytes.iter().map(|b| format!("{b:02x}")).collect::<String>();
-    let written: String =
-        STATES.iter().map(|(name, state)| format!("{name} {}\n", hex(&word(*state)))).collect();
+    let written: String = STATES
+        .iter()
+        .map(|(name, state)| format!("{name} {}\n", hex(&word(*state))))
+        .collect();
     assert_eq!(written, include_str!("golden/lock_words.txt"));
     assert_eq!(WORD, 16);
     assert_eq!(PARTS, 8);
@@ -125,7 +164,11 @@
         old.write_all(b"taking clients \n").expect("written");
         assert_eq!(new.beside(), Beside::Taking);
         drop(old);
-        assert_eq!(new.beside(), Beside::Nobody, "what is left behind counts for nothing");
+        assert_eq!(
+            new.beside(),
+            Beside::Nobody,
+            "what is left behind counts for nothing"
+        );
     }
 }
 
@@ -137,7 +180,10 @@
     for (name, state) in STATES {
         new.say(state);
         let mut file = File::open(scratch.0.join("mothwinch-n.seat0")).expect("the seat");
-        assert!(matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock)), "{name}");
+        assert!(
+            matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock)),
+            "{name}"
+        );
         let mut text = Vec::new();
         file.read_to_end(&mut text).expect("read");
         let golden: &[u8; 16] = match state {
@@ -156,7 +202,12 @@
 #[test]
 fn new_program_waits_while_old_ones_hold_both_seats() {
     let scratch = Scratch::new("waits");
-    let seats = [0, 1].map(|n| held(&scratch.0.join(format!("mothwinch-n.seat{n}")), b"leaving        \n"));
+    let seats = [0, 1].map(|n| {
+        held(
+            &scratch.0.join(format!("mothwinch-n.seat{n}")),
+            b"leaving        \n",
+        )
+    });
     let mut new = Standing::new(&scratch.0, "n");
     new.look(State::default(), &log());
     assert!(!new.may_take());
@@ -176,12 +227,21 @@
     let mut old: Vec<File> = (0..6).map(|n| held(&path(n), b"")).collect();
     let new = seated(&scratch.0, "n", State::default());
     let mut parts = Parts::new(&scratch.0, "n", &new);
-    assert_eq!(parts.look(State::Serving, Beside::Leaving, 0, &log()), Some(2));
+    assert_eq!(
+        parts.look(State::Serving, Beside::Leaving, 0, &log()),
+        Some(2)
+    );
     for n in [6, 7] {
         let file = File::open(path(n)).expect("a part");
-        assert!(matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock)), "part {n}");
+        assert!(
+            matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock)),
+            "part {n}"
+        );
     }
     old.truncate(2);
-    assert_eq!(parts.look(State::Serving, Beside::Leaving, 0, &log()), Some(6));
+    assert_eq!(
+        parts.look(State::Serving, Beside::Leaving, 0, &log()),
+        Some(6)
+    );
     assert_eq!(std::fs::metadata(path(7)).expect("a part").len(), 0);
 }
