--- a/tests/common/golden.rs
+++ b/tests/common/golden.rs
@@ -3,10 +3,14 @@
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
+use std::io::Read;
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::mpsc::{channel, Sender};
+use std::thread::{spawn, JoinHandle};
+use std::time::Duration;
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -59,18 +63,40 @@
     pub err: String,
 }
 
+/// The longest that a run may take: a node that starts where an error was due is killed, and its run has no exit code.
+const LONGEST: Duration = Duration::from_secs(20);
+
 /// Runs the program in a folder and without variables of its own but these; the program's name reads `PROGRAM` afterwards.
 pub fn run(folder: &Path, args: &[String], env: &BTreeMap<String, String>) -> Ended {
     let mut command = Command::new(PROGRAM);
     command.args(args).current_dir(folder).stdin(Stdio::null());
     command.env_remove("PROXY_CONFIG").env_remove("PROXY_ADMIN").env("TMPDIR", folder).envs(env);
-    let output = command.output().expect("the program starts");
+    let mut child =
+        command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("the program starts");
+    let (tell, closed) = channel();
+    let out = read(child.stdout.take().expect("a pipe"), tell.clone());
+    let err = read(child.stderr.take().expect("a pipe"), tell);
+    if (0..2).any(|_| closed.recv_timeout(LONGEST).is_err()) {
+        child.kill().expect("it is killed");
+    }
+    let code = child.wait().expect("it ends").code();
     let text = |bytes: Vec<u8>| {
         let text = String::from_utf8(bytes).expect("text");
         let own = |text: &str| text.strip_prefix(name_of(PROGRAM)).map(|rest| format!("PROGRAM{rest}"));
         own(&text).unwrap_or(text)
     };
-    Ended { code: output.status.code(), out: text(output.stdout), err: text(output.stderr) }
+    let all = |reader: JoinHandle<Vec<u8>>| text(reader.join().expect("a reader"));
+    Ended { code, out: all(out), err: all(err) }
+}
+
+/// Reads a stream to its end in a thread, and tells when it is there.
+fn read(mut from: impl Read + Send + 'static, tell: Sender<()>) -> JoinHandle<Vec<u8>> {
+    spawn(move || {
+        let mut bytes = Vec::new();
+        let _ = from.read_to_end(&mut bytes);
+        let _ = tell.send(());
+        bytes
+    })
 }
 
 /// Files that a command accepts, and changes to one of them that it doesn't. `TAKEN` stands for an address that is in use,
