--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -659,7 +659,7 @@
     }
     /// Where the operators' door is.
     pub fn door(&self) -> SocketAddr {
-        self.logged("door").expect("a door")
+        self.logged("admin").expect("a door")
     }
     pub fn front(&self) -> Front {
         Front::connect(self.address)
--- a/src/main.rs
+++ b/src/main.rs
@@ -309,7 +309,7 @@
         let door_log = log.new(o!("actor" => "door"));
         let at = door::start(listener, &node_status, to_main.clone(), &limits, &door_log)
             .map_err(system("door"))?;
-        info!(log, "door"; "at" => %at);
+        info!(log, "admin"; "at" => %at);
     }
     let listen = |clients: Socket| -> io::Result<SocketAddr> {
         clients.listen(limits.backlog)?;
--- a/tests/golden_config.rs
+++ b/tests/golden_config.rs
@@ -30,6 +30,6 @@
     command.env("PROXY_ADMIN", "127.0.0.1:0");
     let node = Node::run(command, peers, file);
     until("the admin address of the variable is in use", || {
-        node.logged("door").is_some()
+        node.logged("admin").is_some()
     });
 }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -116,7 +116,7 @@
         config["executor"] = json!(at);
     });
     let (mut link, _) = executor.accept().expect("a link");
-    until("there is a door", || node.logged("door").is_some());
+    until("there is a door", || node.logged("admin").is_some());
     let door = node.door();
     assert_eq!(call(door, b"health\n"), "fail starting");
     assert_eq!(call(door, b"quiesce\n"), "ok starting, to be quiesced");
@@ -236,7 +236,7 @@
 }
 
 fn taking(node: &Node) {
-    until("there is a door", || node.logged("door").is_some());
+    until("there is a door", || node.logged("admin").is_some());
     until("it takes clients", || {
         call(node.door(), b"health\n").starts_with("ok")
     });
@@ -452,7 +452,7 @@
     // Two live: another one waits until there is room, and takes clients then.
     let fourth = first.successor();
     until("its executor is up, and there is a door", || {
-        fourth.log().contains("executor up") && fourth.logged("door").is_some()
+        fourth.log().contains("executor connected") && fourth.logged("admin").is_some()
     });
     assert_eq!(call(fourth.door(), b"health\n"), "fail starting");
     first.kill();
