--- a/crates/fault-testbed/src/lib.rs
+++ b/crates/fault-testbed/src/lib.rs
@@ -5,9 +5,9 @@
 //! - [`Rig`]: the processes with their stand-ins, and what is awaited of them.
 //! - [`script`]: the same from a file.
 
+pub mod connection_owner;
 pub mod demo;
 pub mod links;
-pub mod owner;
 mod rig;
 pub mod script;
 mod switch;
--- a/crates/fault-testbed/src/script.rs
+++ b/crates/fault-testbed/src/script.rs
@@ -107,6 +107,8 @@
     System(std::io::Error),
     /// What was awaited at this step did not come.
     NotReached(usize, String),
+    /// The testbed itself failed, so that the faults asked for were not all applied.
+    Testbed(Vec<String>),
 }
 impl fmt::Display for ScriptError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -115,6 +117,7 @@
             ScriptError::File(e) => write!(f, "{e}"),
             ScriptError::System(e) => write!(f, "{e}"),
             ScriptError::NotReached(step, what) => write!(f, "steps[{step}]: not reached: {what}"),
+            ScriptError::Testbed(errors) => write!(f, "testbed: {}", errors.join("; ")),
         }
     }
 }
@@ -227,6 +230,10 @@
             self.step(&mut rig, step)
                 .map_err(|what| ScriptError::NotReached(at, what))?;
         }
+        let errors = rig.switch().errors();
+        if !errors.is_empty() {
+            return Err(ScriptError::Testbed(errors));
+        }
         Ok(rig)
     }
 
--- a/crates/fault-testbed/src/switch.rs
+++ b/crates/fault-testbed/src/switch.rs
@@ -12,14 +12,19 @@
 
 use test_doubles::lock;
 
+use crate::connection_owner::{find_owner, KnownProcess, Owner, OwnerError};
 use crate::links::{Links, Stream};
-use crate::owner::owner;
 
 /// Stack of a thread that carries bytes.
 const STACK: usize = 128 * 1024;
 /// Between looks of a thread at whether it is still wanted, and of a stalled stream at whether it may go on.
 const LOOK: Duration = Duration::from_millis(20);
 
+/// How long a connection may wait until the process that made it is registered.
+const OWNER_TIMEOUT: Duration = Duration::from_secs(2);
+/// The name on links of whatever is not a process of the testbed.
+const OUTSIDE: &str = "outside";
+
 /// The processes as the switch knows them.
 #[derive(Default)]
 struct Known {
@@ -64,6 +69,8 @@
     later: Condvar,
     out: UdpSocket,
     ended: AtomicBool,
+    /// What went wrong in the testbed itself.
+    errors: Mutex<Vec<String>>,
 }
 
 /// Carries all that goes between the processes of a rig. Its threads end with the value.
@@ -106,6 +113,7 @@
             later: Condvar::new(),
             out: UdpSocket::bind("127.0.0.1:0")?,
             ended: AtomicBool::new(false),
+            errors: Mutex::default(),
         });
         let own = shared.clone();
         spawn("late", move || own.carry_late())?;
@@ -115,6 +123,11 @@
     pub fn links<T>(&self, change: impl FnOnce(&mut Links) -> T) -> T {
         change(&mut lock(&self.0.links))
     }
+    /// Errors of the testbed itself so far, such as a connection whose process is not known: a fault on its link could not be
+    /// applied.
+    pub fn errors(&self) -> Vec<String> {
+        lock(&self.0.errors).clone()
+    }
     /// Places before a process: where others send it datagrams, and where they connect to it.
     pub fn connect(&self, name: &str) -> io::Result<(SocketAddr, SocketAddr)> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
@@ -162,7 +175,7 @@
                 continue;
             };
             let known = lock(&self.known);
-            let outside = || known.open.contains(to).then(|| "outside".to_string());
+            let outside = || known.open.contains(to).then(|| OUTSIDE.to_string());
             let from = known.senders.get(&source).cloned().or_else(outside);
             drop(known);
             // What comes from nobody that we know is a process that has only begun.
@@ -232,16 +245,9 @@
         }
     }
     fn carry_stream(self: &Arc<Self>, from: TcpStream, to: &str) {
-        let processes: Vec<(String, u32)> = lock(&self.known)
-            .processes
-            .iter()
-            .map(|(name, pid)| (name.clone(), *pid))
-            .collect();
-        let who = from
-            .peer_addr()
-            .ok()
-            .and_then(|at| owner(at, &processes))
-            .unwrap_or_else(|| "outside".into());
+        let Some(who) = self.wait_for_owner(&from) else {
+            return;
+        };
         // A connection to one that can't be reached is not made, and nobody is told.
         while !lock(&self.links).passes(&who, to) || !lock(&self.links).passes(to, &who) {
             if self.ended.load(SeqCst) {
@@ -267,6 +273,44 @@
         let _ = spawn("stream", move || shared.pump(back_from, back_there, &back));
         self.pump(from, there, &forth);
     }
+    /// The name of the process that made a connection. A connection that is closed already has none; one of a process that
+    /// stays unknown is recorded as an error of the testbed.
+    fn wait_for_owner(&self, from: &TcpStream) -> Option<String> {
+        let (Ok(peer), Ok(own)) = (from.peer_addr(), from.local_addr()) else {
+            return None;
+        };
+        let deadline = Instant::now() + OWNER_TIMEOUT;
+        loop {
+            match find_owner(peer, own, &self.known_processes()) {
+                Ok(Owner::Process(name)) => return Some(name),
+                Ok(Owner::Closed) => return None,
+                // A process that has only begun may connect before its id is registered.
+                Err(OwnerError::UnknownProcess(_)) if Instant::now() < deadline => {
+                    thread::sleep(LOOK);
+                }
+                Err(error) => {
+                    lock(&self.errors).push(error.to_string());
+                    return None;
+                }
+            }
+        }
+    }
+    /// The registered processes, and last this process itself, whose connections are those from outside the testbed.
+    fn known_processes(&self) -> Vec<KnownProcess> {
+        let outside = KnownProcess {
+            name: OUTSIDE.into(),
+            pid: std::process::id(),
+        };
+        lock(&self.known)
+            .processes
+            .iter()
+            .map(|(name, pid)| KnownProcess {
+                name: name.clone(),
+                pid: *pid,
+            })
+            .chain([outside])
+            .collect()
+    }
     /// Carries one direction of a stream until its end.
     fn pump(&self, mut from: TcpStream, mut to: TcpStream, (a, b): &(String, String)) {
         let began = lock(&self.links).begin(a, b);
