--- /dev/null
+++ b/crates/policy/src/interface/mod.rs
@@ -0,0 +1,16 @@
+//! The policy's public vocabulary: its settings, the events it receives and the actions it returns.
+//!
+//! Durations are [`Span`]s in microseconds, work and memory are `f64` milliseconds and kilobytes.
+
+mod actions;
+mod events;
+mod settings;
+mod time;
+
+pub use actions::{Action, DependencyCallStats};
+pub use events::{CallOutcome, CallerId, Event, Gauges, Request, RequestId, RunOutcome};
+pub use settings::{
+    CapacityHint, Class, ClassId, Dependency, Idempotency, Preemption, Settings, SettingsError, Tenant,
+    TenantId,
+};
+pub use time::{Span, Time};
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -7,6 +7,7 @@
 
 mod interface;
 mod logic;
+pub mod statistics;
 
 pub use interface::*;
 pub use logic::{Policy, Sketch};
--- a/crates/policy/src/logic.rs
+++ b/crates/policy/src/logic.rs
@@ -1,15 +1,13 @@
-//! Every decision of the server: what it takes, runs and turns away. Its face is `interface.rs`.
-//!
-//! Reading order: constants, the sketch, the tables, then a request's path: read, planned, run, at a call,
-//! ended; last the guards and signals. `docs/design.md` tells what each part owes to the source.
+//! Every decision of the server: what it admits, runs and rejects.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicI32, Ordering::Relaxed};
 
 use crate::interface::{
-    Action, Below, CallEnd, CallerId, Class, Effect, Event, FreeValue, Gauges, Request, RequestId, RunEnd,
-    Settings, SettingsError, Span, Stopping, TenantId, Time,
+    Action, CallOutcome, CallerId, CapacityHint, Class, Dependency, DependencyCallStats, Event, Gauges,
+    Idempotency, Preemption, Request, RequestId, RunOutcome, Settings, SettingsError, Span, TenantId, Time,
 };
+use crate::statistics::{decay_factor, decayed_duration, RecurringValues, RunningRegression};
 
 /// Rows and columns of the sketch: two tenants share every cell once in 2^50 pairs.
 const ROWS: usize = 5;
@@ -160,45 +158,36 @@
 /// What was learned of a class.
 #[derive(Default)]
 struct Learned {
-    /// Means over runs of core ms and size, and how the two vary together and size alone.
-    work: f64,
-    size: f64,
-    joint: f64,
-    vary: f64,
+    /// Core ms of a run, by its size.
+    work: RunningRegression,
     /// Mean deviation from the estimate, as a part of it: small where hints are good.
     spread: f64,
     runs: f64,
     /// Calls for each run.
     calls: f64,
-    /// Common waits of callers in ms, and how often each was told of late.
-    waits: [(f64, f64); 4],
+    /// Common waits of callers in ms.
+    waits: RecurringValues,
 }
 
 impl Learned {
     /// Core ms that a request of this size takes: the line through the runs so far, which leans on the mean
     /// as much as hints mislead or runs wait for disk. Harms where one class holds two kinds of work.
     fn guess(&self, size: f64) -> f64 {
-        let slope = (self.joint / self.vary.max(1e-9)).max(0.0);
-        (self.work + slope * (size - self.size)).max(self.work / 8.0)
+        self.work.predict(size).max(self.work.mean_y / 8.0)
     }
     /// Callers of one habit wait equally long for each first try. A wait that is not among the common ones is
     /// what is left for one that was turned away elsewhere: how long ago it began, at least, by the next
     /// longer common wait, or by the whole patience. Known further tries teach nothing.
     fn begun_ago(&mut self, ms: f64, patience: f64, resent: bool) -> Option<f64> {
-        let waits = &mut self.waits;
-        let same = |w: &(f64, f64)| (w.0 - ms).abs() <= SAME_WAIT * ms;
         if !resent {
-            waits.iter_mut().for_each(|w| w.1 *= 1.0 - LEARN);
-            let rarest = (1..waits.len()).fold(0, |a, b| if waits[b].1 < waits[a].1 { b } else { a });
-            let at = waits.iter().position(same).unwrap_or(rarest);
-            waits[at] = (ms, if same(&waits[at]) { waits[at].1 + 1.0 } else { 1.0 });
+            self.waits.record(ms, LEARN);
         }
-        let least = HABIT * (f64::from(u8::from(!resent)) + waits.iter().map(|w| w.1).sum::<f64>());
-        let common = || waits.iter().filter(|w| w.1 >= least && w.1 > 0.0);
-        if common().any(same) {
+        let least = HABIT * (f64::from(u8::from(!resent)) + self.waits.total_count());
+        let common = || self.waits.values_with_count(least);
+        if common().any(|wait| self.waits.is_same(wait, ms)) {
             return None;
         }
-        let first = common().map(|w| w.0).filter(|w| *w > ms).fold(patience.max(ms), f64::min);
+        let first = common().filter(|wait| *wait > ms).fold(patience.max(ms), f64::min);
         Some(first - ms)
     }
 }
@@ -271,24 +260,13 @@
     /// Arrivals a second of each told tenant, fading; the last serves for all untold.
     rates: Vec<f64>,
     /// Refused for what their tenants have in flight elsewhere, so far.
-    pub heavy: u64,
+    pub fleet_limit_rejections: u64,
     turned: Time,
     limit: f64,
     said: f64,
     next_wake: Time,
 }
 
-/// The part of an old mean that is left after `ms`, with memory `span`.
-fn fade(ms: f64, span: f64) -> f64 {
-    (-ms / span.max(1.0)).exp()
-}
-
-/// What `ms` of something add to a sum with memory `span`, as it fades meanwhile: taken out whole again, it
-/// would take more with it than it brought.
-fn faded(ms: f64, span: f64) -> f64 {
-    span * (1.0 - fade(ms, span))
-}
-
 impl Policy {
     /// A fresh server: holds nothing and knows only its settings. The seed spreads the sketch's cells.
     pub fn new(mut set: Settings, seed: u64) -> Result<Policy, SettingsError> {
@@ -296,20 +274,18 @@
         // A class that nobody told of: run at most once, worth and patience those of the least.
         let least = |f: fn(&Class) -> Span| set.classes.iter().map(f).min().unwrap_or_default();
         let cautious = Class {
-            aim: least(|c| c.aim),
+            latency_objective: least(|c| c.latency_objective),
             deadline: least(|c| c.deadline),
-            worth: set.classes.iter().map(|c| c.worth).fold(f64::MAX, f64::min),
-            calls: true,
+            priority_weight: set.classes.iter().map(|c| c.priority_weight).fold(f64::MAX, f64::min),
+            may_call: true,
             ..Class::default()
         };
         set.classes.push(cautious);
         let learn = |c: &Class| Learned {
-            work: c.aim.ms() * FIRST_GUESS,
-            size: 1.0,
-            joint: c.aim.ms() * FIRST_GUESS,
-            vary: 1.0,
+            work: RunningRegression::proportional(c.latency_objective.ms() * FIRST_GUESS),
+            waits: RecurringValues::new(SAME_WAIT),
             spread: 0.5,
-            calls: f64::from(u8::from(c.calls)),
+            calls: f64::from(u8::from(c.may_call)),
             ..Learned::default()
         };
         Ok(Policy {
@@ -320,7 +296,7 @@
             call_best: f64::MAX,
             learned: set.classes.iter().map(learn).collect(),
             rates: vec![0.0; set.tenants.len() + 1],
-            heavy: 0,
+            fleet_limit_rejections: 0,
             turned: Time(i64::MIN / 2),
             limit: f64::from(set.cores),
             said: f64::NAN,
@@ -334,28 +310,30 @@
         self.tick(now, out);
         for event in events {
             match event {
-                Event::Read(request) => self.read(request, out),
-                Event::Finished(id, end) => self.finished(*id, *end),
-                Event::NeedsCall(id) if self.reqs.get(id).is_some_and(|r| r.phase == Phase::OnCore) => {
+                Event::RequestRead(request) => self.read(request, out),
+                Event::RunEnded(id, end) => self.finished(*id, *end),
+                Event::CallRequested(id) if self.reqs.get(id).is_some_and(|r| r.phase == Phase::OnCore) => {
                     self.move_to(*id, Phase::AtCall(now));
                 }
-                Event::NeedsCall(_) => {}
+                Event::CallRequested(_) => {}
                 Event::CallEnded(id, end, took) => self.call_ended(*id, *end, *took, out),
-                Event::CallerLeft(id) => self.left(*id, out),
-                Event::Leaving(left) => {
+                Event::CallerStoppedWaiting(id) => self.left(*id, out),
+                Event::ShutdownNotice(left) => {
                     self.seen.leaving = Some((now, now + *left));
-                    out.push(Action::Health(false));
+                    out.push(Action::SetHealth(false));
                 }
                 // No place is a small part still: 0 stands for no limit. Nothing is kept back here.
-                Event::CallsOut(part) => self.set.calls_out = part.max(0.1) / CALLS_SHARE,
-                Event::Part { memory_kb, crowd_per_core, calls_out } => {
-                    (self.set.memory_kb, self.set.crowd_per_core) = (*memory_kb, *crowd_per_core);
-                    self.set.calls_out = calls_out.unwrap_or(self.set.calls_out);
+                Event::CallQuotaChanged(part) => self.set.call_quota = part.max(0.1) / CALLS_SHARE,
+                Event::ResourceShareChanged { memory_kb, concurrency_per_core, call_quota } => {
+                    self.set.memory_kb = *memory_kb;
+                    self.set.concurrency_per_core = *concurrency_per_core;
+                    self.set.call_quota = call_quota.unwrap_or(self.set.call_quota);
                 }
-                Event::Others(servers, counts) => {
-                    (self.seen.counted, self.seen.others) = (*servers, counts.clone());
+                Event::FleetLoad { servers, in_flight_elsewhere } => {
+                    self.seen.counted = *servers;
+                    self.seen.others.clone_from(in_flight_elsewhere);
                 }
-                Event::Replaced(left) => self.seen.leaving = Some((NEVER, now + *left)),
+                Event::ReplacementNotice(left) => self.seen.leaving = Some((NEVER, now + *left)),
                 Event::Wake(gauges) => self.gauge(gauges),
             }
         }
@@ -370,20 +348,20 @@
         if !self.seen.started {
             self.seen.started = true;
             (self.now, self.seen.born) = (now, now);
-            out.push(Action::Health(true));
+            out.push(Action::SetHealth(true));
             // Every open connection takes capacity and a full table shuts callers out, yet a new one costs
             // work. Up to two crowds of callers come back before long and keep theirs; of more, each comes
             // back so rarely that keeping is the dearer. It harms where a new connection is very dear.
-            let few = f64::from(self.set.callers) <= 2.0 * self.set.crowd_per_core * self.cores();
-            let idle = self.set.caller_idle.ms().min(if few { f64::MAX } else { SHORTEST_IDLE });
-            out.push(Action::CloseIdle(Span::from_ms(idle)));
+            let few = f64::from(self.set.callers) <= 2.0 * self.set.concurrency_per_core * self.cores();
+            let idle = self.set.caller_idle_timeout.ms().min(if few { f64::MAX } else { SHORTEST_IDLE });
+            out.push(Action::CloseIdleConnections(Span::from_ms(idle)));
         }
         let ms = (now - self.now).ms().max(0.0);
         self.now = now;
         let (n, cores) = (self.seen.on_core as f64, self.cores());
         self.seen.clock += ms * (cores / n.max(cores));
         // The server's own span for telling a passing crowd from a real one is the pace of forgetting.
-        let keep = fade(ms, self.set.crowd_span.ms());
+        let keep = decay_factor(ms, self.set.concurrency_window.ms());
         self.seen.spent = self.seen.spent * keep + ms * n.min(cores);
         self.seen.call_time =
             self.seen.call_time * keep + ms * (self.seen.calling - self.seen.overdue) as f64;
@@ -393,17 +371,17 @@
         // its effect, over the classes worth less than the mean and no further: within a class all are alike.
         // It comes back as slowly. Harms where one server alone is full.
         let classes = &self.set.classes[..self.set.classes.len() - 1];
-        let mean = classes.iter().map(|c| c.worth).sum::<f64>() / classes.len() as f64;
-        let most = classes.iter().filter(|c| c.worth < mean).count() as f64 / classes.len() as f64;
-        let step = ms / (LEVEL_PACE * self.set.heard_for.ms()).max(1.0);
+        let mean = classes.iter().map(|c| c.priority_weight).sum::<f64>() / classes.len() as f64;
+        let most = classes.iter().filter(|c| c.priority_weight < mean).count() as f64 / classes.len() as f64;
+        let step = ms / (LEVEL_PACE * self.set.capacity_hint_lifetime.ms()).max(1.0);
         let step = if self.seen.refusing > WALKERS { step } else { -step };
         self.seen.level = (self.seen.level + step).clamp(0.0, most);
         self.seen.busy = self.seen.busy * keep + f64::from(u8::from(n >= cores)) * (1.0 - keep);
         self.seen.lingering.retain(|until| *until > now);
-        let span = self.set.calls_span.ms();
+        let span = self.set.call_quota_window.ms();
         self.call_best *= 1.0 + ms / (BEST_SPANS * span.max(1.0));
-        self.seen.calls_mean += (self.in_hand() - self.seen.calls_mean) * (1.0 - fade(ms, span));
-        let keep = fade(ms, self.rate_span());
+        self.seen.calls_mean += (self.in_hand() - self.seen.calls_mean) * (1.0 - decay_factor(ms, span));
+        let keep = decay_factor(ms, self.rate_span());
         self.rates.iter_mut().for_each(|r| *r *= keep);
         self.seen.callers.values_mut().for_each(|r| *r *= keep);
         self.seen.callers.retain(|_, r| *r > 0.01);
@@ -416,30 +394,30 @@
         let class = r.class.0.min(self.set.classes.len() - 1);
         let c = self.set.classes[class].clone();
         let arrived = self.now - r.age;
-        let due = match r.wait_left {
+        let due = match r.remaining_wait {
             Some(left) => self.now + left,
             None => (arrived + c.deadline).max(self.now),
         };
         // Sizes are in units of the first guess, so that before any run a hint stands for itself.
-        let guess = (c.aim.ms() * FIRST_GUESS).max(0.001);
-        let size = r.hint.map_or(1.0, |h| h.ms().max(0.001) / guess);
+        let guess = (c.latency_objective.ms() * FIRST_GUESS).max(0.001);
+        let size = r.work_hint.map_or(1.0, |h| h.ms().max(0.001) / guess);
         let work = self.learned[class].guess(size);
-        let stretch = Span::from_ms(c.aim_stretch * work);
+        let stretch = Span::from_ms(c.objective_work_multiple * work);
         // A further try's aim began with the first: as far as its patience tells, or else it has been through
         // what refused requests go through here.
-        let told = r.wait_left.map(|left| left.ms() + r.age.ms());
+        let told = r.remaining_wait.map(|left| left.ms() + r.age.ms());
         let learned = &mut self.learned[class];
-        let begun = told.and_then(|ms| learned.begun_ago(ms, c.deadline.ms(), r.resent));
-        let guess = if r.resent { self.seen.tried.min(c.aim.ms()) } else { 0.0 };
+        let begun = told.and_then(|ms| learned.begun_ago(ms, c.deadline.ms(), r.is_retry));
+        let guess = if r.is_retry { self.seen.tried.min(c.latency_objective.ms()) } else { 0.0 };
         let first = arrived - Span::from_ms(begun.unwrap_or(guess));
-        let aim = (first + c.aim + stretch).min(due);
+        let aim = (first + c.latency_objective + stretch).min(due);
         let slot = r.tenant.map_or(usize::MAX, |t| t.0 as usize).min(self.rates.len() - 1);
         *self.seen.callers.entry(r.caller).or_insert(0.0) += 1.0;
         let means = [&mut self.seen.mean_work, &mut self.seen.mean_aim, &mut self.seen.mean_worth];
-        for (mean, new) in means.into_iter().zip([work, c.aim.ms(), c.worth]) {
+        for (mean, new) in means.into_iter().zip([work, c.latency_objective.ms(), c.priority_weight]) {
             *mean += (new - *mean) * if *mean == 0.0 { 1.0 } else { LEARN * 4.0 };
         }
-        let further = begun.is_some() || r.resent;
+        let further = begun.is_some() || r.is_retry;
         // A tenant's share is of what its users ask for, however often callers try again.
         self.rates[slot] += if further { 0.0 } else { 1e3 / self.rate_span() };
         self.seen.resent += (f64::from(u8::from(further)) - self.seen.resent) * LEARN;
@@ -450,7 +428,7 @@
             tenant: r.tenant,
             owed: true,
             counted: true,
-            kb: r.held_kb,
+            kb: r.queued_kb,
             arrived,
             first,
             aim,
@@ -458,12 +436,12 @@
             size,
             ..Req::default()
         };
-        self.seen.memory += r.held_kb;
+        self.seen.memory += r.queued_kb;
         self.reqs.insert(r.id, req);
         self.seen.dirty = true;
-        if r.repeats.is_some() {
+        if r.duplicate_of.is_some() {
             // It may have run here: it is served from that run or failed, and never refused.
-            if c.effect == Effect::Once {
+            if c.idempotency == Idempotency::AtMostOnce {
                 self.fail(r.id, out);
             } else {
                 self.move_to(r.id, Phase::Joined);
@@ -472,24 +450,28 @@
             return;
         }
         let too_late = self.seen.leaving.is_some_and(|(notice, _)| arrived > notice + self.set.drain_grace);
-        let threshold = self.set.crowd_per_core * self.cores();
+        let threshold = self.set.concurrency_per_core * self.cores();
         let (all, most) = self.over_all(slot, f64::from(estimate), threshold);
         let heavy = self.seen.late && all > most;
-        self.heavy += u64::from(heavy);
+        self.fleet_limit_rejections += u64::from(heavy);
         if too_late || heavy || (self.seen.late && f64::from(estimate) > threshold) {
             return self.refuse(r.id, out);
         }
         // The entry that ties later tries to this one has to stand before the run, for the whole window.
-        let lapse = arrived + c.window + self.set.answer_slack;
+        let lapse = arrived + c.idempotency_window + self.set.answer_slack;
         let room = HEADROOM * self.set.memory_kb - self.memory_now() > self.set.key_kb;
-        if c.effect == Effect::ByKey {
+        if c.idempotency == Idempotency::ByKey {
             if !room {
                 return self.refuse(r.id, out);
             }
             self.remember(r.id, lapse, out);
-        } else if self.set.share_for.0 > 0 && r.has_key && !r.write && c.effect == Effect::Repeatable && room
+        } else if self.set.result_sharing_window.0 > 0
+            && r.has_key
+            && !r.is_write
+            && c.idempotency == Idempotency::Idempotent
+            && room
         {
-            self.remember(r.id, due + self.set.share_for, out);
+            self.remember(r.id, due + self.set.result_sharing_window, out);
         }
     }
 
@@ -505,7 +487,7 @@
     fn remember(&mut self, id: RequestId, lapse: Time, out: &mut Vec<Action>) {
         if lapse > self.now {
             self.seen.keys.insert(id, lapse);
-            out.push(Action::Remember(id, lapse - self.now));
+            out.push(Action::RememberKey(id, lapse - self.now));
         }
     }
 
@@ -534,10 +516,10 @@
     /// and not marked, so each request stands for the mean of its tenant.
     fn share_worth(&self, tenant: Option<TenantId>) -> f64 {
         let Some(TenantId(t)) = tenant else { return 1.0 };
-        let Some(told) = self.set.tenants.get(t as usize) else { return self.set.over_share_worth };
+        let Some(told) = self.set.tenants.get(t as usize) else { return self.set.over_share_weight_fraction };
         let mine = told.allowance_per_s / f64::from(self.set.servers.max(1));
         let within = (mine / self.rates[t as usize].max(1e-9)).min(1.0);
-        within + (1.0 - within) * self.set.over_share_worth
+        within + (1.0 - within) * self.set.over_share_weight_fraction
     }
 
     fn plan(&mut self, out: &mut Vec<Action>) {
@@ -548,7 +530,7 @@
         let mut rest = 0.0;
         // Calls are a second thing to queue for: those in hand, waiting, and to come from what runs.
         let call_limit = self.call_limit().min(1e9);
-        let call_room = (call_limit - self.seen.calls_mean) * self.set.calls_span.ms();
+        let call_room = (call_limit - self.seen.calls_mean) * self.set.call_quota_window.ms();
         let mut calls_ahead = self.in_hand();
         let mut line: Vec<Candidate> = Vec::new();
         self.seen.late = false;
@@ -570,7 +552,7 @@
                 Phase::Calling => rest += left / 2.0,
                 Phase::Joined => {}
                 Phase::Held => {
-                    let waited = (self.now - r.arrived).ms() / c.aim.ms().max(1.0);
+                    let waited = (self.now - r.arrived).ms() / c.latency_objective.ms().max(1.0);
                     self.seen.late |= waited > TARGET;
                     if waited > TARGET + INTERVAL {
                         stale.push(*id);
@@ -579,19 +561,19 @@
                     let l = &self.learned[r.class];
                     let run = work + l.calls * call_ms;
                     let share = self.share_worth(r.tenant);
-                    let mut worth = c.worth * share;
+                    let mut worth = c.priority_weight * share;
                     let mut rank = u8::from(worth < OVER_SHARE * self.seen.mean_worth);
                     // Worth more than the mean, it may be that much more of a risk.
                     let risk = self.seen.busy * (self.seen.mean_worth / worth.max(1e-9)).min(1.0);
                     let spread = work * SPREAD * l.spread * risk;
                     let end = self.seen.leaving.map_or(r.due, |(_, kill)| r.due.min(kill - self.period()));
                     let mut latest = (r.aim.min(end) - self.now).ms() - run;
-                    if latest < 0.0 && c.late_worth > 0.0 {
-                        worth *= c.late_worth;
+                    if latest < 0.0 && c.late_weight_fraction > 0.0 {
+                        worth *= c.late_weight_fraction;
                         rank = 2;
                         latest = (end - self.now).ms() - run;
                     }
-                    let density = if self.set.worth_by_work { worth } else { worth / work };
+                    let density = if self.set.weight_per_work { worth } else { worth / work };
                     line.push(Candidate {
                         rank,
                         density,
@@ -647,7 +629,7 @@
 
     fn run(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.reqs.get(&id) else { return };
-        let more = r.kb * (self.set.run_factor - 1.0).max(0.0);
+        let more = r.kb * (self.set.run_memory_factor - 1.0).max(0.0);
         let fits = self.memory_now() + more <= HEADROOM * self.set.memory_kb;
         if r.phase == Phase::Held && fits && ((self.seen.on_core + self.seen.calling) as f64) < self.crowd() {
             self.seen.refusing *= 1.0 - LEARN;
@@ -660,7 +642,7 @@
 
     /// The one place where a request changes phase: counts, memory and core time follow.
     fn move_to(&mut self, id: RequestId, to: Phase) {
-        let (clock, factor) = (self.seen.clock, self.set.run_factor);
+        let (clock, factor) = (self.seen.clock, self.set.run_memory_factor);
         let Some(r) = self.reqs.get_mut(&id) else { return };
         let runs = |p: Phase| !matches!(p, Phase::Held | Phase::Joined);
         if r.phase == Phase::OnCore {
@@ -680,20 +662,20 @@
         self.seen.dirty = true;
     }
 
-    fn call_ended(&mut self, id: RequestId, end: CallEnd, took: Span, out: &mut Vec<Action>) {
+    fn call_ended(&mut self, id: RequestId, end: CallOutcome, took: Span, out: &mut Vec<Action>) {
         let overdue = self.reqs.get(&id).is_some_and(|r| r.overdue);
         // A call that failed tells nothing of how long calls take; one that was late after all does.
-        let known = end != CallEnd::Failed;
+        let known = end != CallOutcome::Failed;
         self.seen.calls_done += f64::from(u8::from(known));
         if known == overdue {
-            let added = faded(took.ms(), self.set.crowd_span.ms());
+            let added = decayed_duration(took.ms(), self.set.concurrency_window.ms());
             self.seen.call_time += if known { added } else { -added };
         }
         if !known {
-            self.seen.lingering.push(self.now + self.set.linger);
+            self.seen.lingering.push(self.now + self.set.abandoned_call_linger);
         }
         let Some(r) = self.reqs.get(&id) else { return };
-        if end == CallEnd::Good {
+        if end == CallOutcome::Succeeded {
             self.seen.answered += 1;
             self.seen.call_stray += (took.ms() - self.call_ms()).abs();
             self.call_best = self.call_best.min(self.call_ms());
@@ -701,8 +683,9 @@
         }
         // A call that failed is made again only where that is safe, and later by as long as it took: a
         // dependency that turns calls away at once is not asked again at once.
-        let safe = end == CallEnd::NeverRan || self.set.classes[r.class].effect == Effect::Repeatable;
-        let wait = took.ms().max(self.set.classes[r.class].aim.ms() / 16.0);
+        let safe = end == CallOutcome::NotExecuted
+            || self.set.classes[r.class].idempotency == Idempotency::Idempotent;
+        let wait = took.ms().max(self.set.classes[r.class].latency_objective.ms() / 16.0);
         self.move_to(id, Phase::AtCall(self.now + Span::from_ms(wait)));
         if !safe {
             self.fail(id, out);
@@ -716,12 +699,12 @@
         let (late, prompt): (Vec<_>, Vec<_>) = calling.partition(|r| (now - r.called).ms() > longest);
         let overtaken = OVERTAKEN * (prompt.len() + 1) as f64;
         if late.iter().any(|r| (answered - r.called_at) as f64 >= overtaken) {
-            self.seen.lossy = now + Span::from_ms(BEST_SPANS * self.set.calls_span.ms());
+            self.seen.lossy = now + Span::from_ms(BEST_SPANS * self.set.call_quota_window.ms());
         }
         for r in late.into_iter().filter(|_| now < self.seen.lossy) {
             r.overdue = true;
             self.seen.overdue += 1;
-            self.seen.call_time -= faded((now - r.called).ms(), self.set.crowd_span.ms());
+            self.seen.call_time -= decayed_duration((now - r.called).ms(), self.set.concurrency_window.ms());
         }
     }
 
@@ -731,8 +714,8 @@
         let may = |r: &Req| r.owed && matches!(r.phase, Phase::AtCall(not_before) if not_before <= self.now);
         let worth = |(id, r): (&RequestId, &Req)| {
             let c = &self.set.classes[r.class];
-            let part = if r.aim > self.now { 1.0 } else { c.late_worth };
-            (c.worth * part * self.share_worth(r.tenant), r.aim, *id)
+            let part = if r.aim > self.now { 1.0 } else { c.late_weight_fraction };
+            (c.priority_weight * part * self.share_worth(r.tenant), r.aim, *id)
         };
         let mut waiting: Vec<_> = self.reqs.iter().filter(|(_, r)| may(r)).map(worth).collect();
         waiting.sort_by(|a, b| b.0.total_cmp(&a.0).then((a.1, a.2).cmp(&(b.1, b.2))));
@@ -743,7 +726,7 @@
             let rest = (self.learned[r.class].guess(r.size) * slow / 3.0).max(1.0);
             let left = (aim - self.now).ms() - rest;
             let to_due = (r.due - self.now).ms();
-            let can_skip = c.skip_worth > c.late_worth && left > 0.0;
+            let can_skip = c.skipped_call_weight_fraction > c.late_weight_fraction && left > 0.0;
             if (self.seen.on_core + self.seen.calling) as f64 >= self.crowd() {
                 break;
             }
@@ -772,23 +755,31 @@
     /// server it means no fall, whatever the others do, and no dependency crowded far past its best. It harms
     /// where a healthy dependency would take more while other servers rest.
     fn call_limit(&self) -> f64 {
-        if self.set.below != Below::Shared || self.set.calls_out <= 0.0 {
+        if self.set.dependency != Dependency::Shared || self.set.call_quota <= 0.0 {
             return f64::MAX;
         }
-        self.set.calls_out * if self.slow_calls() { CALLS_WHEN_SLOW } else { CALLS_SHARE }
+        self.set.call_quota * if self.slow_calls() { CALLS_WHEN_SLOW } else { CALLS_SHARE }
     }
 
     fn slow_calls(&self) -> bool {
         // The mean of few calls strays: ask for more the fewer there were, and for calls that pile up here.
         let doubt = 1.0 + 1.0 / self.seen.calls_done.max(0.1).sqrt();
-        let crowded = self.seen.calls_mean > CALLS_WHEN_SLOW / 2.0 * self.set.calls_out;
-        crowded && self.set.below == Below::Shared && self.call_ms() > SLOW_CALLS * doubt * self.call_best
+        let crowded = self.seen.calls_mean > CALLS_WHEN_SLOW / 2.0 * self.set.call_quota;
+        crowded
+            && self.set.dependency == Dependency::Shared
+            && self.call_ms() > SLOW_CALLS * doubt * self.call_best
     }
 
     /// The dependency as this server sees it, for the log: calls in hand, their mean over the span and its
     /// limit, ms of a call of late and at best.
-    pub fn calls_seen(&self) -> [f64; 5] {
-        [self.in_hand(), self.seen.calls_mean, self.call_limit(), self.call_ms(), self.call_best]
+    pub fn dependency_call_stats(&self) -> DependencyCallStats {
+        DependencyCallStats {
+            in_flight: self.in_hand(),
+            mean_in_flight: self.seen.calls_mean,
+            limit: self.call_limit(),
+            recent_ms: self.call_ms(),
+            best_ms: self.call_best,
+        }
     }
 
     /// Ms after which no answer to a call is expected any more.
@@ -802,10 +793,10 @@
     /// Longer where it can't be made again.
     fn call_patience(&self, class: usize) -> f64 {
         let c = &self.set.classes[class];
-        let again = if c.effect == Effect::Repeatable { 1.0 } else { 2.0 };
+        let again = if c.idempotency == Idempotency::Idempotent { 1.0 } else { 2.0 };
         let lossy = self.now < self.seen.lossy;
         let patience = if lossy { self.longest_call() } else { CALL_PATIENCE * self.call_best };
-        patience.max(c.aim.ms() / 4.0) * again
+        patience.max(c.latency_objective.ms() / 4.0) * again
     }
 
     /// In the mean over the told span, and never more at once than that, or one.
@@ -836,7 +827,7 @@
     /// The entry of a keyed request that never ran has nothing to guard.
     fn forget(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if self.seen.keys.remove(&id).is_some() {
-            out.push(Action::Forget(id));
+            out.push(Action::ForgetKey(id));
         }
     }
 
@@ -850,7 +841,7 @@
             let spent = (self.now - r.first).ms() + if give_up { stay_away.ms() } else { 0.0 };
             self.seen.tried += (spent - self.seen.tried) * LEARN * 4.0;
             self.seen.refusing += (1.0 - self.seen.refusing) * LEARN;
-            out.push(Action::Refuse { id, stay_away, give_up });
+            out.push(Action::Reject { id, retry_after: stay_away, give_up });
             self.forget(id, out);
         }
     }
@@ -863,8 +854,13 @@
         }
         // Where it is safe to run again, the answer may say more: no server serves it in time any more.
         let c = &self.set.classes[r.class];
-        let over = r.aim <= self.now && c.late_worth == 0.0 && c.effect == Effect::Repeatable;
-        out.push(if over { Action::Refuse { id, stay_away, give_up: true } } else { Action::Fail(id) });
+        let over =
+            r.aim <= self.now && c.late_weight_fraction == 0.0 && c.idempotency == Idempotency::Idempotent;
+        out.push(if over {
+            Action::Reject { id, retry_after: stay_away, give_up: true }
+        } else {
+            Action::Fail(id)
+        });
         self.let_go(id, out);
     }
 
@@ -881,7 +877,7 @@
                 self.drop_req(id);
                 self.forget(id, out);
             }
-            Phase::OnCore if self.set.stopping != Stopping::Off => {
+            Phase::OnCore if self.set.preemption != Preemption::Unsupported => {
                 self.uncount(id);
                 out.push(Action::Stop(id));
             }
@@ -889,28 +885,24 @@
         }
     }
 
-    fn finished(&mut self, id: RequestId, end: RunEnd) {
+    fn finished(&mut self, id: RequestId, end: RunOutcome) {
         let phase = self.reqs.get(&id).map(|r| r.phase);
         if phase == Some(Phase::Calling) {
-            self.seen.lingering.push(self.now + self.set.linger);
+            self.seen.lingering.push(self.now + self.set.abandoned_call_linger);
         }
         let Some(r) = self.drop_req(id) else { return };
-        if end == RunEnd::Moot {
+        if end == RunOutcome::NeverStarted {
             // It took no core time after all, and must not pass for slowness.
             self.seen.spent = (self.seen.spent - r.used).max(0.0);
         }
-        if matches!(end, RunEnd::Served) && phase == Some(Phase::OnCore) {
+        if matches!(end, RunOutcome::Served) && phase == Some(Phase::OnCore) {
             let l = &mut self.learned[r.class];
             let guess = l.guess(r.size);
             self.seen.done += guess;
             l.runs += 1.0;
             let rate = LEARN.max(1.0 / (l.runs + 1.0));
             l.spread += ((r.used / guess.max(1e-9) - 1.0).abs().min(2.0) - l.spread) * rate.min(0.25);
-            let (off, larger) = (r.used - l.work, r.size - l.size);
-            l.work += off * rate;
-            l.size += larger * rate;
-            l.joint = (1.0 - rate) * (l.joint + rate * off * larger);
-            l.vary = (1.0 - rate) * (l.vary + rate * larger * larger);
+            l.work.add(r.size, r.used, rate);
             l.calls += (r.calls - l.calls) * rate;
         }
     }
@@ -922,7 +914,7 @@
     }
 
     fn rate_span(&self) -> f64 {
-        RATE_AIMS * self.set.classes.iter().map(|c| c.aim.ms()).fold(1.0, f64::max)
+        RATE_AIMS * self.set.classes.iter().map(|c| c.latency_objective.ms()).fold(1.0, f64::max)
     }
 
     fn memory_now(&self) -> f64 {
@@ -937,7 +929,7 @@
     /// Least share of the full speed that this server has reached.
     fn warmth(&self) -> f64 {
         let age = (self.now - self.seen.born).ms() / self.set.warm_up.ms().max(1.0);
-        let from = if self.set.cold { self.set.start_capacity } else { 1.0 };
+        let from = if self.set.starts_cold { self.set.start_capacity } else { 1.0 };
         (from + (1.0 - from) * age).min(1.0)
     }
 
@@ -945,17 +937,19 @@
     /// evenly. Those at calls count too, since all of them may come back at once.
     fn crowd(&self) -> f64 {
         let warm = self.warmth();
-        (HEADROOM * self.cores() * (1.0 + (self.set.crowd_per_core - 1.0).max(0.0) * warm)).floor().max(1.0)
+        (HEADROOM * self.cores() * (1.0 + (self.set.concurrency_per_core - 1.0).max(0.0) * warm))
+            .floor()
+            .max(1.0)
     }
 
     /// Time between looks at the gauges and due times.
     fn period(&self) -> Span {
-        Span((self.set.answer_slack.0 / 3).max(2 * self.set.round.0).max(1000))
+        Span((self.set.answer_slack.0 / 3).max(2 * self.set.decision_interval.0).max(1000))
     }
 
     /// Rule 1 and the stop of a drain: whatever is owed is answered before it is too late, run or not.
     fn overdue(&mut self, out: &mut Vec<Action>) {
-        let ahead = self.now + self.period() + self.set.round + self.set.round;
+        let ahead = self.now + self.period() + self.set.decision_interval + self.set.decision_interval;
         let kill = self.seen.leaving.map_or(Time(i64::MAX), |(_, kill)| kill);
         let slack = self.set.answer_slack;
         let is_over = |r: &Req| r.owed && ((r.due + slack) < ahead || kill < ahead);
@@ -963,8 +957,10 @@
         // be. A run that can't be stopped is not given up, as its answer costs no more.
         let given_up = |r: &Req| {
             let c = &self.set.classes[r.class];
-            let over = r.owed && c.late_worth == 0.0 && r.aim.max(r.arrived + c.aim) <= self.now;
-            let ends = self.set.stopping != Stopping::Off && r.phase == Phase::OnCore;
+            let over = r.owed
+                && c.late_weight_fraction == 0.0
+                && r.aim.max(r.arrived + c.latency_objective) <= self.now;
+            let ends = self.set.preemption != Preemption::Unsupported && r.phase == Phase::OnCore;
             over && (ends || matches!(r.phase, Phase::AtCall(_) | Phase::Calling))
         };
         let over = self.reqs.iter().filter(|(_, r)| is_over(r) || given_up(r));
@@ -976,7 +972,7 @@
             let held = of(Phase::Held);
             let Some((id, kb)) = held.or_else(|| of(Phase::Joined)) else { break };
             let idle = held.map_or(0.0, |_| (self.cores() - self.seen.on_core as f64).max(0.0));
-            let runs = idle * kb * (self.set.run_factor - 1.0).max(0.0);
+            let runs = idle * kb * (self.set.run_memory_factor - 1.0).max(0.0);
             if self.memory_now() + runs <= HEADROOM * self.set.memory_kb {
                 break;
             }
@@ -1018,7 +1014,7 @@
         // spell in five at most, as it may be everyone's, and not where further tries show that others refuse
         // too. A cold server, or one slower than its own mean, knows it for its own and leaves as long as the
         // line stands, until further tries are so many that the whole fleet must be slow.
-        let spell = self.set.crowd_span.0;
+        let spell = self.set.concurrency_window.0;
         let since = (self.now - self.turned).0;
         let ill = self.warmth() < 1.0 || self.slowness() > ILL;
         let may = ill || if self.seen.jammed { since < spell } else { since > 4 * spell };
@@ -1029,26 +1025,26 @@
         let jammed = room && (may && self.seen.unread > line * self.seen.mean_aim || crawls);
         if jammed != self.seen.jammed && !self.going() {
             (self.seen.jammed, self.turned) = (jammed, self.now);
-            out.push(Action::Health(!jammed));
+            out.push(Action::SetHealth(!jammed));
         }
-        let value = match self.set.free_value {
-            FreeValue::Off => return,
-            FreeValue::Floor => self.seen.level,
-            FreeValue::Allowance => {
+        let value = match self.set.capacity_hint {
+            CapacityHint::Off => return,
+            CapacityHint::PriorityFloor => self.seen.level,
+            CapacityHint::Allowance => {
                 let (sum, squares) =
                     self.seen.callers.values().fold((0.0, 0.0), |(s, q), r| (s + r, q + r * r));
                 let callers = if squares > 0.0 { sum * sum / squares } else { f64::from(self.set.callers) };
                 self.room() / callers.max(1.0)
             }
-            FreeValue::Weight => (self.room() / (self.reqs.len() as f64).max(1.0)).min(1.0),
+            CapacityHint::Weight => (self.room() / (self.reqs.len() as f64).max(1.0)).min(1.0),
         };
         // Where no list follows health, the value stands in for it.
-        let away = self.going() || self.seen.jammed && !self.set.lists_follow_health;
-        let none = if self.set.free_value == FreeValue::Floor { 1.0 } else { 0.0 };
+        let away = self.going() || self.seen.jammed && !self.set.endpoint_lists_follow_health;
+        let none = if self.set.capacity_hint == CapacityHint::PriorityFloor { 1.0 } else { 0.0 };
         let value = if away { none } else { value };
         if self.said.is_nan() || (value - self.said).abs() > 0.1 * self.said.max(0.1) {
             self.said = value;
-            out.push(Action::FreeValue(value));
+            out.push(Action::SetCapacityHint(value));
         }
     }
 
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -12,7 +12,7 @@
 
 use crate::node::Limits;
 use crate::wire::Site;
-use crate::{ClassId, Effect};
+use crate::{ClassId, Idempotency};
 
 /// One broker queue.
 #[derive(Clone, PartialEq)]
@@ -255,7 +255,7 @@
                 .settings
                 .classes
                 .get(class.0)
-                .is_none_or(|c| c.effect != Effect::Repeatable),
+                .is_none_or(|c| c.idempotency != Idempotency::Idempotent),
             tenant,
             prefetch,
             held_kb: held.map_or(DEFAULT_HELD_KB, f64::from),
--- a/src/net/jsonrpc/message.rs
+++ b/src/net/jsonrpc/message.rs
@@ -7,7 +7,7 @@
 
 use crate::node::{Answer, Arrival, Body, Outcome, Reply, Rid};
 use crate::wire::Site;
-use crate::{CallerId, ClassId, Effect, Span, Time};
+use crate::{CallerId, ClassId, Idempotency, Span, Time};
 
 /// A refusal: this try never ran.
 pub(super) const REFUSED: i32 = -32002;
@@ -86,7 +86,7 @@
             .settings
             .classes
             .get(class.0)
-            .is_some_and(|c| c.effect == Effect::ByKey);
+            .is_some_and(|c| c.idempotency == Idempotency::ByKey);
         let is_token = |t: &str| t.len() == TOKEN && t.bytes().all(|b| b.is_ascii_hexdigit());
         let is_budget = |ms: f64| ms > 0.0 && ms <= BUDGET;
         let body = STANDARD.decode(&self.body).map(|bytes| bytes.len());
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -9,7 +9,7 @@
 
 use super::limits::MEMORY_MB;
 use crate::wire::Site;
-use crate::{Below, SettingsError, Span};
+use crate::{Dependency, SettingsError, Span};
 
 /// Why the program can't start.
 #[derive(Debug)]
@@ -124,14 +124,14 @@
         let mut site = Site::from_json(&file.settings).map_err(ConfigError::Malformed)?;
         site.settings.check().map_err(ConfigError::Settings)?;
         // What has nothing below it is told of no database.
-        if site.settings.below != Below::Nothing && file.db.is_none() {
+        if site.settings.dependency != Dependency::None && file.db.is_none() {
             return Err(malformed(
                 "missing field `db`, though the settings have calls below",
             ));
         }
         // On these wires an answer must be one that a run of its own request made, unless it is run by key: a read is not
         // served from another's run, whatever the settings allow the module.
-        site.settings.share_for = Span(0);
+        site.settings.result_sharing_window = Span(0);
         Ok(Config {
             name: file.name,
             listen: file.listen,
--- a/src/node/module.rs
+++ b/src/node/module.rs
@@ -21,8 +21,8 @@
 use crate::wire::Site;
 use policy::Policy;
 use policy::{
-    Action, CallEnd, ClassId, Effect, Event, Gauges, Request, RequestId, RunEnd, Settings, Span,
-    Time,
+    Action, CallOutcome, ClassId, Event, Gauges, Idempotency, Request, RequestId, RunOutcome,
+    Settings, Span, Time,
 };
 
 /// The module keeps a tenth of memory and places free.
@@ -168,18 +168,18 @@
             .peers
             .waiting
             .is_none()
-            .then_some(set.calls_out * part.max(NEXT_TO_NOTHING));
-        let of = Event::Part {
+            .then_some(set.call_quota * part.max(NEXT_TO_NOTHING));
+        let of = Event::ResourceShareChanged {
             memory_kb: set.memory_kb * part,
-            crowd_per_core: set.crowd_per_core * part,
-            calls_out,
+            concurrency_per_core: set.concurrency_per_core * part,
+            call_quota: calls_out,
         };
         self.pending.push(Pending::Other(of));
     }
     /// Parts of what the node may have that are taken by what is in hand here, with the module's own margin.
     fn parts_used(&self, booked_kb: f64) -> u32 {
         let set = &self.site.settings;
-        let crowd = set.crowd_per_core * f64::from(set.cores);
+        let crowd = set.concurrency_per_core * f64::from(set.cores);
         let (_, running, ghosts) = self.requests.counts();
         let used = (booked_kb / set.memory_kb.max(1.0))
             .max((running + ghosts) as f64 / crowd.max(1.0))
@@ -201,8 +201,10 @@
         self.told_others = told.is_some();
         let (nodes, others) = told.unwrap_or_default();
         let others = others.into_iter().map(f64::from).collect();
-        self.pending
-            .push(Pending::Other(Event::Others(f64::from(nodes), others)));
+        self.pending.push(Pending::Other(Event::FleetLoad {
+            servers: f64::from(nodes),
+            in_flight_elsewhere: others,
+        }));
     }
 
     /// Looks after runs that nobody waits for: their end may never be told, if a command was lost with a link. Each
@@ -221,7 +223,7 @@
         let classes = &self.site.settings.classes;
         // One run by key goes on, as another try may come for its result.
         let grace = |class: ClassId| match classes.get(class.0) {
-            Some(c) if c.effect == Effect::ByKey => {
+            Some(c) if c.idempotency == Idempotency::ByKey => {
                 Duration::from_micros(c.deadline.0.unsigned_abs())
             }
             _ => Duration::ZERO,
@@ -244,13 +246,15 @@
             warn!(self.log, "the end of a run never came"; "rid" => %rid);
             self.over(
                 rid,
-                RunEnd::Moot,
+                RunOutcome::NeverStarted,
                 Outcome::Failed(Failure::Internal),
                 Some(End::Failed),
             );
         }
         self.requests.keys.expire(unix_now().0);
-        let booked_kb = self.requests.booked_kb(self.site.settings.run_factor);
+        let booked_kb = self
+            .requests
+            .booked_kb(self.site.settings.run_memory_factor);
         self.board.used.store(self.parts_used(booked_kb), Relaxed);
         self.peaks.booked_kb = self.peaks.booked_kb.max(booked_kb);
         self.state.log(|_| {
@@ -260,7 +264,7 @@
                 "owed" => self.board.owed(), "keys" => self.requests.keys.len(),
                 "keys_kb" => self.requests.keys.bytes() / 1024, "timers" => self.timers.len(), "pending" => self.pending.len(),
                 "booked_kb" => booked_kb as u64, "most_booked_kb" => peaks.booked_kb as u64,
-                "calls" => ?self.policy.as_ref().map(Policy::calls_seen),
+                "calls" => ?self.policy.as_ref().map(Policy::dependency_call_stats),
                 "memory_kb" => self.site.settings.memory_kb as u64, "oldest_read_ms" => peaks.age.ms() as u64);
         });
     }
@@ -283,7 +287,7 @@
 
     /// No batch comes sooner than a round after the last one.
     fn earliest(&self) -> Instant {
-        let round = Duration::from_micros(self.site.settings.round.0.unsigned_abs());
+        let round = Duration::from_micros(self.site.settings.decision_interval.0.unsigned_abs());
         self.last + round
     }
 
@@ -327,19 +331,22 @@
         let told = |p: Pending| match p {
             Pending::Read(mut request, arrived) => {
                 request.age = Span((now - arrived).0.max(0));
-                request.wait_left = request
-                    .wait_left
+                request.remaining_wait = request
+                    .remaining_wait
                     .map(|wait| Span((wait.0 - request.age.0).max(0)));
                 *oldest = request.age.max(*oldest);
-                Event::Read(request)
+                Event::RequestRead(request)
             }
             Pending::Other(event) => event,
         };
         let events: Vec<Event> = self.pending.drain(..).map(told).collect();
         let mut actions = std::mem::take(&mut self.actions);
-        let heavy = policy.heavy;
+        let heavy = policy.fleet_limit_rejections;
         policy.handle(now, &events, &mut actions);
-        let heavy = (policy.heavy - heavy, policy.heavy);
+        let heavy = (
+            policy.fleet_limit_rejections - heavy,
+            policy.fleet_limit_rejections,
+        );
         if heavy.0 > 0 {
             self.heavy.log(|_| {
                 info!(self.log, "refused: tenants are heavy over the fleet"; "so_far" => heavy.1);
@@ -372,7 +379,7 @@
                 if let Some(entry) = self.requests.get(id) {
                     entry.unsure = false;
                     entry.stage = Stage::AtCall(body, pos);
-                    self.pending.push(Pending::Other(Event::NeedsCall(id)));
+                    self.pending.push(Pending::Other(Event::CallRequested(id)));
                 }
             }
             Msg::Meters(tag, values) => {
@@ -390,18 +397,23 @@
                 self.not_carried_out.log(|more| {
                     warn!(self.log, "the executor would not run a request"; "rid" => %rid, "more" => more);
                 });
-                self.over(rid, RunEnd::Moot, Outcome::Failed(Failure::Internal), None);
+                self.over(
+                    rid,
+                    RunOutcome::NeverStarted,
+                    Outcome::Failed(Failure::Internal),
+                    None,
+                );
             }
             Msg::CallerLeft(rid) => self.caller_left(rid),
             Msg::CallDone(id, result, took) => self.call_done(id, result, took),
             Msg::CallsOut(places) => self
                 .pending
-                .push(Pending::Other(Event::CallsOut(places as f64))),
+                .push(Pending::Other(Event::CallQuotaChanged(places as f64))),
             Msg::Parts(parts) => self.told_parts(parts),
             Msg::Replaced(left) => {
                 let left = left.saturating_sub(self.limits.stop_margin);
                 self.pending
-                    .push(Pending::Other(Event::Replaced(Span::from_ms(
+                    .push(Pending::Other(Event::ReplacementNotice(Span::from_ms(
                         left.as_secs_f64() * 1e3,
                     ))));
             }
@@ -410,7 +422,7 @@
                 let left = self.stop.saturating_sub(self.limits.stop_margin);
                 info!(self.log, "notice to leave"; "left_ms" => left.as_millis() as u64, "owed" => self.board.owed());
                 self.pending
-                    .push(Pending::Other(Event::Leaving(Span::from_ms(
+                    .push(Pending::Other(Event::ShutdownNotice(Span::from_ms(
                         left.as_secs_f64() * 1e3,
                     ))));
             }
@@ -432,8 +444,8 @@
             ..
         } = a;
         let told = self.site.settings.classes.get(class.0);
-        let effect = told.map_or(Effect::Once, |c| c.effect);
-        let once = effect != Effect::Repeatable;
+        let effect = told.map_or(Idempotency::AtMostOnce, |c| c.idempotency);
+        let once = effect != Idempotency::Idempotent;
         let hint = self.board.hint();
         let give = |reply: Reply, outcome| reply.give(Answer { outcome, hint });
         let digests = &self.requests.digests;
@@ -455,7 +467,7 @@
         };
         // An earlier try of it may have run, here in another life or elsewhere: running it could be the second. What is known
         // here of a key is the better word.
-        let known_here = effect == Effect::ByKey && repeats.is_some();
+        let known_here = effect == Idempotency::ByKey && repeats.is_some();
         if (once && a.may_have_run && !known_here) || (repeats.is_some() && a.unwanted) {
             return give(reply, Outcome::Failed(Failure::MayHaveRun));
         }
@@ -530,7 +542,7 @@
         let id = self
             .requests
             .enter(entry, first.filter(|_| repeats.is_none()));
-        if effect == Effect::Once {
+        if effect == Idempotency::AtMostOnce {
             self.requests.keys.keep(id.0, NEVER);
         }
         self.board.owed.fetch_add(1, Relaxed);
@@ -539,14 +551,14 @@
             class,
             tenant,
             has_key: false,
-            wait_left: wait,
-            hint: None,
-            held_kb,
-            resent,
-            write: once,
+            remaining_wait: wait,
+            work_hint: None,
+            queued_kb: held_kb,
+            is_retry: resent,
+            is_write: once,
             caller,
             age: Span(0),
-            repeats,
+            duplicate_of: repeats,
         };
         self.pending.push(Pending::Read(request, at));
     }
@@ -567,7 +579,7 @@
         // have been up for hours, which would only run the module's clocks past all that they measure.
         let age = if cold { age } else { Duration::ZERO };
         let settings = Settings {
-            cold,
+            starts_cold: cold,
             ..self.site.settings.clone()
         };
         let mut policy = match Policy::new(settings, self.seed) {
@@ -599,7 +611,7 @@
         for entry in requests.all() {
             let unsure = std::mem::take(&mut entry.unsure);
             let class = site.settings.classes.get(entry.class.0);
-            let safe = class.is_some_and(|c| c.effect == Effect::Repeatable);
+            let safe = class.is_some_and(|c| c.idempotency == Idempotency::Idempotent);
             if unsure && safe && entry.reply.is_some() && entry.stage == Stage::Running {
                 let name = site.class_name(entry.class).to_string();
                 let _ =
@@ -614,26 +626,30 @@
         let failed = Some(End::Failed);
         let (end, outcome, came) = match how {
             RunExit::Done(body) => (
-                RunEnd::Served,
+                RunOutcome::Served,
                 Outcome::Served(body.clone()),
                 Some(End::Served(body)),
             ),
-            RunExit::Error => (RunEnd::Failed, Outcome::Failed(Failure::Run), failed),
-            RunExit::Stopped => (RunEnd::Stopped, Outcome::Failed(Failure::Run), failed),
-            RunExit::Moot => (RunEnd::Moot, Outcome::Failed(Failure::Internal), None),
+            RunExit::Error => (RunOutcome::Failed, Outcome::Failed(Failure::Run), failed),
+            RunExit::Stopped => (RunOutcome::Stopped, Outcome::Failed(Failure::Run), failed),
+            RunExit::Moot => (
+                RunOutcome::NeverStarted,
+                Outcome::Failed(Failure::Internal),
+                None,
+            ),
         };
         self.over(rid, end, outcome, came);
     }
 
     /// A run is over: the answer goes out at once if it is still owed, also to those that joined it, and the module hears
     /// of it. What came of it is kept under its key, if it has one; nothing came of one that certainly never ran.
-    fn over(&mut self, rid: Rid, end: RunEnd, outcome: Outcome, came: Option<End>) {
+    fn over(&mut self, rid: Rid, end: RunOutcome, outcome: Outcome, came: Option<End>) {
         let Some(id) = self.requests.find(rid) else {
             return debug!(self.log, "end of a request that is over"; "rid" => %rid);
         };
         let waiting = match came {
             // One run once has no repeat that would be served.
-            Some(End::Served(_)) if self.effect(id) != Some(Effect::ByKey) => {
+            Some(End::Served(_)) if self.effect(id) != Some(Idempotency::ByKey) => {
                 self.requests.keys.end(id.0, End::Failed, 0)
             }
             Some(came) => {
@@ -649,12 +665,16 @@
         self.answer(id, outcome.clone());
         self.tell_waiting(waiting.into_iter().map(RequestId).collect(), &outcome);
         self.remove(id);
-        self.pending.push(Pending::Other(Event::Finished(id, end)));
+        self.pending.push(Pending::Other(Event::RunEnded(id, end)));
     }
 
-    fn effect(&mut self, id: RequestId) -> Option<Effect> {
+    fn effect(&mut self, id: RequestId) -> Option<Idempotency> {
         let class = self.requests.get(id)?.class;
-        self.site.settings.classes.get(class.0).map(|c| c.effect)
+        self.site
+            .settings
+            .classes
+            .get(class.0)
+            .map(|c| c.idempotency)
     }
 
     /// Takes a request out of the request table. Those that waited for one that never ran never ran either.
@@ -679,13 +699,13 @@
 
     fn end_joined(&mut self, id: RequestId, outcome: Outcome) {
         let end = if matches!(outcome, Outcome::Served(_)) {
-            RunEnd::Served
+            RunOutcome::Served
         } else {
-            RunEnd::Failed
+            RunOutcome::Failed
         };
         self.answer(id, outcome);
         self.remove(id);
-        self.pending.push(Pending::Other(Event::Finished(id, end)));
+        self.pending.push(Pending::Other(Event::RunEnded(id, end)));
     }
 
     /// Serves a request from the one that it repeats.
@@ -718,7 +738,8 @@
             return;
         };
         reply.forgo();
-        self.pending.push(Pending::Other(Event::CallerLeft(id)));
+        self.pending
+            .push(Pending::Other(Event::CallerStoppedWaiting(id)));
         if self.requests.get(id).is_some_and(|e| !e.ran()) {
             self.remove(id);
         }
@@ -738,15 +759,15 @@
                 if self.peers.executor.try_send(back).is_err() {
                     warn!(self.log, "no room for a reply"; "rid" => %entry.rid);
                 }
-                CallEnd::Good
+                CallOutcome::Succeeded
             }
             CallResult::NeverRan => {
                 entry.stage = Stage::AtCall(body.clone(), *pos);
-                CallEnd::NeverRan
+                CallOutcome::NotExecuted
             }
             CallResult::Unknown => {
                 entry.stage = Stage::AtCall(body.clone(), *pos);
-                CallEnd::Failed
+                CallOutcome::Failed
             }
         };
         let took = Span::from_ms(took.as_secs_f64() * 1e3);
@@ -786,22 +807,22 @@
             Action::Run(id) => self.start(id),
             Action::Stop(id) => {
                 // One run by key goes on: its result is for the next try, which would find none otherwise.
-                let goes_on = self.effect(id) == Some(Effect::ByKey);
+                let goes_on = self.effect(id) == Some(Idempotency::ByKey);
                 if let Some(entry) = self.requests.get(id).filter(|e| e.ran() && !goes_on) {
                     // If the command is lost, the run ends by itself and its result is dropped.
                     let _ = self.peers.executor.try_send(ToExecutor::Kill(entry.rid));
                 }
             }
-            Action::Refuse {
+            Action::Reject {
                 id,
-                stay_away,
+                retry_after: stay_away,
                 give_up,
             } => {
                 let Some(entry) = self.requests.get(id) else {
                     return;
                 };
                 let class = self.site.settings.classes.get(entry.class.0);
-                let safe = class.is_some_and(|c| c.effect == Effect::Repeatable);
+                let safe = class.is_some_and(|c| c.idempotency == Idempotency::Idempotent);
                 let outcome = if entry.ran() && !safe {
                     Outcome::Failed(Failure::GivenUp)
                 } else {
@@ -839,9 +860,9 @@
                     self.call_done(id, CallResult::NeverRan, Duration::ZERO);
                 }
             }
-            Action::Health(ready) => self.board.ready.store(ready, Relaxed),
-            Action::FreeValue(value) => self.board.hint.store(value.to_bits(), Relaxed),
-            Action::CloseIdle(span) => self.board.idle_us.store(span.0, Relaxed),
+            Action::SetHealth(ready) => self.board.ready.store(ready, Relaxed),
+            Action::SetCapacityHint(value) => self.board.hint.store(value.to_bits(), Relaxed),
+            Action::CloseIdleConnections(span) => self.board.idle_us.store(span.0, Relaxed),
             Action::WakeIn(span) => {
                 let at = Instant::now() + Duration::from_micros(span.0.unsigned_abs());
                 self.timers.push(Reverse(at));
@@ -860,9 +881,9 @@
                     .executor
                     .try_send(ToExecutor::Bypass(entry.rid, pos));
             }
-            Action::Remember(id, span) => self.requests.keys.keep(id.0, (unix_now() + span).0),
+            Action::RememberKey(id, span) => self.requests.keys.keep(id.0, (unix_now() + span).0),
             // The key of what never ran goes with it, in the same batch.
-            Action::Forget(_) => {}
+            Action::ForgetKey(_) => {}
             Action::Join(id) => self.join(id),
         }
     }
@@ -885,8 +906,10 @@
                     give_up: false,
                 },
             );
-            self.pending
-                .push(Pending::Other(Event::Finished(id, RunEnd::Moot)));
+            self.pending.push(Pending::Other(Event::RunEnded(
+                id,
+                RunOutcome::NeverStarted,
+            )));
         }
     }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -8,8 +8,9 @@
 
 use policy::Policy;
 use policy::{
-    Action, Below, CallEnd, CallerId, Class, ClassId, Effect, Event, FreeValue, Gauges, Request,
-    RequestId, RunEnd, Settings, Span, Stopping, Tenant, TenantId, Time,
+    Action, CallOutcome, CallerId, CapacityHint, Class, ClassId, Dependency, Event, Gauges,
+    Idempotency, Preemption, Request, RequestId, RunOutcome, Settings, Span, Tenant, TenantId,
+    Time,
 };
 
 #[derive(Deserialize)]
@@ -441,22 +442,22 @@
 
     fn event(&self, event: EventIn) -> Result<Event, String> {
         Ok(match event {
-            EventIn::Query(q) => Event::Read(self.request(*q)?),
+            EventIn::Query(q) => Event::RequestRead(self.request(*q)?),
             EventIn::Finished(end) => {
                 let how = match end.outcome {
-                    Code::Good => RunEnd::Served,
-                    Code::Bad => RunEnd::Failed,
-                    Code::Cxl => RunEnd::Stopped,
-                    Code::Nop => RunEnd::Moot,
+                    Code::Good => RunOutcome::Served,
+                    Code::Bad => RunOutcome::Failed,
+                    Code::Cxl => RunOutcome::Stopped,
+                    Code::Nop => RunOutcome::NeverStarted,
                     other => return Err(format!("a run can't end with {other:?}")),
                 };
-                Event::Finished(RequestId(end.msg_id), how)
+                Event::RunEnded(RequestId(end.msg_id), how)
             }
             EventIn::CallEnded(end) => {
                 let how = match end.outcome {
-                    Code::Good => CallEnd::Good,
-                    Code::Full | Code::Noconn | Code::Nop => CallEnd::NeverRan,
-                    Code::Bad | Code::Late | Code::Rst | Code::Cxl => CallEnd::Failed,
+                    Code::Good => CallOutcome::Succeeded,
+                    Code::Full | Code::Noconn | Code::Nop => CallOutcome::NotExecuted,
+                    Code::Bad | Code::Late | Code::Rst | Code::Cxl => CallOutcome::Failed,
                 };
                 Event::CallEnded(
                     RequestId(end.msg_id),
@@ -464,9 +465,9 @@
                     span(end.duration.unwrap_or(0.0))?,
                 )
             }
-            EventIn::Blocked(b) => Event::NeedsCall(RequestId(b.msg_id)),
-            EventIn::Left(l) => Event::CallerLeft(RequestId(l.msg_id)),
-            EventIn::Notice { time_left } => Event::Leaving(span(time_left)?),
+            EventIn::Blocked(b) => Event::CallRequested(RequestId(b.msg_id)),
+            EventIn::Left(l) => Event::CallerStoppedWaiting(RequestId(l.msg_id)),
+            EventIn::Notice { time_left } => Event::ShutdownNotice(span(time_left)?),
             EventIn::Reminder { pressure } => Event::Wake(self.site.gauges(&pressure)),
             EventIn::Spawn(_) | EventIn::Retire {} => {
                 return Err("start or stop out of place".into())
@@ -489,14 +490,14 @@
             class,
             tenant,
             has_key: matches!(&q.entity, Some(Value::String(key)) if !key.is_empty()),
-            wait_left: wait,
-            hint: q.hint.filter(|h| *h > 0.0).map(span).transpose()?,
-            held_kb: q.footprint.unwrap_or(0.0).max(0.0),
-            resent: q.resent.unwrap_or(false),
-            write: q.write.unwrap_or(false),
+            remaining_wait: wait,
+            work_hint: q.hint.filter(|h| *h > 0.0).map(span).transpose()?,
+            queued_kb: q.footprint.unwrap_or(0.0).max(0.0),
+            is_retry: q.resent.unwrap_or(false),
+            is_write: q.write.unwrap_or(false),
             caller: CallerId(q.sender.unwrap_or(0)),
             age: span(q.age.unwrap_or(0.0))?,
-            repeats: q.same_as.filter(|id| *id > 0).map(RequestId),
+            duplicate_of: q.same_as.filter(|id| *id > 0).map(RequestId),
         })
     }
 }
@@ -520,23 +521,23 @@
 fn settings(f: &Facts) -> Settings {
     let s = &f.specifics;
     let classes = f.lanes.iter().enumerate().map(|(i, l)| Class {
-        aim: Span::from_ms(l.promise),
+        latency_objective: Span::from_ms(l.promise),
         deadline: Span::from_ms(l.deadline),
-        effect: match l.effect.as_str() {
-            "repeatable" => Effect::Repeatable,
-            "by_key" => Effect::ByKey,
-            _ => Effect::Once,
+        idempotency: match l.effect.as_str() {
+            "repeatable" => Idempotency::Idempotent,
+            "by_key" => Idempotency::ByKey,
+            _ => Idempotency::AtMostOnce,
         },
-        late_worth: l.late_worth,
-        window: Span::from_ms(l.window),
-        worth: l.worth,
-        aim_stretch: l.aim_stretch,
-        calls: s.class_calls.get(i).copied().unwrap_or(true),
-        skip_worth: s.class_skip_worth.get(i).copied().unwrap_or(0.0),
+        late_weight_fraction: l.late_worth,
+        idempotency_window: Span::from_ms(l.window),
+        priority_weight: l.worth,
+        objective_work_multiple: l.aim_stretch,
+        may_call: s.class_calls.get(i).copied().unwrap_or(true),
+        skipped_call_weight_fraction: s.class_skip_worth.get(i).copied().unwrap_or(0.0),
     });
     Settings {
         cores: s.cores,
-        round: Span::from_ms(f.round),
+        decision_interval: Span::from_ms(f.round),
         servers: f.servers,
         callers: s.upstreams,
         classes: classes.collect(),
@@ -547,43 +548,43 @@
                 allowance_per_s: t.allowance_per_s,
             })
             .collect(),
-        over_share_worth: f.over_share_worth.unwrap_or(1.0),
-        worth_by_work: f.worth_by == "work",
+        over_share_weight_fraction: f.over_share_worth.unwrap_or(1.0),
+        weight_per_work: f.worth_by == "work",
         memory_kb: s.heap_kb,
-        run_factor: s.run_factor.unwrap_or(1.0),
+        run_memory_factor: s.run_factor.unwrap_or(1.0),
         key_kb: s.key_kb,
-        below: match s.depends_on.as_str() {
-            "one_for_all" => Below::Shared,
-            "tier" => Below::Tier,
-            _ => Below::Nothing,
+        dependency: match s.depends_on.as_str() {
+            "one_for_all" => Dependency::Shared,
+            "tier" => Dependency::Tier,
+            _ => Dependency::None,
         },
-        calls_out: s.calls_out,
-        calls_span: Span::from_ms(s.share_span),
-        linger: Span::from_ms(s.linger),
-        share_for: Span::from_ms(s.share_for),
-        stopping: match s.halt.as_str() {
-            "discard" => Stopping::Discard,
-            "freeze" => Stopping::Freeze,
-            _ => Stopping::Off,
+        call_quota: s.calls_out,
+        call_quota_window: Span::from_ms(s.share_span),
+        abandoned_call_linger: Span::from_ms(s.linger),
+        result_sharing_window: Span::from_ms(s.share_for),
+        preemption: match s.halt.as_str() {
+            "discard" => Preemption::DiscardsWork,
+            "freeze" => Preemption::KeepsWork,
+            _ => Preemption::Unsupported,
         },
-        free_value: match s.say.as_str() {
-            "floor" => FreeValue::Floor,
-            "allowance" => FreeValue::Allowance,
-            "weight" => FreeValue::Weight,
-            _ => FreeValue::Off,
+        capacity_hint: match s.say.as_str() {
+            "floor" => CapacityHint::PriorityFloor,
+            "allowance" => CapacityHint::Allowance,
+            "weight" => CapacityHint::Weight,
+            _ => CapacityHint::Off,
         },
-        heard_for: Span::from_ms(s.heard_for),
+        capacity_hint_lifetime: Span::from_ms(s.heard_for),
         // Untold, nothing has to stand in for the lists.
-        lists_follow_health: s.registry_follows.unwrap_or(true),
-        cold: s.cold,
+        endpoint_lists_follow_health: s.registry_follows.unwrap_or(true),
+        starts_cold: s.cold,
         start_capacity: f.invariants.start_capacity.unwrap_or(0.0),
         warm_up: Span::from_ms(f.invariants.warm_up),
         answer_slack: Span::from_ms(f.invariants.answer_slack),
         drain_grace: Span::from_ms(f.invariants.drain_grace),
-        crowd_per_core: f.invariants.fall_multiple.unwrap_or(1.0),
-        crowd_span: Span::from_ms(f.invariants.fall),
+        concurrency_per_core: f.invariants.fall_multiple.unwrap_or(1.0),
+        concurrency_window: Span::from_ms(f.invariants.fall),
         max_retry_after: Span::from_ms(f.policy_limits.max_retry_after),
-        caller_idle: Span::from_ms(s.caller_idle),
+        caller_idle_timeout: Span::from_ms(s.caller_idle),
     }
 }
 
@@ -591,13 +592,13 @@
     match action {
         Action::Run(id) => StepOut::Admit { msg_id: id.0 },
         Action::Stop(id) => StepOut::Preempt { msg_id: id.0 },
-        Action::Refuse {
+        Action::Reject {
             id,
-            stay_away,
+            retry_after,
             give_up,
         } => StepOut::Reject {
             msg_id: id.0,
-            retry_after: stay_away.ms(),
+            retry_after: retry_after.ms(),
             give_up,
         },
         Action::Fail(id) => StepOut::Lose { msg_id: id.0 },
@@ -606,18 +607,18 @@
             timeout: limit.ms(),
         },
         Action::SkipCall(id) => StepOut::Skip { msg_id: id.0 },
-        Action::Remember(id, span) => StepOut::RecordKey {
+        Action::RememberKey(id, span) => StepOut::RecordKey {
             msg_id: id.0,
             hold_for: span.ms(),
         },
-        Action::Forget(id) => StepOut::Unpin { msg_id: id.0 },
+        Action::ForgetKey(id) => StepOut::Unpin { msg_id: id.0 },
         Action::Join(id) => StepOut::Join { msg_id: id.0 },
-        Action::Health(active) => StepOut::Readiness {
+        Action::SetHealth(active) => StepOut::Readiness {
             cached: true,
             active,
         },
-        Action::FreeValue(value) => StepOut::Stamp { value },
-        Action::CloseIdle(span) => StepOut::TrimAfter {
+        Action::SetCapacityHint(value) => StepOut::Stamp { value },
+        Action::CloseIdleConnections(span) => StepOut::TrimAfter {
             hold_for: span.ms(),
         },
         Action::WakeIn(span) => StepOut::WakeAt {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,17 +3,17 @@
 
 use protocol_gateway::*;
 
-pub(crate) fn class(effect: Effect) -> Class {
+pub(crate) fn class(idempotency: Idempotency) -> Class {
     Class {
-        aim: Span::from_ms(2000.0),
+        latency_objective: Span::from_ms(2000.0),
         deadline: Span::from_ms(6000.0),
-        effect,
-        late_worth: 0.0,
-        window: Span::from_ms(5000.0),
-        worth: 1.0,
-        aim_stretch: 0.0,
-        calls: true,
-        skip_worth: 0.0,
+        idempotency,
+        late_weight_fraction: 0.0,
+        idempotency_window: Span::from_ms(5000.0),
+        priority_weight: 1.0,
+        objective_work_multiple: 0.0,
+        may_call: true,
+        skipped_call_weight_fraction: 0.0,
     }
 }
 
@@ -21,13 +21,13 @@
 pub(crate) fn settings() -> Settings {
     Settings {
         cores: 2,
-        round: Span::from_ms(2.0),
+        decision_interval: Span::from_ms(2.0),
         servers: 4,
         callers: 3,
         classes: vec![
-            class(Effect::Repeatable),
-            class(Effect::ByKey),
-            class(Effect::Once),
+            class(Idempotency::Idempotent),
+            class(Idempotency::ByKey),
+            class(Idempotency::AtMostOnce),
         ],
         tenants: vec![
             Tenant {
@@ -37,29 +37,29 @@
                 allowance_per_s: 8.0,
             },
         ],
-        over_share_worth: 0.1,
-        worth_by_work: false,
+        over_share_weight_fraction: 0.1,
+        weight_per_work: false,
         memory_kb: 2000.0,
-        run_factor: 4.0,
+        run_memory_factor: 4.0,
         key_kb: 5.0,
-        below: Below::Shared,
-        calls_out: 4.0,
-        calls_span: Span::from_ms(5000.0),
-        linger: Span::from_ms(200.0),
-        share_for: Span(0),
-        stopping: Stopping::Discard,
-        free_value: FreeValue::Allowance,
-        heard_for: Span::from_ms(1000.0),
-        lists_follow_health: true,
-        cold: false,
+        dependency: Dependency::Shared,
+        call_quota: 4.0,
+        call_quota_window: Span::from_ms(5000.0),
+        abandoned_call_linger: Span::from_ms(200.0),
+        result_sharing_window: Span(0),
+        preemption: Preemption::DiscardsWork,
+        capacity_hint: CapacityHint::Allowance,
+        capacity_hint_lifetime: Span::from_ms(1000.0),
+        endpoint_lists_follow_health: true,
+        starts_cold: false,
         start_capacity: 0.2,
         warm_up: Span::from_ms(10_000.0),
         answer_slack: Span::from_ms(60.0),
         drain_grace: Span::from_ms(1000.0),
-        crowd_per_core: 5.0,
-        crowd_span: Span::from_ms(2000.0),
+        concurrency_per_core: 5.0,
+        concurrency_window: Span::from_ms(2000.0),
         max_retry_after: Span::from_ms(1000.0),
-        caller_idle: Span::from_ms(30_000.0),
+        caller_idle_timeout: Span::from_ms(30_000.0),
     }
 }
 
@@ -69,14 +69,14 @@
         class: ClassId(class),
         tenant: Some(TenantId(id % 2)),
         has_key: false,
-        wait_left: None,
-        hint: None,
-        held_kb: 10.0,
-        resent: false,
-        write: false,
+        remaining_wait: None,
+        work_hint: None,
+        queued_kb: 10.0,
+        is_retry: false,
+        is_write: false,
         caller: CallerId(id % 3),
         age: Span(0),
-        repeats: None,
+        duplicate_of: None,
     }
 }
 
@@ -101,7 +101,9 @@
         out
     }
     pub(crate) fn read(&mut self, ids: std::ops::Range<u64>, class: usize) -> Vec<Action> {
-        let events: Vec<Event> = ids.map(|id| Event::Read(request(id, class))).collect();
+        let events: Vec<Event> = ids
+            .map(|id| Event::RequestRead(request(id, class)))
+            .collect();
         self.at(self.now, &events)
     }
 }
@@ -122,7 +124,7 @@
     actions
         .iter()
         .filter_map(|a| {
-            if let Action::Refuse { id, .. } = a {
+            if let Action::Reject { id, .. } = a {
                 Some(id.0)
             } else {
                 None
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -20,7 +20,7 @@
         Some(SettingsError::NegativeTime("drain_grace"))
     );
     assert_eq!(
-        broken(|s| s.classes[1].aim = Span(-1)),
+        broken(|s| s.classes[1].latency_objective = Span(-1)),
         Some(SettingsError::NegativeTime("aim"))
     );
     assert_eq!(
@@ -34,7 +34,7 @@
 fn runs_no_more_than_the_cores_and_holds_the_rest() {
     let mut s = Server::new(settings());
     assert_eq!(runs(&s.read(1..6, 0)).len(), 2);
-    let next = s.at(1100.0, &[Event::Finished(RequestId(1), RunEnd::Served)]);
+    let next = s.at(1100.0, &[Event::RunEnded(RequestId(1), RunOutcome::Served)]);
     assert_eq!(runs(&next).len(), 1);
 }
 
@@ -60,11 +60,11 @@
 fn a_tenant_over_the_threshold_is_refused_only_while_the_hold_is_late() {
     let mut set = settings();
     set.memory_kb = 1e6;
-    set.classes[0].aim = Span::from_ms(60_000.0);
+    set.classes[0].latency_objective = Span::from_ms(60_000.0);
     set.classes[0].deadline = Span::from_ms(90_000.0);
     let old = Span::from_ms(16_000.0);
     let read = |id, tenant, age| {
-        Event::Read(Request {
+        Event::RequestRead(Request {
             tenant: Some(TenantId(tenant)),
             age,
             ..request(id, 0)
@@ -85,12 +85,12 @@
 fn a_tenant_heavy_over_the_fleet_is_refused_where_its_counts_are_known() {
     let mut set = settings();
     set.memory_kb = 1e6;
-    set.classes[0].aim = Span::from_ms(60_000.0);
+    set.classes[0].latency_objective = Span::from_ms(60_000.0);
     set.classes[0].deadline = Span::from_ms(90_000.0);
     set.tenants[1].allowance_per_s = 24.0;
     let read = |id, tenant, age| {
         let age = Span::from_ms(age);
-        Event::Read(Request {
+        Event::RequestRead(Request {
             tenant: Some(TenantId(tenant)),
             age,
             ..request(id, 0)
@@ -98,7 +98,10 @@
     };
     let mut s = Server::new(set);
     // Ten in flight are heavy on one server. A quarter of the allowances are tenant 0's: on eight servers that is 20.
-    let others = Event::Others(8.0, vec![16.0, 40.0]);
+    let others = Event::FleetLoad {
+        servers: 8.0,
+        in_flight_elsewhere: vec![16.0, 40.0],
+    };
     let first = [
         others,
         read(1, 0, 16_000.0),
@@ -108,13 +111,20 @@
     assert!(refused(&s.at(1000.0, &first)).is_empty());
     let out = s.at(1001.0, &[read(4, 0, 0.0), read(5, 0, 0.0), read(6, 1, 0.0)]);
     assert_eq!(
-        (refused(&out), s.policy.heavy),
+        (refused(&out), s.policy.fleet_limit_rejections),
         (vec![5], 1),
         "16 elsewhere and 4 here are its part"
     );
     let out = s.at(
         1002.0,
-        &[Event::Others(0.0, vec![]), read(7, 0, 0.0), read(8, 0, 0.0)],
+        &[
+            Event::FleetLoad {
+                servers: 0.0,
+                in_flight_elsewhere: vec![],
+            },
+            read(7, 0, 0.0),
+            read(8, 0, 0.0),
+        ],
     );
     assert!(
         refused(&out).is_empty(),
@@ -127,12 +137,12 @@
     let mut s = Server::new(settings());
     let mut events: Vec<Event> = Vec::new();
     for id in 1..20 {
-        events.push(Event::Read(Request {
+        events.push(Event::RequestRead(Request {
             tenant: Some(TenantId(0)),
             ..request(id, 0)
         }));
     }
-    events.push(Event::Read(Request {
+    events.push(Event::RequestRead(Request {
         tenant: Some(TenantId(1)),
         ..request(50, 0)
     }));
@@ -146,14 +156,14 @@
     let out = s.read(1..2, 1);
     let kept = out
         .iter()
-        .position(|a| matches!(a, Action::Remember(RequestId(1), _)));
+        .position(|a| matches!(a, Action::RememberKey(RequestId(1), _)));
     let run = out.iter().position(|a| *a == Action::Run(RequestId(1)));
     assert!(kept.is_some() && kept < run, "{out:?}");
     let again = Request {
-        repeats: Some(RequestId(1)),
+        duplicate_of: Some(RequestId(1)),
         ..request(2, 1)
     };
-    let out = s.at(1010.0, &[Event::Read(again)]);
+    let out = s.at(1010.0, &[Event::RequestRead(again)]);
     assert!(
         out.contains(&Action::Join(RequestId(2)))
             && runs(&out).is_empty()
@@ -163,10 +173,16 @@
 
 #[test]
 fn an_effect_is_never_called_again_unless_the_call_never_ran() {
-    for (end, again) in [(CallEnd::Failed, false), (CallEnd::NeverRan, true)] {
+    for (end, again) in [
+        (CallOutcome::Failed, false),
+        (CallOutcome::NotExecuted, true),
+    ] {
         let mut s = Server::new(settings());
         s.read(1..2, 2);
-        assert_eq!(calls(&s.at(1010.0, &[Event::NeedsCall(RequestId(1))])), [1]);
+        assert_eq!(
+            calls(&s.at(1010.0, &[Event::CallRequested(RequestId(1))])),
+            [1]
+        );
         let mut out = s.at(
             1020.0,
             &[Event::CallEnded(RequestId(1), end, Span::from_ms(10.0))],
@@ -195,16 +211,24 @@
     };
     let (one, two) = (RequestId(1), RequestId(2));
     // Nothing is known of calls yet: only the due time bounds the first.
-    assert!(limit(&s.at(1010.0, &[Event::NeedsCall(one)])) > Some(5000.0));
+    assert!(limit(&s.at(1010.0, &[Event::CallRequested(one)])) > Some(5000.0));
     s.at(
         1020.0,
-        &[Event::CallEnded(one, CallEnd::Good, Span::from_ms(10.0))],
+        &[Event::CallEnded(
+            one,
+            CallOutcome::Succeeded,
+            Span::from_ms(10.0),
+        )],
     );
-    let least = limit(&s.at(1030.0, &[Event::NeedsCall(two)])).expect("a call");
+    let least = limit(&s.at(1030.0, &[Event::CallRequested(two)])).expect("a call");
     assert!((500.0..1000.0).contains(&least), "{least} ms");
     s.at(
         1030.0 + least,
-        &[Event::CallEnded(two, CallEnd::Failed, Span::from_ms(least))],
+        &[Event::CallEnded(
+            two,
+            CallOutcome::Failed,
+            Span::from_ms(least),
+        )],
     );
     // It is made again, under much the same limit.
     let next =
@@ -221,7 +245,7 @@
     assert_eq!(ran.len(), 8);
     let events: Vec<Event> = ran
         .iter()
-        .map(|id| Event::NeedsCall(RequestId(*id)))
+        .map(|id| Event::CallRequested(RequestId(*id)))
         .collect();
     // Share 4, of which nine tenths: three at once, and a failed one lingers.
     assert_eq!(calls(&s.at(1010.0, &events)).len(), 3);
@@ -230,7 +254,7 @@
         1020.0,
         &[Event::CallEnded(
             first,
-            CallEnd::Failed,
+            CallOutcome::Failed,
             Span::from_ms(10.0),
         )],
     );
@@ -244,15 +268,18 @@
 #[test]
 fn a_share_under_one_call_is_kept_in_the_mean() {
     let mut set = settings();
-    set.calls_out = 0.6;
-    set.classes[0].aim = Span::from_ms(60_000.0);
+    set.call_quota = 0.6;
+    set.classes[0].latency_objective = Span::from_ms(60_000.0);
     set.classes[0].deadline = Span::from_ms(60_000.0);
     let mut s = Server::new(set);
     assert_eq!(runs(&s.read(1..3, 0)).len(), 2);
-    assert_eq!(calls(&s.at(1000.0, &[Event::NeedsCall(RequestId(1))])), [1]);
+    assert_eq!(
+        calls(&s.at(1000.0, &[Event::CallRequested(RequestId(1))])),
+        [1]
+    );
     // That call took six seconds: a share of 0.6 over five of them is used up for a while, then free again.
-    let slow = Event::CallEnded(RequestId(1), CallEnd::Good, Span::from_ms(6000.0));
-    assert!(calls(&s.at(7000.0, &[slow, Event::NeedsCall(RequestId(2))])).is_empty());
+    let slow = Event::CallEnded(RequestId(1), CallOutcome::Succeeded, Span::from_ms(6000.0));
+    assert!(calls(&s.at(7000.0, &[slow, Event::CallRequested(RequestId(2))])).is_empty());
     assert!(calls(&s.at(7300.0, &[Event::Wake(Gauges::default())])).is_empty());
     assert_eq!(calls(&s.at(9000.0, &[Event::Wake(Gauges::default())])), [2]);
 }
@@ -261,9 +288,9 @@
 fn a_drain_runs_nothing_that_came_after_the_grace_and_answers_all() {
     let mut s = Server::new(settings());
     let mut out = s.read(1..7, 0);
-    out.extend(s.at(1000.0, &[Event::Leaving(Span::from_ms(2500.0))]));
-    assert!(out.contains(&Action::Health(false)));
-    let late = s.at(2100.0, &[Event::Read(request(9, 0))]);
+    out.extend(s.at(1000.0, &[Event::ShutdownNotice(Span::from_ms(2500.0))]));
+    assert!(out.contains(&Action::SetHealth(false)));
+    let late = s.at(2100.0, &[Event::RequestRead(request(9, 0))]);
     assert!(refused(&late).contains(&9) && runs(&late).is_empty());
     out.extend(late);
     let mut now = 2100.0;
@@ -291,12 +318,12 @@
 fn a_cold_server_lets_fewer_onto_cores_and_calls_than_a_warm_one() {
     let crowd = |cold: bool| {
         let mut set = settings();
-        (set.cold, set.memory_kb, set.below) = (cold, 1e6, Below::Tier);
+        (set.starts_cold, set.memory_kb, set.dependency) = (cold, 1e6, Dependency::Tier);
         let mut s = Server::new(set);
         let mut out = s.read(1..60, 0);
         let mut at = 0;
         while at < runs(&out).len() {
-            let more = s.at(1000.0, &[Event::NeedsCall(RequestId(runs(&out)[at]))]);
+            let more = s.at(1000.0, &[Event::CallRequested(RequestId(runs(&out)[at]))]);
             out.extend(more);
             at += 1;
         }
@@ -311,17 +338,20 @@
     let mut s = Server::new(settings());
     let mut now = 1000.0;
     for id in 1..40 {
-        s.at(now, &[Event::Read(request(id, 0))]);
+        s.at(now, &[Event::RequestRead(request(id, 0))]);
         now += 100.0;
-        s.at(now, &[Event::Finished(RequestId(id), RunEnd::Served)]);
+        s.at(now, &[Event::RunEnded(RequestId(id), RunOutcome::Served)]);
     }
     s.at(
         now,
-        &[Event::Read(request(100, 0)), Event::Read(request(101, 0))],
+        &[
+            Event::RequestRead(request(100, 0)),
+            Event::RequestRead(request(101, 0)),
+        ],
     );
     now += 4000.0;
     // A fresh request that would have had ample time is sent on to another server at once.
-    let out = s.at(now, &[Event::Read(request(102, 0))]);
+    let out = s.at(now, &[Event::RequestRead(request(102, 0))]);
     assert!(refused(&out).contains(&102) && runs(&out).is_empty());
 }
 
@@ -329,14 +359,14 @@
 fn events_about_what_is_over_are_harmless() {
     let mut s = Server::new(settings());
     s.read(1..3, 0);
-    s.at(1010.0, &[Event::Finished(RequestId(1), RunEnd::Served)]);
+    s.at(1010.0, &[Event::RunEnded(RequestId(1), RunOutcome::Served)]);
     let gone = RequestId(1);
     let events = [
-        Event::Finished(gone, RunEnd::Moot),
-        Event::NeedsCall(gone),
-        Event::CallEnded(gone, CallEnd::Good, Span(1)),
-        Event::CallerLeft(gone),
-        Event::CallerLeft(RequestId(999)),
+        Event::RunEnded(gone, RunOutcome::NeverStarted),
+        Event::CallRequested(gone),
+        Event::CallEnded(gone, CallOutcome::Succeeded, Span(1)),
+        Event::CallerStoppedWaiting(gone),
+        Event::CallerStoppedWaiting(RequestId(999)),
     ];
     let out = s.at(1020.0, &events);
     assert!(runs(&out).is_empty() && failed(&out).is_empty() && calls(&out).is_empty());
@@ -350,13 +380,13 @@
         tenant: Some(TenantId(u64::MAX)),
         ..request(1, 0)
     };
-    assert_eq!(runs(&s.at(1000.0, &[Event::Read(odd)])), [1]);
+    assert_eq!(runs(&s.at(1000.0, &[Event::RequestRead(odd)])), [1]);
 }
 
 #[test]
 fn no_signal_is_set_where_it_is_a_fault() {
     let mut set = settings();
-    (set.free_value, set.stopping) = (FreeValue::Off, Stopping::Off);
+    (set.capacity_hint, set.preemption) = (CapacityHint::Off, Preemption::Unsupported);
     let mut s = Server::new(set);
     let mut out = s.read(1..9, 0);
     for k in 0..400 {
@@ -368,24 +398,24 @@
     assert_eq!(failed(&out).len() + refused(&out).len(), 8);
     assert!(!out.iter().any(|a| matches!(
         a,
-        Action::FreeValue(_) | Action::Stop(_) | Action::SkipCall(_)
+        Action::SetCapacityHint(_) | Action::Stop(_) | Action::SkipCall(_)
     )));
 }
 
 /// Reads and refusals or runs of `n` requests of this age and mark, one every 50 ms, each served at once.
-fn stream(s: &mut Server, ids: std::ops::Range<u64>, age: f64, resent: bool) -> Vec<Action> {
+fn stream(s: &mut Server, ids: std::ops::Range<u64>, age: f64, is_retry: bool) -> Vec<Action> {
     let mut out = Vec::new();
     for id in ids {
         let now = s.now + 50.0;
         let read = Request {
             age: Span::from_ms(age),
-            resent,
+            is_retry,
             ..request(id, 0)
         };
-        out.extend(s.at(now, &[Event::Read(read)]));
+        out.extend(s.at(now, &[Event::RequestRead(read)]));
         out.extend(s.at(
             now + 10.0,
-            &[Event::Finished(RequestId(id), RunEnd::Served)],
+            &[Event::RunEnded(RequestId(id), RunOutcome::Served)],
         ));
     }
     out
@@ -394,7 +424,7 @@
     actions
         .iter()
         .filter_map(|a| {
-            if let Action::Health(good) = a {
+            if let Action::SetHealth(good) = a {
                 Some(*good)
             } else {
                 None
@@ -417,11 +447,11 @@
     let mut s = Server::new(settings());
     let mut out = stream(&mut s, 1..60, 5.0, true);
     out.extend(stream(&mut s, 300..360, 1500.0, true));
-    let crowd = |resent| -> Vec<Event> {
+    let crowd = |is_retry| -> Vec<Event> {
         (400..700)
             .map(|id| {
-                Event::Read(Request {
-                    resent,
+                Event::RequestRead(Request {
+                    is_retry,
                     ..request(id, 0)
                 })
             })
@@ -431,33 +461,36 @@
     assert_eq!(health(&out), [true]);
     assert!(out
         .iter()
-        .any(|a| matches!(a, Action::Refuse { give_up: true, .. })));
+        .any(|a| matches!(a, Action::Reject { give_up: true, .. })));
     let mut calm = Server::new(settings());
     let out = calm.at(1000.0, &crowd(false));
-    assert!(out.iter().any(|a| matches!(a, Action::Refuse { .. })));
+    assert!(out.iter().any(|a| matches!(a, Action::Reject { .. })));
     assert!(!out
         .iter()
-        .any(|a| matches!(a, Action::Refuse { give_up: true, .. })));
+        .any(|a| matches!(a, Action::Reject { give_up: true, .. })));
 }
 
 #[test]
 fn scarce_calls_go_to_what_still_brings_most() {
     let mut set = settings();
-    set.calls_out = 1.0;
+    set.call_quota = 1.0;
     set.classes[1] = Class {
-        worth: 3.0,
-        ..class(Effect::Repeatable)
+        priority_weight: 3.0,
+        ..class(Idempotency::Idempotent)
     };
     let mut s = Server::new(set);
     s.at(
         1000.0,
-        &[Event::Read(request(1, 0)), Event::Read(request(2, 1))],
+        &[
+            Event::RequestRead(request(1, 0)),
+            Event::RequestRead(request(2, 1)),
+        ],
     );
     let out = s.at(
         1100.0,
         &[
-            Event::NeedsCall(RequestId(1)),
-            Event::NeedsCall(RequestId(2)),
+            Event::CallRequested(RequestId(1)),
+            Event::CallRequested(RequestId(2)),
         ],
     );
     assert_eq!(calls(&out), [2]);
@@ -466,7 +499,7 @@
         1200.0,
         &[Event::CallEnded(
             RequestId(2),
-            CallEnd::Good,
+            CallOutcome::Succeeded,
             Span::from_ms(100.0),
         )],
     );
@@ -479,7 +512,10 @@
     stream(&mut s, 1..60, 5.0, false);
     s.at(
         s.now,
-        &[Event::Read(request(100, 0)), Event::Read(request(101, 0))],
+        &[
+            Event::RequestRead(request(100, 0)),
+            Event::RequestRead(request(101, 0)),
+        ],
     );
     // Nothing ends for seconds: off the lists.
     let out: Vec<Action> = (1..100)
@@ -487,7 +523,7 @@
         .collect();
     assert_eq!(health(&out), [false]);
     // What ran ends; once the memory of it has faded the server is back.
-    let ends = [100, 101].map(|id| Event::Finished(RequestId(id), RunEnd::Served));
+    let ends = [100, 101].map(|id| Event::RunEnded(RequestId(id), RunOutcome::Served));
     let mut out = s.at(s.now + 1.0, &ends);
     out.extend((1..80).flat_map(|_| s.at(s.now + 100.0, &[Event::Wake(Gauges::default())])));
     assert_eq!(health(&out), [true]);
@@ -501,12 +537,15 @@
         let mut s = Server::new(set);
         let mut last = None;
         for id in 1..200 {
-            let out = s.at(1000.0 + 50.0 * id as f64, &[Event::Read(request(id, 0))]);
+            let out = s.at(
+                1000.0 + 50.0 * id as f64,
+                &[Event::RequestRead(request(id, 0))],
+            );
             last = out
                 .iter()
                 .rev()
                 .find_map(|a| {
-                    if let Action::CloseIdle(t) = a {
+                    if let Action::CloseIdleConnections(t) = a {
                         Some(*t)
                     } else {
                         None
@@ -521,43 +560,43 @@
 }
 
 /// A server whose calls took 20 ms for a while, then one has been out for long.
-fn slow_below(below: Below) -> Server {
+fn slow_dependency(dependency: Dependency) -> Server {
     let mut s = Server::new(Settings {
-        below,
-        calls_out: 1.0,
+        dependency,
+        call_quota: 1.0,
         ..settings()
     });
     let mut now = 1000.0;
     for id in 1..40 {
-        s.at(now, &[Event::Read(request(id, 0))]);
-        s.at(now, &[Event::NeedsCall(RequestId(id))]);
+        s.at(now, &[Event::RequestRead(request(id, 0))]);
+        s.at(now, &[Event::CallRequested(RequestId(id))]);
         now += 20.0;
         s.at(
             now,
             &[Event::CallEnded(
                 RequestId(id),
-                CallEnd::Good,
+                CallOutcome::Succeeded,
                 Span::from_ms(20.0),
             )],
         );
-        s.at(now, &[Event::Finished(RequestId(id), RunEnd::Served)]);
+        s.at(now, &[Event::RunEnded(RequestId(id), RunOutcome::Served)]);
     }
-    s.at(now, &[Event::Read(request(100, 0))]);
-    s.at(now, &[Event::NeedsCall(RequestId(100))]);
+    s.at(now, &[Event::RequestRead(request(100, 0))]);
+    s.at(now, &[Event::CallRequested(RequestId(100))]);
     s.now = now + 1900.0;
     s
 }
 
 #[test]
 fn callers_are_asked_to_give_up_where_a_dependency_of_all_is_slow() {
-    for (below, asked) in [(Below::Shared, true), (Below::Tier, false)] {
-        let mut s = slow_below(below);
+    for (dependency, asked) in [(Dependency::Shared, true), (Dependency::Tier, false)] {
+        let mut s = slow_dependency(dependency);
         let mut out = s.read(200..600, 0);
-        out.retain(|a| matches!(a, Action::Refuse { .. }));
+        out.retain(|a| matches!(a, Action::Reject { .. }));
         assert!(!out.is_empty());
         assert!(
             out.iter()
-                .all(|a| matches!(a, Action::Refuse { give_up, .. } if *give_up == asked)),
+                .all(|a| matches!(a, Action::Reject { give_up, .. } if *give_up == asked)),
             "{out:?}"
         );
     }
@@ -578,12 +617,12 @@
                 [4000, 2500][id as usize % 2]
             };
             let read = Request {
-                wait_left: Some(Span(wait * 1000)),
+                remaining_wait: Some(Span(wait * 1000)),
                 ..request(id, 0)
             };
-            out = s.at(1000.0 + 50.0 * id as f64, &[Event::Read(read)]);
+            out = s.at(1000.0 + 50.0 * id as f64, &[Event::RequestRead(read)]);
         }
-        let gives_up = |a: &Action| matches!(a, Action::Refuse { give_up: true, .. });
+        let gives_up = |a: &Action| matches!(a, Action::Reject { give_up: true, .. });
         assert_eq!(out.iter().any(gives_up), asked, "{out:?}");
     }
 }
@@ -592,7 +631,7 @@
 fn half_the_cores_are_left_to_reading_once_it_falls_behind() {
     let mut s = Server::new(settings());
     let aged = |id, ms| {
-        Event::Read(Request {
+        Event::RequestRead(Request {
             age: Span::from_ms(ms),
             ..request(id, 0)
         })
@@ -600,7 +639,7 @@
     assert_eq!(runs(&s.at(1000.0, &[aged(1, 1.0), aged(2, 1.0)])).len(), 2);
     let old: Vec<Event> = (10..30).map(|id| aged(id, 700.0)).collect();
     assert!(runs(&s.at(1010.0, &old)).is_empty());
-    let end = |id| Event::Finished(RequestId(id), RunEnd::Served);
+    let end = |id| Event::RunEnded(RequestId(id), RunOutcome::Served);
     assert!(runs(&s.at(1100.0, &[end(1)])).is_empty());
     assert_eq!(runs(&s.at(1110.0, &[end(2)])).len(), 1);
 }
@@ -608,9 +647,9 @@
 #[test]
 fn an_ill_server_leaves_the_lists_for_its_unread_line_again_and_again_a_well_one_for_one_spell_in_five(
 ) {
-    let spells = |ill: bool, resent: bool| {
+    let spells = |ill: bool, is_retry: bool| {
         let mut set = settings();
-        (set.cold, set.warm_up) = (ill, Span::from_ms(60_000.0));
+        (set.starts_cold, set.warm_up) = (ill, Span::from_ms(60_000.0));
         let mut s = Server::new(set);
         let mut off = 0;
         let mut since = f64::MIN;
@@ -621,15 +660,15 @@
             } else {
                 1.0
             };
-            let read = Event::Read(Request {
+            let read = Event::RequestRead(Request {
                 age: Span::from_ms(age),
-                resent,
+                is_retry,
                 ..request(id, 0)
             });
             let out = s.at(s.now + 100.0, &[read]);
             let ends: Vec<Event> = runs(&out)
                 .iter()
-                .map(|id| Event::Finished(RequestId(*id), RunEnd::Served))
+                .map(|id| Event::RunEnded(RequestId(*id), RunOutcome::Served))
                 .collect();
             s.at(s.now + 40.0, &ends);
             if health(&out).contains(&false) {
@@ -663,18 +702,18 @@
             s.at(
                 s.now + 10.0,
                 &ids.iter()
-                    .map(|id| Event::Read(request(*id, 0)))
+                    .map(|id| Event::RequestRead(request(*id, 0)))
                     .collect::<Vec<_>>(),
             );
             let ends: Vec<Event> = ids
                 .iter()
-                .map(|id| Event::Finished(RequestId(*id), RunEnd::Served))
+                .map(|id| Event::RunEnded(RequestId(*id), RunOutcome::Served))
                 .collect();
             s.at(s.now + if k % 2 == 0 { 60.0 } else { 340.0 }, &ends);
         }
         let long = |id| {
-            Event::Read(Request {
-                hint: Some(Span::from_ms(600.0)),
+            Event::RequestRead(Request {
+                work_hint: Some(Span::from_ms(600.0)),
                 ..request(id, 0)
             })
         };
@@ -687,8 +726,8 @@
 fn rough_hints_and_waits_that_grow_with_no_hint_do_not_swell_the_estimate() {
     // Every run takes 300 ms, whatever its hint said.
     let hint = |id, ms| {
-        Event::Read(Request {
-            hint: Some(Span::from_ms(ms)),
+        Event::RequestRead(Request {
+            work_hint: Some(Span::from_ms(ms)),
             ..request(id, 0)
         })
     };
@@ -700,7 +739,7 @@
         );
         s.at(
             s.now + 300.0,
-            &[Event::Finished(RequestId(id), RunEnd::Served)],
+            &[Event::RunEnded(RequestId(id), RunOutcome::Served)],
         );
     }
     // The mean of the ratios would make over three seconds of the long one, past the aim of two.
@@ -716,7 +755,7 @@
         s.at(s.now + 10.0, &[hint(id, ms)]);
         s.at(
             s.now + ms,
-            &[Event::Finished(RequestId(id), RunEnd::Served)],
+            &[Event::RunEnded(RequestId(id), RunOutcome::Served)],
         );
     }
     assert_eq!(
@@ -730,13 +769,13 @@
     // Class 1 brings ten times as much; one tenant sends it all, far beyond its share.
     let mut set = settings();
     set.classes[1] = Class {
-        worth: 10.0,
-        ..class(Effect::Repeatable)
+        priority_weight: 10.0,
+        ..class(Idempotency::Idempotent)
     };
     set.tenants[0].allowance_per_s = 1.0;
     let mut s = Server::new(set);
     let of = |id, class, tenant| {
-        Event::Read(Request {
+        Event::RequestRead(Request {
             tenant: Some(TenantId(tenant)),
             ..request(id, class)
         })
@@ -749,7 +788,7 @@
         );
         let ends: Vec<Event> = ids
             .iter()
-            .map(|id| Event::Finished(RequestId(*id), RunEnd::Served))
+            .map(|id| Event::RunEnded(RequestId(*id), RunOutcome::Served))
             .collect();
         s.at(s.now + if k % 2 == 0 { 200.0 } else { 1200.0 }, &ends);
     }
@@ -759,7 +798,7 @@
     assert_eq!(runs(&out), [1, 2]);
     let out = s.at(
         s.now + 300.0,
-        &[Event::Finished(RequestId(1), RunEnd::Served)],
+        &[Event::RunEnded(RequestId(1), RunOutcome::Served)],
     );
     assert_eq!(runs(&out), [4]);
 }
@@ -774,24 +813,24 @@
         let ids: Vec<u64> = (0..5).map(|n| 10 + 5 * k + n).collect();
         let read = |id: &u64| Request {
             tenant: Some(TenantId(0)),
-            resent: !id.is_multiple_of(5),
+            is_retry: !id.is_multiple_of(5),
             ..request(*id, 0)
         };
         s.at(
             s.now + 490.0,
             &ids.iter()
-                .map(|id| Event::Read(read(id)))
+                .map(|id| Event::RequestRead(read(id)))
                 .collect::<Vec<_>>(),
         );
         let ends: Vec<Event> = ids
             .iter()
-            .map(|id| Event::Finished(RequestId(*id), RunEnd::Served))
+            .map(|id| Event::RunEnded(RequestId(*id), RunOutcome::Served))
             .collect();
         s.at(s.now + 10.0, &ends);
     }
     // So it stands behind nobody: requests of both tenants run in order of arrival.
     let of = |id, tenant| {
-        Event::Read(Request {
+        Event::RequestRead(Request {
             tenant: Some(TenantId(tenant)),
             ..request(id, 0)
         })
@@ -803,12 +842,12 @@
 }
 
 #[test]
-fn a_server_whose_runs_outlast_the_aim_asks_callers_to_stay_away_though_it_holds_nothing() {
+fn a_server_whose_runs_outlast_the_aim_asks_callers_to_wait_though_its_queue_is_empty() {
     let away = |s: &mut Server, id| {
-        s.at(s.now + 1.0, &[Event::Read(request(id, 0))])
+        s.at(s.now + 1.0, &[Event::RequestRead(request(id, 0))])
             .iter()
             .find_map(|a| match a {
-                Action::Refuse { stay_away, .. } => Some(stay_away.ms()),
+                Action::Reject { retry_after, .. } => Some(retry_after.ms()),
                 _ => None,
             })
     };
@@ -816,15 +855,15 @@
     let mut s = Server::new(settings());
     stream(&mut s, 1..60, 5.0, false);
     let long = Request {
-        hint: Some(Span::from_ms(9000.0)),
+        work_hint: Some(Span::from_ms(9000.0)),
         ..request(90, 0)
     };
-    let out = s.at(s.now + 1.0, &[Event::Read(long)]);
+    let out = s.at(s.now + 1.0, &[Event::RequestRead(long)]);
     assert!(
         out.iter().any(|a| matches!(
             a,
-            Action::Refuse {
-                stay_away: Span(0),
+            Action::Reject {
+                retry_after: Span(0),
                 ..
             }
         )),
@@ -835,7 +874,10 @@
     // A hang: two run and nothing ends. What comes is refused at once, and told to come back later.
     s.at(
         s.now + 1.0,
-        &[Event::Read(request(100, 0)), Event::Read(request(101, 0))],
+        &[
+            Event::RequestRead(request(100, 0)),
+            Event::RequestRead(request(101, 0)),
+        ],
     );
     s.now += 5000.0;
     assert_eq!(away(&mut s, 102), Some(1000.0));
@@ -843,34 +885,34 @@
 
 #[test]
 fn a_further_try_has_only_what_is_left_of_the_first_ones_aim() {
-    let told = |id, ms: f64, resent| {
-        Event::Read(Request {
-            wait_left: Some(Span::from_ms(ms)),
-            resent,
+    let told = |id, ms: f64, is_retry| {
+        Event::RequestRead(Request {
+            remaining_wait: Some(Span::from_ms(ms)),
+            is_retry,
             ..request(id, 0)
         })
     };
     // Marked or not: callers wait four seconds for a first try; one with half of that left began two ago.
-    for resent in [false, true] {
+    for is_retry in [false, true] {
         let mut s = Server::new(settings());
         for id in 1..60 {
             s.at(s.now + 100.0, &[told(id, 4000.0, false)]);
             s.at(
                 s.now + 100.0,
-                &[Event::Finished(RequestId(id), RunEnd::Served)],
+                &[Event::RunEnded(RequestId(id), RunOutcome::Served)],
             );
         }
         assert_eq!(
-            runs(&s.at(s.now + 10.0, &[told(100, 3900.0, resent)])),
+            runs(&s.at(s.now + 10.0, &[told(100, 3900.0, is_retry)])),
             [100]
         );
         assert_eq!(
-            refused(&s.at(s.now + 10.0, &[told(101, 2050.0, resent)])),
+            refused(&s.at(s.now + 10.0, &[told(101, 2050.0, is_retry)])),
             [101]
         );
         // One that waits as long as a first try is taken for one.
         assert_eq!(
-            runs(&s.at(s.now + 10.0, &[told(102, 4000.0, resent)])),
+            runs(&s.at(s.now + 10.0, &[told(102, 4000.0, is_retry)])),
             [102]
         );
     }
@@ -879,16 +921,16 @@
 #[test]
 fn what_can_bring_nothing_any_more_is_answered_at_its_aim_and_stopped_where_it_can_be() {
     // Class by class: one runs, one waits at a call that may not be made, one is out at a call.
-    for (class, stopping) in [
-        (0, Stopping::Discard),
-        (1, Stopping::Discard),
-        (2, Stopping::Freeze),
-        (0, Stopping::Off),
+    for (class, preemption) in [
+        (0, Preemption::DiscardsWork),
+        (1, Preemption::DiscardsWork),
+        (2, Preemption::KeepsWork),
+        (0, Preemption::Unsupported),
     ] {
         let mut set = Settings {
-            stopping,
+            preemption,
             cores: 4,
-            calls_out: 1.0,
+            call_quota: 1.0,
             ..settings()
         };
         set.classes
@@ -896,22 +938,22 @@
             .for_each(|c| c.deadline = Span::from_ms(9000.0));
         let mut s = Server::new(set);
         assert_eq!(runs(&s.read(1..4, class)), [1, 2, 3]);
-        s.at(1100.0, &[Event::NeedsCall(RequestId(2))]);
-        assert!(calls(&s.at(1110.0, &[Event::NeedsCall(RequestId(3))])).is_empty());
+        s.at(1100.0, &[Event::CallRequested(RequestId(2))]);
+        assert!(calls(&s.at(1110.0, &[Event::CallRequested(RequestId(3))])).is_empty());
         let mut out = Vec::new();
         while s.now < 3060.0 {
             out.extend(s.at(s.now + 20.0, &[Event::Wake(Gauges::default())]));
         }
         // The aim is two seconds: answered a moment later, though due in nine.
         let answers = [failed(&out), refused(&out)].concat();
-        if stopping == Stopping::Off {
+        if preemption == Preemption::Unsupported {
             assert_eq!(answers, [2, 3], "{out:?}");
             continue;
         }
         assert_eq!(answers, [1, 2, 3], "{out:?}");
         assert!(out.contains(&Action::Stop(RequestId(1))));
         // Only what may run again is turned away, and asked not to be tried elsewhere: nothing else may be.
-        let gives_up = |a: &Action| matches!(a, Action::Refuse { give_up: true, .. });
+        let gives_up = |a: &Action| matches!(a, Action::Reject { give_up: true, .. });
         assert_eq!(
             out.iter().filter(|a| gives_up(a)).count(),
             if class == 0 { 3 } else { 0 }
@@ -922,7 +964,7 @@
 
 fn said(actions: &[Action]) -> Option<f64> {
     actions.iter().rev().find_map(|a| {
-        if let Action::FreeValue(v) = a {
+        if let Action::SetCapacityHint(v) = a {
             Some(*v)
         } else {
             None
@@ -934,23 +976,23 @@
 fn the_level_rises_with_refusals_up_to_the_classes_worth_less_than_the_mean_and_comes_back() {
     for (worth, most) in [([1.0, 3.0, 3.0], 1.0 / 3.0), ([1.0, 1.0, 1.0], 0.0)] {
         let mut set = Settings {
-            free_value: FreeValue::Floor,
+            capacity_hint: CapacityHint::PriorityFloor,
             memory_kb: 300.0,
             ..settings()
         };
         set.classes
             .iter_mut()
             .zip(worth)
-            .for_each(|(c, w)| c.worth = w);
+            .for_each(|(c, w)| c.priority_weight = w);
         let mut s = Server::new(set);
         let mut last = 0.0;
         let mut running: Vec<u64> = Vec::new();
         let mut load = |s: &mut Server, steps: u64, each: u64, first: u64| {
             for k in 0..steps {
-                let end = |id: &u64| Event::Finished(RequestId(*id), RunEnd::Served);
+                let end = |id: &u64| Event::RunEnded(RequestId(*id), RunOutcome::Served);
                 let mut events: Vec<Event> = running.iter().map(end).collect();
                 let ids = first + k * each..first + (k + 1) * each;
-                events.extend(ids.map(|id| Event::Read(request(id, 0))));
+                events.extend(ids.map(|id| Event::RequestRead(request(id, 0))));
                 let out = s.at(s.now + 100.0, &events);
                 running = runs(&out);
                 last = said(&out).unwrap_or(last);
@@ -967,30 +1009,30 @@
 #[test]
 fn where_no_list_follows_health_the_free_value_says_that_a_jammed_or_leaving_server_wants_nothing()
 {
-    for (free_value, none) in [
-        (FreeValue::Floor, 1.0),
-        (FreeValue::Weight, 0.0),
-        (FreeValue::Allowance, 0.0),
+    for (capacity_hint, none) in [
+        (CapacityHint::PriorityFloor, 1.0),
+        (CapacityHint::Weight, 0.0),
+        (CapacityHint::Allowance, 0.0),
     ] {
-        for lists_follow_health in [false, true] {
+        for endpoint_lists_follow_health in [false, true] {
             let mut s = Server::new(Settings {
-                free_value,
-                lists_follow_health,
+                capacity_hint,
+                endpoint_lists_follow_health,
                 ..settings()
             });
             stream(&mut s, 1..60, 5.0, false);
             let jam = stream(&mut s, 100..140, 1500.0, false);
             assert_eq!(health(&jam), [false]);
-            let silent = jam.contains(&Action::FreeValue(none));
-            assert_eq!(silent, !lists_follow_health, "{free_value:?}");
+            let silent = jam.contains(&Action::SetCapacityHint(none));
+            assert_eq!(silent, !endpoint_lists_follow_health, "{capacity_hint:?}");
             let mut s = Server::new(Settings {
-                free_value,
-                lists_follow_health,
+                capacity_hint,
+                endpoint_lists_follow_health,
                 ..settings()
             });
             assert_ne!(said(&s.at(1000.0, &[])), Some(none));
             assert_eq!(
-                said(&s.at(1010.0, &[Event::Leaving(Span::from_ms(2500.0))])),
+                said(&s.at(1010.0, &[Event::ShutdownNotice(Span::from_ms(2500.0))])),
                 Some(none)
             );
         }
@@ -1001,10 +1043,10 @@
 fn a_marked_further_try_is_as_old_as_what_is_refused_here_becomes() {
     // No told waits. Requests sit unread for long and are refused; a further try has been through as much.
     let mut s = Server::new(settings());
-    let old = |id, age, resent| {
-        Event::Read(Request {
+    let old = |id, age, is_retry| {
+        Event::RequestRead(Request {
             age: Span::from_ms(age),
-            resent,
+            is_retry,
             ..request(id, 0)
         })
     };
@@ -1012,7 +1054,7 @@
         runs(&s.at(1000.0, &[old(1, 0.0, true), old(2, 0.0, false)])),
         [1, 2]
     );
-    let ends = [1, 2].map(|id| Event::Finished(RequestId(id), RunEnd::Served));
+    let ends = [1, 2].map(|id| Event::RunEnded(RequestId(id), RunOutcome::Served));
     s.at(1100.0, &ends);
     for k in 10..60 {
         assert_eq!(refused(&s.at(s.now + 10.0, &[old(k, 1990.0, false)])), [k]);
@@ -1027,20 +1069,20 @@
 fn a_run_given_up_at_its_aim_does_not_keep_callers_off_a_server_that_is_well() {
     let mut s = Server::new(settings());
     stream(&mut s, 1..60, 100.0, false);
-    s.at(s.now + 10.0, &[Event::Read(request(100, 0))]);
+    s.at(s.now + 10.0, &[Event::RequestRead(request(100, 0))]);
     let mut out = Vec::new();
     for id in 200..230 {
         // One run is long; the others end in their usual time.
-        out.extend(s.at(s.now + 40.0, &[Event::Read(request(id, 0))]));
+        out.extend(s.at(s.now + 40.0, &[Event::RequestRead(request(id, 0))]));
         out.extend(s.at(
             s.now + 40.0,
-            &[Event::Finished(RequestId(id), RunEnd::Served)],
+            &[Event::RunEnded(RequestId(id), RunOutcome::Served)],
         ));
     }
     let long = out.iter().find(|a| {
         matches!(
             a,
-            Action::Refuse {
+            Action::Reject {
                 id: RequestId(100),
                 ..
             }
@@ -1048,9 +1090,9 @@
     });
     assert_eq!(
         long,
-        Some(&Action::Refuse {
+        Some(&Action::Reject {
             id: RequestId(100),
-            stay_away: Span(0),
+            retry_after: Span(0),
             give_up: true
         })
     );
@@ -1060,14 +1102,14 @@
 fn a_cold_server_never_has_one_more_on_the_cores_than_it_survives() {
     // 2 cores at a fifth of the speed survive 2 x (1 + 4 x 0.2) = 3.6; four would be one too many for good.
     let mut set = settings();
-    (set.cold, set.warm_up, set.below) = (true, Span::from_ms(1e7), Below::Tier);
+    (set.starts_cold, set.warm_up, set.dependency) = (true, Span::from_ms(1e7), Dependency::Tier);
     let mut s = Server::new(set);
     let mut out = s.read(1..40, 0);
     for k in 0..60 {
         // Calls go out and come back, which makes room for others meanwhile; cores look idle.
         let on = runs(&out);
         if let Some(id) = on.get(k) {
-            out.extend(s.at(s.now + 1.0, &[Event::NeedsCall(RequestId(*id))]));
+            out.extend(s.at(s.now + 1.0, &[Event::CallRequested(RequestId(*id))]));
         }
         out.extend(s.at(
             s.now + 1.0,
@@ -1088,8 +1130,8 @@
     });
     let mut out = s.read(1..2, 1);
     let again = |id| {
-        Event::Read(Request {
-            repeats: Some(RequestId(1)),
+        Event::RequestRead(Request {
+            duplicate_of: Some(RequestId(1)),
             ..request(id, 1)
         })
     };
@@ -1111,22 +1153,22 @@
     for id in 1000..1000 + rounds {
         let begun = server.now + 1.0;
         assert_eq!(
-            runs(&server.at(begun, &[Event::Read(request(id, 0))])),
+            runs(&server.at(begun, &[Event::RequestRead(request(id, 0))])),
             [id]
         );
-        last = server.at(begun + 5.0, &[Event::NeedsCall(RequestId(id))]);
+        last = server.at(begun + 5.0, &[Event::CallRequested(RequestId(id))]);
         assert_eq!(calls(&last), [id]);
         server.at(
             begun + 5.0 + ms,
             &[Event::CallEnded(
                 RequestId(id),
-                CallEnd::Good,
+                CallOutcome::Succeeded,
                 Span::from_ms(ms),
             )],
         );
         server.at(
             begun + 10.0 + ms,
-            &[Event::Finished(RequestId(id), RunEnd::Served)],
+            &[Event::RunEnded(RequestId(id), RunOutcome::Served)],
         );
     }
     last
@@ -1134,7 +1176,7 @@
 fn silent_call(server: &mut Server) -> f64 {
     server.read(0..1, 0);
     assert_eq!(
-        calls(&server.at(server.now + 5.0, &[Event::NeedsCall(RequestId(0))])),
+        calls(&server.at(server.now + 5.0, &[Event::CallRequested(RequestId(0))])),
         [0]
     );
     server.now
@@ -1146,16 +1188,20 @@
 fn a_lost_call_takes_nobody_elses_time_out_of_the_mean() {
     let mut server = Server::new(settings());
     calls_beside_a_silent_one(&mut server, 20);
-    let best_before = server.policy.calls_seen()[4];
+    let best_before = server.policy.dependency_call_stats().best_ms;
     let begun = silent_call(&mut server);
     calls_beside_a_silent_one(&mut server, 40);
     let took = Span::from_ms(server.now - begun);
     server.at(
         server.now,
-        &[Event::CallEnded(RequestId(0), CallEnd::Failed, took)],
+        &[Event::CallEnded(RequestId(0), CallOutcome::Failed, took)],
     );
     calls_beside_a_silent_one(&mut server, 1);
-    let [.., of_late, best] = server.policy.calls_seen();
+    let DependencyCallStats {
+        recent_ms: of_late,
+        best_ms: best,
+        ..
+    } = server.policy.dependency_call_stats();
     assert!((30.0..60.0).contains(&of_late), "{of_late} ms of late");
     assert!(
         best > 0.9 * best_before.min(40.0),
@@ -1171,16 +1217,24 @@
     calls_beside_a_silent_one(&mut server, 20);
     let begun = silent_call(&mut server);
     calls_beside_a_silent_one(&mut server, 40);
-    let [in_hand, .., of_late, _] = server.policy.calls_seen();
+    let DependencyCallStats {
+        in_flight: in_hand,
+        recent_ms: of_late,
+        ..
+    } = server.policy.dependency_call_stats();
     assert_eq!(in_hand, 1.0);
     assert!((30.0..60.0).contains(&of_late), "{of_late} ms of late");
     // One that is answered after all counts as it was.
     let took = Span::from_ms(server.now - begun);
     server.at(
         server.now,
-        &[Event::CallEnded(RequestId(0), CallEnd::Good, took)],
+        &[Event::CallEnded(RequestId(0), CallOutcome::Succeeded, took)],
     );
-    let [in_hand, .., after, _] = server.policy.calls_seen();
+    let DependencyCallStats {
+        in_flight: in_hand,
+        recent_ms: after,
+        ..
+    } = server.policy.dependency_call_stats();
     assert!(
         in_hand == 0.0 && after > 1.2 * of_late,
         "{after} ms, {of_late} ms before"
@@ -1202,9 +1256,9 @@
     });
     assert!(patience.is_some_and(|ms| ms > 2500.0), "{patience:?}");
     assert!(
-        server.policy.calls_seen()[3] > 300.0,
+        server.policy.dependency_call_stats().recent_ms > 300.0,
         "{:?}",
-        server.policy.calls_seen()
+        server.policy.dependency_call_stats()
     );
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -56,8 +56,9 @@
             match action {
                 Action::Run(id) => {
                     let r = self.reqs.get_mut(&id.0).ok_or("runs a stranger")?;
-                    let effect = self.set.classes[r.class].effect;
-                    if r.ran && effect != Effect::Repeatable || r.answered || r.at != At::Held {
+                    let effect = self.set.classes[r.class].idempotency;
+                    if r.ran && effect != Idempotency::Idempotent || r.answered || r.at != At::Held
+                    {
                         return Err(format!("{id:?} runs though it may not"));
                     }
                     if self
@@ -66,18 +67,21 @@
                     {
                         return Err(format!("{id:?} runs after the grace"));
                     }
-                    if effect == Effect::ByKey && !self.keys.contains_key(&id.0) {
+                    if effect == Idempotency::ByKey && !self.keys.contains_key(&id.0) {
                         return Err(format!("{id:?} runs unremembered"));
                     }
                     (r.ran, r.at) = (true, At::OnCore);
                 }
-                Action::Refuse { id, .. } | Action::Fail(id) => {
+                Action::Reject { id, .. } | Action::Fail(id) => {
                     let r = self.reqs.get_mut(&id.0).ok_or("answers a stranger")?;
-                    let refused = matches!(action, Action::Refuse { .. });
+                    let refused = matches!(action, Action::Reject { .. });
                     if r.answered {
                         return Err(format!("{id:?} is answered twice"));
                     }
-                    if refused && r.ran && self.set.classes[r.class].effect != Effect::Repeatable {
+                    if refused
+                        && r.ran
+                        && self.set.classes[r.class].idempotency != Idempotency::Idempotent
+                    {
                         return Err(format!("{id:?} is refused after its run"));
                     }
                     if now > r.due + self.set.answer_slack.ms() {
@@ -96,13 +100,15 @@
                 Action::Join(id) => {
                     self.reqs.get_mut(&id.0).ok_or("joins a stranger")?.at = At::Joined;
                 }
-                Action::Stop(_) if self.set.stopping == Stopping::Off => return Err("stops".into()),
+                Action::Stop(_) if self.set.preemption == Preemption::Unsupported => {
+                    return Err("stops".into())
+                }
                 Action::SkipCall(_) => return Err("leaves out a call".into()),
-                Action::FreeValue(_) if self.set.free_value == FreeValue::Off => {
+                Action::SetCapacityHint(_) if self.set.capacity_hint == CapacityHint::Off => {
                     return Err("says".into())
                 }
-                Action::Remember(id, span) => drop(self.keys.insert(id.0, now + span.ms())),
-                Action::Forget(id) => drop(self.keys.remove(&id.0)),
+                Action::RememberKey(id, span) => drop(self.keys.insert(id.0, now + span.ms())),
+                Action::ForgetKey(id) => drop(self.keys.remove(&id.0)),
                 _ => {}
             }
         }
@@ -118,18 +124,19 @@
         }
         let of = |at: At| live().filter(|r| r.at == at).count() as f64;
         let runs = of(At::OnCore) + of(At::Waiting) + of(At::Calling);
-        let kb = 10.0 * (of(At::Held) + of(At::Joined) + runs * self.set.run_factor);
+        let kb = 10.0 * (of(At::Held) + of(At::Joined) + runs * self.set.run_memory_factor);
         if kb + self.keys.len() as f64 * self.set.key_kb > self.set.memory_kb {
             return Err("memory".into());
         }
         // Cold all along, at the least that it may be sure of.
-        let warm = if self.set.cold {
+        let warm = if self.set.starts_cold {
             self.set.start_capacity
         } else {
             1.0
         };
-        let crowd = (1.0 + (self.set.crowd_per_core - 1.0) * warm) * f64::from(self.set.cores);
-        if of(At::OnCore) > crowd || of(At::Calling) > self.set.calls_out.max(1.0) {
+        let crowd =
+            (1.0 + (self.set.concurrency_per_core - 1.0) * warm) * f64::from(self.set.cores);
+        if of(At::OnCore) > crowd || of(At::Calling) > self.set.call_quota.max(1.0) {
             return Err("crowd or calls".into());
         }
         Ok(())
@@ -138,22 +145,26 @@
 
 fn variant(n: u32) -> Settings {
     let mut set = settings();
-    set.stopping = [Stopping::Off, Stopping::Discard, Stopping::Freeze][n as usize % 3];
-    set.free_value = [
-        FreeValue::Off,
-        FreeValue::Floor,
-        FreeValue::Allowance,
-        FreeValue::Weight,
+    set.preemption = [
+        Preemption::Unsupported,
+        Preemption::DiscardsWork,
+        Preemption::KeepsWork,
+    ][n as usize % 3];
+    set.capacity_hint = [
+        CapacityHint::Off,
+        CapacityHint::PriorityFloor,
+        CapacityHint::Allowance,
+        CapacityHint::Weight,
     ][n as usize / 3 % 4];
-    set.below = [Below::Shared, Below::Nothing, Below::Tier][n as usize / 12 % 3];
-    set.calls_out = [4.0, 0.4, 1.5][n as usize / 36 % 3];
-    if set.below != Below::Shared {
-        set.calls_out = 1e9;
+    set.dependency = [Dependency::Shared, Dependency::None, Dependency::Tier][n as usize / 12 % 3];
+    set.call_quota = [4.0, 0.4, 1.5][n as usize / 36 % 3];
+    if set.dependency != Dependency::Shared {
+        set.call_quota = 1e9;
     }
-    (set.cold, set.warm_up) = (n / 108 % 2 == 1, Span::from_ms(1e7));
+    (set.starts_cold, set.warm_up) = (n / 108 % 2 == 1, Span::from_ms(1e7));
     set.memory_kb = [2000.0, 120.0, 400.0][n as usize / 216 % 3];
     set.cores = [2, 1, 4][n as usize / 648 % 3];
-    set.run_factor = [4.0, 16.0][n as usize % 2];
+    set.run_memory_factor = [4.0, 16.0][n as usize % 2];
     (set.answer_slack, set.drain_grace) = (
         Span::from_ms(60.0),
         Span::from_ms([1000.0, 0.0][n as usize % 2]),
@@ -182,13 +193,13 @@
                     let age = [0.0, 3.0, 400.0][pick % 3];
                     let wait = (pick % 5 > 0).then_some(20.0 + (pick % 997) as f64 * 3.0);
                     let key = judge.keys.keys().copied().nth(pick % 7);
-                    let repeats = key.filter(|_| class == 1 && pick % 2 == 0).map(RequestId);
+                    let duplicate_of = key.filter(|_| class == 1 && pick % 2 == 0).map(RequestId);
                     let due = wait.map_or((s.now - age + 6000.0).max(s.now), |w| s.now + w);
-                    events.push(Event::Read(Request {
+                    events.push(Event::RequestRead(Request {
                         age: Span::from_ms(age),
-                        wait_left: wait.map(Span::from_ms),
-                        resent: pick % 6 == 0,
-                        repeats,
+                        remaining_wait: wait.map(Span::from_ms),
+                        is_retry: pick % 6 == 0,
+                        duplicate_of,
                         ..request(id, class)
                     }));
                     let (at, arrived) = (At::Held, s.now - age);
@@ -203,20 +214,20 @@
                         over: false,
                     };
                     judge.reqs.insert(id, fresh);
-                    // One that repeats a run must never run itself.
-                    judge.reqs.get_mut(&id).expect("just put in").ran = repeats.is_some();
+                    // One that duplicate_of a run must never run itself.
+                    judge.reqs.get_mut(&id).expect("just put in").ran = duplicate_of.is_some();
                 }
             }
             7..=9 => {
                 if let Some(id) = judge.pick(pick, &[At::OnCore, At::Joined]) {
                     let r = judge.reqs.get_mut(&id).expect("picked");
                     (r.over, r.answered) = (true, true);
-                    events.push(Event::Finished(
+                    events.push(Event::RunEnded(
                         RequestId(id),
                         if pick % 8 == 0 {
-                            RunEnd::Failed
+                            RunOutcome::Failed
                         } else {
-                            RunEnd::Served
+                            RunOutcome::Served
                         },
                     ));
                 }
@@ -227,20 +238,24 @@
                     .filter(|id| !judge.reqs[id].answered)
                 {
                     judge.reqs.get_mut(&id).expect("picked").at = At::Waiting;
-                    events.push(Event::NeedsCall(RequestId(id)));
+                    events.push(Event::CallRequested(RequestId(id)));
                 }
             }
             12 | 13 => {
                 if let Some(id) = judge.pick(pick, &[At::Calling]) {
-                    let end = [CallEnd::Good, CallEnd::Failed, CallEnd::NeverRan][pick % 3];
+                    let end = [
+                        CallOutcome::Succeeded,
+                        CallOutcome::Failed,
+                        CallOutcome::NotExecuted,
+                    ][pick % 3];
                     let r = judge.reqs.get_mut(&id).expect("picked");
-                    r.at = if end == CallEnd::Good {
+                    r.at = if end == CallOutcome::Succeeded {
                         At::OnCore
                     } else {
                         At::Waiting
                     };
-                    r.no_more_calls |=
-                        end == CallEnd::Failed && set.classes[r.class].effect != Effect::Repeatable;
+                    r.no_more_calls |= end == CallOutcome::Failed
+                        && set.classes[r.class].idempotency != Idempotency::Idempotent;
                     events.push(Event::CallEnded(RequestId(id), end, Span::from_ms(30.0)));
                 }
             }
@@ -249,13 +264,13 @@
                     let r = judge.reqs.get_mut(&id).expect("picked");
                     r.over |= r.at != At::OnCore;
                     r.answered = true;
-                    events.push(Event::CallerLeft(RequestId(id)));
+                    events.push(Event::CallerStoppedWaiting(RequestId(id)));
                 }
             }
             _ => {
                 if pick % 50 == 0 && judge.leaving.is_none() {
                     judge.leaving = Some((s.now, s.now + 2500.0));
-                    events.push(Event::Leaving(Span::from_ms(2500.0)));
+                    events.push(Event::ShutdownNotice(Span::from_ms(2500.0)));
                 }
             }
         }
@@ -333,9 +348,9 @@
         judge.leaving = Some((-5000.0, 1e9));
         judge.judge(now, actions).is_err()
     };
-    let refuse = Action::Refuse {
+    let refuse = Action::Reject {
         id,
-        stay_away: Span(0),
+        retry_after: Span(0),
         give_up: false,
     };
     assert!(judged(2, At::Held, true, 1.0, &[Action::Run(id)]));
