--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -10,7 +10,10 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use cells::map::{CellMap, Name};
-use connections::{Bounds, Breach, Due, Go, Room, Session};
+use connections::{
+    ConnectionId, ConnectionLimits, ConnectionState, Eviction, IdleConnections, ProtocolViolation,
+    TimerAction,
+};
 use fleet_runtime as fleet;
 use membership::Said;
 use mio::net::{TcpListener, TcpStream};
@@ -73,7 +76,7 @@
 
 struct Client {
     stream: TcpStream,
-    session: Session,
+    session: ConnectionState,
     readable: bool,
     hung_up: bool,
     queued: bool,
@@ -101,7 +104,7 @@
 /// A router that is not yet running.
 pub struct RouterLoop {
     config: Config,
-    bounds: Bounds,
+    bounds: ConnectionLimits,
     log: Logger,
     poll: Poll,
     listener: Option<TcpListener>,
@@ -113,7 +116,7 @@
     router: Router,
     clients: HashMap<usize, Client>,
     links: HashMap<usize, Link>,
-    room: Room,
+    room: IdleConnections,
     next: usize,
     turns: VecDeque<usize>,
     open: HashMap<Ticket, Open>,
@@ -141,7 +144,7 @@
         };
         let now = Instant::now();
         let mut router = RouterLoop {
-            bounds: Bounds::new(config.clients),
+            bounds: ConnectionLimits::new(config.clients),
             log: log.clone(),
             poll,
             listener: Some(listener),
@@ -153,7 +156,7 @@
             router: Router::new(rules, seed),
             clients: HashMap::new(),
             links: HashMap::new(),
-            room: Room::default(),
+            room: IdleConnections::default(),
             next: FIRST,
             turns: VecDeque::new(),
             open: HashMap::new(),
@@ -308,18 +311,22 @@
         }
     }
     fn connect_client(&mut self, mut stream: TcpStream, now: Instant) -> io::Result<()> {
-        for (number, go) in self.room.make(self.clients.len(), &self.bounds, now) {
-            match go {
-                Go::Part => {
+        for eviction in self
+            .room
+            .choose_evictions(self.clients.len(), &self.bounds, now)
+        {
+            let ConnectionId(number) = eviction.connection();
+            match eviction {
+                Eviction::Close(_) => {
                     if let Some(c) = self.clients.get_mut(&number) {
-                        c.session.hurry(&self.bounds, now);
+                        c.session.skip_linger(&self.bounds, now);
                     }
                     self.part(number, now);
                 }
-                Go::Farewell => self.farewell(number, now),
+                Eviction::SayGoodbye(_) => self.farewell(number, now),
             }
         }
-        if self.clients.len() >= self.bounds.connections {
+        if self.clients.len() >= self.bounds.max_connections {
             return Err(io::Error::other("too many connections"));
         }
         stream.set_nodelay(true)?;
@@ -329,7 +336,7 @@
             Token(number),
             Interest::READABLE | Interest::WRITABLE,
         )?;
-        let session = Session::new(&self.bounds, now);
+        let session = ConnectionState::new(&self.bounds, now);
         self.clients.insert(
             number,
             Client {
@@ -349,10 +356,10 @@
     }
     fn part(&mut self, number: usize, now: Instant) {
         if let Some(c) = self.clients.get_mut(&number) {
-            if c.session.lingers() {
+            if c.session.is_lingering() {
                 return self.remove_client(number);
             }
-            c.session.part();
+            c.session.begin_close();
             c.readable = true;
             self.turn(number, now);
         }
@@ -361,15 +368,15 @@
         let Some(c) = self.clients.get_mut(&number) else {
             return;
         };
-        if c.session.farewell(now) {
+        if c.session.record_goodbye(now) {
             c.session
-                .put(b"{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n", now);
+                .enqueue_line(b"{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n", now);
         }
         self.settle(number, now);
     }
     fn remove_client(&mut self, number: usize) {
         self.clients.remove(&number);
-        self.room.set(number, None);
+        self.room.update(ConnectionId(number), None);
     }
     fn client_ready(&mut self, number: usize, event: &mio::event::Event, now: Instant) {
         let Some(c) = self.clients.get_mut(&number) else {
@@ -388,23 +395,23 @@
             return;
         };
         c.queued = false;
-        if c.session.lingers() {
+        if c.session.is_lingering() {
             return self.pass_over(number, now);
         }
-        let mut lines = c.session.allowance(&self.bounds);
+        let mut lines = c.session.lines_per_turn(&self.bounds);
         let mut has_read = false;
         while let Some(c) = self.clients.get_mut(&number) {
-            if lines == 0 || !c.session.hears(&self.bounds) {
+            if lines == 0 || !c.session.may_read(&self.bounds) {
                 break;
             }
-            match c.session.line() {
+            match c.session.next_line() {
                 Ok(Some(line)) => {
                     lines -= 1;
                     let line = line.to_vec();
                     self.serve(number, &line, now);
                 }
                 Ok(None) if !c.readable => {
-                    if c.session.drained() {
+                    if c.session.finish_close_request() {
                         return self.farewell(number, now);
                     }
                     break;
@@ -413,10 +420,10 @@
                 Ok(None) => {
                     has_read = true;
                     match c.stream.read(&mut self.chunk) {
-                        Ok(0) => c.session.end(),
+                        Ok(0) => c.session.record_peer_end(),
                         Ok(n) => {
                             c.readable = n == self.chunk.len() || c.hung_up;
-                            c.session.feed(&self.chunk[..n], now);
+                            c.session.receive_bytes(&self.chunk[..n], now);
                         }
                         Err(e) if e.kind() == ErrorKind::WouldBlock => c.readable = false,
                         Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -440,7 +447,7 @@
         };
         match c.stream.read(&mut self.chunk) {
             Ok(0) => return self.remove_client(number),
-            Ok(n) => c.session.pass_over(n),
+            Ok(n) => c.session.record_discarded(n),
             Err(e) if e.kind() == ErrorKind::WouldBlock => c.readable = false,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(_) => return self.remove_client(number),
@@ -450,16 +457,16 @@
 
     fn breach(&mut self, number: usize, line: &str, now: Instant) {
         if let Some(c) = self.clients.get_mut(&number) {
-            c.session.put(line.as_bytes(), now);
-            c.session.close(now);
+            c.session.enqueue_line(line.as_bytes(), now);
+            c.session.abort(now);
         }
     }
     fn put(&mut self, number: usize, line: &str, now: Instant) {
         let Some(c) = self.clients.get_mut(&number) else {
             return;
         };
-        c.session.put(line.as_bytes(), now);
-        if c.session.unsent().len() > self.bounds.output {
+        c.session.enqueue_line(line.as_bytes(), now);
+        if c.session.unsent().len() > self.bounds.max_unsent_bytes {
             self.remove_client(number);
         }
     }
@@ -471,24 +478,24 @@
         };
         while !c.session.unsent().is_empty() {
             match c.stream.write(c.session.unsent()) {
-                Ok(n) => c.session.sent(n, now),
+                Ok(n) => c.session.record_write(n, now),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return self.remove_client(number),
             }
         }
-        if c.session.over(&self.bounds) {
+        if c.session.may_be_dropped(&self.bounds) {
             return self.remove_client(number);
         }
-        if c.session.shuts(now) {
+        if c.session.begin_linger(now) {
             if c.stream.shutdown(Shutdown::Write).is_err() {
                 return self.remove_client(number);
             }
             c.readable = true;
         }
-        self.room.set(number, c.session.dispensable());
-        let hears = c.session.hears(&self.bounds) && (c.readable || c.session.has_more());
-        if !c.queued && (hears || c.session.lingers() && c.readable) {
+        self.room.update(ConnectionId(number), c.session.idleness());
+        let hears = c.session.may_read(&self.bounds) && (c.readable || c.session.may_have_line());
+        if !c.queued && (hears || c.session.is_lingering() && c.readable) {
             c.queued = true;
             self.turns.push_back(number);
         }
@@ -510,7 +517,7 @@
             return;
         };
         if call.method == "alive" {
-            c.session.touch(now);
+            c.session.record_message(now);
             let time = self.time(now);
             let up = |node| self.nodes.presence(node, time) != Presence::Away;
             let ready = self.nodes.addresses.keys().any(|node| up(node));
@@ -532,16 +539,16 @@
                 now,
             );
         };
-        match c.session.request(id, now) {
+        match c.session.open_request(id, now) {
             Ok(()) => {}
-            Err(Breach::IdInUse) => {
+            Err(ProtocolViolation::DuplicateId) => {
                 return self.breach(
                     number,
                     &message::error(None, -32600, "a request with this id is open", None),
                     now,
                 );
             }
-            Err(Breach::TooMany) => {
+            Err(ProtocolViolation::TooManyRequests) => {
                 let line = message::error(
                     Some(id),
                     REFUSED,
@@ -550,7 +557,7 @@
                 );
                 return self.put(number, &line, now);
             }
-            Err(Breach::Closed | Breach::LineTooLong) => return,
+            Err(ProtocolViolation::Closed | ProtocolViolation::LineTooLong) => return,
         }
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -627,7 +634,7 @@
         let Some(c) = self.clients.get_mut(&open.client) else {
             return;
         };
-        if c.session.answered(open.id, now) {
+        if c.session.close_request(open.id, now) {
             self.put(open.client, line, now);
             self.settle(open.client, now);
         }
@@ -741,7 +748,8 @@
             match l.stream.read(&mut self.chunk) {
                 Ok(0) => return self.link_ended(number, now),
                 Ok(n) => {
-                    let Some(lines) = l.state.feed(&self.chunk[..n], self.bounds.line) else {
+                    let Some(lines) = l.state.feed(&self.chunk[..n], self.bounds.max_line_bytes)
+                    else {
                         return self.link_ended(number, now);
                     };
                     lines.iter().for_each(|line| self.said(number, line, now));
@@ -934,22 +942,22 @@
             .collect();
         idle.into_iter()
             .for_each(|number| self.link_ended(number, now));
-        let due: Vec<(usize, Option<Due>)> = self
+        let due: Vec<(usize, Option<TimerAction>)> = self
             .clients
             .iter()
             .map(|(number, c)| {
                 (
                     *number,
                     c.session
-                        .on_time(Duration::from_secs(30), &self.bounds, now),
+                        .due_action(Duration::from_secs(30), &self.bounds, now),
                 )
             })
             .collect();
         for (number, due) in due {
             match due {
-                Some(Due::Farewell) => self.farewell(number, now),
-                Some(Due::Part) => self.part(number, now),
-                Some(Due::Cut) => self.remove_client(number),
+                Some(TimerAction::SayGoodbye) => self.farewell(number, now),
+                Some(TimerAction::BeginClose) => self.part(number, now),
+                Some(TimerAction::Disconnect) => self.remove_client(number),
                 None => {}
             }
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -193,7 +193,7 @@
         .map(|file| Confinement::read(file, &config.name))
         .transpose()
         .map_err(StartError::Cells)?;
-    limits.front.connections = limits.front.connections.saturating_sub(queues.len());
+    limits.front.max_connections = limits.front.max_connections.saturating_sub(queues.len());
     let system = |what| move |e| StartError::System(what, e);
     let log = logger(&config.name);
     let signals = signals(&limits).map_err(system("signals"))?;
@@ -330,7 +330,7 @@
         parts: Parts::new(&std::env::temp_dir(), &config.name, &standing),
         board: board.clone(),
         module: module.clone(),
-        slots: limits.front.connections,
+        slots: limits.front.max_connections,
         log: log.clone(),
     };
     divide.look(&standing, front.connections());
--- a/src/net/jsonrpc/events.rs
+++ b/src/net/jsonrpc/events.rs
@@ -9,7 +9,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use connections::{Breach, Due, Go, Room, Session};
+use connections::{
+    ConnectionId, ConnectionState, Eviction, IdleConnections, ProtocolViolation, TimerAction,
+};
 use crossbeam_channel::{unbounded, Receiver, Sender};
 use lifecycle::share;
 use mio::net::{TcpListener, TcpStream};
@@ -39,7 +41,7 @@
 /// A socket and what is known of it.
 struct Connection {
     stream: TcpStream,
-    session: Session,
+    session: ConnectionState,
     /// What is open on it, by the ids of its requests, where callers tell when they leave.
     open: HashMap<u64, Rid>,
     /// There may be something to read; so much is known from the poll, which tells of a change once.
@@ -69,7 +71,7 @@
     counts: Arc<Counts>,
     connections: HashMap<usize, Connection>,
     next: usize,
-    room: Room,
+    room: IdleConnections,
     /// Whose turn it is, first to last.
     turns: VecDeque<usize>,
     /// When to look at which connection again. An entry that is no longer its connection's timer is passed over.
@@ -105,10 +107,10 @@
             counts: Arc::default(),
             connections: HashMap::new(),
             next: FIRST,
-            room: Room::default(),
+            room: IdleConnections::default(),
             turns: VecDeque::new(),
             timers: BinaryHeap::new(),
-            whole: limits.front.connections,
+            whole: limits.front.max_connections,
             unsent: 0,
             chunk: vec![0; limits.read].into(),
             turned_away: Seldom::new(limits.log_seldom),
@@ -181,7 +183,7 @@
 
     /// The module's mailbox has room for a turn's lines, so that handing them over never waits.
     fn module_has_room(&self) -> bool {
-        self.core.module.len() + self.limits.front.lines <= self.limits.module_mailbox / 2
+        self.core.module.len() + self.limits.front.lines_per_turn <= self.limits.module_mailbox / 2
     }
 
     // ---- connections come and go ----
@@ -249,28 +251,29 @@
     /// Connections that this process may have of the node's. Those past a part that fell go as their room is needed.
     fn look_at_parts(&mut self) {
         let connections = share(self.whole, self.core.board.parts());
-        if connections != self.limits.front.connections {
-            self.limits.front.set_connections(connections);
+        if connections != self.limits.front.max_connections {
+            self.limits.front.set_max_connections(connections);
         }
     }
 
     fn connect(&mut self, mut stream: TcpStream, now: Instant) -> io::Result<()> {
         self.look_at_parts();
-        for (number, go) in self
+        for eviction in self
             .room
-            .make(self.connections.len(), &self.limits.front, now)
+            .choose_evictions(self.connections.len(), &self.limits.front, now)
         {
-            match go {
-                Go::Part => {
+            let ConnectionId(number) = eviction.connection();
+            match eviction {
+                Eviction::Close(_) => {
                     if let Some(c) = self.connections.get_mut(&number) {
-                        c.session.hurry(&self.limits.front, now);
+                        c.session.skip_linger(&self.limits.front, now);
                     }
                     self.part(number, now);
                 }
-                Go::Farewell => self.farewell(number, now),
+                Eviction::SayGoodbye(_) => self.farewell(number, now),
             }
         }
-        if self.connections.len() >= self.limits.front.connections {
+        if self.connections.len() >= self.limits.front.max_connections {
             return Err(io::Error::other("too many connections"));
         }
         stream.set_nodelay(true)?;
@@ -282,7 +285,7 @@
             Token(number),
             Interest::READABLE | Interest::WRITABLE,
         )?;
-        let session = Session::new(&self.limits.front, now);
+        let session = ConnectionState::new(&self.limits.front, now);
         let connection = Connection {
             stream,
             session,
@@ -306,10 +309,10 @@
         let Some(c) = self.connections.get_mut(&number) else {
             return;
         };
-        if c.session.lingers() {
+        if c.session.is_lingering() {
             return self.remove(number);
         }
-        c.session.part();
+        c.session.begin_close();
         c.readable = true;
         self.turn(number, now);
     }
@@ -329,7 +332,7 @@
         let Some(c) = self.connections.get_mut(&number) else {
             return;
         };
-        if c.session.farewell(now) {
+        if c.session.record_goodbye(now) {
             self.put(number, message::FAREWELL, now);
         }
         self.settle(number, now);
@@ -339,9 +342,11 @@
         let Some(c) = self.connections.remove(&number) else {
             return;
         };
-        self.room.set(number, None);
+        self.room.update(ConnectionId(number), None);
         self.unsent -= c.session.unsent().len();
-        self.counts.open.fetch_sub(c.session.open(), SeqCst);
+        self.counts
+            .open
+            .fetch_sub(c.session.open_request_count(), SeqCst);
         self.counts
             .unsent
             .fetch_sub(usize::from(!c.session.unsent().is_empty()), SeqCst);
@@ -374,8 +379,9 @@
         let Some(c) = self.connections.get_mut(&number) else {
             return;
         };
-        let hears = c.session.hears(&self.limits.front) && (c.readable || c.session.has_more());
-        if !c.queued && (hears || c.session.lingers() && c.readable) {
+        let hears =
+            c.session.may_read(&self.limits.front) && (c.readable || c.session.may_have_line());
+        if !c.queued && (hears || c.session.is_lingering() && c.readable) {
             c.queued = true;
             self.turns.push_back(number);
         }
@@ -400,23 +406,23 @@
             return;
         };
         c.queued = false;
-        if c.session.lingers() {
+        if c.session.is_lingering() {
             return self.pass_over(number, now);
         }
-        let mut lines = c.session.allowance(&self.limits.front);
+        let mut lines = c.session.lines_per_turn(&self.limits.front);
         let mut has_read = false;
         while let Some(c) = self.connections.get_mut(&number) {
-            if !c.session.hears(&self.limits.front) || lines == 0 {
+            if !c.session.may_read(&self.limits.front) || lines == 0 {
                 break;
             }
-            match c.session.line() {
+            match c.session.next_line() {
                 Ok(Some(line)) => {
                     lines -= 1;
                     let incoming = message::read(line, &self.core.site);
                     self.serve(number, incoming, now);
                 }
                 Ok(None) if !c.readable => {
-                    if c.session.drained() {
+                    if c.session.finish_close_request() {
                         return self.farewell(number, now);
                     }
                     break;
@@ -425,11 +431,11 @@
                 Ok(None) => {
                     has_read = true;
                     match c.stream.read(&mut self.chunk) {
-                        Ok(0) => c.session.end(),
+                        Ok(0) => c.session.record_peer_end(),
                         Ok(n) => {
                             // Less than was asked for: the machine has no more, unless the end is what comes next.
                             c.readable = n == self.chunk.len() || c.hung_up;
-                            c.session.feed(&self.chunk[..n], now);
+                            c.session.receive_bytes(&self.chunk[..n], now);
                         }
                         Err(e) if e.kind() == ErrorKind::WouldBlock => c.readable = false,
                         Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -453,7 +459,7 @@
         };
         match c.stream.read(&mut self.chunk) {
             Ok(0) => return self.remove(number),
-            Ok(n) => c.session.pass_over(n),
+            Ok(n) => c.session.record_discarded(n),
             Err(e) if e.kind() == ErrorKind::WouldBlock => c.readable = false,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(_) => return self.remove(number),
@@ -467,7 +473,7 @@
         };
         match incoming {
             Incoming::Alive(id) => {
-                c.session.touch(now);
+                c.session.record_message(now);
                 let line = message::health(id, self.core.board.ready(), self.core.board.hint());
                 self.put(number, &line, now);
             }
@@ -476,14 +482,14 @@
                 let Some(rid) = c.open.remove(&id) else {
                     return;
                 };
-                if c.session.answered(id, now) {
+                if c.session.close_request(id, now) {
                     self.counts.open.fetch_sub(1, SeqCst);
                 }
                 let _ = self.core.module.send(Msg::CallerLeft(rid));
             }
             Incoming::Notification => {}
             Incoming::Malformed(answer) => self.breach(number, &answer, now),
-            Incoming::Request(id, class, params) => match c.session.request(id, now) {
+            Incoming::Request(id, class, params) => match c.session.open_request(id, now) {
                 Ok(()) => {
                     self.counts.open.fetch_add(1, SeqCst);
                     let mailbox = self.mailbox.clone();
@@ -497,7 +503,7 @@
                     let _ = self.core.module.send(Msg::Arrived(Box::new(arrival)));
                 }
                 // An answer under this number would pass for that of the other request.
-                Err(Breach::IdInUse) => {
+                Err(ProtocolViolation::DuplicateId) => {
                     self.breach(
                         number,
                         &message::breach("a request with this id is open"),
@@ -506,8 +512,10 @@
                 }
                 // Those that the front end has given up are open here still, and it does not count them: that is no
                 // breach.
-                Err(Breach::TooMany) => self.put(number, &message::crowded(id), now),
-                Err(Breach::Closed | Breach::LineTooLong) => {}
+                Err(ProtocolViolation::TooManyRequests) => {
+                    self.put(number, &message::crowded(id), now)
+                }
+                Err(ProtocolViolation::Closed | ProtocolViolation::LineTooLong) => {}
             },
         }
     }
@@ -519,7 +527,7 @@
         let Some(c) = self.connections.get_mut(&number) else {
             return;
         };
-        c.session.close(now);
+        c.session.abort(now);
         self.turned_away.log(|more| {
             let peer = c.stream.peer_addr().map(|a| a.to_string()).unwrap_or_default();
             info!(self.log, "protocol broken"; "peer" => peer, "answer" => answer.trim_end(), "more" => more);
@@ -538,7 +546,7 @@
                         continue;
                     };
                     c.open.remove(&id);
-                    if c.session.answered(id, now) {
+                    if c.session.close_request(id, now) {
                         self.put(number, &message::answer(id, &answer), now);
                         written.push(number);
                     }
@@ -571,13 +579,13 @@
             return;
         };
         let before = c.session.unsent().len();
-        c.session.put(line.as_bytes(), now);
+        c.session.enqueue_line(line.as_bytes(), now);
         let more = c.session.unsent().len() - before;
         self.unsent += more;
         self.counts
             .unsent
             .fetch_add(usize::from(before == 0 && more > 0), SeqCst);
-        if c.session.unsent().len() > self.limits.front.output {
+        if c.session.unsent().len() > self.limits.front.max_unsent_bytes {
             self.remove(number);
         } else if self.unsent > self.limits.front_output_all {
             let most = self
@@ -599,7 +607,7 @@
         while !c.session.unsent().is_empty() {
             match c.stream.write(c.session.unsent()) {
                 Ok(n) => {
-                    c.session.sent(n, now);
+                    c.session.record_write(n, now);
                     self.unsent -= n;
                     if c.session.unsent().is_empty() {
                         self.counts.unsent.fetch_sub(1, SeqCst);
@@ -613,21 +621,21 @@
                 }
             }
         }
-        if c.session.over(&self.limits.front) {
+        if c.session.may_be_dropped(&self.limits.front) {
             return self.remove(number);
         }
-        if c.session.shuts(now) {
+        if c.session.begin_linger(now) {
             if c.stream.shutdown(Shutdown::Write).is_err() {
                 return self.remove(number);
             }
             // What has come so far is unread, whatever the poll has told.
             c.readable = true;
         }
-        self.room.set(number, c.session.dispensable());
+        self.room.update(ConnectionId(number), c.session.idleness());
         let idle = self.core.board.idle().unwrap_or(self.limits.front_idle);
         if let Some(due) = c
             .session
-            .due(idle, &self.limits.front)
+            .next_timer(idle, &self.limits.front)
             .filter(|due| c.timer.is_none_or(|timer| *due < timer))
         {
             c.timer = Some(due);
@@ -653,10 +661,10 @@
                 continue;
             };
             c.timer = None;
-            match c.session.on_time(idle, &self.limits.front, now) {
-                Some(Due::Farewell) => self.farewell(number, now),
-                Some(Due::Part) => self.part(number, now),
-                Some(Due::Cut) => self.remove(number),
+            match c.session.due_action(idle, &self.limits.front, now) {
+                Some(TimerAction::SayGoodbye) => self.farewell(number, now),
+                Some(TimerAction::BeginClose) => self.part(number, now),
+                Some(TimerAction::Disconnect) => self.remove(number),
                 None => self.settle(number, now),
             }
         }
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use connections::Bounds;
+use connections::ConnectionLimits;
 
 use crate::wire::Site;
 
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// What the platform's front connections keep to.
-    pub front: Bounds,
+    pub front: ConnectionLimits,
     /// How long one may carry nothing, until the module has said.
     pub front_idle: Duration,
     /// Between looks at runs that nobody waits for.
@@ -149,7 +149,7 @@
         // Lanes, the executor, the list, the listener, standard streams and a few spare ones come off.
         let connections = sockets.saturating_sub(database_lanes + 40).clamp(8, 640);
         Limits {
-            front: Bounds::new(connections),
+            front: ConnectionLimits::new(connections),
             front_idle: Duration::from_secs(60),
             sweep: Duration::from_millis(200),
             stop_again: Duration::from_millis(400),
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -191,9 +191,9 @@
 #[test]
 fn newcomers_find_room_among_peers_that_never_close() {
     let mut s = Stepped::new(|limits| {
-        limits.front.set_connections(40);
-        limits.front.linger = Duration::from_secs(60);
-        limits.front.mute = Duration::ZERO;
+        limits.front.set_max_connections(40);
+        limits.front.linger_timeout = Duration::from_secs(60);
+        limits.front.silence_grace = Duration::ZERO;
     });
     let mut crowd: Vec<Front> = Vec::new();
     for _ in 0..120 {
@@ -210,7 +210,7 @@
 /// A peer that is shut and stays silent goes when its time is over.
 #[test]
 fn one_that_never_closes_is_cut_in_time() {
-    let mut s = Stepped::new(|limits| limits.front.linger = Duration::from_millis(5));
+    let mut s = Stepped::new(|limits| limits.front.linger_timeout = Duration::from_millis(5));
     let peer = s.connect();
     s.front.part_all(Instant::now());
     s.until("it is cut", |s| s.front.connections() == 0);
@@ -274,7 +274,7 @@
 fn a_request_in_the_instant_of_an_idle_close_is_answered() {
     let mut s = Stepped::new(|limits| {
         limits.front_idle = Duration::ZERO;
-        limits.front.farewell = Duration::ZERO;
+        limits.front.goodbye_timeout = Duration::ZERO;
     });
     let mut peer = s.connect();
     // In one piece: the second one is unread as the first is answered and the times are over.
