--- /dev/null
+++ b/crates/json5-errors/src/lib.rs
@@ -0,0 +1,10 @@
+//! Errors in JSON5 configuration files, reported with the file, the line and the field they belong to.
+//!
+//! `serde` and `json5` report a position only for text they can't parse. [`FieldPositions`] and [`line_starting_with`]
+//! find the line of a field whose value was parsed and then rejected.
+
+mod error;
+mod positions;
+
+pub use error::ConfigFileError;
+pub use positions::{line_starting_with, DuplicateField, FieldPositions};
