--- a/src/net/jsonrpc/events.rs
+++ b/src/net/jsonrpc/events.rs
@@ -513,7 +513,7 @@
                 // Those that the front end has given up are open here still, and it does not count them: that is no
                 // breach.
                 Err(ProtocolViolation::TooManyRequests) => {
-                    self.put(number, &message::crowded(id), now)
+                    self.put(number, &message::crowded(id), now);
                 }
                 Err(ProtocolViolation::Closed | ProtocolViolation::LineTooLong) => {}
             },
