--- a/crates/fault-testbed/src/rig.rs
+++ b/crates/fault-testbed/src/rig.rs
@@ -11,7 +11,7 @@
 
 use fleet_runtime::{ask, look, Told};
 use serde_json::{json, Value};
-use shared_state::Look;
+use shared_state::SharedStateSnapshot;
 use test_doubles::{command, config, lock, until, Database, Executor, Front, List, Node, Scratch};
 
 use crate::links::Links;
@@ -494,14 +494,14 @@
         ask(at, FLEET, ASK).ok()
     }
     /// What a process holds of the budgets, asked past the switch.
-    pub fn look(&self, name: &str) -> Option<Look> {
+    pub fn look(&self, name: &str) -> Option<SharedStateSnapshot> {
         look(self.node(name).logged("fleet")?, FLEET, ASK)
             .ok()
             .map(|(_, look)| look)
     }
     /// Who grants, as this process knows.
     pub fn granter(&self, name: &str) -> Option<String> {
-        self.look(name)?.granter.map(|name| name.to_string())
+        self.look(name)?.leader.map(|name| name.to_string())
     }
     /// Whether all that run in each part hold exactly each other, and the same of each other.
     pub fn settled(&self) -> bool {
--- a/crates/fleet-cli/src/lib.rs
+++ b/crates/fleet-cli/src/lib.rs
@@ -12,7 +12,7 @@
 use fleet_runtime::{ask, look, AskError, Config, ConfigError, Told};
 use membership::{Record, Said, Standing};
 use serde::Serialize;
-use shared_state::Look;
+use shared_state::{HolderSnapshot, SharedStateSnapshot};
 
 /// The commands.
 #[derive(Debug, Subcommand)]
@@ -306,14 +306,14 @@
     text
 }
 
-fn table_of_state(me: &Record, look: &Look) -> String {
+fn table_of_state(me: &Record, look: &SharedStateSnapshot) -> String {
     let mut text = String::new();
     if !look.budgets.is_empty() {
-        let granter = look.granter.as_deref().unwrap_or("nobody");
+        let granter = look.leader.as_deref().unwrap_or("nobody");
         let _ = writeln!(text, "{} knows as granter: {granter}", me.name);
     }
     for b in &look.budgets {
-        let own = if b.floor.1 {
+        let own = if b.guaranteed.is_available {
             "may be spent"
         } else {
             "not yet, calls of an earlier process may be in hand"
@@ -322,35 +322,43 @@
         let _ = writeln!(
             text,
             "  its own {} ({own}); leased {} for {} ms more",
-            b.floor.0, b.leased.0, b.leased.1
+            b.guaranteed.units, b.leased.units, b.leased.remaining_ms
         );
-        let _ = writeln!(text, "  uses {}, wants {}", b.in_use.0, b.in_use.1);
+        let _ = writeln!(text, "  uses {}, wants {}", b.usage.in_use, b.usage.demand);
         if !b.holders.is_empty() {
-            let _ = writeln!(text, "  it grants; counted for all: {}", b.counted);
+            let _ = writeln!(text, "  it grants; counted for all: {}", b.reserved);
         }
-        for (name, counted, want) in &b.holders {
-            let _ = writeln!(text, "    {name:<16} counted {counted:>6}, wants {want:>6}");
+        for HolderSnapshot {
+            name,
+            reserved,
+            demand,
+        } in &b.holders
+        {
+            let _ = writeln!(
+                text,
+                "    {name:<16} counted {reserved:>6}, wants {demand:>6}"
+            );
         }
     }
-    if let Some(g) = &look.gathered {
-        let _ = match &g.by {
+    if let Some(g) = &look.aggregate {
+        let _ = match &g.aggregator {
             Some(by) => writeln!(
                 text,
                 "{} knows what {} of {} nodes count, by {by}, none older than {} ms; no tenant has more than {} in flight at the others",
-                me.name, g.covered.0, g.covered.1, g.age_ms, g.most
+                me.name, g.coverage.covered, g.coverage.present, g.age_ms, g.max_in_flight
             ),
             None => writeln!(text, "{} goes by its own counts: nothing fresh is known of the others", me.name),
         };
-        let names: Vec<&str> = g.gatherers.iter().map(|n| &**n).collect();
+        let names: Vec<&str> = g.aggregators.iter().map(|n| &**n).collect();
         let _ = writeln!(text, "  reports to: {}", names.join(" "));
         let (all, here, sites) = (g.others.elsewhere, g.others.here, g.others.sites);
         let _ = writeln!(
             text,
             "ledger: {} for {:.1} s; {} own calls of late, {} failed",
-            g.ledger.0.name(),
-            g.ledger.1 as f64 / 1e3,
-            g.calls.0,
-            g.calls.1
+            g.ledger.health.name(),
+            g.ledger.for_ms as f64 / 1e3,
+            g.calls.total,
+            g.calls.failed
         );
         let _ = writeln!(
             text,
--- a/crates/fleet-runtime/src/allowance.rs
+++ b/crates/fleet-runtime/src/allowance.rs
@@ -6,13 +6,13 @@
 
 use arc_swap::ArcSwap;
 use mio::Waker;
-use shared_state::{Spend, Terms, Units};
+use shared_state::{LeaseTimings, SpendableQuota, Units};
 
 /// A budget as the one who spends it holds it.
 #[derive(Clone)]
 pub struct Allowance {
     pub(crate) began: Instant,
-    pub(crate) spend: Arc<ArcSwap<Spend>>,
+    pub(crate) spend: Arc<ArcSwap<SpendableQuota>>,
     pub(crate) usage: Arc<Usage>,
     pub(crate) waker: Arc<Waker>,
 }
@@ -39,6 +39,6 @@
     }
     /// How long what was begun may be in hand at most: past that it must have ended, wherever it is.
     pub fn longest(&self) -> Duration {
-        Terms::default().longest
+        LeaseTimings::default().max_call_duration
     }
 }
--- a/crates/fleet-runtime/src/ask.rs
+++ b/crates/fleet-runtime/src/ask.rs
@@ -7,7 +7,7 @@
 
 use membership::packet::{Summary, LONGEST};
 use membership::{Body, Name, Packet, Record};
-use shared_state::{Look, Message};
+use shared_state::{Message, SharedStateSnapshot};
 
 /// What a member told of its view.
 #[derive(Clone, Debug)]
@@ -62,13 +62,17 @@
 }
 
 /// Asks the member at this address what it holds of budgets, for so long at most.
-pub fn look(at: SocketAddr, fleet: &str, most: Duration) -> Result<(Record, Look), AskError> {
+pub fn look(
+    at: SocketAddr,
+    fleet: &str,
+    most: Duration,
+) -> Result<(Record, SharedStateSnapshot), AskError> {
     let socket = socket(at)?;
     let end = Instant::now() + most;
     let mut bytes = [0; LONGEST + 1];
     socket.set_read_timeout(Some(TRY))?;
     for seq in 1.. {
-        let body = Body::Carried(Message::Look(seq).encode());
+        let body = Body::Carried(Message::SnapshotRequest(seq).encode());
         let question = Packet {
             fleet: fleet.into(),
             from: None,
@@ -93,7 +97,7 @@
         else {
             continue;
         };
-        if let Some(Message::Looked(_, look)) = Message::decode(&told) {
+        if let Some(Message::SnapshotReply(_, look)) = Message::decode(&told) {
             return Ok((me, look));
         }
     }
--- a/crates/fleet-runtime/src/config.rs
+++ b/crates/fleet-runtime/src/config.rs
@@ -10,7 +10,7 @@
 use membership::packet::NAME;
 use membership::{Name, Settings};
 use serde::Deserialize;
-use shared_state::Plan;
+use shared_state::QuotaConfig;
 
 /// What a member is told of its fleet.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     /// Members of which one grants the budgets.
     pub keepers: Vec<Name>,
     /// The budgets.
-    pub budgets: Vec<Plan>,
+    pub budgets: Vec<QuotaConfig>,
     /// Nodes tell each other what they have in flight by tenant.
     pub counts: bool,
     /// Nodes tell each other what they find of the ledger.
@@ -243,10 +243,10 @@
             budgets: file
                 .budgets
                 .into_iter()
-                .map(|(name, b)| Plan {
+                .map(|(name, b)| QuotaConfig {
                     name: name.into(),
                     total: b.total,
-                    floors: b
+                    guaranteed: b
                         .floors
                         .into_iter()
                         .map(|(n, units)| (n.into(), units))
--- a/crates/fleet-runtime/src/shell.rs
+++ b/crates/fleet-runtime/src/shell.rs
@@ -19,8 +19,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shared_state::{
-    judge, Budgets, Gathering, Judge, Judgement, Look, Message, Out as Shared, Pace, Plan,
-    Said as Gathers, Spend, Terms, LEDGER,
+    evaluate_health, AggregationMessage, AggregationNode, Budgets, CallCounts, DependencyHealth,
+    HealthEvaluator, HealthState, LeaseTimings, Message, Outgoing, QuotaConfig, QuotaUsage,
+    ReportingSettings, ServiceObservation, SharedStateSnapshot, SpendableQuota, LEDGER,
 };
 use slog::{debug, info, warn, Logger};
 
@@ -168,8 +169,8 @@
     budgets: Option<Budgets>,
     allowances: Vec<(Name, Allowance)>,
     /// Counts and judgements, where they are shared.
-    gathering: Option<(Gathering, Shares)>,
-    judge: Judge,
+    gathering: Option<(AggregationNode, Shares)>,
+    judge: HealthEvaluator,
     /// How the process stands, and whether it is said to be emptied as it alone can't reach the ledger.
     said: Said,
     steps_back: bool,
@@ -231,7 +232,13 @@
     let gathering = me.shares.map(|shares| {
         let (name, site) = (me.name.clone(), config.site.clone());
         (
-            Gathering::new(Pace::default(), name, site, life, Duration::ZERO),
+            AggregationNode::new(
+                ReportingSettings::default(),
+                name,
+                site,
+                life,
+                Duration::ZERO,
+            ),
             shares,
         )
     });
@@ -252,7 +259,7 @@
     let budgets = (!config.budgets.is_empty()).then(|| {
         let (keepers, plans) = (config.keepers.clone(), config.budgets.clone());
         Budgets::new(
-            Terms::default(),
+            LeaseTimings::default(),
             record.name.clone(),
             life,
             keepers,
@@ -260,10 +267,7 @@
             Duration::ZERO,
         )
     });
-    let nothing = Spend {
-        floor: (0, Duration::ZERO),
-        leased: (0, Duration::ZERO),
-    };
+    let nothing = SpendableQuota::default();
     let allowance = || Allowance {
         began,
         spend: Arc::new(ArcSwap::from_pointee(nothing)),
@@ -302,7 +306,7 @@
         budgets,
         allowances,
         gathering,
-        judge: Judge::default(),
+        judge: HealthEvaluator::default(),
         said: Said::Joining,
         steps_back: false,
         granter: None,
@@ -380,9 +384,9 @@
             .budgets
             .as_ref()
             .filter(|_| self.socket.is_some())
-            .map_or(Duration::MAX, Budgets::next);
+            .map_or(Duration::MAX, Budgets::next_timeout);
         let gathering = self.gathering.as_ref().filter(|_| self.socket.is_some());
-        let shared = budgets.min(gathering.map_or(Duration::MAX, |(g, _)| g.next()));
+        let shared = budgets.min(gathering.map_or(Duration::MAX, |(g, _)| g.next_timeout()));
         let budgets = shared.saturating_sub(self.began.elapsed());
         next.min(until(self.publish))
             .min(until(self.rebind))
@@ -397,17 +401,16 @@
         };
         for (at, (_, allowance)) in self.allowances.iter().enumerate() {
             let usage = &allowance.usage;
-            budgets.wants(
-                at,
-                usage.in_use.load(Relaxed),
-                usage.want.load(Relaxed),
-                now,
-            );
+            let usage = QuotaUsage {
+                in_use: usage.in_use.load(Relaxed),
+                demand: usage.want.load(Relaxed),
+            };
+            budgets.set_usage(at, usage, now);
         }
-        if budgets.next() <= now {
+        if budgets.next_timeout() <= now {
             let mut out = Vec::new();
             let draw = self.rng.random::<f64>();
-            budgets.tick(now, draw, self.view.there(), &mut out);
+            budgets.handle_timeout(now, draw, self.view.there(), &mut out);
             self.carry_shared(out);
         }
         self.publish_budgets(&budgets);
@@ -416,23 +419,34 @@
     /// Counts and evidence: what is due, and what is known from now on.
     fn tick_gathering(&mut self) {
         let now = self.began.elapsed();
-        let due = |(g, _): &mut (Gathering, Shares)| self.socket.is_some() && g.next() <= now;
+        let due = |(g, _): &mut (AggregationNode, Shares)| {
+            self.socket.is_some() && g.next_timeout() <= now
+        };
         let Some((mut gathering, shares)) = self.gathering.take_if(due) else {
             return;
         };
         let own = shares.found().0.filter(|_| self.config.judgements);
-        let found: Vec<_> = own.map(|c| (LEDGER, c)).into_iter().collect();
-        let (counts, draw) = (shares.live().now(), self.rng.random::<f64>());
+        let found: Vec<_> = own
+            .map(|health| ServiceObservation {
+                service: LEDGER,
+                health,
+            })
+            .into_iter()
+            .collect();
+        let (counts, draw) = (shares.live().load(), self.rng.random::<f64>());
         let mut out = Vec::new();
-        gathering.tick(now, &counts, &found, draw, &mut out);
+        gathering.handle_timeout(now, &counts, &found, draw, &mut out);
         self.gathering = Some((gathering, shares));
         self.carry_gathered(out);
         self.publish_gathered();
     }
-    fn carry_gathered(&mut self, out: Vec<(Name, Gathers)>) {
+    fn carry_gathered(&mut self, out: Vec<Outgoing<AggregationMessage>>) {
         self.carry_shared(
             out.into_iter()
-                .map(|(to, said)| Shared::Tell(to, Message::Gather(said)))
+                .map(|Outgoing { to, message }| Outgoing {
+                    to,
+                    message: Message::Aggregation(message),
+                })
                 .collect(),
         );
     }
@@ -441,16 +455,19 @@
         let Some((gathering, shares)) = &self.gathering else {
             return;
         };
-        let gathered = gathering.gathered().clone();
-        let before = self.judge.said().0;
+        let gathered = gathering.aggregate().clone();
+        let before = self.judge.health();
         let tally = gathered.tally(LEDGER, now);
         if self.config.judgements {
             let sites = self.view.sites().len();
-            self.judge
-                .look(now, judge(shares.found().0, &tally, sites), gathered.as_of);
+            self.judge.update(
+                now,
+                evaluate_health(shares.found().0, &tally, sites),
+                gathered.as_of,
+            );
         }
-        let ledger = self.judge.said().0;
-        let until = self.began + gathered.until;
+        let ledger = self.judge.health();
+        let until = self.began + gathered.expires_at;
         shares.publish(Known {
             gathered,
             until,
@@ -461,7 +478,7 @@
             info!(self.log, "ledger"; "judgement" => ledger.name(), "before" => before.name(), "calls" => calls,
                 "failed" => failed, "others" => ?tally);
             (self.changed)();
-            self.step_back(ledger == Judgement::OnlyHere);
+            self.step_back(ledger == DependencyHealth::OnlyHere);
         }
     }
     /// One that alone can't reach the ledger is passed over by routers, as long as more than half of those that serve go on:
@@ -494,19 +511,21 @@
     fn publish_budgets(&mut self, budgets: &Budgets) {
         let mut changed = false;
         for (at, (name, allowance)) in self.allowances.iter().enumerate() {
-            let Some(spend) = budgets.spend(at) else {
+            let Some(spend) = budgets.spendable_quota(at) else {
                 continue;
             };
             let before = **allowance.spend.load();
             if spend != before {
                 allowance.spend.store(Arc::new(spend));
-                changed |= spend.leased.0 != before.leased.0;
-                if spend.leased.0 != before.leased.0 {
-                    debug!(self.log, "budget"; "name" => &**name, "leased" => spend.leased.0, "own" => spend.floor.0);
+                changed |= spend.leased.units != before.leased.units;
+                if spend.leased.units != before.leased.units {
+                    debug!(self.log, "budget"; "name" => &**name, "leased" => spend.leased.units, "own" => spend.guaranteed.units);
                 }
             }
         }
-        let granter = budgets.granter(self.began.elapsed()).map(|(name, _)| name);
+        let granter = budgets
+            .leader(self.began.elapsed())
+            .map(|leader| leader.name);
         if granter != self.granter {
             info!(self.log, "budgets"; "granter" => granter.as_deref().unwrap_or("nobody"));
             self.granter = granter;
@@ -515,9 +534,9 @@
             (self.changed)();
         }
     }
-    fn carry_shared(&mut self, out: Vec<Shared>) {
+    fn carry_shared(&mut self, out: Vec<Outgoing>) {
         let mut sent = Vec::new();
-        for Shared::Tell(to, message) in out {
+        for Outgoing { to, message } in out {
             // One that is not there is told nothing; it asks, or is asked again.
             self.view.carry(&to, message.encode(), &mut sent);
         }
@@ -530,8 +549,8 @@
             return self.drop_one(source, &Malformed::Bounds);
         };
         match (message, from) {
-            (Message::Look(seq), None) => {
-                let body = Body::Carried(Message::Looked(seq, self.look(now)).encode());
+            (Message::SnapshotRequest(seq), None) => {
+                let body = Body::Carried(Message::SnapshotReply(seq, self.look(now)).encode());
                 let from = Some(self.view.me().clone());
                 let answer = Packet {
                     fleet: self.config.fleet.clone(),
@@ -541,12 +560,12 @@
                 };
                 self.carry_out(vec![Out::Send(source, answer)]);
             }
-            (Message::Gather(said), Some(from)) => {
+            (Message::Aggregation(said), Some(from)) => {
                 let Some((gathering, _)) = &mut self.gathering else {
                     return;
                 };
                 let mut out = Vec::new();
-                gathering.hear(&from, said, now, &mut out);
+                gathering.handle_message(&from, said, now, &mut out);
                 self.carry_gathered(out);
                 self.publish_gathered();
             }
@@ -555,7 +574,7 @@
                     return;
                 };
                 let mut out = Vec::new();
-                budgets.hear(&from, message, now, &mut out);
+                budgets.handle_message(&from, message, now, &mut out);
                 self.carry_shared(out);
                 self.publish_budgets(&budgets);
                 self.budgets = Some(budgets);
@@ -564,19 +583,32 @@
         }
     }
     /// What is shared here, for people.
-    fn look(&self, now: Duration) -> Look {
+    fn look(&self, now: Duration) -> SharedStateSnapshot {
         let look = self
             .budgets
             .as_ref()
-            .map(|b| b.look(now))
+            .map(|b| b.snapshot(now))
             .unwrap_or_default();
         let gathered = self.gathering.as_ref().map(|(gathering, shares)| {
-            let (ledger, since) = self.judge.said();
+            let (health, since) = (self.judge.health(), self.judge.changed_at());
             let (calls, failed) = shares.found().1;
-            let ledger = (ledger, now.saturating_sub(since).as_millis() as u64);
-            gathering.look(now, ledger, (calls as u32, failed as u32))
+            let ledger = HealthState {
+                health,
+                for_ms: now.saturating_sub(since).as_millis() as u64,
+            };
+            gathering.snapshot(
+                now,
+                ledger,
+                CallCounts {
+                    total: calls as u32,
+                    failed: failed as u32,
+                },
+            )
         });
-        Look { gathered, ..look }
+        SharedStateSnapshot {
+            aggregate: gathered,
+            ..look
+        }
     }
 
     /// A word of this process; true if it was the last.
@@ -618,8 +650,9 @@
                             .find(|b| b.name == *name)
                             .map(|b| b.total)
                     };
-                    let of = |b: &Plan| total(&b.name).unwrap_or(b.total);
-                    budgets.set_totals(&self.config.budgets.iter().map(of).collect());
+                    let of = |b: &QuotaConfig| total(&b.name).unwrap_or(b.total);
+                    let totals: Vec<_> = self.config.budgets.iter().map(of).collect();
+                    budgets.set_totals(&totals);
                 }
                 // A judge that stopped where it stands would leave its node holding back for good.
                 let (counts, judgements) = gathers(&self.config);
@@ -632,9 +665,9 @@
             Word::Beside(another) => {
                 if let Some(budgets) = &mut self.budgets {
                     if another {
-                        budgets.beside_another();
+                        budgets.yield_to_sibling();
                     } else {
-                        budgets.alone_from(now);
+                        budgets.resume_after_sibling(now);
                     }
                 }
             }
@@ -777,7 +810,7 @@
             self.seen.store(Arc::new(Seen::of(&self.view)));
             if let Some((gathering, _)) = &mut self.gathering {
                 let reports = |r: &&Record| r.serves.is_some() && r.word.present();
-                gathering.members(
+                gathering.set_members(
                     self.view
                         .members()
                         .filter(reports)
--- a/crates/fleet-runtime/tests/golden.rs
+++ b/crates/fleet-runtime/tests/golden.rs
@@ -9,7 +9,10 @@
 use membership::packet::Summary;
 use membership::word::Word;
 use membership::{Body, Packet, Record, Said, Standing};
-use shared_state::{BudgetLook, Look, Message};
+use shared_state::{
+    BudgetSnapshot, GuaranteedSnapshot, HolderSnapshot, LeaseSnapshot, Message, QuotaUsage,
+    SharedStateSnapshot,
+};
 
 const LONG: Duration = Duration::from_secs(20);
 
@@ -51,20 +54,33 @@
     };
     answer(Body::Answer { seq, more, summary }, vec![record(member, 9)])
 }
-fn held() -> Look {
-    let budget = BudgetLook {
+fn held() -> SharedStateSnapshot {
+    let budget = BudgetSnapshot {
         name: "calls".into(),
         total: 1,
-        floor: (2, true),
-        leased: (3, 4),
-        in_use: (5, 6),
-        holders: vec![("h".into(), 7, 8)],
-        counted: 9,
+        guaranteed: GuaranteedSnapshot {
+            units: 2,
+            is_available: true,
+        },
+        leased: LeaseSnapshot {
+            units: 3,
+            remaining_ms: 4,
+        },
+        usage: QuotaUsage {
+            in_use: 5,
+            demand: 6,
+        },
+        holders: vec![HolderSnapshot {
+            name: "h".into(),
+            reserved: 7,
+            demand: 8,
+        }],
+        reserved: 9,
     };
-    Look {
-        granter: Some("g".into()),
+    SharedStateSnapshot {
+        leader: Some("g".into()),
         budgets: vec![budget],
-        gathered: None,
+        aggregate: None,
     }
 }
 fn member() -> UdpSocket {
@@ -115,7 +131,11 @@
     let mut bytes = [0; 1400];
     let (n, from) = socket.recv_from(&mut bytes).expect("a question");
     assert_eq!(hex(&bytes[..n]), include_str!("golden/look.txt").trim());
-    let told = answer(Body::Carried(Message::Looked(1, held()).encode()), vec![]).encode();
+    let told = answer(
+        Body::Carried(Message::SnapshotReply(1, held()).encode()),
+        vec![],
+    )
+    .encode();
     assert_eq!(hex(&told), include_str!("golden/looked.txt").trim());
     socket.send_to(&told, from).expect("sent");
     assert_eq!(
--- a/crates/fleet-simulation/src/budgets.rs
+++ b/crates/fleet-simulation/src/budgets.rs
@@ -8,7 +8,7 @@
 use membership::Name;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use shared_state::{Budgets, Message, Out, Plan, Terms};
+use shared_state::{Budgets, LeaseTimings, Message, Outgoing, QuotaConfig, QuotaUsage};
 
 /// How nodes share a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     /// The total is cut by half at this time, if at all.
     pub cut: Option<Duration>,
     /// The times that the nodes believe in.
-    pub terms: Terms,
+    pub terms: LeaseTimings,
     /// By what part the rates of their clocks truly differ at the most.
     pub drift: f64,
 }
@@ -58,7 +58,7 @@
             long: Duration::from_secs(90),
             demand: |_, _| 60,
             cut: None,
-            terms: Terms::default(),
+            terms: LeaseTimings::default(),
             drift: 0.01,
         }
     }
@@ -195,14 +195,14 @@
         self.heap
             .push(Reverse(Entry(self.now + after, self.order, event)));
     }
-    fn plan(&self) -> Plan {
+    fn plan(&self) -> QuotaConfig {
         let floors = (0..self.play.nodes)
             .map(|id| (name(id), self.play.floor))
             .collect();
-        Plan {
+        QuotaConfig {
             name: "ledger".into(),
             total: self.total,
-            floors,
+            guaranteed: floors,
         }
     }
     fn start(&mut self, id: usize) {
@@ -224,8 +224,8 @@
         self.push(Duration::ZERO, Event::Tick(id, life));
     }
 
-    fn send(&mut self, from: usize, out: Vec<Out>) {
-        for Out::Tell(to, message) in out {
+    fn send(&mut self, from: usize, out: Vec<Outgoing>) {
+        for Outgoing { to, message } in out {
             let Ok(to) = to[1..].parse::<usize>() else {
                 continue;
             };
@@ -255,8 +255,8 @@
         let Some(budgets) = self.nodes[id].budgets.as_mut() else {
             return;
         };
-        if budgets.next() <= clock {
-            budgets.tick(clock, draw, &names, &mut out);
+        if budgets.next_timeout() <= clock {
+            budgets.handle_timeout(clock, draw, &names, &mut out);
         }
         self.send(id, out);
     }
@@ -287,7 +287,11 @@
             let clock = self.clock(id);
             let own = self.nodes[id].own;
             if let Some(budgets) = self.nodes[id].budgets.as_mut() {
-                budgets.wants(0, own, want.max(own), clock);
+                let usage = QuotaUsage {
+                    in_use: own,
+                    demand: want.max(own),
+                };
+                budgets.set_usage(0, usage, clock);
             }
             self.tick(id);
             while self.nodes[id].own < want.min(self.limit(id)) {
@@ -345,7 +349,7 @@
                     self.nodes[*id]
                         .budgets
                         .as_ref()
-                        .is_some_and(|b| b.books(clocks[*id]).is_some())
+                        .is_some_and(|b| b.lease_tables(clocks[*id]).is_some())
                 };
                 if let Some(id) = (0..self.nodes.len()).find(reigns) {
                     self.nodes[id].budgets = None;
@@ -393,7 +397,7 @@
                     // A datagram to an earlier process may be read by the one after it.
                     let _ = life;
                     if let Some(budgets) = self.nodes[to].budgets.as_mut() {
-                        budgets.hear(&name(from), message, clock, &mut out);
+                        budgets.handle_message(&name(from), message, clock, &mut out);
                     }
                     self.send(to, out);
                 }
--- a/crates/fleet-simulation/src/gathering.rs
+++ b/crates/fleet-simulation/src/gathering.rs
@@ -9,7 +9,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use shared_state::{
-    judge, Cells, Gathering, Judge, Judgement, Live, Message, Pace, Said, Tally, Window, LEDGER,
+    evaluate_health, AggregationMessage, AggregationNode, AtomicSketchCounters, AttemptWindow,
+    DependencyHealth, HealthEvaluator, Message, Outgoing, ReportingSettings, ServiceObservation,
+    SketchCounters, SumVersion, Tally, LEDGER,
 };
 
 /// One step of the drawn time.
@@ -80,14 +82,14 @@
 }
 
 struct Node {
-    gathering: Option<Gathering>,
+    gathering: Option<AggregationNode>,
     life: u64,
-    live: Live,
+    live: AtomicSketchCounters,
     /// In flight by tenant, and earlier values with the times until which they held.
     counts: Vec<u32>,
     past: Vec<VecDeque<(Duration, u32)>>,
-    window: Window,
-    judge: Judge,
+    window: AttemptWindow,
+    judge: HealthEvaluator,
     rate: f64,
     offset: Duration,
     part: u8,
@@ -109,7 +111,7 @@
     now: Duration,
     rng: ChaCha8Rng,
     /// Whose counts are in each sum.
-    sums: BTreeMap<(u64, u64), Vec<usize>>,
+    sums: BTreeMap<SumVersion, Vec<usize>>,
     report: Report,
 }
 
@@ -128,11 +130,11 @@
             .map(|_| Node {
                 gathering: None,
                 life: 0,
-                live: Live::default(),
+                live: AtomicSketchCounters::default(),
                 counts: vec![0; TENANTS as usize],
                 past: vec![VecDeque::new(); TENANTS as usize],
-                window: Window::default(),
-                judge: Judge::default(),
+                window: AttemptWindow::default(),
+                judge: HealthEvaluator::default(),
                 rate: 1.0 + 0.005 * (2.0 * rng.random::<f64>() - 1.0),
                 offset: Duration::ZERO,
                 part: 0,
@@ -169,8 +171,8 @@
         node.life += 1;
         // Lives are different over the fleet, as drawn ones are.
         let life = node.life * 1_000_000 + id as u64 + 1;
-        node.gathering = Some(Gathering::new(
-            Pace::default(),
+        node.gathering = Some(AggregationNode::new(
+            ReportingSettings::default(),
             name(id),
             site(id),
             life,
@@ -243,7 +245,7 @@
             .nodes
             .iter()
             .filter_map(|n| n.gathering.as_ref())
-            .map(Gathering::bytes)
+            .map(AggregationNode::memory_bytes)
             .max()
             .unwrap_or(0);
         self.report
@@ -290,10 +292,10 @@
             node.past[tenant].pop_front();
         }
         for _ in before..count {
-            node.live.enters(tenant as u64);
+            node.live.increment(tenant as u64);
         }
         for _ in count..before {
-            node.live.leaves(tenant as u64);
+            node.live.decrement(tenant as u64);
         }
     }
     /// Requests come and are answered; calls are tried.
@@ -322,16 +324,16 @@
                     self.clock(id),
                     self.reaches(id).then_some(Duration::from_millis(8)),
                 );
-                self.nodes[id].window.ended(now, took);
+                self.nodes[id].window.record(now, took);
             }
         }
     }
-    fn send(&mut self, from: usize, out: Vec<(Name, Said)>) {
-        for (to, said) in out {
+    fn send(&mut self, from: usize, out: Vec<Outgoing<AggregationMessage>>) {
+        for Outgoing { to, message: said } in out {
             let Some(to) = to[1..].parse::<usize>().ok() else {
                 continue;
             };
-            let bytes = Message::Gather(said).encode();
+            let bytes = Message::Aggregation(said).encode();
             self.nodes[from].bytes += bytes.len() as u64 + 28;
             let lost = self.rng.random::<f64>() < self.play.loss;
             let twice = self.rng.random::<f64>() < if self.play.loss > 0.0 { 0.1 } else { 0.0 };
@@ -365,11 +367,11 @@
             let Some(gathering) = self.nodes[to].gathering.as_mut() else {
                 continue;
             };
-            let Some(Message::Gather(said)) = Message::decode(&bytes) else {
+            let Some(Message::Aggregation(said)) = Message::decode(&bytes) else {
                 continue;
             };
             let mut out = Vec::new();
-            gathering.hear(&name(from), said, now, &mut out);
+            gathering.handle_message(&name(from), said, now, &mut out);
             self.note_sum(to);
             self.send(to, out);
         }
@@ -379,7 +381,7 @@
         let Some(gathering) = &self.nodes[id].gathering else {
             return;
         };
-        let (number, names) = gathering.reported();
+        let (number, names) = gathering.own_sum();
         let ids = names.filter_map(|n| n[1..].parse().ok()).collect();
         if self.nodes.len() <= 64 {
             self.sums.insert(number, ids);
@@ -400,7 +402,7 @@
             };
             let all: Vec<(Name, Name)> = seen.iter().map(|i| (name(*i), site(*i))).collect();
             if let Some(gathering) = &mut self.nodes[id].gathering {
-                gathering.members(all.iter().map(|(n, s)| (n, s)));
+                gathering.set_members(all.iter().map(|(n, s)| (n, s)));
             }
         }
         let draw = self.rng.random::<f64>();
@@ -408,18 +410,21 @@
         let Some(gathering) = &mut node.gathering else {
             return;
         };
-        if gathering.next() > now {
+        if gathering.next_timeout() > now {
             return;
         }
-        let counts: Cells = node.live.now();
+        let counts: SketchCounters = node.live.load();
         let found: Vec<_> = node
             .window
-            .condition(now)
-            .map(|c| (LEDGER, c))
+            .observed_health(now)
+            .map(|health| ServiceObservation {
+                service: LEDGER,
+                health,
+            })
             .into_iter()
             .collect();
         let mut out = Vec::new();
-        gathering.tick(now, &counts, &found, draw, &mut out);
+        gathering.handle_timeout(now, &counts, &found, draw, &mut out);
         self.note_sum(id);
         self.send(id, out);
     }
@@ -429,7 +434,7 @@
         let Some(gathering) = &self.nodes[id].gathering else {
             return;
         };
-        let gathered = gathering.gathered().clone();
+        let gathered = gathering.aggregate().clone();
         let there: BTreeSet<usize> = (0..self.nodes.len())
             .filter(|o| {
                 self.nodes[*o].gathering.is_some() && self.nodes[*o].part == self.nodes[id].part
@@ -446,7 +451,7 @@
                 } else {
                     age
                 });
-                let ids = self.sums.get(&gathered.number).cloned().unwrap_or_default();
+                let ids = self.sums.get(&gathered.sum).cloned().unwrap_or_default();
                 let least = |node: &Node| {
                     let past = node.past[tenant as usize]
                         .iter()
@@ -490,22 +495,22 @@
         let ended = self.since_start() >= self.play.long * 2 / 3;
         let before = self.play.broken != Broken::Nothing && !since_break.is_zero();
         let node = &mut self.nodes[id];
-        let found = judge(node.window.condition(now), tally, SITES);
-        let said = node.judge.look(now, found, as_of);
+        let found = evaluate_health(node.window.observed_health(now), tally, SITES);
+        let said = node.judge.update(now, found, as_of);
         self.report.judged += 1;
         // What was right when it was said stays for a while after the mending; that is measured, not counted as wrong.
         let wrong = match said {
-            Judgement::Down => any && !ended,
-            Judgement::OnlyHere => {
+            DependencyHealth::Down => any && !ended,
+            DependencyHealth::OnlyHere => {
                 !ended && (reaches || !any && since_break > Duration::from_secs(2)) || !before
             }
             _ => false,
         };
         self.report.wrong += u64::from(wrong);
-        if said.holds_back() && node.turned.is_none() {
+        if said.should_limit_calls() && node.turned.is_none() {
             node.turned = Some(self.now);
         }
-        if said.holds_back() {
+        if said.should_limit_calls() {
             node.back = None;
         } else if node.turned.is_some() && node.back.is_none() {
             node.back = Some(self.now);
--- a/crates/shared-state-model/src/lib.rs
+++ b/crates/shared-state-model/src/lib.rs
@@ -1,59 +1,69 @@
-//! Shared budgets as a model for `stateright`: holders that ask, begin calls, crash and start again, a granter that is
-//! followed by another, and a network that loses, doubles and delays. The book and the parts are the shipped ones. Who
-//! reigns is given: one granter after the other, as the election promises.
+//! Shared budgets as a model for `stateright`: holders that request quota, start calls, crash and restart, a leader that is
+//! followed by another, and a network that loses, duplicates and delays messages. The lease table and the lease holders are
+//! the production ones. Leaders are given, one after the other, as the election guarantees.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use membership::Name;
-use shared_state::{Ask, Book, Grant, Part, Terms};
+use shared_state::{LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LeaseTimings, QuotaUsage};
 use stateright::{Model, Property};
 
-/// A fault put into the machines' use on purpose, to show that the check finds it.
+/// A bug put into the use of the state machines on purpose, to show that the check finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
-    /// A new granter takes the pool for free.
-    NoWait,
-    /// Asks under an earlier granter's term are taken up.
-    AnyTerm,
-    /// A holder's lease counts from when the answer came.
-    FromAnswer,
-    /// Calls may last longer than is believed.
-    LongCalls,
+pub enum InjectedBug {
+    /// A new leader considers the whole pool free.
+    NoWaitForPreviousGrants,
+    /// Requests under an earlier leader's term are granted.
+    RequestsOfAnyTerm,
+    /// A holder's lease counts from the arrival of the grant.
+    LeaseFromGrant,
+    /// Calls may last longer than configured.
+    CallsOverMaxDuration,
 }
 
-/// The model's bounds, and its flaw if it has one.
+/// Bounds of the model, and its injected bug if it has one.
 #[derive(Clone, Debug)]
-pub struct Sharing {
+pub struct QuotaModel {
     /// Steps of time in all.
     pub steps: u64,
-    /// Asks of all holders, over their lives.
-    pub asks: u8,
+    /// Requests of all holders, over their incarnations.
+    pub requests: u8,
     /// Crashes of holders in all.
     pub crashes: u8,
-    /// Granters after the first.
-    pub reigns: u8,
+    /// Leaders after the first.
+    pub leader_changes: u8,
     /// What is wrong on purpose.
-    pub flaw: Option<Flaw>,
+    pub bug: Option<InjectedBug>,
 }
 
-/// The total; nobody has a floor.
+/// The total of the budget; no node has a guaranteed quota.
 const TOTAL: u64 = 1;
+/// Number of holders.
+const HOLDERS: usize = 2;
+/// The first step of time, late enough for the times that are counted back from it.
+const FIRST_STEP: u64 = 10;
+/// Steps that a call lasts at the most.
+const MAX_CALL_STEPS: u64 = 1;
+/// Steps that a call lasts with [`InjectedBug::CallsOverMaxDuration`].
+const TOO_LONG_CALL_STEPS: u64 = 4;
 
-/// One step of time.
-fn at(step: u64) -> Duration {
-    Duration::from_millis(step)
+/// The time of a step, or the duration of so many steps.
+fn time(steps: u64) -> Duration {
+    Duration::from_millis(steps)
 }
-fn terms() -> Terms {
-    Terms {
-        lease: at(3),
-        ask: at(1),
-        least: at(1),
-        longest: at(1),
-        reign: at(1),
-        drift_ppm: 0,
+
+fn timings() -> LeaseTimings {
+    LeaseTimings {
+        lease_duration: time(3),
+        request_interval: time(1),
+        min_request_interval: time(1),
+        max_call_duration: time(MAX_CALL_STEPS),
+        leadership_duration: time(1),
+        max_drift_ppm: 0,
     }
 }
+
 fn name(holder: usize) -> Name {
     format!("h{holder}").into()
 }
@@ -61,203 +71,265 @@
 /// A holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
-    /// Its part, in this life.
-    pub part: Part,
-    /// Higher with each start.
-    pub life: u64,
-    /// The granter's term that it knows.
+    /// Its lease, in this incarnation.
+    pub lease: LeaseHolder,
+    /// Rises with each start.
+    pub incarnation: u64,
+    /// The leader's term that it knows.
+    pub term: u8,
+    /// Requests so far.
+    pub requests: u8,
+    /// Calls of this incarnation in flight.
+    pub in_flight: u64,
+}
+
+/// A message between a holder and the leader that was sent and may arrive, or arrive again.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Envelope<M> {
+    /// Index of the holder that sent or is to receive it.
+    pub holder: usize,
+    /// The holder's incarnation.
+    pub incarnation: u64,
+    /// The leader's term.
     pub term: u8,
-    /// Asks so far.
-    pub asks: u8,
-    /// Calls of this life in hand.
-    pub in_use: u64,
+    /// The message.
+    pub message: M,
 }
 
-/// All there is.
+/// A call at the dependency.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Call {
+    /// Index of the holder that started it.
+    pub holder: usize,
+    /// The holder's incarnation then.
+    pub incarnation: u64,
+    /// The step by which it has ended.
+    pub ends_at: u64,
+}
+
+/// The state of the whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct State {
-    /// Steps of time so far.
+pub struct SystemState {
+    /// The step of time.
     pub now: u64,
     /// The holders.
     pub holders: Vec<Holder>,
-    /// The granter's book, and its term.
-    pub book: Book,
-    /// See `book`.
+    /// The leader's lease table.
+    pub table: LeaseTable,
+    /// The leader's term.
     pub term: u8,
-    /// Asks on their way or delivered: of whom, in which life, under which term.
-    pub asked: BTreeSet<(usize, u64, u8, Ask)>,
-    /// Answers likewise, with the time at which they were first given.
-    pub granted: BTreeSet<(usize, u64, u8, Grant)>,
-    /// Calls at the service: whose, of which life, and when they have ended.
-    pub calls: Vec<(usize, u64, u64)>,
+    /// Requests that may arrive.
+    pub requests: BTreeSet<Envelope<LeaseRequest>>,
+    /// Grants that may arrive.
+    pub grants: BTreeSet<Envelope<LeaseGrant>>,
+    /// Calls in flight at the dependency.
+    pub calls: Vec<Call>,
     /// Crashes so far.
     pub crashes: u8,
 }
 
-/// What can happen.
+impl SystemState {
+    /// What a holder may spend now.
+    fn limit(&self, holder: usize) -> u64 {
+        self.holders[holder].lease.limit(time(self.now))
+    }
+
+    /// Time passes; calls that are due end.
+    fn advance(&mut self) {
+        self.now += 1;
+        for (index, holder) in self.holders.iter_mut().enumerate() {
+            let ended = self.calls.iter().filter(|call| {
+                call.holder == index
+                    && call.incarnation == holder.incarnation
+                    && call.ends_at <= self.now
+            });
+            holder.in_flight -= ended.count() as u64;
+        }
+        self.calls.retain(|call| call.ends_at > self.now);
+    }
+
+    /// A holder requests the whole total.
+    fn request(&mut self, index: usize) {
+        let holder = &mut self.holders[index];
+        holder.requests += 1;
+        holder.lease.set_usage(QuotaUsage {
+            in_use: holder.in_flight,
+            demand: TOTAL,
+        });
+        let request = holder.lease.next_request(time(self.now));
+        self.requests.insert(Envelope {
+            holder: index,
+            incarnation: holder.incarnation,
+            term: holder.term,
+            message: request,
+        });
+    }
+
+    /// A holder starts a call that lasts this many steps.
+    fn start_call(&mut self, index: usize, steps: u64) {
+        let holder = &mut self.holders[index];
+        holder.in_flight += 1;
+        self.calls.push(Call {
+            holder: index,
+            incarnation: holder.incarnation,
+            ends_at: self.now + steps,
+        });
+        self.calls.sort_unstable();
+    }
+
+    /// A holder's process ends and starts again.
+    fn restart(&mut self, index: usize) {
+        self.crashes += 1;
+        let holder = &mut self.holders[index];
+        holder.lease = LeaseHolder::new(&timings(), 0, time(self.now));
+        holder.incarnation += 1;
+        holder.in_flight = 0;
+    }
+}
+
+/// An event.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Time goes on.
-    Step,
-    /// A holder asks for all.
-    Ask(usize),
-    /// An ask arrives, now or again.
-    Asked(usize, u64, u8, Ask),
-    /// An answer arrives, now or again.
-    Granted(usize, u64, u8, Grant),
-    /// A holder begins a call.
-    Begin(usize),
-    /// A holder's process ends, and starts anew at once: later is no harder.
-    Crash(usize),
-    /// Another granter follows.
-    Reign,
+    /// Time passes.
+    AdvanceTime,
+    /// A holder requests the whole total.
+    Request(usize),
+    /// A request arrives, for the first time or again.
+    DeliverRequest(Envelope<LeaseRequest>),
+    /// A grant arrives, for the first time or again.
+    DeliverGrant(Envelope<LeaseGrant>),
+    /// A holder starts a call.
+    StartCall(usize),
+    /// A holder's process ends and starts again at once: a later start is no harder.
+    Restart(usize),
+    /// Another leader follows.
+    ChangeLeader,
 }
 
-impl Sharing {
-    fn longest(&self) -> u64 {
-        if self.flaw == Some(Flaw::LongCalls) {
-            4
+impl QuotaModel {
+    fn call_steps(&self) -> u64 {
+        if self.bug == Some(InjectedBug::CallsOverMaxDuration) {
+            TOO_LONG_CALL_STEPS
         } else {
-            1
+            MAX_CALL_STEPS
         }
     }
-    fn book(&self, now: u64) -> Book {
-        match self.flaw {
-            // As if it had reigned for long.
-            Some(Flaw::NoWait) => Book::new(&terms(), TOTAL, Duration::ZERO),
-            _ => Book::new(&terms(), TOTAL, at(now)),
+
+    /// The lease table of a leader that begins at this step.
+    fn new_table(&self, now: u64) -> LeaseTable {
+        let began_at = match self.bug {
+            // As if it had been the leader for long.
+            Some(InjectedBug::NoWaitForPreviousGrants) => Duration::ZERO,
+            _ => time(now),
+        };
+        LeaseTable::new(&timings(), TOTAL, began_at)
+    }
+
+    fn deliver_request(&self, state: &mut SystemState, request: &Envelope<LeaseRequest>) {
+        let accepts_any_term = self.bug == Some(InjectedBug::RequestsOfAnyTerm);
+        // A second delivery has no effect, because its number is known or its term has passed; so it need not be kept.
+        if !accepts_any_term {
+            state.requests.remove(request);
+        }
+        if request.term != state.term && !accepts_any_term {
+            // The holder learns the present term; its request is not granted.
+            state.holders[request.holder].term = state.term;
+            return;
+        }
+        let grant = state.table.grant_request(
+            &name(request.holder),
+            request.incarnation,
+            request.message,
+            time(state.now),
+        );
+        if let Some(grant) = grant {
+            state.grants.insert(Envelope {
+                holder: request.holder,
+                incarnation: request.incarnation,
+                term: state.term,
+                message: grant,
+            });
         }
     }
-}
 
-/// Time begins late enough for what is counted back from it.
-const FIRST: u64 = 10;
+    fn deliver_grant(&self, state: &mut SystemState, envelope: &Envelope<LeaseGrant>) {
+        // A second delivery would be outdated by the first.
+        state.grants.remove(envelope);
+        let now = time(state.now);
+        let holder = &mut state.holders[envelope.holder];
+        if holder.incarnation != envelope.incarnation {
+            return;
+        }
+        holder.term = holder.term.max(envelope.term);
+        let mut grant = envelope.message;
+        if self.bug == Some(InjectedBug::LeaseFromGrant) {
+            // As if it had been requested just now.
+            grant.seq = holder.lease.next_request(now).seq;
+        }
+        holder.lease.apply_grant(grant);
+    }
+}
 
-impl Model for Sharing {
-    type State = State;
+impl Model for QuotaModel {
+    type State = SystemState;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<State> {
+    fn init_states(&self) -> Vec<SystemState> {
         let holder = Holder {
-            part: Part::new(&terms(), 0, at(FIRST)),
-            life: 1,
+            lease: LeaseHolder::new(&timings(), 0, time(FIRST_STEP)),
+            incarnation: 1,
             term: 0,
-            asks: 0,
-            in_use: 0,
+            requests: 0,
+            in_flight: 0,
         };
-        vec![State {
-            now: FIRST,
-            holders: vec![holder; 2],
-            // The first granter has waited out what there was before it.
-            book: Book::new(&terms(), TOTAL, Duration::ZERO),
+        vec![SystemState {
+            now: FIRST_STEP,
+            holders: vec![holder; HOLDERS],
+            // Grants of leaders before the first have expired.
+            table: LeaseTable::new(&timings(), TOTAL, Duration::ZERO),
             term: 0,
-            asked: BTreeSet::new(),
-            granted: BTreeSet::new(),
+            requests: BTreeSet::new(),
+            grants: BTreeSet::new(),
             calls: Vec::new(),
             crashes: 0,
         }]
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.now < FIRST + self.steps {
-            actions.push(Action::Step);
+    fn actions(&self, state: &SystemState, actions: &mut Vec<Action>) {
+        if state.now < FIRST_STEP + self.steps {
+            actions.push(Action::AdvanceTime);
         }
-        let asks: u8 = state.holders.iter().map(|h| h.asks).sum();
-        for (h, holder) in state.holders.iter().enumerate() {
-            if asks < self.asks {
-                actions.push(Action::Ask(h));
+        let requests: u8 = state.holders.iter().map(|h| h.requests).sum();
+        for (index, holder) in state.holders.iter().enumerate() {
+            if requests < self.requests {
+                actions.push(Action::Request(index));
             }
-            if holder.in_use < holder.part.limit(at(state.now)) {
-                actions.push(Action::Begin(h));
+            if holder.in_flight < state.limit(index) {
+                actions.push(Action::StartCall(index));
             }
             if state.crashes < self.crashes {
-                actions.push(Action::Crash(h));
+                actions.push(Action::Restart(index));
             }
         }
-        actions.extend(
-            state
-                .asked
-                .iter()
-                .map(|(h, life, term, ask)| Action::Asked(*h, *life, *term, *ask)),
-        );
-        actions.extend(
-            state
-                .granted
-                .iter()
-                .map(|(h, life, term, g)| Action::Granted(*h, *life, *term, *g)),
-        );
-        if state.term < self.reigns {
-            actions.push(Action::Reign);
+        actions.extend(state.requests.iter().cloned().map(Action::DeliverRequest));
+        actions.extend(state.grants.iter().cloned().map(Action::DeliverGrant));
+        if state.term < self.leader_changes {
+            actions.push(Action::ChangeLeader);
         }
     }
 
-    fn next_state(&self, state: &State, action: Action) -> Option<State> {
+    fn next_state(&self, state: &SystemState, action: Action) -> Option<SystemState> {
         let mut next = state.clone();
-        let now = at(state.now);
         match action {
-            Action::Step => {
-                next.now += 1;
-                for (h, holder) in next.holders.iter_mut().enumerate() {
-                    let ended =
-                        |c: &&(usize, u64, u64)| c.0 == h && c.1 == holder.life && c.2 <= next.now;
-                    holder.in_use -= next.calls.iter().filter(ended).count() as u64;
-                }
-                next.calls.retain(|(.., end)| *end > next.now);
-            }
-            Action::Ask(h) => {
-                let holder = &mut next.holders[h];
-                holder.asks += 1;
-                holder.part.wants(holder.in_use, TOTAL);
-                let ask = holder.part.ask(now);
-                next.asked.insert((h, holder.life, holder.term, ask));
-            }
-            Action::Asked(h, life, term, ask) => {
-                // A second time it is passed over, as its number is known or its term is gone; so it need not be kept.
-                if self.flaw != Some(Flaw::AnyTerm) {
-                    next.asked.remove(&(h, life, term, ask));
-                }
-                if term != next.term && self.flaw != Some(Flaw::AnyTerm) {
-                    // The holder hears who reigns; what it asked is not taken up.
-                    next.holders[h].term = next.term;
-                } else if let Some(grant) = next.book.asked(&name(h), life, ask, now) {
-                    next.granted.insert((h, life, next.term, grant));
-                }
-            }
-            Action::Granted(h, life, term, grant) => {
-                // A second time it would be overtaken by itself.
-                next.granted.remove(&(h, life, term, grant));
-                let holder = &mut next.holders[h];
-                if holder.life == life {
-                    holder.term = holder.term.max(term);
-                    let mut grant = grant;
-                    if self.flaw == Some(Flaw::FromAnswer) {
-                        // As if it had been asked for just now.
-                        grant.seq = holder.part.ask(now).seq;
-                    }
-                    holder.part.granted(grant);
-                }
-            }
-            Action::Begin(h) => {
-                let holder = &mut next.holders[h];
-                holder.in_use += 1;
-                next.calls
-                    .push((h, holder.life, state.now + self.longest()));
-                next.calls.sort_unstable();
-            }
-            Action::Crash(h) => {
-                next.crashes += 1;
-                let holder = &mut next.holders[h];
-                *holder = Holder {
-                    part: Part::new(&terms(), 0, now),
-                    life: holder.life + 1,
-                    term: holder.term,
-                    asks: holder.asks,
-                    in_use: 0,
-                };
-            }
-            Action::Reign => {
+            Action::AdvanceTime => next.advance(),
+            Action::Request(holder) => next.request(holder),
+            Action::DeliverRequest(request) => self.deliver_request(&mut next, &request),
+            Action::DeliverGrant(grant) => self.deliver_grant(&mut next, &grant),
+            Action::StartCall(holder) => next.start_call(holder, self.call_steps()),
+            Action::Restart(holder) => next.restart(holder),
+            Action::ChangeLeader => {
                 next.term += 1;
-                next.book = self.book(state.now);
+                next.table = self.new_table(state.now);
             }
         }
         (next != *state).then_some(next)
@@ -266,26 +338,21 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "what is in hand never exceeds the total",
-                |_, state: &State| state.calls.len() as u64 <= TOTAL,
+                "what is in flight never exceeds the total",
+                |_, state: &SystemState| state.calls.len() as u64 <= TOTAL,
             ),
             Property::always(
                 "what may be spent never exceeds the total",
-                |_, state: &State| {
-                    state
-                        .holders
-                        .iter()
-                        .map(|h| h.part.limit(at(state.now)))
-                        .sum::<u64>()
-                        <= TOTAL
+                |_, state: &SystemState| {
+                    let limits = (0..state.holders.len()).map(|index| state.limit(index));
+                    limits.sum::<u64>() <= TOTAL
                 },
             ),
-            Property::sometimes("all of the total is in hand", |_, state: &State| {
+            Property::sometimes("all of the total is in flight", |_, state: &SystemState| {
                 state.calls.len() as u64 == TOTAL
             }),
-            Property::sometimes("a part has moved", |_, state: &State| {
-                let has = |h: usize| state.holders[h].part.limit(at(state.now)) == TOTAL;
-                has(1) && state.holders[0].asks > 0 && !state.calls.is_empty()
+            Property::sometimes("a quota has moved", |_, state: &SystemState| {
+                state.limit(1) == TOTAL && state.holders[0].requests > 0 && !state.calls.is_empty()
             }),
         ]
     }
--- /dev/null
+++ b/crates/shared-state/src/aggregation/node.rs
@@ -0,0 +1,247 @@
+//! One node's part in aggregation: it reports to two aggregators, and is one itself if the others select it.
+
+use std::time::Duration;
+
+use membership::word::hash;
+use membership::Name;
+
+use super::aggregator::Aggregator;
+use super::message::{AggregateReply, AggregationMessage, ServiceObservation, SumVersion};
+use super::reporter::{LocalNode, ReportingSession, MAX_UNANSWERED_REPORTS};
+use super::settings::ReportingSettings;
+use super::snapshot::{AggregateSnapshot, CallCounts, CoverageSnapshot, HealthState};
+use super::{Aggregate, LEDGER};
+use crate::budgets::Outgoing;
+use crate::sketch_counters::{SketchCounters, COUNTERS};
+
+/// Aggregators that a node reports to, each of another site.
+const AGGREGATORS: usize = 2;
+/// The shortest time between two reports, as a fraction of the interval, and the random part on top of it.
+const MIN_INTERVAL_FRACTION: f64 = 0.8;
+const RANDOM_INTERVAL_FRACTION: f64 = 0.2;
+/// Estimate of the memory for one reporter beside its counters, in bytes.
+const REPORTER_OVERHEAD_BYTES: usize = 160;
+
+/// One node's part in aggregation: a state machine of messages and times, without I/O.
+///
+/// All times are those of the node's monotonic clock.
+pub struct AggregationNode {
+    settings: ReportingSettings,
+    local: LocalNode,
+    members: usize,
+    sessions: Vec<ReportingSession>,
+    aggregator: Aggregator,
+    next_report_at: Duration,
+    aggregate: Aggregate,
+}
+
+impl AggregationNode {
+    /// A node that starts.
+    pub fn new(
+        settings: ReportingSettings,
+        name: Name,
+        site: Name,
+        incarnation: u64,
+        now: Duration,
+    ) -> AggregationNode {
+        AggregationNode {
+            settings,
+            local: LocalNode {
+                name,
+                site,
+                incarnation,
+                seq: 0,
+            },
+            members: 1,
+            sessions: Vec::new(),
+            aggregator: Aggregator::new(incarnation),
+            next_report_at: now,
+            aggregate: Aggregate::default(),
+        }
+    }
+
+    /// Sets the members that report, this node included: name and site of each. The aggregators are the first by a hash of
+    /// the names and the first of another site, so that nodes with the same view select the same.
+    pub fn set_members<'a>(&mut self, members: impl Iterator<Item = (&'a Name, &'a Name)>) {
+        let mut count: usize = 0;
+        // The member with the lowest hash of each site; there are few sites.
+        let mut candidates: Vec<(u64, &Name, &Name)> = Vec::new();
+        for (name, site) in members {
+            count += 1;
+            let member = (hash(name), name, site);
+            match candidates.iter_mut().find(|(_, _, s)| *s == site) {
+                Some(lowest) => *lowest = member.min(*lowest),
+                None => candidates.push(member),
+            }
+        }
+        candidates.sort();
+        self.members = count.max(1);
+        let selected: Vec<Name> = candidates
+            .iter()
+            .take(AGGREGATORS)
+            .map(|(_, name, _)| (*name).clone())
+            .collect();
+        self.sessions
+            .retain(|session| selected.contains(session.aggregator()));
+        for name in selected {
+            if !self.aggregators().any(|known| *known == name) {
+                self.sessions.push(ReportingSession::new(name));
+                self.next_report_at = Duration::ZERO;
+            }
+        }
+    }
+
+    /// What this node knows of the others.
+    pub fn aggregate(&self) -> &Aggregate {
+        &self.aggregate
+    }
+
+    /// The members that this node reports to.
+    pub fn aggregators(&self) -> impl Iterator<Item = &Name> {
+        self.sessions.iter().map(ReportingSession::aggregator)
+    }
+
+    /// The sum of the reports received here, and the nodes whose counts are in it with a known age.
+    pub fn own_sum(&self) -> (SumVersion, impl Iterator<Item = &Name>) {
+        (
+            self.aggregator.sum_version(),
+            self.aggregator.covered_nodes(),
+        )
+    }
+
+    /// A copy of what this node knows, for tools. The caller has the health of the shared database and the calls of it.
+    pub fn snapshot(
+        &self,
+        now: Duration,
+        ledger: HealthState,
+        calls: CallCounts,
+    ) -> AggregateSnapshot {
+        let known = &self.aggregate;
+        let is_recent = now < known.expires_at;
+        AggregateSnapshot {
+            aggregators: self.aggregators().cloned().collect(),
+            aggregator: known.aggregator.clone().filter(|_| is_recent),
+            age_ms: now.saturating_sub(known.as_of).as_millis() as u64,
+            coverage: CoverageSnapshot {
+                covered: known.covered_nodes,
+                present: known.present_nodes,
+            },
+            max_in_flight: known.others.max_estimate(),
+            ledger,
+            calls,
+            others: known.tally(LEDGER, now),
+        }
+    }
+
+    /// When [`AggregationNode::handle_timeout`] is due.
+    pub fn next_timeout(&self) -> Duration {
+        self.next_report_at
+    }
+
+    /// An upper bound of the memory that aggregation takes here, in bytes, with the reports of other nodes.
+    pub fn memory_bytes(&self) -> usize {
+        let counters = COUNTERS * size_of::<u32>();
+        let session = counters * (MAX_UNANSWERED_REPORTS + 3);
+        let versions = COUNTERS * 2 * size_of::<u64>();
+        self.aggregator.reporter_count() * (counters + REPORTER_OVERHEAD_BYTES)
+            + self.sessions.len() * session
+            + versions
+    }
+
+    /// Reports what the node counts and observes now, if a report is due. `draw` is random, from 0 to 1.
+    pub fn handle_timeout(
+        &mut self,
+        now: Duration,
+        counters: &SketchCounters,
+        observations: &[ServiceObservation],
+        draw: f64,
+        out: &mut Vec<Outgoing<AggregationMessage>>,
+    ) {
+        if now < self.next_report_at {
+            return;
+        }
+        // Random, so that nodes that started together don't report together.
+        let fraction = MIN_INTERVAL_FRACTION + RANDOM_INTERVAL_FRACTION * draw;
+        self.next_report_at = now + self.settings.interval(self.members).mul_f64(fraction);
+        self.local.seq += 1;
+        for index in 0..self.sessions.len() {
+            let session = &mut self.sessions[index];
+            let to = session.aggregator().clone();
+            let report = session.next_report(&self.local, counters, observations, now);
+            if to != self.local.name {
+                out.push(Outgoing {
+                    to,
+                    message: AggregationMessage::Report(report),
+                });
+                continue;
+            }
+            let reply =
+                self.aggregator
+                    .handle_report(&to, report, &self.settings, self.members, now);
+            if let Some(reply) = reply {
+                self.handle_reply(&to, reply, now);
+            }
+        }
+    }
+
+    /// Handles a message from a member.
+    pub fn handle_message(
+        &mut self,
+        from: &Name,
+        message: AggregationMessage,
+        now: Duration,
+        out: &mut Vec<Outgoing<AggregationMessage>>,
+    ) {
+        match message {
+            AggregationMessage::Report(report) => {
+                let reply =
+                    self.aggregator
+                        .handle_report(from, report, &self.settings, self.members, now);
+                out.extend(reply.map(|reply| Outgoing {
+                    to: from.clone(),
+                    message: AggregationMessage::Reply(reply),
+                }));
+            }
+            AggregationMessage::Reply(reply) => self.handle_reply(from, reply, now),
+        }
+    }
+
+    fn handle_reply(&mut self, from: &Name, reply: AggregateReply, now: Duration) {
+        let session = self.sessions.iter_mut().find(|s| s.aggregator() == from);
+        let Some(session) = session else {
+            return;
+        };
+        if session.apply_reply(reply, &self.settings, now) {
+            self.use_best_sum(now);
+        }
+    }
+
+    /// Uses the recent sum that covers most nodes and, of those that cover the same number, the newest.
+    fn use_best_sum(&mut self, now: Duration) {
+        let max_age = self.settings.max_age(self.members);
+        let best = self
+            .sessions
+            .iter()
+            .filter(|session| {
+                let sum = session.sum();
+                sum.covered_nodes > 0 && sum.as_of + max_age > now
+            })
+            .max_by_key(|session| (session.sum().covered_nodes, session.sum().as_of));
+        let Some(session) = best else {
+            return;
+        };
+        let sum = session.sum();
+        let mut others = sum.counters.clone();
+        others.subtract(&sum.own);
+        self.aggregate = Aggregate {
+            others,
+            as_of: sum.as_of,
+            expires_at: sum.as_of + max_age,
+            covered_nodes: sum.covered_nodes,
+            present_nodes: sum.present_nodes,
+            aggregator: Some(session.aggregator().clone()),
+            sum: sum.version,
+            tallies: sum.tallies.clone(),
+        };
+    }
+}
--- /dev/null
+++ b/crates/shared-state/src/budgets/snapshot.rs
@@ -0,0 +1,88 @@
+//! Read-only copies of a node's shared state for tools. Names and shapes of the JSON fields are a stable format.
+
+use membership::Name;
+use serde::{Deserialize, Serialize};
+
+use super::{QuotaUsage, Units};
+use crate::aggregation::AggregateSnapshot;
+use crate::tuple_format::serialize_as_tuple;
+
+/// A node's shared state.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct SharedStateSnapshot {
+    /// The leader that the node knows.
+    #[serde(rename = "granter")]
+    pub leader: Option<Name>,
+    /// Its budgets.
+    pub budgets: Vec<BudgetSnapshot>,
+    /// Counts and health of dependencies, where they are shared.
+    #[serde(rename = "gathered")]
+    pub aggregate: Option<AggregateSnapshot>,
+}
+
+/// One budget as a node sees it.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct BudgetSnapshot {
+    /// Name of the budget.
+    pub name: Name,
+    /// The total by this node's configuration.
+    pub total: Units,
+    /// The node's guaranteed quota.
+    #[serde(rename = "floor")]
+    pub guaranteed: GuaranteedSnapshot,
+    /// Its leased quota.
+    pub leased: LeaseSnapshot,
+    /// What it uses and could use.
+    #[serde(rename = "in_use")]
+    pub usage: QuotaUsage,
+    /// On the leader: the holders with the most reserved units, the largest first.
+    pub holders: Vec<HolderSnapshot>,
+    /// On the leader: units reserved for all holders.
+    #[serde(rename = "counted")]
+    pub reserved: Units,
+}
+
+/// A node's guaranteed quota.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(Units, bool)", into = "(Units, bool)")]
+pub struct GuaranteedSnapshot {
+    /// How many units.
+    pub units: Units,
+    /// Whether they may be spent yet.
+    pub is_available: bool,
+}
+serialize_as_tuple!(GuaranteedSnapshot {
+    units: Units,
+    is_available: bool,
+});
+
+/// A node's leased quota.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(Units, u64)", into = "(Units, u64)")]
+pub struct LeaseSnapshot {
+    /// How many units.
+    pub units: Units,
+    /// Milliseconds until the lease ends.
+    pub remaining_ms: u64,
+}
+serialize_as_tuple!(LeaseSnapshot {
+    units: Units,
+    remaining_ms: u64,
+});
+
+/// One holder as the leader sees it.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(Name, Units, Units)", into = "(Name, Units, Units)")]
+pub struct HolderSnapshot {
+    /// Name of the node.
+    pub name: Name,
+    /// The most that it may be spending.
+    pub reserved: Units,
+    /// Units that it could spend.
+    pub demand: Units,
+}
+serialize_as_tuple!(HolderSnapshot {
+    name: Name,
+    reserved: Units,
+    demand: Units,
+});
--- a/crates/shared-state/src/election.rs
+++ b/crates/shared-state/src/election.rs
@@ -1,5 +1,5 @@
-//! Who grants: a lease on being the granter, given by a majority of the keepers (as `PaxosLease` does). Keepers keep nothing
-//! on a disk: one that started anew says nothing until all that it may have promised before has run out.
+//! Election of the leader that grants quota: a lease on leadership, given by a majority of the voters as in `PaxosLease`.
+//! Voters store nothing on disk: one that restarts abstains until everything that it may have promised has expired.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,245 +7,352 @@
 use membership::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::Terms;
+use crate::budgets::Outgoing;
+use crate::LeaseTimings;
 
-/// A try to be the granter. Every keeper numbers its own, so no two are equal.
+/// Number of a candidacy. Each voter numbers its own, so no two are equal.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Term {
-    /// Higher than any that the keeper has heard of.
+    /// Higher than any number that the voter knew.
     pub number: u64,
-    /// Its keeper, by its place in the list.
-    pub keeper: u8,
+    /// Index of the candidate in the list of voters.
+    pub voter: u8,
 }
 
-/// What keepers tell each other.
+/// A message between voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Vote {
-    /// Would you take me?
+    /// A candidate asks for a promise.
     Prepare(Term),
-    /// I would, and hold this one's lease at present, if any.
+    /// The sender promises this term; it names the leader whose lease it has accepted, while that lasts.
     Promise(Term, Option<Name>),
-    /// I have promised this one.
-    Promised(Term),
-    /// Take me.
+    /// The sender has promised this higher term already.
+    AlreadyPromised(Term),
+    /// A candidate with promises of a majority proposes itself.
     Propose(Term),
-    /// You have it, of me.
+    /// The sender accepts the candidate as the leader.
     Accept(Term),
 }
 
+/// How far this voter's own candidacy has come.
 #[derive(Clone, Debug)]
-enum Try {
-    /// Promises asked for, so far from these.
-    Prepared(BTreeSet<Name>),
-    /// Proposed at this time, accepted so far by these.
-    Proposed(Duration, BTreeSet<Name>),
+enum CandidacyPhase {
+    Preparing {
+        promised_by: BTreeSet<Name>,
+    },
+    Proposing {
+        proposed_at: Duration,
+        accepted_by: BTreeSet<Name>,
+    },
 }
 
-/// One keeper's part in choosing the granter, or that of a node that is no keeper.
+#[derive(Clone, Debug)]
+struct Candidacy {
+    term: Term,
+    phase: CandidacyPhase,
+}
+
+/// The lease on leadership that this voter has accepted.
+#[derive(Clone, Debug)]
+struct AcceptedLease {
+    leader: Name,
+    expires_at: Duration,
+}
+
+/// This node's own leadership.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OwnLeadership {
+    /// The term that it began with; renewals don't change it.
+    pub term: Term,
+    /// When it began.
+    pub since: Duration,
+    /// When it ends unless it is renewed.
+    expires_at: Duration,
+}
+
+/// A leader and its term.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct KnownLeader {
+    /// Name of the node.
+    pub name: Name,
+    /// The term in which it leads.
+    pub term: Term,
+}
+
+/// A leader that another node spoke for or of.
+#[derive(Clone, Debug)]
+struct ObservedLeader {
+    name: Name,
+    term: Term,
+    observed_at: Duration,
+}
+
+/// One node's view of the election; only a node that is a voter takes part.
 #[derive(Clone, Debug)]
 pub struct Election {
-    terms: Terms,
-    me: Name,
-    keepers: Vec<Name>,
-    /// It promises nothing before.
-    mute: Duration,
+    timings: LeaseTimings,
+    name: Name,
+    voters: Vec<Name>,
+    abstains_until: Duration,
     promised: Term,
-    /// The lease that it gave: whose, and until when it counts.
-    given: Option<(Name, Duration)>,
-    tried: Option<(Term, Try)>,
-    /// Its own reign: the term that it began with, its begin, and its end by this clock.
-    reign: Option<(Term, Duration, Duration)>,
-    next_try: Duration,
-    /// The granter that was heard last, its term and when.
-    heard: Option<(Name, Term, Duration)>,
+    accepted: Option<AcceptedLease>,
+    candidacy: Option<Candidacy>,
+    leadership: Option<OwnLeadership>,
+    next_candidacy_at: Duration,
+    observed: Option<ObservedLeader>,
 }
 
 impl Election {
     /// A node that has just started.
-    pub fn new(terms: Terms, me: Name, keepers: Vec<Name>, now: Duration) -> Election {
-        let mute = now + terms.over(terms.reign);
+    pub fn new(timings: LeaseTimings, name: Name, voters: Vec<Name>, now: Duration) -> Election {
+        let abstains_until = now + timings.upper_bound(timings.leadership_duration);
         Election {
-            terms,
-            me,
-            keepers,
-            mute,
+            timings,
+            name,
+            voters,
+            abstains_until,
             promised: Term::default(),
-            given: None,
-            tried: None,
-            reign: None,
-            next_try: mute,
-            heard: None,
+            accepted: None,
+            candidacy: None,
+            leadership: None,
+            next_candidacy_at: abstains_until,
+            observed: None,
         }
     }
-    fn place(&self) -> Option<u8> {
-        self.keepers
-            .iter()
-            .position(|k| *k == self.me)
-            .map(|at| at as u8)
-    }
-    /// It is no keeper before then: it promises nothing, and does not try.
-    pub(crate) fn mute_until(&mut self, until: Duration) {
-        (self.mute, self.next_try) = (until, until);
-    }
-    /// One of the keepers, by a draw.
-    pub(crate) fn keeper(&self, draw: usize) -> Option<Name> {
-        self.keepers.get(draw % self.keepers.len().max(1)).cloned()
-    }
-    fn majority(&self, of: &BTreeSet<Name>) -> bool {
-        of.len() * 2 > self.keepers.len()
-    }
-    /// The term of this node's own reign and when it began, while it lasts.
-    pub fn reigns(&self, now: Duration) -> Option<(Term, Duration)> {
-        self.reign
-            .filter(|(_, _, until)| now < *until)
-            .map(|(term, since, _)| (term, since))
-    }
-    /// The granter that was heard of last, and its term.
-    pub fn granter(&self, now: Duration) -> Option<(Name, Term)> {
-        if let Some((term, _)) = self.reigns(now) {
-            return Some((self.me.clone(), term));
+
+    /// Neither votes nor becomes a candidate before then.
+    pub(crate) fn abstain_until(&mut self, until: Duration) {
+        self.abstains_until = until;
+        self.next_candidacy_at = until;
+    }
+
+    /// One of the voters, by a random number.
+    pub(crate) fn voter_by_draw(&self, draw: usize) -> Option<Name> {
+        self.voters.get(draw % self.voters.len().max(1)).cloned()
+    }
+
+    /// This node's own leadership, while it lasts.
+    pub fn own_leadership(&self, now: Duration) -> Option<OwnLeadership> {
+        self.leadership.filter(|own| now < own.expires_at)
+    }
+
+    /// The leader, as far as this node knows.
+    pub fn leader(&self, now: Duration) -> Option<KnownLeader> {
+        if let Some(own) = self.own_leadership(now) {
+            return Some(KnownLeader {
+                name: self.name.clone(),
+                term: own.term,
+            });
         }
-        let young = |at: &Duration| now.saturating_sub(*at) < self.terms.reign;
-        self.heard
-            .as_ref()
-            .filter(|(_, _, at)| young(at))
-            .map(|(name, term, _)| (name.clone(), *term))
-    }
-    /// A granter spoke under this term. True where it was not known.
-    pub fn hear_granter(&mut self, name: &Name, term: Term, now: Duration) -> bool {
-        if self
-            .heard
-            .as_ref()
-            .is_some_and(|(_, known, _)| *known > term)
-        {
+        let observed = self.observed.as_ref()?;
+        let is_recent = now.saturating_sub(observed.observed_at) < self.timings.leadership_duration;
+        is_recent.then(|| KnownLeader {
+            name: observed.name.clone(),
+            term: observed.term,
+        })
+    }
+
+    /// Records that a leader is active in this term. Returns true if the term was not known.
+    pub fn observe_leader(&mut self, name: &Name, term: Term, now: Duration) -> bool {
+        let known_term = self.observed.as_ref().map(|observed| observed.term);
+        if known_term.is_some_and(|known| known > term) {
             return false;
         }
-        let new = self
-            .heard
-            .as_ref()
-            .is_none_or(|(_, known, _)| *known < term);
-        self.heard = Some((name.clone(), term, now));
-        new
-    }
-    /// When [`Election::tick`] is due.
-    pub fn next(&self) -> Duration {
-        if self.place().is_some() {
-            self.next_try
+        self.observed = Some(ObservedLeader {
+            name: name.clone(),
+            term,
+            observed_at: now,
+        });
+        known_term.is_none_or(|known| known < term)
+    }
+
+    /// When [`Election::handle_timeout`] is due.
+    pub fn next_timeout(&self) -> Duration {
+        if self.voter_index().is_some() {
+            self.next_candidacy_at
         } else {
             Duration::MAX
         }
     }
 
-    /// Time has passed: tries to be the granter, or to stay it. `draw` spreads those that try at once, from 0 to 1.
-    pub fn tick(&mut self, now: Duration, draw: f64, out: &mut Vec<(Name, Vote)>) {
-        let Some(keeper) = self.place() else { return };
-        if now < self.next_try {
+    /// Becomes a candidate where no leader is known, or renews this node's own leadership. `draw` is random, from 0 to 1, and
+    /// spreads candidates that would begin at the same time.
+    pub fn handle_timeout(&mut self, now: Duration, draw: f64, out: &mut Vec<Outgoing<Vote>>) {
+        let Some(voter) = self.voter_index() else {
+            return;
+        };
+        if now < self.next_candidacy_at {
             return;
         }
-        let reigns = self.reigns(now).is_some();
-        if !reigns {
-            self.reign = None;
+        let is_leader = self.own_leadership(now).is_some();
+        if !is_leader {
+            self.leadership = None;
         }
-        let third = self.terms.reign / 3;
-        self.next_try = now
-            + if reigns {
-                third
+        let renewal_interval = self.timings.leadership_duration / 3;
+        self.next_candidacy_at = now
+            + if is_leader {
+                renewal_interval
             } else {
-                third.mul_f64(0.5 + draw)
+                renewal_interval.mul_f64(0.5 + draw)
             };
-        if !reigns && self.granter(now).is_some() {
-            // Another is there. It is tried again when that one has been silent for so long.
+        if !is_leader && self.leader(now).is_some() {
+            // Another node leads. This is checked again until that one has been silent for long enough.
             return;
         }
-        let heard = self.heard.as_ref().map_or(0, |(_, term, _)| term.number);
+        let observed = self.observed.as_ref().map_or(0, |o| o.term.number);
         let term = Term {
-            number: self.promised.number.max(heard) + 1,
-            keeper,
+            number: self.promised.number.max(observed) + 1,
+            voter,
         };
-        self.tried = Some((term, Try::Prepared(BTreeSet::new())));
-        for to in self.keepers.clone() {
-            self.tell(to, Vote::Prepare(term), now, out);
+        self.candidacy = Some(Candidacy {
+            term,
+            phase: CandidacyPhase::Preparing {
+                promised_by: BTreeSet::new(),
+            },
+        });
+        self.send_to_voters(&Vote::Prepare(term), now, out);
+    }
+
+    /// Handles a vote of a voter; one of any other node is ignored.
+    pub fn handle_vote(
+        &mut self,
+        from: &Name,
+        vote: Vote,
+        now: Duration,
+        out: &mut Vec<Outgoing<Vote>>,
+    ) {
+        if self.voter_index().is_none() || !self.voters.contains(from) {
+            return;
+        }
+        match vote {
+            Vote::Prepare(term) => self.handle_prepare(from, term, now, out),
+            // The next candidacy uses a higher term.
+            Vote::AlreadyPromised(term) => self.promised = self.promised.max(term),
+            Vote::Promise(term, leader) => {
+                if leader.is_none_or(|leader| leader == self.name) {
+                    self.handle_promise(from, term, now, out);
+                }
+            }
+            Vote::Propose(term) => self.handle_propose(from, term, now, out),
+            Vote::Accept(term) => self.handle_accept(from, term, now),
         }
     }
 
-    /// To others by a message, to itself at once.
-    fn tell(&mut self, to: Name, vote: Vote, now: Duration, out: &mut Vec<(Name, Vote)>) {
-        if to == self.me {
-            self.hear(&to, vote, now, out);
+    fn handle_prepare(
+        &mut self,
+        from: &Name,
+        term: Term,
+        now: Duration,
+        out: &mut Vec<Outgoing<Vote>>,
+    ) {
+        if now < self.abstains_until {
+            return;
+        }
+        let reply = if term < self.promised {
+            Vote::AlreadyPromised(self.promised)
         } else {
-            out.push((to, vote));
+            self.promised = term;
+            let accepted = self.accepted.as_ref().filter(|a| now < a.expires_at);
+            Vote::Promise(term, accepted.map(|a| a.leader.clone()))
+        };
+        self.send(from, reply, now, out);
+    }
+
+    fn handle_promise(
+        &mut self,
+        from: &Name,
+        term: Term,
+        now: Duration,
+        out: &mut Vec<Outgoing<Vote>>,
+    ) {
+        let Some(candidacy) = self.candidacy.as_mut().filter(|c| c.term == term) else {
+            return;
+        };
+        let CandidacyPhase::Preparing { promised_by } = &mut candidacy.phase else {
+            return;
+        };
+        promised_by.insert(from.clone());
+        if !is_majority(promised_by, &self.voters) {
+            return;
         }
+        // The leadership counts from here, before any voter can have accepted it.
+        candidacy.phase = CandidacyPhase::Proposing {
+            proposed_at: now,
+            accepted_by: BTreeSet::new(),
+        };
+        self.send_to_voters(&Vote::Propose(term), now, out);
     }
 
-    /// A keeper's vote came.
-    pub fn hear(&mut self, from: &Name, vote: Vote, now: Duration, out: &mut Vec<(Name, Vote)>) {
-        if self.place().is_none() || !self.keepers.contains(from) {
+    fn handle_propose(
+        &mut self,
+        from: &Name,
+        term: Term,
+        now: Duration,
+        out: &mut Vec<Outgoing<Vote>>,
+    ) {
+        if now < self.abstains_until || term < self.promised {
             return;
         }
-        match vote {
-            Vote::Prepare(term) => {
-                if now < self.mute {
-                    return;
-                }
-                let answer = if term < self.promised {
-                    Vote::Promised(self.promised)
-                } else {
-                    self.promised = term;
-                    let given = self.given.as_ref().filter(|(_, until)| now < *until);
-                    Vote::Promise(term, given.map(|(name, _)| name.clone()))
-                };
-                self.tell(from.clone(), answer, now, out);
-            }
-            Vote::Promised(term) => {
-                // The next try goes above.
-                self.promised = self.promised.max(term);
-            }
-            Vote::Promise(term, given) => {
-                let me = self.me.clone();
-                let Some((tried, Try::Prepared(by))) = &mut self.tried else {
-                    return;
-                };
-                if *tried != term || given.is_some_and(|name| name != me) {
-                    return;
-                }
-                by.insert(from.clone());
-                let by = by.clone();
-                if self.majority(&by) {
-                    // The reign counts from here, before anybody can have accepted.
-                    self.tried = Some((term, Try::Proposed(now, BTreeSet::new())));
-                    for to in self.keepers.clone() {
-                        self.tell(to, Vote::Propose(term), now, out);
-                    }
-                }
-            }
-            Vote::Propose(term) => {
-                if now < self.mute || term < self.promised {
-                    return;
-                }
-                self.promised = term;
-                self.given = Some((from.clone(), now + self.terms.over(self.terms.reign)));
-                self.tell(from.clone(), Vote::Accept(term), now, out);
-            }
-            Vote::Accept(term) => {
-                let Some((tried, Try::Proposed(at, by))) = &mut self.tried else {
-                    return;
-                };
-                if *tried != term {
-                    return;
-                }
-                by.insert(from.clone());
-                let (at, by) = (*at, by.clone());
-                if !self.majority(&by) {
-                    return;
-                }
-                let until = at + self.terms.reign;
-                if now < until {
-                    let (first, since) = self.reigns(now).unwrap_or((term, now));
-                    self.reign = Some((first, since, until));
-                }
-            }
+        self.promised = term;
+        self.accepted = Some(AcceptedLease {
+            leader: from.clone(),
+            expires_at: now + self.timings.upper_bound(self.timings.leadership_duration),
+        });
+        self.send(from, Vote::Accept(term), now, out);
+    }
+
+    fn handle_accept(&mut self, from: &Name, term: Term, now: Duration) {
+        let Some(candidacy) = self.candidacy.as_mut().filter(|c| c.term == term) else {
+            return;
+        };
+        let CandidacyPhase::Proposing {
+            proposed_at,
+            accepted_by,
+        } = &mut candidacy.phase
+        else {
+            return;
+        };
+        accepted_by.insert(from.clone());
+        let expires_at = *proposed_at + self.timings.leadership_duration;
+        if !is_majority(accepted_by, &self.voters) || now >= expires_at {
+            return;
         }
+        let renewed = self.own_leadership(now);
+        self.leadership = Some(OwnLeadership {
+            term: renewed.map_or(term, |own| own.term),
+            since: renewed.map_or(now, |own| own.since),
+            expires_at,
+        });
+    }
+
+    fn voter_index(&self) -> Option<u8> {
+        self.voters
+            .iter()
+            .position(|voter| *voter == self.name)
+            .map(|index| index as u8)
     }
+
+    fn send_to_voters(&mut self, vote: &Vote, now: Duration, out: &mut Vec<Outgoing<Vote>>) {
+        for voter in self.voters.clone() {
+            self.send(&voter, vote.clone(), now, out);
+        }
+    }
+
+    /// Sends a vote to a voter; one to this node itself is handled at once.
+    fn send(&mut self, to: &Name, vote: Vote, now: Duration, out: &mut Vec<Outgoing<Vote>>) {
+        if *to == self.name {
+            self.handle_vote(to, vote, now, out);
+        } else {
+            out.push(Outgoing {
+                to: to.clone(),
+                message: vote,
+            });
+        }
+    }
+}
+
+fn is_majority(names: &BTreeSet<Name>, voters: &[Name]) -> bool {
+    names.len() * 2 > voters.len()
 }
--- /dev/null
+++ b/crates/shared-state/src/health/mod.rs
@@ -0,0 +1,11 @@
+//! Health of dependencies: what each node observes, and what it concludes from that and from the others' observations.
+//! Neither one node nor one site can declare a dependency down for all, and a node that alone fails to reach it knows that
+//! the fault is on its own path.
+
+mod attempts;
+mod evaluation;
+mod tally;
+
+pub use attempts::{AttemptCounts, AttemptWindow, ObservedHealth, ATTEMPT_WINDOW};
+pub use evaluation::{evaluate_health, DependencyHealth, HealthEvaluator};
+pub use tally::{HealthCounts, Tally};
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -1,34 +1,47 @@
-//! What the nodes of a fleet share. `docs/shared-state.md` has the design.
+//! State that the nodes of a fleet share. `docs/shared-state.md` has the design.
 //!
-//! Counts and judgements, which are as good as the news that arrives:
-//! - [`Cells`], [`Live`]: requests in flight by tenant, in a sketch.
-//! - [`evidence`]: what nodes find of a service below, and what each makes of it.
-//! - [`Gathering`]: both reported to two members and summed, with an age that holds without clocks that agree.
+//! Counts and health of dependencies, which are as current as the messages that arrive:
+//! - [`SketchCounters`], [`AtomicSketchCounters`]: requests in flight by tenant, in a sketch.
+//! - [`health`]: what nodes observe of a dependency, and what each concludes from it.
+//! - [`aggregation`]: both are reported to two members and summed up, with an age that is known without synchronized clocks.
 //!
-//! Budgets: a total of which each node holds a part, so that the parts that may be spent never add up to more than the
-//! total, whatever is lost, late, doubled, stopped or killed.
-//! - [`Election`]: who grants. One of a few named keepers, by a lease that a majority of them gives; nothing on a disk.
-//! - [`Book`]: what the granter has granted, and what of it may still be spent.
-//! - [`Part`]: what a holder may spend.
-//! - [`Budgets`]: the three of one node, by messages and times.
+//! Budgets: a total of which each node has a quota, so that the quotas that may be spent never add up to more than the total,
+//! whatever messages are lost, late or duplicated and whatever processes are stopped or killed.
+//! - [`Election`]: elects the leader that grants quota, one of a few named voters, by a lease that a majority of them gives.
+//!   Nothing is stored on disk.
+//! - [`LeaseTable`]: what the leader has granted, and what of it may still be spent.
+//! - [`LeaseHolder`]: what a holder may spend.
+//! - [`Budgets`]: the three for one node, driven by messages and times.
 //!
-//! All safety of budgets rests on clocks that run at rates within [`Terms::drift_ppm`] of each other, and on nothing else: not on a
-//! detector of failures, not on a message that arrives, not on what a clock shows.
+//! The safety of budgets depends only on clocks that run at rates within [`LeaseTimings::max_drift_ppm`] of each other: not on
+//! a failure detector, not on the arrival of any message, and not on the time that a clock shows.
 
-mod book;
+pub mod aggregation;
 mod budgets;
-mod cells;
 mod election;
-pub mod evidence;
-mod gather;
-mod part;
-mod terms;
+pub mod health;
+mod lease_holder;
+mod lease_table;
+mod lease_timings;
+mod sketch_counters;
+mod tuple_format;
 
-pub use book::Book;
-pub use budgets::{BudgetLook, Budgets, Look, Message, Out, Plan, Spend, Totals, Units};
-pub use cells::{cells_of, Cells, Change, Live, CELLS, COLUMNS, ROWS};
-pub use election::{Election, Term, Vote};
-pub use evidence::{judge, Condition, Judge, Judgement, Tally, Window};
-pub use gather::{Answer, Gathered, GatheredLook, Gathering, Pace, Report, Said, LEDGER};
-pub use part::{Ask, Grant, Part};
-pub use terms::Terms;
+pub use aggregation::{
+    Aggregate, AggregateSnapshot, AggregationMessage, AggregationNode, CallCounts,
+    CoverageSnapshot, HealthState, ReportingSettings, ServiceObservation, SumVersion, LEDGER,
+};
+pub use budgets::{
+    BudgetSnapshot, Budgets, GuaranteedQuota, GuaranteedSnapshot, HolderSnapshot, LeaseSnapshot,
+    LeasedQuota, Message, Outgoing, QuotaConfig, QuotaUsage, SharedStateSnapshot, SpendableQuota,
+    Units,
+};
+pub use election::{Election, KnownLeader, OwnLeadership, Term, Vote};
+pub use health::{
+    evaluate_health, AttemptWindow, DependencyHealth, HealthEvaluator, ObservedHealth, Tally,
+};
+pub use lease_holder::{LeaseGrant, LeaseHolder, LeaseRequest};
+pub use lease_table::LeaseTable;
+pub use lease_timings::LeaseTimings;
+pub use sketch_counters::{
+    counter_indices, AtomicSketchCounters, CounterChange, SketchCounters, COLUMNS, COUNTERS, ROWS,
+};
--- /dev/null
+++ b/crates/shared-state/src/sketch_counters.rs
@@ -0,0 +1,145 @@
+//! Requests in flight by tenant, counted in a count-min sketch that fits one datagram. The estimate of a key is the smallest
+//! of its counters, so it may be too high and is never too low.
+
+use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
+
+use serde::{Deserialize, Serialize};
+
+/// Rows of the sketch: that all of them overestimate a key by much happens to fewer than one key in 50.
+pub const ROWS: usize = 4;
+/// Counters of a row: each overestimates by a 23rd of all requests in flight (e / 64) at the most, but for one key in e.
+pub const COLUMNS: usize = 64;
+/// Counters of the whole sketch.
+pub const COUNTERS: usize = ROWS * COLUMNS;
+/// Largest value of one counter on the wire, three bytes each, so that all of them fit one datagram.
+pub(crate) const MAX_COUNT: u32 = (1 << 21) - 1;
+
+/// The new value of one counter.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct CounterChange {
+    /// Index of the counter.
+    pub index: u8,
+    /// Its value now.
+    pub count: u32,
+}
+
+/// Indices of a key's counters, one in each row; the same on every machine.
+pub fn counter_indices(key: u64) -> [usize; ROWS] {
+    std::array::from_fn(|row| {
+        let mut h = key ^ (row as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        h = (h ^ (h >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+        h = (h ^ (h >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+        row * COLUMNS + (h ^ (h >> 31)) as usize % COLUMNS
+    })
+}
+
+/// The counters of a sketch at one moment.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SketchCounters(Box<[u32]>);
+
+impl Default for SketchCounters {
+    fn default() -> SketchCounters {
+        SketchCounters(vec![0; COUNTERS].into())
+    }
+}
+
+impl SketchCounters {
+    /// The value of a counter.
+    pub fn get(&self, index: usize) -> u32 {
+        self.0.get(index).copied().unwrap_or(0)
+    }
+
+    /// Sets counters to new values.
+    pub fn apply_changes(&mut self, changes: &[CounterChange]) {
+        for change in changes {
+            self.0[usize::from(change.index)] = change.count.min(MAX_COUNT);
+        }
+    }
+
+    /// Adds the counters of another sketch.
+    pub fn add(&mut self, other: &SketchCounters) {
+        for (own, other) in self.0.iter_mut().zip(&other.0) {
+            *own = own.saturating_add(*other);
+        }
+    }
+
+    /// Subtracts the counters of another sketch.
+    pub fn subtract(&mut self, other: &SketchCounters) {
+        for (own, other) in self.0.iter_mut().zip(&other.0) {
+            *own = own.saturating_sub(*other);
+        }
+    }
+
+    /// Values of the counters that differ from those of any of the other sketches.
+    pub fn changes_from<'a>(
+        &self,
+        others: impl Iterator<Item = &'a SketchCounters> + Clone,
+    ) -> Vec<CounterChange> {
+        let differs = |index: &usize| {
+            others
+                .clone()
+                .any(|other| other.get(*index) != self.get(*index))
+        };
+        (0..COUNTERS)
+            .filter(differs)
+            .map(|index| CounterChange {
+                index: index as u8,
+                count: self.get(index).min(MAX_COUNT),
+            })
+            .collect()
+    }
+
+    /// Values of the counters that are not zero.
+    pub fn nonzero_changes(&self) -> Vec<CounterChange> {
+        self.changes_from(std::iter::once(&SketchCounters::default()))
+    }
+
+    /// An upper bound of the estimates of all keys.
+    pub fn max_estimate(&self) -> u32 {
+        self.0
+            .chunks(COLUMNS)
+            .map(|row| row.iter().copied().max().unwrap_or(0))
+            .min()
+            .unwrap_or(0)
+    }
+
+    /// The estimated count of a key.
+    pub fn estimate(&self, key: u64) -> u32 {
+        counter_indices(key)
+            .into_iter()
+            .map(|index| self.get(index))
+            .min()
+            .unwrap_or(0)
+    }
+}
+
+/// Counters that the thread which admits and answers requests updates, and another thread reads without locking.
+#[derive(Debug)]
+pub struct AtomicSketchCounters(Box<[AtomicU32]>);
+
+impl Default for AtomicSketchCounters {
+    fn default() -> AtomicSketchCounters {
+        AtomicSketchCounters((0..COUNTERS).map(|_| AtomicU32::new(0)).collect())
+    }
+}
+
+impl AtomicSketchCounters {
+    /// Counts one more request in flight.
+    pub fn increment(&self, key: u64) {
+        for index in counter_indices(key) {
+            self.0[index].fetch_add(1, Relaxed);
+        }
+    }
+
+    /// Counts one request in flight less.
+    pub fn decrement(&self, key: u64) {
+        for index in counter_indices(key) {
+            self.0[index].fetch_sub(1, Relaxed);
+        }
+    }
+
+    /// The counters as they are now.
+    pub fn load(&self) -> SketchCounters {
+        SketchCounters(self.0.iter().map(|counter| counter.load(Relaxed)).collect())
+    }
+}
--- a/crates/shared-state/tests/golden.rs
+++ b/crates/shared-state/tests/golden.rs
@@ -1,99 +1,149 @@
 //! Golden bytes of the messages about shared state. `postcard` writes by position: the order of fields and variants is the
 //! format, and old and new programs of a fleet exchange it. The files under `golden/` never change.
 
-use shared_state::evidence::Found;
+use shared_state::aggregation::{AggregateReply, Coverage, EchoedStamp, Report, ServiceTally};
+use shared_state::health::HealthCounts;
 use shared_state::{
-    cells_of, Answer, BudgetLook, Change, Condition, GatheredLook, Judgement, Look, Message,
-    Report, Said, Tally, Term, Vote, LEDGER,
+    counter_indices, AggregateSnapshot, AggregationMessage, BudgetSnapshot, CallCounts,
+    CounterChange, CoverageSnapshot, DependencyHealth, GuaranteedSnapshot, HealthState,
+    HolderSnapshot, LeaseSnapshot, Message, ObservedHealth, QuotaUsage, ServiceObservation,
+    SharedStateSnapshot, SumVersion, Tally, Term, Vote, LEDGER,
 };
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 fn tally(n: u32) -> Tally {
-    let found = |n| Found {
+    let counts = |n| HealthCounts {
         sound: n,
         slow: n + 1,
         failing: n + 2,
     };
     Tally {
-        here: found(n),
-        elsewhere: found(n + 10),
-        sites: found(n + 20),
+        here: counts(n),
+        elsewhere: counts(n + 10),
+        sites: counts(n + 20),
     }
 }
-fn gathered(judgement: Judgement) -> Message {
-    let gathered = GatheredLook {
-        gatherers: vec!["g1".into(), "g2".into()],
-        by: Some("g2".into()),
+fn ledger_reply(health: DependencyHealth) -> Message {
+    let aggregate = AggregateSnapshot {
+        aggregators: vec!["g1".into(), "g2".into()],
+        aggregator: Some("g2".into()),
         age_ms: 1_234,
-        covered: (41, 42),
-        most: 43,
-        ledger: (judgement, 5_678),
-        calls: (44, 45),
+        coverage: CoverageSnapshot {
+            covered: 41,
+            present: 42,
+        },
+        max_in_flight: 43,
+        ledger: HealthState {
+            health,
+            for_ms: 5_678,
+        },
+        calls: CallCounts {
+            total: 44,
+            failed: 45,
+        },
         others: tally(60),
     };
-    Message::Looked(
+    Message::SnapshotReply(
         46,
-        Look {
-            granter: None,
+        SharedStateSnapshot {
+            leader: None,
             budgets: vec![],
-            gathered: Some(gathered),
+            aggregate: Some(aggregate),
         },
     )
 }
 
-/// Every message, and every variant of what is inside.
+fn usage(in_use: u64, demand: u64) -> QuotaUsage {
+    QuotaUsage { in_use, demand }
+}
+fn holder(name: &str, reserved: u64, demand: u64) -> HolderSnapshot {
+    HolderSnapshot {
+        name: name.into(),
+        reserved,
+        demand,
+    }
+}
+fn change(index: u8, count: u32) -> CounterChange {
+    CounterChange { index, count }
+}
+fn observation(service: u8, health: ObservedHealth) -> ServiceObservation {
+    ServiceObservation { service, health }
+}
+fn service_tally(service: u8, n: u32) -> ServiceTally {
+    ServiceTally {
+        service,
+        tally: tally(n),
+    }
+}
+
+/// Every message, and every variant of its contents.
 fn cases() -> Vec<(&'static str, Message)> {
     let term = Term {
         number: 0x0102_0304_0506_0708,
-        keeper: 2,
+        voter: 2,
     };
-    let budget = |name: &str, counts: bool| BudgetLook {
+    let budget = |name: &str, is_available: bool| BudgetSnapshot {
         name: name.into(),
         total: 1_001,
-        floor: (102, counts),
-        leased: (203, 304),
-        in_use: (405, 506),
-        holders: vec![("h1".into(), 607, 708), ("h2".into(), 809, 910)],
-        counted: 1_011,
+        guaranteed: GuaranteedSnapshot {
+            units: 102,
+            is_available,
+        },
+        leased: LeaseSnapshot {
+            units: 203,
+            remaining_ms: 304,
+        },
+        usage: usage(405, 506),
+        holders: vec![holder("h1", 607, 708), holder("h2", 809, 910)],
+        reserved: 1_011,
     };
     let report = Report {
-        life: 0x0012_3456_789a_bcde,
+        incarnation: 0x0012_3456_789a_bcde,
         seq: 1_002,
-        base: 1_001,
-        echo: Some((0x00fe_dcba, 77)),
-        holds: (0x0021_4365, 88),
-        cells: vec![Change(3, 4), Change(255, 2_097_151)],
-        found: vec![
-            (LEDGER, Condition::Sound),
-            (1, Condition::Slow),
-            (2, Condition::Failing),
+        base_seq: 1_001,
+        echo: Some(EchoedStamp {
+            stamp: 0x00fe_dcba,
+            elapsed_ms: 77,
+        }),
+        known_sum: SumVersion {
+            incarnation: 0x0021_4365,
+            version: 88,
+        },
+        counters: vec![change(3, 4), change(255, 2_097_151)],
+        observations: vec![
+            observation(LEDGER, ObservedHealth::Sound),
+            observation(1, ObservedHealth::Slow),
+            observation(2, ObservedHealth::Failing),
         ],
         site: "north".into(),
     };
     let bare = Report {
         echo: None,
-        cells: vec![],
-        found: vec![],
+        counters: vec![],
+        observations: vec![],
         ..report.clone()
     };
-    let answer = Answer {
-        life: 0x0012_3456_789a_bcdf,
+    let reply = AggregateReply {
+        incarnation: 0x0012_3456_789a_bcdf,
         seq: 2_001,
-        held: 2_002,
+        held_seq: 2_002,
         stamp: 2_003,
-        base: 2_004,
+        base_version: 2_004,
         version: 2_005,
-        cells: vec![Change(5, 6), Change(7, 8)],
-        covered: (2_006, 2_007),
-        there: 2_008,
-        tallies: vec![(LEDGER, tally(1)), (3, tally(100))],
+        counters: vec![change(5, 6), change(7, 8)],
+        coverage: Coverage {
+            nodes: 2_006,
+            oldest_age_ms: 2_007,
+        },
+        present_nodes: 2_008,
+        tallies: vec![service_tally(LEDGER, 1), service_tally(3, 100)],
     };
-    let look = Look {
-        granter: Some("granter".into()),
+    let snapshot = SharedStateSnapshot {
+        leader: Some("granter".into()),
         budgets: vec![budget("calls", true), budget("tries", false)],
-        gathered: None,
+        aggregate: None,
     };
     vec![
         ("vote-prepare", Message::Vote(Vote::Prepare(term))),
@@ -105,40 +155,61 @@
             "vote-promise-given",
             Message::Vote(Vote::Promise(term, Some("keeper".into()))),
         ),
-        ("vote-promised", Message::Vote(Vote::Promised(term))),
+        ("vote-promised", Message::Vote(Vote::AlreadyPromised(term))),
         ("vote-propose", Message::Vote(Vote::Propose(term))),
         ("vote-accept", Message::Vote(Vote::Accept(term))),
         (
             "ask",
-            Message::Ask {
+            Message::LeaseRequest {
                 term,
-                life: 301,
+                incarnation: 301,
                 seq: 402,
-                applied: 503,
-                parts: vec![(604, 705), (806, 907)],
+                applied_seq: 503,
+                usage: vec![usage(604, 705), usage(806, 907)],
             },
         ),
         (
             "grant",
-            Message::Grant {
+            Message::LeaseGrant {
                 term,
                 seq: 11,
                 units: vec![0, 127, 128, u64::MAX],
             },
         ),
-        ("reigns", Message::Reigns("granter".into(), term)),
-        ("look", Message::Look(0x0a0b_0c0d)),
-        ("looked-empty", Message::Looked(1, Look::default())),
-        ("looked-budgets", Message::Looked(45, look)),
-        ("looked-ledger-unknown", gathered(Judgement::Unknown)),
-        ("looked-ledger-sound", gathered(Judgement::Sound)),
-        ("looked-ledger-slow", gathered(Judgement::Slow)),
-        ("looked-ledger-unsure", gathered(Judgement::Unsure)),
-        ("looked-ledger-only-here", gathered(Judgement::OnlyHere)),
-        ("looked-ledger-down", gathered(Judgement::Down)),
-        ("gather-report", Message::Gather(Said::Report(report))),
-        ("gather-report-bare", Message::Gather(Said::Report(bare))),
-        ("gather-answer", Message::Gather(Said::Answer(answer))),
+        ("reigns", Message::Leader("granter".into(), term)),
+        ("look", Message::SnapshotRequest(0x0a0b_0c0d)),
+        (
+            "looked-empty",
+            Message::SnapshotReply(1, SharedStateSnapshot::default()),
+        ),
+        ("looked-budgets", Message::SnapshotReply(45, snapshot)),
+        (
+            "looked-ledger-unknown",
+            ledger_reply(DependencyHealth::Unknown),
+        ),
+        ("looked-ledger-sound", ledger_reply(DependencyHealth::Sound)),
+        ("looked-ledger-slow", ledger_reply(DependencyHealth::Slow)),
+        (
+            "looked-ledger-unsure",
+            ledger_reply(DependencyHealth::Unsure),
+        ),
+        (
+            "looked-ledger-only-here",
+            ledger_reply(DependencyHealth::OnlyHere),
+        ),
+        ("looked-ledger-down", ledger_reply(DependencyHealth::Down)),
+        (
+            "gather-report",
+            Message::Aggregation(AggregationMessage::Report(report)),
+        ),
+        (
+            "gather-report-bare",
+            Message::Aggregation(AggregationMessage::Report(bare)),
+        ),
+        (
+            "gather-answer",
+            Message::Aggregation(AggregationMessage::Reply(reply)),
+        ),
     ]
 }
 
@@ -161,13 +232,13 @@
     }
 }
 
-/// Nodes count a tenant in the same cells, or their sums mean nothing.
+/// Nodes count a tenant in the same counters, or their sums mean nothing.
 #[test]
-fn cells_of_a_key_are_stable() {
+fn counter_indices_of_a_key_are_stable() {
     let keys = [0, 1, 0x0123_4567_89ab_cdef, u64::MAX];
     let written: String = keys
         .iter()
-        .map(|key| format!("{key:016x} {:?}\n", cells_of(*key)))
+        .map(|key| format!("{key:016x} {:?}\n", counter_indices(*key)))
         .collect();
     assert_eq!(written, include_str!("golden/cells.txt"));
 }
--- a/src/net/database.rs
+++ b/src/net/database.rs
@@ -78,7 +78,7 @@
     fn holds_back(&self) -> bool {
         self.shares
             .as_ref()
-            .is_some_and(|s| s.ledger().holds_back())
+            .is_some_and(|s| s.ledger().should_limit_calls())
     }
     /// The node is a member from now on. It becomes one once.
     pub fn joined(&self, allowance: Allowance) {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -16,7 +16,7 @@
 
 use crossbeam_channel::{bounded, Receiver, Sender};
 use lifecycle::{Refused, State, Step, PARTS};
-use shared_state::Live;
+use shared_state::AtomicSketchCounters;
 
 pub use confinement::Confinement;
 pub use limits::Limits;
@@ -230,7 +230,7 @@
 /// Counts of requests in flight by tenant, where the fleet shares them.
 pub struct Fleet {
     /// This node's own.
-    pub live: Arc<Live>,
+    pub live: Arc<AtomicSketchCounters>,
     /// How many nodes are counted, and what the others have in flight of each key, while that is known.
     #[allow(clippy::type_complexity)] // It is one closure, told in full.
     pub others: Box<dyn Fn(&[u64]) -> Option<(u32, Vec<u32>)> + Send>,
--- a/src/node/module.rs
+++ b/src/node/module.rs
@@ -511,7 +511,7 @@
                     .get(tenant.0 as usize)
                     .copied()
                     .unwrap_or(tenant.0);
-                fleet.live.enters(key);
+                fleet.live.increment(key);
                 key
             });
         let entry = Entry {
@@ -775,7 +775,7 @@
         let reply = entry.reply.take()?;
         entry.answered = Some(Instant::now());
         if let Some((fleet, key)) = self.peers.fleet.as_ref().zip(entry.counted) {
-            fleet.live.leaves(key);
+            fleet.live.decrement(key);
         }
         self.board.owed.fetch_sub(1, Relaxed);
         Some(reply)
--- a/tests/gathered.rs
+++ b/tests/gathered.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fault_testbed::{Plan, Rig};
-use shared_state::{GatheredLook, Judgement};
+use shared_state::{AggregateSnapshot, DependencyHealth};
 use test_doubles::Front;
 
 const MOST: Duration = Duration::from_secs(40);
@@ -35,11 +35,11 @@
     rig
 }
 
-fn look(rig: &Rig, name: &str) -> Option<GatheredLook> {
-    rig.look(name)?.gathered
+fn look(rig: &Rig, name: &str) -> Option<AggregateSnapshot> {
+    rig.look(name)?.aggregate
 }
-fn ledger(rig: &Rig, name: &str) -> Judgement {
-    look(rig, name).map_or(Judgement::Unknown, |g| g.ledger.0)
+fn ledger(rig: &Rig, name: &str) -> DependencyHealth {
+    look(rig, name).map_or(DependencyHealth::Unknown, |g| g.ledger.health)
 }
 fn state(rig: &Rig, by: &str, of: &str) -> Option<&'static str> {
     let told = rig.told(by)?;
@@ -93,7 +93,7 @@
         .map(|n| Clients::at(&rig, n, 3, "call:hold#5"))
         .collect();
     // A machine at work may make it slow for everybody, which holds nobody back.
-    let serves = |j| matches!(j, Judgement::Sound | Judgement::Slow);
+    let serves = |j| matches!(j, DependencyHealth::Sound | DependencyHealth::Slow);
     let sound = |rig: &Rig, whose: &[String]| whose.iter().all(|n| serves(ledger(rig, n)));
     rig.wait("all find it sound", MOST, |rig| sound(rig, &all))
         .expect("it is");
@@ -107,12 +107,19 @@
         rig.silence(&broken, &to);
         let wrong = Arc::new(AtomicBool::new(false));
         let told = |rig: &Rig| {
-            wrong.fetch_or(others.iter().any(|n| ledger(rig, n).holds_back()), Relaxed);
             wrong.fetch_or(
-                broken.iter().any(|n| ledger(rig, n) == Judgement::Down),
+                others.iter().any(|n| ledger(rig, n).should_limit_calls()),
                 Relaxed,
             );
-            broken.iter().all(|n| ledger(rig, n) == Judgement::OnlyHere)
+            wrong.fetch_or(
+                broken
+                    .iter()
+                    .any(|n| ledger(rig, n) == DependencyHealth::Down),
+                Relaxed,
+            );
+            broken
+                .iter()
+                .all(|n| ledger(rig, n) == DependencyHealth::OnlyHere)
         };
         rig.wait("those that can't reach it know", MOST, told)
             .expect("they do");
@@ -135,7 +142,7 @@
     }
     rig.silence(&all, &to);
     rig.wait("all know that it is down", MOST, |rig| {
-        all.iter().all(|n| ledger(rig, n) == Judgement::Down)
+        all.iter().all(|n| ledger(rig, n) == DependencyHealth::Down)
     })
     .expect("they do");
     assert!(
@@ -157,12 +164,17 @@
         .iter()
         .map(|n| Clients::at(&rig, n, 3, "call:hold#5"))
         .collect();
-    let serves = |rig: &Rig| matches!(ledger(rig, "n1"), Judgement::Sound | Judgement::Slow);
+    let serves = |rig: &Rig| {
+        matches!(
+            ledger(rig, "n1"),
+            DependencyHealth::Sound | DependencyHealth::Slow
+        )
+    };
     rig.wait("it finds the ledger sound", MOST, serves)
         .expect("it does");
     rig.silence(&names([1]), &["ledger".to_string()]);
     rig.wait("it knows that the path is its own", MOST, |rig| {
-        ledger(rig, "n1") == Judgement::OnlyHere
+        ledger(rig, "n1") == DependencyHealth::OnlyHere
     })
     .expect("it does");
     let file = rig.fleet_file_of("n1");
@@ -193,9 +205,9 @@
         .collect();
     let knows = |rig: &Rig, name: &str, nodes: u32, least: u32, most: u32| {
         look(rig, name).is_some_and(|g| {
-            g.by.is_some()
-                && g.covered.0 == nodes
-                && (least..=most).contains(&g.most)
+            g.aggregator.is_some()
+                && g.coverage.covered == nodes
+                && (least..=most).contains(&g.max_in_flight)
                 && g.age_ms < 3000
         })
     };
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -15,7 +15,7 @@
 use membership::word::Word;
 use membership::{Conclusion, Record, Said, Standing};
 use serde_json::{json, Value};
-use shared_state::{Judgement, Look};
+use shared_state::{DependencyHealth, SharedStateSnapshot};
 use test_doubles::Node;
 
 /// The names in a help text by section, with their defaults, and its line of usage; descriptions are left out.
@@ -143,7 +143,7 @@
             same: false,
             differ: BTreeMap::from([("n1".into(), holders)]),
         },
-        "state": Look::default(),
+        "state": SharedStateSnapshot::default(),
     });
     assert_eq!(
         found,
@@ -185,12 +185,12 @@
     let conclusions =
         [Conclusion::Whole, Conclusion::Part, Conclusion::Alone].map(Conclusion::name);
     let dependency = [
-        Judgement::Unknown,
-        Judgement::Sound,
-        Judgement::Slow,
-        Judgement::Unsure,
-        Judgement::OnlyHere,
-        Judgement::Down,
+        DependencyHealth::Unknown,
+        DependencyHealth::Sound,
+        DependencyHealth::Slow,
+        DependencyHealth::Unsure,
+        DependencyHealth::OnlyHere,
+        DependencyHealth::Down,
     ];
     let found = json!({"states": states, "conclusions": conclusions, "dependency": dependency});
     assert_eq!(found, data::<Value>("fleet_names.json"), "found {found}");
--- a/tests/shared.rs
+++ b/tests/shared.rs
@@ -132,8 +132,8 @@
     for name in names([3, 4]) {
         let look = rig.look(&name).expect("it answers");
         assert_eq!(
-            (look.budgets[0].leased.0, look.budgets[0].floor),
-            (0, (1, true)),
+            (look.budgets[0].leased.units, look.budgets[0].guaranteed),
+            (0, (1, true).into()),
             "{name}"
         );
     }
@@ -150,8 +150,10 @@
 fn parts_move_to_where_demand_is() {
     let rig = fleet(3, false);
     let one = Clients::at(&rig, "n2", 24);
-    let leased =
-        |rig: &Rig, name: &str| rig.look(name).map_or(0, |l| l.budgets[0].leased.0 as usize);
+    let leased = |rig: &Rig, name: &str| {
+        rig.look(name)
+            .map_or(0, |l| l.budgets[0].leased.units as usize)
+    };
     rig.wait("one has nearly all", MOST, |rig| {
         leased(rig, "n2") * 10 >= TOTAL * 8
     })
@@ -182,14 +184,15 @@
     rig.kill("n1");
     let _clients = Clients::at(&rig, "n2", 6);
     rig.wait("no lease is left", MOST, |rig| {
-        rig.look("n2").is_some_and(|l| l.budgets[0].leased.0 == 0)
+        rig.look("n2")
+            .is_some_and(|l| l.budgets[0].leased.units == 0)
     })
     .expect("leases end");
     thread::sleep(Duration::from_millis(100));
     rig.database().held();
     let (most, _) = watch(&rig, Duration::from_secs(2));
     assert_eq!(most, 1);
-    assert_eq!(rig.look("n2").expect("it answers").granter, None);
+    assert_eq!(rig.look("n2").expect("it answers").leader, None);
 }
 
 /// Guards what is the name's own against two processes that have the name: during a replacement only one of them spends it.
@@ -201,7 +204,8 @@
     rig.kill("n1");
     let first = Clients::at(&rig, "n2", 6);
     rig.wait("no lease is left", MOST, |rig| {
-        rig.look("n2").is_some_and(|l| l.budgets[0].leased.0 == 0)
+        rig.look("n2")
+            .is_some_and(|l| l.budgets[0].leased.units == 0)
     })
     .expect("leases end");
     until("it goes on with its own", || first.served() > 0);
@@ -343,13 +347,13 @@
         let (Some(a), Some(b)) = (look(rig, "r0"), look(rig, "r1")) else {
             return false;
         };
-        assert!(a.in_use.0 + b.in_use.0 <= TRIES, "{a:?} {b:?}");
+        assert!(a.usage.in_use + b.usage.in_use <= TRIES, "{a:?} {b:?}");
         if cut.get().elapsed() > Duration::from_millis(200) {
             cut.set(Instant::now());
             rig.switch()
                 .links(|links| names(0..3).iter().for_each(|n| links.cut("r0", n)));
         }
-        a.leased.0 > 0 && b.leased.0 > 0
+        a.leased.units > 0 && b.leased.units > 0
     };
     rig.wait("both have parts", MOST, parts).expect("they do");
     let granter = rig.granter("r0").expect("one grants");
