--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crossbeam_channel::Sender;
-use shared_state::Live;
+use shared_state::AtomicSketchCounters;
 
 use super::messages::{DatabaseCall, ExecutorCommand};
 
@@ -13,7 +13,7 @@
 /// Counts of requests in flight by tenant, where the fleet shares them.
 pub struct FleetCounters {
     /// This node's own counts.
-    pub own: Arc<Live>,
+    pub own: Arc<AtomicSketchCounters>,
     /// Reads the other nodes' counts.
     pub read_others: Box<ReadOthers>,
 }
--- a/src/node/policy_actor/answers.rs
+++ b/src/node/policy_actor/answers.rs
@@ -37,7 +37,7 @@
         let responder = entry.responder.take()?;
         entry.answered_at = Some(Instant::now());
         if let Some((fleet, key)) = self.peers.fleet.as_ref().zip(entry.fleet_key) {
-            fleet.own.leaves(key);
+            fleet.own.decrement(key);
         }
         self.status.remove_unanswered();
         Some(responder)
--- a/src/node/policy_actor/arrivals.rs
+++ b/src/node/policy_actor/arrivals.rs
@@ -162,7 +162,7 @@
             .get(tenant.0 as usize)
             .copied()
             .unwrap_or(tenant.0);
-        fleet.own.enters(key);
+        fleet.own.increment(key);
         Some(key)
     }
 }
