--- a/src/amqp/connection.rs
+++ b/src/amqp/connection.rs
@@ -102,7 +102,7 @@
 
     pub(super) fn run(mut self) {
         let limits = self.shared.limits.clone();
-        let mut backoff = Backoff::new(limits.reconnect_backoff, limits.amqp_backoff_max);
+        let mut backoff = Backoff::new(limits.reconnect_backoff, limits.amqp.backoff_max);
         while !self.leaving() {
             // Nothing is taken from a broker before there is someone to serve it.
             if !self.shared.node_status.process_state().consumes() {
@@ -116,7 +116,7 @@
                 Ended::Broken(why) => {
                     warn!(self.log, "broker link ended"; "why" => why, "unsettled" => self.unsettled);
                     // A broker that takes us and drops us at once is not asked again at once.
-                    if begun.elapsed() > limits.amqp_backoff_max {
+                    if begun.elapsed() > limits.amqp.backoff_max {
                         backoff.reset();
                     }
                 }
@@ -187,11 +187,11 @@
         )?);
         stream.set_nodelay(true)?;
         stream.set_write_timeout(Some(limits.write_timeout))?;
-        let (tell, frames) = bounded(limits.amqp_frame_queue);
-        let (from, most, at_once) = (stream.clone(), limits.amqp_frame_bytes, limits.read_bytes);
+        let (tell, frames) = bounded(limits.amqp.frame_queue);
+        let (from, most, at_once) = (stream.clone(), limits.amqp.frame_bytes, limits.read_bytes);
         let log = self.log.clone();
         // The codec follows nested tables down; a frame's length bounds how deep they go.
-        spawn("amqp-read", limits.amqp_stack_bytes, move || {
+        spawn("amqp-read", limits.amqp.stack_bytes, move || {
             let mut from = io::BufReader::with_capacity(at_once, &*from);
             loop {
                 match codec::read(&mut from, most) {
@@ -212,7 +212,7 @@
             choked: Arc::default(),
         };
         link.send(&[AMQPFrame::ProtocolHeader(ProtocolVersion::amqp_0_9_1())])?;
-        let until = Instant::now() + limits.amqp_handshake_timeout;
+        let until = Instant::now() + limits.amqp.handshake_timeout;
         let Method::Start(start) = link.next_method(until)? else {
             return Err(unexpected("start"));
         };
@@ -234,10 +234,10 @@
         };
         // Zero means no limit; else the smaller holds.
         let least = |theirs: u32, ours: u32| if theirs == 0 { ours } else { theirs.min(ours) };
-        let frame_max = least(tune.frame_max, limits.amqp_frame_bytes as u32);
+        let frame_max = least(tune.frame_max, limits.amqp.frame_bytes as u32);
         let heartbeat = least(
             tune.heartbeat.into(),
-            limits.amqp_heartbeat_interval.as_secs() as u32,
+            limits.amqp.heartbeat_interval.as_secs() as u32,
         ) as u16;
         let channel_max = least(tune.channel_max.into(), self.queues.len() as u32) as u16;
         if usize::from(channel_max) < self.queues.len() {
@@ -270,7 +270,7 @@
             queue: ShortString::try_new(queue.queue.as_str()).unwrap_or_default(),
             prefetch: queue.prefetch,
             once: queue.once,
-            body: self.shared.limits.amqp_message_bytes,
+            body: self.shared.limits.amqp.message_bytes,
             frame: link.frame,
         };
         let mut consumers: Vec<Consumer> = self
@@ -431,7 +431,7 @@
             class_id: 0,
             method_id: 0,
         }))?;
-        let until = Instant::now() + self.shared.limits.amqp_handshake_timeout;
+        let until = Instant::now() + self.shared.limits.amqp.handshake_timeout;
         while !matches!(link.next_method(until)?, Method::CloseOk(_)) {}
         info!(self.log, "broker link closed"; "unsettled" => self.unsettled);
         Ok(())
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -238,10 +238,10 @@
             );
         };
         let prefetch = self.must("prefetch", self.number("prefetch")?)?;
-        if prefetch > limits.max_prefetch {
+        if prefetch > limits.amqp.max_prefetch {
             return self.fault(
                 "prefetch",
-                Problem::Bad(format!("more than {}", limits.max_prefetch)),
+                Problem::Bad(format!("more than {}", limits.amqp.max_prefetch)),
             );
         }
         let held = self.number("held_kb")?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -128,7 +128,7 @@
     let handle = router.handle();
     info!(log, "listening"; "at" => %handle.address);
     let (tell, ended) = bounded(1);
-    spawn("route", limits.policy_stack_bytes, move || {
+    spawn("route", limits.policy.stack_bytes, move || {
         let _ = tell.send(router.run());
     })
     .map_err(system("threads"))?;
@@ -185,7 +185,7 @@
         .map(fleet::Config::read)
         .transpose()
         .map_err(StartError::Fleet)?;
-    let mut limits = Limits::new(config.sockets).within(config.memory_mb);
+    let mut limits = Limits::new(config.sockets).with_memory(config.memory_mb);
     let env = |name: &str| std::env::var(name).ok();
     let queues = inventory.map_or(Ok(Vec::new()), |file| {
         inventory::read(file, &config.site, &limits, env)
@@ -207,8 +207,8 @@
         .map_err(system("door"))?;
 
     let node_status = Arc::new(NodeStatus::default());
-    let (policy, inbox) = bounded(limits.policy_mailbox);
-    let (to_executor, executor_inbox) = bounded(limits.executor_mailbox);
+    let (policy, inbox) = bounded(limits.policy.mailbox);
+    let (to_executor, executor_inbox) = bounded(limits.executor.mailbox);
     let (to_list, list_inbox) = bounded(1);
     let (to_moves, moves) = bounded(1);
 
@@ -260,7 +260,7 @@
     );
     // Dropped when the module's thread ends, however it ends: without it the node is of no use.
     let (alive, ended) = bounded::<()>(0);
-    spawn("policy", limits.policy_stack_bytes, move || {
+    spawn("policy", limits.policy.stack_bytes, move || {
         let _alive = alive;
         actor.run(&inbox);
     })
@@ -312,7 +312,7 @@
         info!(log, "admin"; "at" => %at);
     }
     let listen = |clients: Socket| -> io::Result<SocketAddr> {
-        clients.listen(limits.backlog)?;
+        clients.listen(limits.listener.backlog)?;
         let listener = TcpListener::from(clients);
         let at = listener.local_addr()?;
         info!(log, "listening"; "at" => %at);
@@ -358,8 +358,8 @@
             .map_err(system("fleet"))?;
     }
     let pace = |divide: &Divide| match config.door {
-        Some(_) if divide.whole() => after(limits.instance_poll_interval_alone),
-        Some(_) => after(limits.instance_poll_interval),
+        Some(_) if divide.whole() => after(limits.replacement.poll_interval_alone),
+        Some(_) => after(limits.replacement.poll_interval),
         None => never(),
     };
     let began = Instant::now();
@@ -396,7 +396,8 @@
             recv(ended) -> _ => return Ok(ExitCode::FAILURE),
         }
         // Without a part it could only refuse what comes.
-        let has_part = divide.parts.held() > 0 || began.elapsed() >= limits.first_share_timeout;
+        let has_part =
+            divide.parts.held() > 0 || began.elapsed() >= limits.replacement.first_share_timeout;
         if up && standing.may_take() && has_part {
             up = false;
             if let Some(clients) = clients.take() {
--- a/src/net/database.rs
+++ b/src/net/database.rs
@@ -112,7 +112,7 @@
         let _ = budget.waker.set(waker.clone());
     }
     let woken = Arc::new(AtomicBool::new(false));
-    let (sender, inbox) = bounded(limits.database_connections * 4);
+    let (sender, inbox) = bounded(limits.database.connections * 4);
     let lanes = Lanes {
         to: to.clone(),
         guard,
@@ -194,7 +194,7 @@
                         // A reply that has begun is here in a moment, or it is one that will never be whole.
                         self.late = self
                             .late
-                            .min(Instant::now() + limits.database_reply_timeout);
+                            .min(Instant::now() + limits.database.reply_timeout);
                     }
                     self.held.extend_from_slice(&chunk[..n]);
                     if let Some(whole) = parse(&self.held, limits).transpose() {
@@ -233,15 +233,15 @@
 impl Lanes {
     /// Runs until the module is gone.
     fn run(mut self) {
-        let mut events = Events::with_capacity(self.limits.database_connections * 2);
+        let mut events = Events::with_capacity(self.limits.database.connections * 2);
         loop {
             let first = self.exchanges.values().map(|e| e.late).min();
             let now = Instant::now();
             let mut wait = first.map(|at| at.saturating_duration_since(now));
             if self.guard.is_some() && !self.waiting.is_empty() {
                 // A place comes by time alone, as a lease or by the end of what lingers.
-                wait = Some(wait.map_or(self.limits.database_poll_interval, |w| {
-                    w.min(self.limits.database_poll_interval)
+                wait = Some(wait.map_or(self.limits.database.poll_interval, |w| {
+                    w.min(self.limits.database.poll_interval)
                 }));
             }
             match self.poll.poll(&mut events, wait) {
@@ -272,7 +272,7 @@
         loop {
             let in_hand = self.exchanges.len() + self.lingering.len();
             // No more than one round of lanes waits here; the rest stays in the mailbox, which is bounded.
-            while self.waiting.len() < self.limits.database_connections {
+            while self.waiting.len() < self.limits.database.connections {
                 match self.inbox.try_recv() {
                     Ok(call) => self.waiting.push_back((now, call)),
                     Err(TryRecvError::Empty) => break,
@@ -283,7 +283,7 @@
                 }
             }
             let budgeted = self.guard.as_ref().and_then(|b| b.places());
-            let mut places = budgeted.unwrap_or(self.limits.database_connections);
+            let mut places = budgeted.unwrap_or(self.limits.database.connections);
             if let Some(budget) = &self.guard {
                 if let Some(allowance) = budget.allowance.get() {
                     // One more than can be used now: what comes next is not to wait for an answer of the granter's.
@@ -320,7 +320,7 @@
                         elapsed: Duration::ZERO,
                     })
                     .map_err(|_| Gone)?;
-            } else if self.exchanges.len() < self.limits.database_connections && in_hand < places {
+            } else if self.exchanges.len() < self.limits.database.connections && in_hand < places {
                 self.begin(call)?;
             } else {
                 self.waiting.push_front((since, call));
@@ -522,7 +522,7 @@
         let mut head = httparse::Response::new(&mut headers);
         let length = match head.parse(&held[at..]).map_err(|_| ReplyError::Head)? {
             httparse::Status::Complete(length) => length,
-            httparse::Status::Partial if held.len() > limits.database_head_bytes => {
+            httparse::Status::Partial if held.len() > limits.database.head_bytes => {
                 return Err(ReplyError::Head)
             }
             httparse::Status::Partial => return Ok(None),
@@ -530,7 +530,7 @@
         at += length;
         let status = head.code.unwrap_or(0);
         // 101 would turn the connection over to something else.
-        if (100..200).contains(&status) && status != 101 && at <= limits.database_head_bytes {
+        if (100..200).contains(&status) && status != 101 && at <= limits.database.head_bytes {
             continue;
         }
         let values = |name| {
@@ -551,7 +551,7 @@
             None if status != 200 => 0,
             _ => return Err(ReplyError::Length),
         };
-        if length > limits.database_reply_bytes {
+        if length > limits.database.reply_bytes {
             return Err(ReplyError::TooLong);
         }
         let never_started = values("Never-Started").next() == Some(b"1");
--- a/src/net/door.rs
+++ b/src/net/door.rs
@@ -1,6 +1,6 @@
 //! The operators' door: a line in, a line out, on an address of its own. One thread serves all callers by readiness and
 //! asks nobody anything, so that it answers whatever the fronts, the module and the peers are busy with. Its table is
-//! bounded, and its descriptors are set aside: see [`Limits::door_callers`].
+//! bounded, and its descriptors are set aside: see [`AdminLimits::max_clients`](crate::node::limits::AdminLimits::max_clients).
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -75,7 +75,7 @@
 
 impl Door {
     fn run(mut self) {
-        let mut events = Events::with_capacity(self.limits.admin_clients * 2);
+        let mut events = Events::with_capacity(self.limits.admin.max_clients * 2);
         let mut acceptable = false;
         loop {
             let now = Instant::now();
@@ -125,7 +125,7 @@
     }
 
     fn make_room(&mut self) {
-        if self.callers.len() < self.limits.admin_clients {
+        if self.callers.len() < self.limits.admin.max_clients {
             return;
         }
         // One that has its answer first, then the one that has held its place the longest.
@@ -157,8 +157,8 @@
         {
             return;
         }
-        let line = Line::new(self.limits.admin_line_bytes);
-        let until = Instant::now() + self.limits.admin_request_timeout;
+        let line = Line::new(self.limits.admin.line_bytes);
+        let until = Instant::now() + self.limits.admin.request_timeout;
         self.callers.insert(
             number,
             Caller {
@@ -228,7 +228,7 @@
         let _ = caller.stream.write_all(format!("{answer}\n").as_bytes());
         let _ = caller.stream.shutdown(Shutdown::Write);
         caller.answered = true;
-        caller.until = Instant::now() + self.limits.admin_response_timeout;
+        caller.until = Instant::now() + self.limits.admin.response_timeout;
     }
 
     fn part_with_the_late(&mut self) {
--- a/src/net/executor.rs
+++ b/src/net/executor.rs
@@ -177,7 +177,7 @@
     };
     let (from, most, at_once) = (
         stream.clone(),
-        limits.executor_line_bytes,
+        limits.executor.line_bytes,
         limits.read_bytes,
     );
     spawn("executor-read", limits.stack_bytes, move || {
@@ -227,7 +227,7 @@
     if write(stream, &Command::Meter { echo: QUIET }).is_err() {
         return false;
     }
-    let late = after(limits.executor_move_timeout);
+    let late = after(limits.executor.move_timeout);
     loop {
         select! {
             recv(told) -> msg => match msg {
--- a/src/net/jsonrpc/events.rs
+++ b/src/net/jsonrpc/events.rs
@@ -97,7 +97,7 @@
             limits: limits.clone(),
             log: log.clone(),
             poll,
-            polled: mio::Events::with_capacity(limits.front_event_batch),
+            polled: mio::Events::with_capacity(limits.listener.event_batch),
             listener: None,
             acceptable: None,
             mailbox: Arc::new(Mailbox {
@@ -171,7 +171,7 @@
             return Some(if self.module_has_room() {
                 Duration::ZERO
             } else {
-                self.limits.front_backpressure_interval
+                self.limits.listener.backpressure_interval
             });
         }
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
@@ -185,7 +185,7 @@
 
     /// The module's mailbox has room for a turn's lines, so that handing them over never waits.
     fn module_has_room(&self) -> bool {
-        self.core.policy.len() + self.limits.front.lines_per_turn <= self.limits.policy_mailbox / 2
+        self.core.policy.len() + self.limits.front.lines_per_turn <= self.limits.policy.mailbox / 2
     }
 
     // ---- connections come and go ----
@@ -208,7 +208,7 @@
     pub fn stop_listening(&mut self, now: Instant) {
         self.acceptable = Some(now);
         // Bounded, as a crowd that comes faster than it is taken in must not hold the loop.
-        for _ in 0..self.limits.front_final_accept_batches {
+        for _ in 0..self.limits.listener.final_accept_batches {
             if self.acceptable.is_none_or(|at| at > now) {
                 break;
             }
@@ -219,7 +219,7 @@
     }
 
     fn accept(&mut self, now: Instant) {
-        for _ in 0..self.limits.front_accept_batch {
+        for _ in 0..self.limits.listener.accept_batch {
             let Some(listener) = self
                 .listener
                 .as_ref()
@@ -599,7 +599,7 @@
             .fetch_add(usize::from(before == 0 && more > 0), SeqCst);
         if c.session.unsent().len() > self.limits.front.max_unsent_bytes {
             self.remove(number);
-        } else if self.unsent > self.limits.front_output_bytes {
+        } else if self.unsent > self.limits.listener.output_bytes {
             let most = self
                 .connections
                 .iter()
@@ -648,7 +648,7 @@
             .core
             .node_status
             .idle_timeout()
-            .unwrap_or(self.limits.front_idle);
+            .unwrap_or(self.limits.listener.idle_timeout);
         if let Some(due) = c
             .session
             .next_timer(idle, &self.limits.front)
@@ -665,7 +665,7 @@
             .core
             .node_status
             .idle_timeout()
-            .unwrap_or(self.limits.front_idle);
+            .unwrap_or(self.limits.listener.idle_timeout);
         while let Some(Reverse((at, number))) = self
             .timers
             .peek()
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -1,4 +1,4 @@
-//! Every size, count and time that the program keeps to, in one value that is filled at start and handed down.
+//! Every size, count and time that the program keeps to, in one value that is filled at the start and handed down.
 
 use std::time::Duration;
 
@@ -8,201 +8,332 @@
 
 /// The most megabytes that the platform gives.
 pub const MEMORY_MB: f64 = 192.0;
-/// Part of the memory that the table of keys may take.
-const KEYS_PART: f64 = 0.125;
+/// The fraction of the memory that the table of idempotency keys may take.
+const KEY_TABLE_FRACTION: f64 = 0.125;
+const MIB: f64 = 1024.0 * 1024.0;
+/// Descriptors beside those of clients and database connections: the executor, the endpoint list, the listener, the
+/// standard streams and a few spare ones.
+const RESERVED_DESCRIPTORS: usize = 40;
+/// Fewest and most client connections.
+const CLIENT_CONNECTIONS: (usize, usize) = (8, 640);
 
-/// See the module's head. Figures that the platform sets are filled in by [`Limits::new`].
+/// All limits of a node. Figures that the platform sets are filled in by [`Limits::new`].
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// What the platform's front connections keep to.
+    /// Client connections of the JSON-RPC front.
     pub front: ConnectionLimits,
-    /// How long one may carry nothing, until the module has said.
-    pub front_idle: Duration,
-    /// Between looks at runs that nobody waits for.
-    pub sweep_interval: Duration,
-    /// After its answer, when a run that has not ended is stopped again ...
-    pub stop_retry_after: Duration,
-    /// ... and when it counts as over.
-    pub stop_abandon_after: Duration,
-    /// Between two lines of the log on what is in hand.
-    pub state_log_interval: Duration,
-    /// Between two log lines of a kind that any peer can cause.
-    pub repeated_log_interval: Duration,
-    /// Connections accepted in one turn.
-    pub front_accept_batch: usize,
-    /// Turns of accepting at the most when the listener closes: with `front_accept_batch` in each, more than its queue holds.
-    pub front_final_accept_batches: usize,
-    /// Connections that the machine holds for a listener until it accepts them.
-    pub backlog: i32,
-    /// Bytes of a call at the operators' door.
-    pub admin_line_bytes: usize,
-    /// Callers at the door at once, each one descriptor; the one that has been there the longest goes for a newcomer.
-    pub admin_clients: usize,
-    /// How long a caller at the door may take for its call.
-    pub admin_request_timeout: Duration,
-    /// After an answer at the door, how long its caller may take to read it.
-    pub admin_response_timeout: Duration,
-    /// The longest deadline that the platform waits out of a process that was replaced, and what it adds.
-    pub replaced_deadline_max: Duration,
-    /// See `replaced_deadline_max`.
-    pub replaced_grace: Duration,
-    /// Between looks at the other seat while somebody is there or was, and a seat or a part is waited for ...
-    pub instance_poll_interval: Duration,
-    /// ... and while nobody is: a look costs a few calls of the system's on a node that has a tenth of a core.
-    pub instance_poll_interval_alone: Duration,
-    /// How long a process that starts beside another waits for its first part before it takes clients all the same.
-    pub first_share_timeout: Duration,
-    /// Readiness events taken from the poll at once.
-    pub front_event_batch: usize,
-    /// While the module is this far behind, time between looks at whether it has caught up.
-    pub front_backpressure_interval: Duration,
-    /// Bytes that wait to be written on all of them.
-    pub front_output_bytes: usize,
-    /// Bytes of one line from the executor: 4 KiB in base64 and its fields, with room.
-    pub executor_line_bytes: usize,
-    /// Bytes of a database reply.
-    pub database_reply_bytes: usize,
-    /// Messages that wait for the module.
-    pub policy_mailbox: usize,
-    /// Commands that wait for the executor's link; past this a command counts as never sent.
-    pub executor_mailbox: usize,
-    /// Time for an executor that moves to say that it has read all that was written to its old place.
-    pub executor_move_timeout: Duration,
-    /// Database connections, and calls in hand at once.
-    pub database_connections: usize,
-    /// Between looks for a place while calls wait for one.
-    pub database_poll_interval: Duration,
-    /// Bytes of the head of a database reply, with any 1xx answers before it.
-    pub database_head_bytes: usize,
-    /// From the first byte of a database reply to its last: one that takes longer is spoilt.
-    pub database_reply_timeout: Duration,
+    /// The listener of the JSON-RPC front and its event loop.
+    pub listener: ListenerLimits,
+    /// The policy's actor.
+    pub policy: PolicyLimits,
+    /// The table of idempotency keys.
+    pub keys: KeyTableLimits,
+    /// The executor's connection.
+    pub executor: ExecutorLimits,
+    /// The database's connections.
+    pub database: DatabaseLimits,
+    /// Connections to AMQP brokers.
+    pub amqp: AmqpLimits,
+    /// The admin listener.
+    pub admin: AdminLimits,
+    /// Two processes of one node during a replacement.
+    pub replacement: ReplacementLimits,
     /// Time to connect to a peer on the machine's own network.
     pub connect_timeout: Duration,
-    /// Pause before the first reconnect, doubled up to `reconnect_backoff_max`.
+    /// Backoff before the first reconnect, doubled up to `reconnect_backoff_max`.
     pub reconnect_backoff: Duration,
-    /// The longest pause before a reconnect.
+    /// The longest backoff before a reconnect.
     pub reconnect_backoff_max: Duration,
-    /// Time after which a peer that takes none of what is written is given up.
+    /// Time after which a peer that accepts no more output is disconnected.
     pub write_timeout: Duration,
-    /// Time between reports to the membership service, which forgets after 3 s.
+    /// Time between reports to the endpoint list, which forgets a node after 3 s.
     pub report_interval: Duration,
-    /// How long the module waits for the gauges before it looks without them.
-    pub gauge_timeout: Duration,
-    /// Between the last answer and the platform's kill.
+    /// Time between two log lines of a kind that any peer can cause.
+    pub repeated_log_interval: Duration,
+    /// Time between the last answer and the platform's kill.
     pub stop_margin: Duration,
-    /// Between looks at what is still open while leaving.
+    /// Time between checks of what is still open during a shutdown.
     pub drain_poll_interval: Duration,
-    /// Bytes of the table of keys, with the results kept under them: `KEYS_PART` of the memory. When it is full, requests
-    /// that would be run by a new key are refused.
-    pub key_table_bytes: usize,
-    /// Bytes of a result, set aside in the table for each run by key: 4 KiB in base64.
-    pub key_result_bytes: usize,
-    /// Bytes of an AMQP frame, offered to the broker; every broker allows 4 KiB.
-    pub amqp_frame_bytes: usize,
-    /// Bytes of a message, as of a request by JSON-RPC.
-    pub amqp_message_bytes: usize,
-    /// Frames read and not yet looked at.
-    pub amqp_frame_queue: usize,
-    /// Time for each step of agreeing on a connection, and of closing it.
-    pub amqp_handshake_timeout: Duration,
-    /// The heartbeat offered; the broker's own holds if it is shorter.
-    pub amqp_heartbeat_interval: Duration,
-    /// The longest pause before a broker is tried again.
-    pub amqp_backoff_max: Duration,
-    /// Stack of a thread that decodes frames.
-    pub amqp_stack_bytes: usize,
-    /// The largest prefetch that an inventory may ask for: it bounds what a broker can have us hold.
-    pub max_prefetch: u16,
     /// Bytes read from a socket at once.
     pub read_bytes: usize,
-    /// Stack of the module's thread, which runs the decisions.
-    pub policy_stack_bytes: usize,
-    /// Stack of a thread: nothing here recurses.
+    /// Stack of a thread in bytes: nothing in them recurses.
     pub stack_bytes: usize,
 }
 
 impl Limits {
-    /// How long a process that was replaced is let live.
+    /// The limits under this many descriptors, with as much memory as the platform gives at the most.
+    pub fn new(descriptors: usize) -> Limits {
+        let database = DatabaseLimits::default();
+        let (fewest, most) = CLIENT_CONNECTIONS;
+        let connections = descriptors
+            .saturating_sub(database.connections + RESERVED_DESCRIPTORS)
+            .clamp(fewest, most);
+        Limits {
+            front: ConnectionLimits::new(connections),
+            listener: ListenerLimits::default(),
+            policy: PolicyLimits::default(),
+            keys: KeyTableLimits::default(),
+            executor: ExecutorLimits::default(),
+            database,
+            amqp: AmqpLimits::default(),
+            admin: AdminLimits::default(),
+            replacement: ReplacementLimits::default(),
+            connect_timeout: Duration::from_secs(1),
+            reconnect_backoff: Duration::from_millis(20),
+            reconnect_backoff_max: Duration::from_millis(500),
+            write_timeout: Duration::from_secs(10),
+            report_interval: Duration::from_millis(300),
+            repeated_log_interval: Duration::from_secs(1),
+            stop_margin: Duration::from_millis(120),
+            drain_poll_interval: Duration::from_millis(5),
+            read_bytes: 4096,
+            stack_bytes: 160 * 1024,
+        }
+    }
+
+    /// These limits for a process that may take this many megabytes.
+    pub fn with_memory(mut self, memory_mb: f64) -> Limits {
+        self.keys.table_bytes = key_table_bytes(memory_mb);
+        self
+    }
+
+    /// How long a process that was replaced may continue: the longest deadline of its classes, as far as the platform
+    /// waits for it, and a grace.
     pub fn replaced_lifetime(&self, site: &Site) -> Duration {
-        let longest = site
+        let longest_deadline = site
             .settings
             .classes
             .iter()
             .map(|c| c.deadline.0)
             .max()
             .unwrap_or(0);
-        Duration::from_micros(longest.unsigned_abs()).min(self.replaced_deadline_max)
-            + self.replaced_grace
+        let longest_deadline = Duration::from_micros(longest_deadline.unsigned_abs());
+        longest_deadline.min(self.replacement.max_deadline) + self.replacement.grace
     }
+}
 
-    /// The limits of a process that may take so many megabytes.
-    pub fn within(self, memory_mb: f64) -> Limits {
-        Limits {
-            key_table_bytes: (memory_mb.max(0.0) * KEYS_PART * 1024.0 * 1024.0) as usize,
-            ..self
+/// Limits of the listener of the JSON-RPC front and its event loop.
+#[derive(Clone, Debug)]
+pub struct ListenerLimits {
+    /// How long a connection may carry nothing, until the policy has set its own timeout.
+    pub idle_timeout: Duration,
+    /// Connections accepted in one turn of the event loop.
+    pub accept_batch: usize,
+    /// Batches accepted at the most when the listener closes: with `accept_batch` in each, more than its queue holds.
+    pub final_accept_batches: usize,
+    /// Connections that the operating system queues for a listener until it accepts them.
+    pub backlog: i32,
+    /// Readiness events handled in one turn.
+    pub event_batch: usize,
+    /// While the policy is behind, time between checks whether it has caught up.
+    pub backpressure_interval: Duration,
+    /// Bytes that wait to be written, over all connections.
+    pub output_bytes: usize,
+}
+
+impl Default for ListenerLimits {
+    fn default() -> ListenerLimits {
+        ListenerLimits {
+            idle_timeout: Duration::from_secs(60),
+            accept_batch: 16,
+            final_accept_batches: 512,
+            backlog: 1024,
+            event_batch: 256,
+            backpressure_interval: Duration::from_millis(1),
+            output_bytes: 4 * 1024 * 1024,
         }
     }
+}
 
-    /// The limits under so many descriptors, with as much memory as the platform gives at the most.
-    pub fn new(sockets: usize) -> Limits {
-        let database_connections = 24;
-        // Lanes, the executor, the list, the listener, standard streams and a few spare ones come off.
-        let connections = sockets
-            .saturating_sub(database_connections + 40)
-            .clamp(8, 640);
-        Limits {
-            front: ConnectionLimits::new(connections),
-            front_idle: Duration::from_secs(60),
+/// Limits of the policy's actor.
+#[derive(Clone, Debug)]
+pub struct PolicyLimits {
+    /// Messages in its mailbox.
+    pub mailbox: usize,
+    /// Stack of its thread in bytes; it runs the decisions.
+    pub stack_bytes: usize,
+    /// Time between checks of runs that nobody waits for.
+    pub sweep_interval: Duration,
+    /// Time after its answer when a run that has not ended is stopped again.
+    pub stop_retry_after: Duration,
+    /// Time after its answer when a run that has not ended counts as over.
+    pub stop_abandon_after: Duration,
+    /// How long a wake-up waits for the gauges before the policy is woken without them.
+    pub gauge_timeout: Duration,
+    /// Time between two log lines on the state.
+    pub state_log_interval: Duration,
+}
+
+impl Default for PolicyLimits {
+    fn default() -> PolicyLimits {
+        PolicyLimits {
+            mailbox: 4096,
+            stack_bytes: 1024 * 1024,
             sweep_interval: Duration::from_millis(200),
             stop_retry_after: Duration::from_millis(400),
             stop_abandon_after: Duration::from_secs(2),
-            state_log_interval: Duration::from_secs(10),
-            repeated_log_interval: Duration::from_secs(1),
-            front_accept_batch: 16,
-            front_final_accept_batches: 512,
-            backlog: 1024,
-            admin_line_bytes: 64,
-            admin_clients: 16,
-            admin_request_timeout: Duration::from_secs(10),
-            admin_response_timeout: Duration::from_millis(300),
-            replaced_deadline_max: Duration::from_secs(3),
-            replaced_grace: Duration::from_millis(700),
-            instance_poll_interval: Duration::from_millis(50),
-            instance_poll_interval_alone: Duration::from_millis(200),
-            first_share_timeout: Duration::from_secs(2),
-            front_event_batch: 256,
-            front_backpressure_interval: Duration::from_millis(1),
-            front_output_bytes: 4 * 1024 * 1024,
-            executor_line_bytes: 32 * 1024,
-            database_reply_bytes: 256 * 1024,
-            policy_mailbox: 4096,
-            executor_mailbox: 16 * 1024,
-            executor_move_timeout: Duration::from_millis(250),
-            database_connections,
-            database_poll_interval: Duration::from_millis(10),
-            database_head_bytes: 8 * 1024,
-            database_reply_timeout: Duration::from_millis(400),
-            connect_timeout: Duration::from_secs(1),
-            reconnect_backoff: Duration::from_millis(20),
-            reconnect_backoff_max: Duration::from_millis(500),
-            write_timeout: Duration::from_secs(10),
-            report_interval: Duration::from_millis(300),
             gauge_timeout: Duration::from_millis(12),
-            stop_margin: Duration::from_millis(120),
-            drain_poll_interval: Duration::from_millis(5),
-            key_table_bytes: (MEMORY_MB * KEYS_PART * 1024.0 * 1024.0) as usize,
-            key_result_bytes: 5464,
-            amqp_frame_bytes: 8192,
-            amqp_message_bytes: 2048,
-            amqp_frame_queue: 64,
-            amqp_handshake_timeout: Duration::from_secs(5),
-            amqp_heartbeat_interval: Duration::from_secs(10),
-            amqp_backoff_max: Duration::from_secs(5),
-            amqp_stack_bytes: 8 * 1024 * 1024,
+            state_log_interval: Duration::from_secs(10),
+        }
+    }
+}
+
+/// Limits of the table of idempotency keys.
+#[derive(Clone, Debug)]
+pub struct KeyTableLimits {
+    /// Bytes of the table with the results kept in it. When it is full, requests that would run under a new key are
+    /// rejected.
+    pub table_bytes: usize,
+    /// Bytes reserved in the table for the result of each run under a key: 4 KiB in base64.
+    pub result_bytes: usize,
+}
+
+impl Default for KeyTableLimits {
+    fn default() -> KeyTableLimits {
+        KeyTableLimits {
+            table_bytes: key_table_bytes(MEMORY_MB),
+            result_bytes: 5464,
+        }
+    }
+}
+
+/// Bytes of the table of keys in a process that may take this many megabytes.
+fn key_table_bytes(memory_mb: f64) -> usize {
+    (memory_mb.max(0.0) * KEY_TABLE_FRACTION * MIB) as usize
+}
+
+/// Limits of the executor's connection.
+#[derive(Clone, Debug)]
+pub struct ExecutorLimits {
+    /// Bytes of one line from the executor: 4 KiB in base64 and its fields, with a margin.
+    pub line_bytes: usize,
+    /// Commands that wait for the connection; a command that finds the mailbox full counts as never sent.
+    pub mailbox: usize,
+    /// Time for an executor whose address changes to confirm that it has read all that was sent to its old address.
+    pub move_timeout: Duration,
+}
+
+impl Default for ExecutorLimits {
+    fn default() -> ExecutorLimits {
+        ExecutorLimits {
+            line_bytes: 32 * 1024,
+            mailbox: 16 * 1024,
+            move_timeout: Duration::from_millis(250),
+        }
+    }
+}
+
+/// Limits of the database's connections.
+#[derive(Clone, Debug)]
+pub struct DatabaseLimits {
+    /// Connections, and calls in flight at once.
+    pub connections: usize,
+    /// While calls wait for a connection, time between checks whether one is free.
+    pub poll_interval: Duration,
+    /// Bytes of the head of a reply, with any 1xx replies before it.
+    pub head_bytes: usize,
+    /// Bytes of the body of a reply.
+    pub reply_bytes: usize,
+    /// Time from the first byte of a reply to its last one; a slower reply is discarded.
+    pub reply_timeout: Duration,
+}
+
+impl Default for DatabaseLimits {
+    fn default() -> DatabaseLimits {
+        DatabaseLimits {
+            connections: 24,
+            poll_interval: Duration::from_millis(10),
+            head_bytes: 8 * 1024,
+            reply_bytes: 256 * 1024,
+            reply_timeout: Duration::from_millis(400),
+        }
+    }
+}
+
+/// Limits of connections to AMQP brokers.
+#[derive(Clone, Debug)]
+pub struct AmqpLimits {
+    /// Bytes of a frame, as offered to the broker; every broker allows 4 KiB.
+    pub frame_bytes: usize,
+    /// Bytes of a message, as of a request by JSON-RPC.
+    pub message_bytes: usize,
+    /// Frames read and not yet processed.
+    pub frame_queue: usize,
+    /// Time for each step of opening and of closing a connection.
+    pub handshake_timeout: Duration,
+    /// The heartbeat interval offered; the broker's own holds if it is shorter.
+    pub heartbeat_interval: Duration,
+    /// The longest backoff before a reconnect to a broker.
+    pub backoff_max: Duration,
+    /// Stack of a thread that decodes frames, in bytes.
+    pub stack_bytes: usize,
+    /// The largest prefetch that an inventory may ask for: it bounds what a broker can have the node keep.
+    pub max_prefetch: u16,
+}
+
+impl Default for AmqpLimits {
+    fn default() -> AmqpLimits {
+        AmqpLimits {
+            frame_bytes: 8192,
+            message_bytes: 2048,
+            frame_queue: 64,
+            handshake_timeout: Duration::from_secs(5),
+            heartbeat_interval: Duration::from_secs(10),
+            backoff_max: Duration::from_secs(5),
+            stack_bytes: 8 * 1024 * 1024,
             max_prefetch: 1024,
-            read_bytes: 4096,
-            policy_stack_bytes: 1024 * 1024,
-            stack_bytes: 160 * 1024,
+        }
+    }
+}
+
+/// Limits of the admin listener.
+#[derive(Clone, Debug)]
+pub struct AdminLimits {
+    /// Bytes of a command.
+    pub line_bytes: usize,
+    /// Clients at once, each with one descriptor; the oldest one is closed for a new one.
+    pub max_clients: usize,
+    /// How long a client may take to send its command.
+    pub request_timeout: Duration,
+    /// How long a client may take to read its answer.
+    pub response_timeout: Duration,
+}
+
+impl Default for AdminLimits {
+    fn default() -> AdminLimits {
+        AdminLimits {
+            line_bytes: 64,
+            max_clients: 16,
+            request_timeout: Duration::from_secs(10),
+            response_timeout: Duration::from_millis(300),
+        }
+    }
+}
+
+/// Limits of two processes of one node, of which one replaces the other.
+#[derive(Clone, Debug)]
+pub struct ReplacementLimits {
+    /// The longest deadline for which the platform lets a process continue that was replaced.
+    pub max_deadline: Duration,
+    /// What the platform adds to that deadline.
+    pub grace: Duration,
+    /// Time between checks of the other process while there is one, or while an instance lock or a share is awaited.
+    pub poll_interval: Duration,
+    /// The same while this process is alone: a check costs a few system calls on a node that has a tenth of a core.
+    pub poll_interval_alone: Duration,
+    /// How long a process that starts beside another waits for its first resource share before it accepts clients
+    /// without one.
+    pub first_share_timeout: Duration,
+}
+
+impl Default for ReplacementLimits {
+    fn default() -> ReplacementLimits {
+        ReplacementLimits {
+            max_deadline: Duration::from_secs(3),
+            grace: Duration::from_millis(700),
+            poll_interval: Duration::from_millis(50),
+            poll_interval_alone: Duration::from_millis(200),
+            first_share_timeout: Duration::from_secs(2),
         }
     }
 }
--- a/src/node/policy_actor/batch.rs
+++ b/src/node/policy_actor/batch.rs
@@ -74,7 +74,7 @@
         if self.is_connected && self.peers.executor.try_send(command).is_ok() {
             self.gauge_reading = Some(GaugeReading {
                 tag,
-                expires_at: now + self.limits.gauge_timeout,
+                expires_at: now + self.limits.policy.gauge_timeout,
             });
         } else {
             self.queue_event(Event::Wake(Gauges::default()));
--- a/src/node/policy_actor/mod.rs
+++ b/src/node/policy_actor/mod.rs
@@ -112,15 +112,15 @@
             cells,
         } = config;
         let keys = Table::new(
-            limits.key_table_bytes,
-            limits.key_result_bytes,
+            limits.keys.table_bytes,
+            limits.keys.result_bytes,
             max_queue_time(&site).0,
         );
         let rate_limited = RateLimitedLogs {
             duplicate_uid: RateLimitedLog::new(limits.repeated_log_interval),
             heavy_tenants: RateLimitedLog::new(limits.repeated_log_interval),
             rejected_run: RateLimitedLog::new(limits.repeated_log_interval),
-            state: RateLimitedLog::new(limits.state_log_interval),
+            state: RateLimitedLog::new(limits.policy.state_log_interval),
         };
         PolicyActor {
             tenant_keys: site.tenant_keys(),
@@ -152,7 +152,7 @@
 
     /// Processes its mailbox until every sender is gone.
     pub fn run(mut self, inbox: &Receiver<PolicyMessage>) {
-        let sweep = tick(self.limits.sweep_interval);
+        let sweep = tick(self.limits.policy.sweep_interval);
         loop {
             let timer = self.next_due().map_or_else(never, at);
             select! {
@@ -163,7 +163,7 @@
                 },
                 recv(timer) -> _ => {}
             }
-            for message in inbox.try_iter().take(self.limits.policy_mailbox) {
+            for message in inbox.try_iter().take(self.limits.policy.mailbox) {
                 self.handle_message(message);
             }
             self.run_due_work();
--- a/src/node/policy_actor/sweep.rs
+++ b/src/node/policy_actor/sweep.rs
@@ -47,10 +47,10 @@
             };
             let elapsed = answered_at.elapsed();
             let grace = stop_grace(&self.site.settings.classes, entry.class);
-            if elapsed < self.limits.stop_retry_after + grace {
+            if elapsed < self.limits.policy.stop_retry_after + grace {
                 continue;
             }
-            if elapsed >= self.limits.stop_abandon_after + grace {
+            if elapsed >= self.limits.policy.stop_abandon_after + grace {
                 over.push(entry.uid);
             } else {
                 let command = ExecutorCommand::Stop(entry.uid);
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -38,7 +38,7 @@
         let site = Arc::new(Site::from_json(&settings()).expect("settings"));
         let mut limits = Limits::new(512);
         change(&mut limits);
-        let (module, inbox) = bounded(limits.policy_mailbox);
+        let (module, inbox) = bounded(limits.policy.mailbox);
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
         let at = listener.local_addr().expect("bound");
         let core = Core {
@@ -255,7 +255,7 @@
 #[test]
 fn a_request_that_crosses_its_farewell_is_answered() {
     // No idle time at all: the farewell follows the first answer in the same step.
-    let mut s = Stepped::new(|limits| limits.front_idle = Duration::ZERO);
+    let mut s = Stepped::new(|limits| limits.listener.idle_timeout = Duration::ZERO);
     let mut peer = s.connect();
     peer.raw("{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"alive\"}");
     s.until("the answer is there", |_| has_come(&peer));
@@ -273,7 +273,7 @@
 #[test]
 fn a_request_in_the_instant_of_an_idle_close_is_answered() {
     let mut s = Stepped::new(|limits| {
-        limits.front_idle = Duration::ZERO;
+        limits.listener.idle_timeout = Duration::ZERO;
         limits.front.goodbye_timeout = Duration::ZERO;
     });
     let mut peer = s.connect();
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -74,7 +74,7 @@
 #[test]
 fn each_reply_means_what_the_protocol_says() {
     let database = Database::start();
-    let pool = Pool::start(database.address, |limits| limits.database_connections = 1);
+    let pool = Pool::start(database.address, |limits| limits.database.connections = 1);
     for (body, end) in [
         ("ok", "rows for ok"),
         ("busy", "never ran"),
@@ -91,7 +91,7 @@
 #[test]
 fn a_call_that_takes_too_long_is_given_up_and_its_connection_closed() {
     let database = Database::start();
-    let pool = Pool::start(database.address, |limits| limits.database_connections = 1);
+    let pool = Pool::start(database.address, |limits| limits.database.connections = 1);
     assert_eq!(pool.call("silent", Duration::from_millis(30)), "unknown");
     until("its connection is closed", || database.open() == 0);
     assert_eq!(pool.call("ok", LONG), "rows for ok");
@@ -102,7 +102,7 @@
 #[test]
 fn a_reply_that_brings_more_than_belongs_to_it_is_that_calls_alone() {
     let database = Database::start();
-    let pool = Pool::start(database.address, |limits| limits.database_connections = 1);
+    let pool = Pool::start(database.address, |limits| limits.database.connections = 1);
     let reply = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nrows";
     for n in 0..3 {
         let before = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
@@ -130,7 +130,7 @@
 #[test]
 fn a_spoilt_reply_ends_its_call_soon_and_proves_nothing() {
     let database = Database::start();
-    let pool = Pool::start(database.address, |limits| limits.database_connections = 1);
+    let pool = Pool::start(database.address, |limits| limits.database.connections = 1);
     let ok = |heads: &str| format!("raw#HTTP/1.1 200 OK\r\n{heads}\r\nrows");
     let spoilt = [
         "raw#\u{1}\u{2}\u{3} noise \r\n\r\n".to_string(),
@@ -166,7 +166,7 @@
         .expect("loopback")
         .local_addr()
         .expect("bound");
-    let pool = Pool::start(address, |limits| limits.database_connections = 1);
+    let pool = Pool::start(address, |limits| limits.database.connections = 1);
     assert_eq!(pool.call("ok", LONG), "never ran");
 }
 
