--- a/src/main.rs
+++ b/src/main.rs
@@ -185,7 +185,7 @@
         .map(fleet::Config::read)
         .transpose()
         .map_err(StartError::Fleet)?;
-    let mut limits = Limits::new(config.sockets).with_memory(config.memory_mb);
+    let mut limits = Limits::new(config.descriptors).with_memory(config.memory_mb);
     let env = |name: &str| std::env::var(name).ok();
     let queues = inventory.map_or(Ok(Vec::new()), |file| {
         inventory::read(file, &config.site, &limits, env)
@@ -199,7 +199,7 @@
     let system = |what| move |e| StartError::System(what, e);
     let log = logger(&config.name);
     let signals = signals(&limits).map_err(system("signals"))?;
-    let clients = take_address(config.listen, config.door.is_some()).map_err(system("listen"))?;
+    let clients = take_address(config.listen, config.admin.is_some()).map_err(system("listen"))?;
     let door = config
         .door
         .map(TcpListener::bind)
@@ -248,7 +248,7 @@
     let policy_config = PolicyConfig {
         site: site.clone(),
         seed: config.seed,
-        shutdown_timeout: config.stop,
+        shutdown_timeout: config.shutdown_timeout,
         limits: limits.clone(),
         cells: cells.clone(),
     };
@@ -281,7 +281,7 @@
     })
     .map_err(system("threads"))?;
     let (at, own, own_log, own_board) = (
-        config.members,
+        config.endpoint_list,
         limits.clone(),
         log.new(o!("actor" => "list")),
         node_status.clone(),
@@ -322,14 +322,14 @@
     // Where another process may serve at this address, clients must not come here before they can be served.
     let mut clients = Some(clients);
     let mut serves = None;
-    if config.door.is_none() {
+    if config.admin.is_none() {
         if let Some(clients) = clients.take() {
             serves = Some(listen(clients).map_err(system("listen"))?);
         }
     }
 
     // Where there is a door another process may stand beside this one.
-    let mut standing = config.door.map_or(Standing::Alone, |_| {
+    let mut standing = config.admin.map_or(Standing::Alone, |_| {
         Standing::new(&std::env::temp_dir(), &config.name)
     });
     standing.look(node_status.process_state(), &log);
@@ -357,7 +357,7 @@
             .join(node_status.process_state(), serves)
             .map_err(system("fleet"))?;
     }
-    let pace = |divide: &Divide| match config.door {
+    let pace = |divide: &Divide| match config.admin {
         Some(_) if divide.whole() => after(limits.replacement.poll_interval_alone),
         Some(_) => after(limits.replacement.poll_interval),
         None => never(),
@@ -369,7 +369,7 @@
         cells,
         executor: (config.executor, to_moves),
         database,
-        list: (config.members, to_list.clone()),
+        list: (config.endpoint_list, to_list.clone()),
         log: log.clone(),
     };
     loop {
@@ -420,7 +420,7 @@
     let stop = if replaced {
         limits.replaced_lifetime(&site)
     } else {
-        config.stop
+        config.shutdown_timeout
     };
     if replaced {
         info!(log, "replaced"; "time_left_ms" => stop.as_millis() as u64, "unanswered" => node_status.unanswered());
@@ -530,14 +530,17 @@
             );
         }
         info!(self.log, "configuration read again"; "executor" => %config.executor, "database" => ?config.database,
-            "members" => %config.members);
+            "members" => %config.endpoint_list);
         // The actors take these at any time, so the sends end; one that is gone has ended the node already.
         if std::mem::replace(&mut self.executor.0, config.executor) != config.executor {
             let _ = self.executor.1.send(config.executor);
         }
         self.database.set(config.database);
-        if std::mem::replace(&mut self.list.0, config.members) != config.members {
-            let _ = self.list.1.send(membership::Report::To(config.members));
+        if std::mem::replace(&mut self.list.0, config.endpoint_list) != config.endpoint_list {
+            let _ = self
+                .list
+                .1
+                .send(membership::Report::To(config.endpoint_list));
         }
     }
 }
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -1,43 +1,49 @@
-//! What the platform tells a node at its start.
+//! The configuration that the platform gives a node at its start.
 
-use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use policy::{Dependency, SettingsError, Span};
 use serde::Deserialize;
 use serde_json::Value;
+use thiserror::Error;
 
 use super::limits::MEMORY_MB;
 use crate::wire::Site;
-use crate::{Dependency, SettingsError, Span};
 
-/// Why the program can't start.
-#[derive(Debug)]
+/// The environment variable that names the configuration file.
+const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
+/// The environment variable with the address of the admin listener. It is this process's own, while a file may be
+/// shared with the process that it replaces.
+const ADMIN_VARIABLE: &str = "PROXY_ADMIN";
+/// Descriptors of a node whose configuration names no limit.
+const DEFAULT_DESCRIPTORS: usize = 1024;
+
+/// Why a configuration can't be used.
+#[derive(Debug, Error)]
 pub enum ConfigError {
     /// An environment variable is missing.
+    #[error("{0} is not set")]
     Missing(&'static str),
-    /// A file can't be read.
-    Unreadable(String, std::io::Error),
+    /// The file can't be read.
+    #[error("{path}: {source}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// Why it can't be read.
+        source: std::io::Error,
+    },
     /// The configuration is not what the platform promises.
+    #[error("configuration: {0}")]
     Malformed(String),
     /// The settings can't be used.
-    Settings(SettingsError),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
 }
 
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ConfigError::Missing(name) => write!(f, "{name} is not set"),
-            ConfigError::Unreadable(file, e) => write!(f, "{file}: {e}"),
-            ConfigError::Malformed(what) => write!(f, "configuration: {what}"),
-            ConfigError::Settings(e) => write!(f, "{e}"),
-        }
-    }
-}
-impl std::error::Error for ConfigError {}
-
+/// The configuration file.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: String,
     listen: SocketAddr,
     executor: SocketAddr,
@@ -50,16 +56,18 @@
     limits: FileLimits,
     settings: Value,
 }
+
 #[derive(Deserialize)]
 #[serde(default)]
 struct FileLimits {
     sockets: usize,
     memory_mb: f64,
 }
+
 impl Default for FileLimits {
     fn default() -> FileLimits {
         FileLimits {
-            sockets: 1024,
+            sockets: DEFAULT_DESCRIPTORS,
             memory_mb: MEMORY_MB,
         }
     }
@@ -67,83 +75,90 @@
 
 /// A node's configuration.
 pub struct Config {
-    /// Its name on the list.
+    /// The node's name in the endpoint list.
     pub name: String,
-    /// Where front ends connect.
+    /// Where clients connect.
     pub listen: SocketAddr,
     /// The executor's address.
     pub executor: SocketAddr,
-    /// The membership service's address.
-    pub members: SocketAddr,
-    /// The database's address, where the settings have something below.
+    /// The address of the endpoint list.
+    pub endpoint_list: SocketAddr,
+    /// The database's address, where the settings have a dependency.
     pub database: Option<SocketAddr>,
-    /// Where the operators' door listens, if there is one.
-    pub door: Option<SocketAddr>,
-    /// For random numbers.
+    /// Where the admin listener listens, if there is one.
+    pub admin: Option<SocketAddr>,
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Time from the notice to leave to the kill.
-    pub stop: Duration,
-    /// Descriptors it may hold.
-    pub sockets: usize,
-    /// Memory that it may take, in megabytes.
+    /// Time from the notice to shut down until the process is killed.
+    pub shutdown_timeout: Duration,
+    /// Descriptors that the process may open.
+    pub descriptors: usize,
+    /// Memory that the process may take, in megabytes.
     pub memory_mb: f64,
-    /// What the module is told.
+    /// Classes, tenants and settings of the site.
     pub site: Site,
 }
 
 impl Config {
     /// Reads the file that `PROXY_CONFIG` names.
     pub fn from_env() -> Result<Config, ConfigError> {
-        const VARIABLE: &str = "PROXY_CONFIG";
-        const DOOR: &str = "PROXY_ADMIN";
-        let path = std::env::var(VARIABLE).map_err(|_| ConfigError::Missing(VARIABLE))?;
-        let text = std::fs::read_to_string(&path).map_err(|e| ConfigError::Unreadable(path, e))?;
+        let path =
+            std::env::var(CONFIG_VARIABLE).map_err(|_| ConfigError::Missing(CONFIG_VARIABLE))?;
+        let text = std::fs::read_to_string(&path)
+            .map_err(|source| ConfigError::Unreadable { path, source })?;
         let mut config = Config::parse(&text)?;
-        // The variable is this process's own, while a file may be shared with the one that it replaces.
-        if let Ok(text) = std::env::var(DOOR) {
-            let door = text
+        if let Ok(address) = std::env::var(ADMIN_VARIABLE) {
+            let address = address
                 .parse()
-                .map_err(|_| ConfigError::Malformed(format!("{DOOR} is no address")))?;
-            config.door = Some(door);
+                .map_err(|_| malformed(&format!("{ADMIN_VARIABLE} is no address")))?;
+            config.admin = Some(address);
         }
         Ok(config)
     }
 
-    /// Reads the text of that file.
+    /// Parses the text of that file.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
-        let file: File =
+        let file: ConfigFile =
             serde_json::from_str(text).map_err(|e| ConfigError::Malformed(e.to_string()))?;
-        let malformed = |what: &str| ConfigError::Malformed(what.into());
         let seed = u64::from_str_radix(&file.seed, 16)
             .map_err(|_| malformed("seed is not a hex number"))?;
-        let stop = Duration::try_from_secs_f64(file.stop_ms / 1e3)
+        let shutdown_timeout = Duration::try_from_secs_f64(file.stop_ms / 1e3)
             .map_err(|_| malformed("stop_ms is not a length of time"))?;
         if !(file.limits.memory_mb.is_finite() && file.limits.memory_mb > 0.0) {
             return Err(malformed("limits.memory_mb is not a size"));
         }
-        let mut site = Site::from_json(&file.settings).map_err(ConfigError::Malformed)?;
-        site.settings.check().map_err(ConfigError::Settings)?;
-        // What has nothing below it is told of no database.
-        if site.settings.dependency != Dependency::None && file.db.is_none() {
-            return Err(malformed(
-                "missing field `db`, though the settings have calls below",
-            ));
-        }
-        // On these wires an answer must be one that a run of its own request made, unless it is run by key: a read is not
-        // served from another's run, whatever the settings allow the module.
-        site.settings.result_sharing_window = Span(0);
+        let site = parse_site(&file)?;
         Ok(Config {
             name: file.name,
             listen: file.listen,
             executor: file.executor,
-            members: file.members,
+            endpoint_list: file.members,
             database: file.db,
-            door: file.admin,
+            admin: file.admin,
             seed,
-            stop,
-            sockets: file.limits.sockets,
+            shutdown_timeout,
+            descriptors: file.limits.sockets,
             memory_mb: file.limits.memory_mb,
             site,
         })
     }
 }
+
+fn parse_site(file: &ConfigFile) -> Result<Site, ConfigError> {
+    let mut site = Site::from_json(&file.settings).map_err(ConfigError::Malformed)?;
+    site.settings.check()?;
+    // A node without a dependency is given no database.
+    if site.settings.dependency != Dependency::None && file.db.is_none() {
+        return Err(malformed(
+            "missing field `db`, though the settings have calls below",
+        ));
+    }
+    // Over these protocols an answer must come from a run of its own request, unless that has an idempotency key: a read
+    // is not served from another's run, whatever the settings allow the policy.
+    site.settings.result_sharing_window = Span(0);
+    Ok(site)
+}
+
+fn malformed(reason: &str) -> ConfigError {
+    ConfigError::Malformed(reason.into())
+}
