--- a/crates/cells/benches/lookup.rs
+++ b/crates/cells/benches/lookup.rs
@@ -1,10 +1,10 @@
-//! What a look-up costs by the number of declared tenants, and what the map of them takes.
+//! The cost of a look-up by the number of declared tenants, and the memory that their map takes.
 
 use std::hint::black_box;
 
-use cells::file::{CellSpec, NodeSpec, Placement, TenantSpec};
 use cells::map::CellMap;
 use cells::Layout;
+use cells::{CellSpec, NodeSpec, Placement, TenantSpec};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 
 fn resident_kb() -> u64 {
@@ -17,8 +17,8 @@
 fn layout(tenants: usize) -> Layout {
     let mut layout = Layout {
         slack: 0.25,
-        shard: 2,
-        strangers: true,
+        shard_size: 2,
+        accepts_undeclared_tenants: true,
         ..Layout::default()
     };
     for n in 0..16 {
@@ -52,7 +52,7 @@
     for tenants in [1_000, 10_000, 100_000, 1_000_000] {
         let layout = layout(tenants);
         let before = resident_kb();
-        let Ok((map, _)) = CellMap::default().next(&layout) else {
+        let Ok((map, _)) = CellMap::default().apply_layout(&layout) else {
             continue;
         };
         println!(
@@ -70,7 +70,7 @@
         group.bench_function(BenchmarkId::new("cell", tenants), |b| {
             b.iter_batched(
                 &mut next,
-                |name| map.cell_of(black_box(&name), None).map(|c| c.nodes.len()),
+                |name| map.cell_for(black_box(&name), None).map(|c| c.nodes.len()),
                 criterion::BatchSize::SmallInput,
             );
         });
@@ -78,8 +78,8 @@
             b.iter_batched(
                 &mut next,
                 |name| {
-                    map.cell_of(black_box(&name), None)
-                        .map(|c| map.shard(c, &name).len())
+                    map.cell_for(black_box(&name), None)
+                        .map(|c| map.shard_nodes(c, &name).len())
                 },
                 criterion::BatchSize::SmallInput,
             );
@@ -87,7 +87,7 @@
         if tenants == 1_000 {
             group.bench_function("stranger", |b| {
                 b.iter(|| {
-                    map.cell_of(black_box("somebody-else"), None)
+                    map.cell_for(black_box("somebody-else"), None)
                         .map(|c| c.nodes.len())
                 });
             });
--- /dev/null
+++ b/crates/cells/src/layout_file.rs
@@ -0,0 +1,305 @@
+//! Reads a layout from the operators' JSON5 file. An unusable file is rejected with one line that names the file, the
+//! line and the field.
+
+use std::collections::BTreeMap;
+use std::fmt;
+use std::net::SocketAddr;
+
+use serde::Deserialize;
+
+use crate::layout::{CellSpec, Layout, LayoutError, NodeSpec, Placement, TenantSpec};
+use crate::positions::FieldPositions;
+use crate::{CellMap, Name};
+
+/// The version of the file format.
+const VERSION: u32 = 1;
+/// The largest slack that can be asked for.
+const MAX_SLACK: f64 = 10.0;
+/// The largest weight of a node.
+const MAX_WEIGHT: f64 = 1000.0;
+
+/// Why a file can't be used: one line with the position.
+#[derive(Clone, Debug, PartialEq)]
+pub struct FileError {
+    /// The file, as it was named.
+    pub file: String,
+    /// The line, from 1; none where the error concerns the whole file.
+    pub line: Option<usize>,
+    /// The path of the field, with dots between its names; empty where the error concerns none.
+    pub field: String,
+    /// What is wrong.
+    pub what: String,
+}
+
+impl fmt::Display for FileError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}", self.file)?;
+        if let Some(line) = self.line {
+            write!(f, ":{line}")?;
+        }
+        if !self.field.is_empty() {
+            write!(f, ": {}", self.field)?;
+        }
+        write!(f, ": {}", self.what)
+    }
+}
+impl std::error::Error for FileError {}
+
+// `expecting` keeps the wording of type errors, which operators know.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields, expecting = "struct File")]
+struct RawLayout {
+    version: u32,
+    #[serde(default, rename = "shard")]
+    shard_size: usize,
+    #[serde(default = "default_slack")]
+    slack: f64,
+    #[serde(default, rename = "strangers")]
+    accepts_undeclared_tenants: bool,
+    cells: BTreeMap<Name, RawCell>,
+    nodes: BTreeMap<Name, RawNode>,
+    #[serde(default)]
+    tenants: BTreeMap<Name, RawTenant>,
+}
+
+#[derive(Deserialize, Default)]
+#[serde(deny_unknown_fields, expecting = "struct FileCell")]
+struct RawCell {
+    #[serde(default)]
+    neighbours: Vec<Name>,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields, expecting = "struct FileNode")]
+struct RawNode {
+    site: Name,
+    #[serde(default = "default_weight")]
+    weight: f64,
+    address: Option<SocketAddr>,
+    cell: Option<Name>,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields, expecting = "struct FileTenant")]
+struct RawTenant {
+    #[serde(default = "default_weight")]
+    share: f64,
+    cell: Option<Name>,
+    split: Option<usize>,
+}
+
+fn default_slack() -> f64 {
+    0.25
+}
+
+fn default_weight() -> f64 {
+    1.0
+}
+
+impl Layout {
+    /// Reads the text of a file; errors name the file as `file`.
+    pub fn parse(file: &str, text: &str) -> Result<Layout, FileError> {
+        let source = Source {
+            file,
+            positions: FieldPositions::scan(text),
+        };
+        let raw = source.deserialize(text)?;
+        source.check(&raw)?;
+        let layout = raw.into_layout();
+        // Some faults show only when nodes and tenants are assigned.
+        CellMap::from_layout(&layout).map_err(|error| source.layout_error(&error))?;
+        Ok(layout)
+    }
+}
+
+/// The file that is read, for the positions in its errors.
+struct Source<'a> {
+    file: &'a str,
+    positions: FieldPositions,
+}
+
+impl Source<'_> {
+    fn error(&self, path: &[&str], what: impl Into<String>) -> FileError {
+        FileError {
+            file: self.file.to_string(),
+            line: self.positions.line_of(path),
+            field: path.join("."),
+            what: what.into(),
+        }
+    }
+
+    fn deserialize(&self, text: &str) -> Result<RawLayout, FileError> {
+        json5::from_str(text).map_err(|error| {
+            let line = error.position().map(|position| position.line + 1);
+            let message = error.to_string();
+            // The position is a part of the message; here it stands before it.
+            let what = message.split(" at line ").next().unwrap_or(&message);
+            FileError {
+                file: self.file.to_string(),
+                line,
+                field: line.map_or(String::new(), |line| self.positions.field_before(line)),
+                what: what.to_string(),
+            }
+        })
+    }
+
+    fn check(&self, raw: &RawLayout) -> Result<(), FileError> {
+        if let Some(duplicate) = self.positions.duplicate() {
+            return Err(FileError {
+                file: self.file.to_string(),
+                line: Some(duplicate.line),
+                field: duplicate.field.clone(),
+                what: "stands here a second time".into(),
+            });
+        }
+        if raw.version != VERSION {
+            let what = format!("{} is not known here: {VERSION} is", raw.version);
+            return Err(self.error(&["version"], what));
+        }
+        if !(0.0..=MAX_SLACK).contains(&raw.slack) {
+            return Err(self.error(&["slack"], format!("is not from 0 to {MAX_SLACK}")));
+        }
+        self.check_cells(raw)?;
+        self.check_nodes(raw)?;
+        self.check_tenants(raw)
+    }
+
+    fn check_cell_exists(
+        &self,
+        raw: &RawLayout,
+        path: &[&str],
+        cell: &Name,
+    ) -> Result<(), FileError> {
+        if raw.cells.contains_key(cell) {
+            return Ok(());
+        }
+        Err(self.error(path, format!("there is no cell {cell}")))
+    }
+
+    fn check_cells(&self, raw: &RawLayout) -> Result<(), FileError> {
+        for (name, cell) in &raw.cells {
+            let path = ["cells", name, "neighbours"];
+            for neighbour in &cell.neighbours {
+                self.check_cell_exists(raw, &path, neighbour)?;
+                if neighbour == name {
+                    return Err(self.error(&path, "a cell is no neighbour of its own"));
+                }
+            }
+        }
+        Ok(())
+    }
+
+    fn check_nodes(&self, raw: &RawLayout) -> Result<(), FileError> {
+        let mut addresses = BTreeMap::new();
+        for (name, node) in &raw.nodes {
+            if !(node.weight > 0.0 && node.weight <= MAX_WEIGHT) {
+                let what = format!("is not above 0 and at most {MAX_WEIGHT}");
+                return Err(self.error(&["nodes", name, "weight"], what));
+            }
+            if node.site.is_empty() {
+                return Err(self.error(&["nodes", name, "site"], "is empty"));
+            }
+            if let Some(cell) = &node.cell {
+                self.check_cell_exists(raw, &["nodes", name, "cell"], cell)?;
+            }
+            let other = node
+                .address
+                .and_then(|address| addresses.insert(address, name));
+            if let Some(other) = other {
+                let what = format!("is that of {other} too");
+                return Err(self.error(&["nodes", name, "address"], what));
+            }
+        }
+        Ok(())
+    }
+
+    fn check_tenants(&self, raw: &RawLayout) -> Result<(), FileError> {
+        for (name, tenant) in &raw.tenants {
+            if !(tenant.share > 0.0 && tenant.share.is_finite()) {
+                return Err(self.error(&["tenants", name, "share"], "is not above 0"));
+            }
+            let split_path = ["tenants", name, "split"];
+            if tenant.cell.is_some() && tenant.split.is_some() {
+                return Err(self.error(&split_path, "stands beside a cell: one of the two"));
+            }
+            if let Some(cell) = &tenant.cell {
+                self.check_cell_exists(raw, &["tenants", name, "cell"], cell)?;
+            }
+            let cells = raw.cells.len();
+            if tenant.split.is_some_and(|split| split < 2 || split > cells) {
+                let what = format!("is not from 2 to {cells}, the cells there are");
+                return Err(self.error(&split_path, what));
+            }
+        }
+        Ok(())
+    }
+
+    /// A fault of the whole layout, at the cell or tenant that it concerns.
+    fn layout_error(&self, error: &LayoutError) -> FileError {
+        let what = error.to_string();
+        match error {
+            LayoutError::NoCells => self.error(&["cells"], what),
+            LayoutError::NoNodes(cell) | LayoutError::OneSite { cell, .. } => {
+                self.error(&["cells", cell], what)
+            }
+            LayoutError::UnknownCell {
+                referrer: tenant, ..
+            }
+            | LayoutError::TooManyShards { tenant, .. }
+            | LayoutError::NoCapacity(tenant)
+            | LayoutError::CellInUse { tenant, .. } => self.error(&["tenants", tenant], what),
+        }
+    }
+}
+
+impl RawLayout {
+    fn into_layout(self) -> Layout {
+        Layout {
+            shard_size: self.shard_size,
+            slack: self.slack,
+            accepts_undeclared_tenants: self.accepts_undeclared_tenants,
+            cells: convert_values(self.cells),
+            nodes: convert_values(self.nodes),
+            tenants: convert_values(self.tenants),
+        }
+    }
+}
+
+fn convert_values<Raw, Spec: From<Raw>>(raw: BTreeMap<Name, Raw>) -> BTreeMap<Name, Spec> {
+    raw.into_iter()
+        .map(|(name, value)| (name, value.into()))
+        .collect()
+}
+
+impl From<RawCell> for CellSpec {
+    fn from(raw: RawCell) -> CellSpec {
+        CellSpec {
+            neighbours: raw.neighbours,
+        }
+    }
+}
+
+impl From<RawNode> for NodeSpec {
+    fn from(raw: RawNode) -> NodeSpec {
+        NodeSpec {
+            site: raw.site,
+            weight: raw.weight,
+            address: raw.address,
+            cell: raw.cell,
+        }
+    }
+}
+
+impl From<RawTenant> for TenantSpec {
+    fn from(raw: RawTenant) -> TenantSpec {
+        let placement = match (raw.cell, raw.split) {
+            (Some(cell), _) => Placement::Cell(cell),
+            (None, Some(shards)) => Placement::Split(shards),
+            (None, None) => Placement::Free,
+        };
+        TenantSpec {
+            share: raw.share,
+            placement,
+        }
+    }
+}
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -1,14 +1,24 @@
-//! Cells: tenants and subjects confined to subsets of the nodes, and moves between them that lose and double nothing.
+//! Cells: tenants and subjects are confined to subsets of the nodes, and migrate between them without losing or
+//! duplicating a settlement.
 //!
-//! All of it decides and none of it acts: times and messages come in, actions go out, so the same code runs in the
-//! node, in the router, in the coordinator and under the model checker. `docs/cells.md` has the design.
+//! Everything here decides and does no I/O: times and messages come in, decisions go out, so the same code runs in the
+//! node, the router, the coordinator and under the model checker. `docs/cells.md` describes the design.
 
-pub mod file;
+pub mod health;
+pub mod layout;
+mod layout_file;
 pub mod map;
-pub mod member;
-pub mod moves;
+pub mod migration;
+mod positions;
+pub mod spillover;
 
-pub use file::{FileError, Layout};
-pub use map::{Cell, CellMap, Home, LayoutError, Node, Published};
-pub use member::Verdict;
-pub use moves::{Fence, Move, Step};
+use std::sync::Arc;
+
+pub use health::CellHealth;
+pub use layout::{CellSpec, Layout, LayoutError, NodeSpec, Placement, TenantSpec};
+pub use layout_file::FileError;
+pub use map::{AssignedCells, Assignment, Cell, CellMap, Node, PendingMigration, PublishedMap};
+pub use migration::{Fence, Migration, MigrationPhase};
+
+/// The name of a node, cell, site or tenant.
+pub type Name = Arc<str>;
--- a/crates/cells/tests/map.rs
+++ b/crates/cells/tests/map.rs
@@ -1,15 +1,16 @@
-//! The map: the same for all who hold it, little moved by a change, room and sites respected, nobody moved by itself.
+//! The map: equal for all who hold it, few migrations for a change, capacity and sites respected, no tenant moved without
+//! a migration.
 
 use std::collections::BTreeMap;
 
-use cells::file::{CellSpec, NodeSpec, Placement, TenantSpec};
-use cells::map::{CellMap, Place, Published};
+use cells::map::{AssignedCells, CellMap, PublishedMap};
+use cells::{CellSpec, NodeSpec, Placement, TenantSpec};
 use cells::{Layout, LayoutError};
 use quickcheck::{Gen, QuickCheck};
 
 const SITES: [&str; 3] = ["bergamo-est", "brescia-sud", "milano-lambrate"];
 
-/// So many cells, nodes over three sites and tenants of equal share.
+/// A layout of cells, nodes over three sites and tenants of equal share.
 fn layout(cells: usize, nodes: usize, tenants: usize) -> Layout {
     let mut layout = Layout {
         slack: 0.25,
@@ -42,12 +43,12 @@
 }
 
 fn map(layout: &Layout) -> CellMap {
-    CellMap::default().next(layout).expect("a map").0
+    CellMap::from_layout(layout).expect("a map")
 }
 
-/// Guards a change's price: a node more moves about the share that is to be its own, and nobody by itself.
+/// An added node causes migrations for about its share of the tenants, and no tenant moves without one.
 #[test]
-fn a_node_more_moves_little_and_nobody_without_a_move() {
+fn added_node_attracts_few_tenants_and_none_without_a_migration() {
     let mut layout = layout(16, 64, 10_000);
     let first = map(&layout);
     layout.nodes.insert(
@@ -59,7 +60,7 @@
             cell: None,
         },
     );
-    let (next, moves) = first.next(&layout).expect("a map");
+    let (next, moves) = first.apply_layout(&layout).expect("a map");
     let ideal = 10_000.0 / 65.0;
     println!("{} of 10,000 tenants move, ideal {ideal:.0}", moves.len());
     assert!(
@@ -72,38 +73,44 @@
         "{} tenants move",
         moves.len()
     );
-    // All to the cell that has the node, and none until its move is committed.
+    // All go to the cell that has the node, and none before its migration is committed.
     let cell = next.node("n64").expect("the node").cell.clone();
     for migration in &moves {
-        assert_eq!(migration.to, Place::One(cell.clone()));
+        assert_eq!(migration.to, AssignedCells::One(cell.clone()));
         assert_eq!(
-            next.home(&migration.tenant).expect("a home").place,
+            next.assignment(&migration.tenant)
+                .expect("an assignment")
+                .cells,
             migration.from
         );
     }
-    // The other nodes stay where they live, and the same question has the same answer.
+    // The other nodes stay in their cells, and applying the layout again gives the same result.
     assert!(first
         .cells()
         .flat_map(|c| &c.nodes)
         .all(|n| next.node(&n.name).is_some_and(|m| m.cell == n.cell)));
-    let (again, none) = next.next(&layout).expect("a map");
+    let (again, none) = next.apply_layout(&layout).expect("a map");
     assert_eq!((again.epoch(), none.len()), (next.epoch(), moves.len()));
 }
 
-/// Guards the rest of the fleet: cells are filled evenly, and few tenants share all their nodes.
+/// Cells are filled evenly, and few tenants share all their nodes.
 #[test]
-fn load_spreads_and_few_share_all_their_nodes() {
+fn tenants_are_spread_and_few_share_all_their_nodes() {
     let mut layout = layout(16, 64, 10_000);
-    layout.shard = 2;
+    layout.shard_size = 2;
     let map = map(&layout);
     let mut cells: BTreeMap<&str, usize> = BTreeMap::new();
     let mut shards: BTreeMap<Vec<&str>, usize> = BTreeMap::new();
     for tenant in layout.tenants.keys() {
-        let cell = map.cell_of(tenant, None).expect("a cell");
+        let cell = map.cell_for(tenant, None).expect("a cell");
         *cells.entry(&cell.name).or_default() += 1;
-        let mut shard: Vec<&str> = map.shard(cell, tenant).iter().map(|n| &*n.name).collect();
+        let mut shard: Vec<&str> = map
+            .shard_nodes(cell, tenant)
+            .iter()
+            .map(|n| &*n.name)
+            .collect();
         let sites: std::collections::BTreeSet<_> = map
-            .shard(cell, tenant)
+            .shard_nodes(cell, tenant)
             .iter()
             .map(|n| n.site.clone())
             .collect();
@@ -125,13 +132,13 @@
     assert!(share < 0.02, "{share}");
 }
 
-/// Guards a cell against the loss of a site, and the room of each against what is declared.
+/// A cell survives the loss of a site, and no cell is filled beyond its capacity.
 #[test]
-fn sites_and_room_are_respected() {
+fn sites_and_capacity_are_respected() {
     let plain = layout(4, 12, 0);
     assert!(map(&plain)
         .cells()
-        .all(|c| c.sites() == 3 && c.nodes.len() == 3));
+        .all(|c| c.site_count() == 3 && c.nodes.len() == 3));
     let mut one = plain.clone();
     for (n, spec) in one.nodes.values_mut().enumerate() {
         spec.cell = Some(format!("cell-{:02}", n % 3).into());
@@ -139,131 +146,148 @@
     one.cells.remove("cell-03");
     // Every third node: each cell at one site.
     assert!(
-        matches!(one.check(), Err(LayoutError::OneSite(..))),
+        matches!(CellMap::from_layout(&one), Err(LayoutError::OneSite { .. })),
         "{:?}",
-        one.check()
+        CellMap::from_layout(&one)
     );
     let mut large = layout(4, 12, 3);
     // Three of equal share, each a third of all, where a cell has a quarter and a quarter of that more.
     assert!(
-        matches!(large.check(), Err(LayoutError::NoRoom(_))),
+        matches!(
+            CellMap::from_layout(&large),
+            Err(LayoutError::NoCapacity(_))
+        ),
         "{:?}",
-        large.check()
+        CellMap::from_layout(&large)
     );
     large.slack = 0.4;
     let map = map(&large);
-    let homes: std::collections::BTreeSet<_> = map
-        .tenants()
-        .map(|(_, home)| home.place.to_string())
+    let used: std::collections::BTreeSet<_> = map
+        .assignments()
+        .map(|(_, assignment)| assignment.cells.to_string())
         .collect();
-    assert_eq!(homes.len(), 3, "each in a cell of its own");
+    assert_eq!(used.len(), 3, "each in a cell of its own");
     assert!(matches!(
-        layout(4, 3, 0).check(),
+        CellMap::from_layout(&layout(4, 3, 0)),
         Err(LayoutError::NoNodes(_))
     ));
-    assert_eq!(layout(0, 3, 0).check(), Err(LayoutError::NoCells));
+    assert_eq!(
+        CellMap::from_layout(&layout(0, 3, 0)).err(),
+        Some(LayoutError::NoCells)
+    );
 }
 
-/// Guards what operators decide: a pin, a split by subject, and a move by hand that the next layout must not undo.
-#[test]
-fn pins_splits_and_moves_by_hand_hold() {
+fn pin(layout: &mut Layout, tenant: &str, placement: Placement) {
+    let spec = TenantSpec {
+        share: 1.0,
+        placement,
+    };
+    layout.tenants.insert(tenant.into(), spec);
+}
+
+/// A layout with a pinned and a split tenant.
+fn layout_with_pins() -> Layout {
     let mut layout = layout(4, 12, 40);
-    // Room enough that one more in a cell pushes nobody else out of it.
+    // Capacity enough that one more tenant in a cell displaces no other.
     layout.slack = 1.0;
-    let pin = |layout: &mut Layout, tenant: &str, to: Placement| {
-        layout.tenants.insert(
-            tenant.into(),
-            TenantSpec {
-                share: 1.0,
-                placement: to,
-            },
-        );
-    };
     pin(&mut layout, "alpenergia", Placement::Cell("cell-02".into()));
     pin(&mut layout, "solpiana", Placement::Split(2));
-    let first = map(&layout);
-    assert_eq!(
-        &*first.cell_of("alpenergia", None).expect("a cell").name,
-        "cell-02"
-    );
-    let Place::Split(parts) = first.home("solpiana").expect("a home").place.clone() else {
-        panic!("not split")
+    layout
+}
+
+/// What operators declare holds: a pin, and a split by subject.
+#[test]
+fn pins_and_splits_hold() {
+    let map = map(&layout_with_pins());
+    let cell_name = |tenant: &str, subject: Option<&str>| {
+        let cell = map.cell_for(tenant, subject).expect("a cell");
+        cell.name.clone()
     };
-    let of = |n: usize| {
-        first
-            .cell_of("solpiana", Some(&format!("POD{n}")))
-            .expect("a cell")
-            .name
-            .clone()
+    assert_eq!(&*cell_name("alpenergia", None), "cell-02");
+    let assignment = map.assignment("solpiana").expect("an assignment");
+    let AssignedCells::Split(parts) = assignment.cells.clone() else {
+        panic!("not split")
     };
-    let in_first = (0..1000).filter(|n| of(*n) == parts[0]).count();
+    let cell_of_subject = |n: usize| cell_name("solpiana", Some(&format!("POD{n}")));
+    let in_first = (0..1000)
+        .filter(|n| cell_of_subject(*n) == parts[0])
+        .count();
     assert!(
         (400..600).contains(&in_first),
         "{in_first} of 1000 subjects"
     );
-    assert!((0..1000).all(|n| parts.contains(&of(n))));
-    assert_eq!(
-        first.cell_of("solpiana", None).expect("a cell").name,
-        parts[0]
-    );
-    assert!(first.cell_of("nobody", None).is_none());
-    // Moved by hand: it stays. Pinned elsewhere later: a move is due.
+    assert!((0..1000).all(|n| parts.contains(&cell_of_subject(n))));
+    assert_eq!(cell_name("solpiana", None), parts[0]);
+    assert!(map.cell_for("nobody", None).is_none());
+}
+
+/// The next layout must not undo a migration that an operator asked for, and can't remove a cell with tenants.
+#[test]
+fn manual_migrations_hold() {
+    let mut layout = layout_with_pins();
+    let first = map(&layout);
+    // Migrated manually: it stays. Pinned elsewhere later: it has to migrate.
     let tenant = "tenant-00007";
+    let current = &first.assignment(tenant).expect("an assignment").cells;
     let to = first
         .cells()
-        .map(|c| c.name.clone())
-        .find(|c| {
-            first
-                .home(tenant)
-                .is_some_and(|h| h.place != Place::One(c.clone()))
-        })
+        .map(|cell| cell.name.clone())
+        .find(|cell| *current != AssignedCells::One(cell.clone()))
         .expect("another");
-    let moved = first
-        .moved(tenant, Place::One(to.clone()), None, true)
-        .expect("moved");
-    assert_eq!(moved.epoch(), first.epoch() + 1);
-    assert!(moved.next(&layout).expect("a map").1.is_empty());
+    let migrated = first
+        .with_assignment(tenant, AssignedCells::One(to.clone()), None, true)
+        .expect("migrated");
+    assert_eq!(migrated.epoch(), first.epoch() + 1);
+    assert!(migrated.apply_layout(&layout).expect("a map").1.is_empty());
     let elsewhere = layout
         .cells
         .keys()
-        .find(|c| **c != to)
+        .find(|cell| **cell != to)
         .expect("another")
         .clone();
     pin(&mut layout, tenant, Placement::Cell(elsewhere));
-    assert_eq!(moved.next(&layout).expect("a map").1.len(), 1);
-    // A cell with tenants does not go.
-    let mut less = layout.clone();
-    less.cells.remove("cell-00");
+    assert_eq!(migrated.apply_layout(&layout).expect("a map").1.len(), 1);
+    // A cell with tenants is not removed.
+    let mut smaller = layout.clone();
+    smaller.cells.remove("cell-00");
     assert!(
-        matches!(moved.next(&less), Err(LayoutError::Inhabited(..))),
+        matches!(
+            migrated.apply_layout(&smaller),
+            Err(LayoutError::CellInUse { .. })
+        ),
         "{:?}",
-        moved.next(&less).err()
+        migrated.apply_layout(&smaller).err()
     );
     assert!(matches!(
-        moved.moved(tenant, Place::One("cell-99".into()), None, true),
-        Err(LayoutError::NoSuchCell(..))
+        migrated.with_assignment(tenant, AssignedCells::One("cell-99".into()), None, true),
+        Err(LayoutError::UnknownCell { .. })
     ));
 }
 
-/// Guards readers: a map that is not newer never replaces one that is in force.
+/// A map that is not newer never replaces the one in force.
 #[test]
-fn an_older_map_is_never_put_in_force() {
+fn older_map_is_never_published() {
     let layout = layout(4, 12, 4);
     let first = map(&layout);
     let second = first
-        .moved("tenant-00001", Place::One("cell-03".into()), None, true)
+        .with_assignment(
+            "tenant-00001",
+            AssignedCells::One("cell-03".into()),
+            None,
+            true,
+        )
         .expect("moved");
-    let published = Published::new(first.clone());
+    let published = PublishedMap::new(first.clone());
     assert!(published.publish(second.clone()));
     assert!(!published.publish(first));
     assert!(!published.publish(second.clone()));
     assert_eq!(published.load().epoch(), second.epoch());
 }
 
-/// Whatever nodes come and go, every tenant has a home among the cells there are, the same for whoever asks, and only
-/// what the layout wants elsewhere is to move.
+/// Whatever nodes are added and removed, every tenant is assigned to an existing cell, the same for all holders of the map,
+/// and only tenants that the layout wants elsewhere migrate.
 #[test]
-fn random_changes_leave_every_tenant_a_home() {
+fn random_layout_changes_keep_every_tenant_assigned() {
     fn check(steps: Vec<(u8, bool)>) -> bool {
         let mut layout = layout(3, 9, 60);
         layout.slack = 2.0;
@@ -282,25 +306,28 @@
             } else if layout.nodes.len() > 4 {
                 layout.nodes.remove(name.as_str());
             }
-            let Ok((next, moves)) = map.next(&layout) else {
+            let Ok((next, migrations)) = map.apply_layout(&layout) else {
                 // A cell would be left empty or at one site: the last map stays in force.
                 return true;
             };
             let same = map
-                .next(&layout)
-                .is_ok_and(|(again, also)| again.epoch() == next.epoch() && also == moves);
-            let held = next
-                .tenants()
-                .all(|(t, home)| map.home(t) == Some(home) && next.cell_of(t, None).is_some());
+                .apply_layout(&layout)
+                .is_ok_and(|(again, also)| again.epoch() == next.epoch() && also == migrations);
+            let held = next.assignments().all(|(t, assignment)| {
+                map.assignment(t) == Some(assignment) && next.cell_for(t, None).is_some()
+            });
             let mut done = next;
-            for migration in &moves {
-                let Ok(moved) = done.moved(&migration.tenant, migration.to.clone(), None, false)
+            for migration in &migrations {
+                let Ok(moved) =
+                    done.with_assignment(&migration.tenant, migration.to.clone(), None, false)
                 else {
                     return false;
                 };
                 done = moved;
             }
-            let settled = done.next(&layout).is_ok_and(|(_, left)| left.is_empty());
+            let settled = done
+                .apply_layout(&layout)
+                .is_ok_and(|(_, left)| left.is_empty());
             map = done;
             same && held && settled
         })
--- a/crates/migration-coordinator/src/journal.rs
+++ b/crates/migration-coordinator/src/journal.rs
@@ -1,133 +1,203 @@
-//! The coordinator's journal: one file that only one coordinator has open, and in which what was written once is there
-//! after any crash. It is a `redb` database: each record is one durable transaction.
+//! The coordinator's journal: a `redb` database that only one coordinator has open, and that keeps what was written after
+//! any crash. Each write is one durable transaction. Table names and the JSON of the entries are a stable format.
 
-use std::fmt;
 use std::path::Path;
 
-use cells::map::{Name, Place};
-use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition};
+use cells::migration::Epoch;
+use cells::{AssignedCells, Name};
+use redb::{
+    Database, DatabaseError, ReadableDatabase, ReadableTable, Table, TableDefinition,
+    WriteTransaction,
+};
 
-use crate::decide::{Kept, Record, Work};
+use crate::effect::{AssignmentRecord, JournalRecord};
+use crate::entry::MigrationEntry;
 
-/// Moves in hand, by tenant.
-const WORKS: TableDefinition<&str, &[u8]> = TableDefinition::new("works");
-/// Moved tenants: where they live, since when, and whether by hand.
-const HOMES: TableDefinition<&str, &[u8]> = TableDefinition::new("homes");
-/// Single figures: the form of the file, and the last epoch.
-const FIGURES: TableDefinition<&str, u64> = TableDefinition::new("figures");
-const FORM: u64 = 1;
+const MIGRATIONS_TABLE: &str = "works";
+const ASSIGNMENTS_TABLE: &str = "homes";
+/// Migrations in progress, by tenant.
+const MIGRATIONS: TableDefinition<&str, &[u8]> = TableDefinition::new(MIGRATIONS_TABLE);
+/// Assignments of migrated tenants, by tenant: the cells, the epoch since which they hold, and whether they are manual.
+const ASSIGNMENTS: TableDefinition<&str, &[u8]> = TableDefinition::new(ASSIGNMENTS_TABLE);
+/// Single numbers: the version of the format, and the last epoch.
+const NUMBERS: TableDefinition<&str, u64> = TableDefinition::new("figures");
+const FORMAT_KEY: &str = "form";
+const LAST_EPOCH_KEY: &str = "epoch";
+const FORMAT: u64 = 1;
 
 /// Why a journal can't be used.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum JournalError {
     /// Another coordinator has it open.
+    #[error("another coordinator has the journal open")]
     InUse,
-    /// It was written in a form that this program does not know.
-    Form(u64),
-    /// An entry can't be read: of which table, and for which tenant.
-    Entry(&'static str, String),
+    /// It has a format that this program does not know.
+    #[error("the journal is of form {0}, known is {FORMAT}")]
+    UnknownFormat(u64),
+    /// An entry can't be read or written.
+    #[error("the journal's entry {key} in {table} can't be read")]
+    InvalidEntry {
+        /// The name of the table.
+        table: &'static str,
+        /// The key of the entry, which is a tenant.
+        key: String,
+        /// Why.
+        source: serde_json::Error,
+    },
     /// The file or the disk fails.
-    Store(Box<redb::Error>),
+    #[error("the journal: {0}")]
+    Storage(#[source] Box<redb::Error>),
 }
 
-impl fmt::Display for JournalError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            JournalError::InUse => f.write_str("another coordinator has the journal open"),
-            JournalError::Form(form) => write!(f, "the journal is of form {form}, known is {FORM}"),
-            JournalError::Entry(table, key) => {
-                write!(f, "the journal's entry {key} in {table} can't be read")
-            }
-            JournalError::Store(e) => write!(f, "the journal: {e}"),
-        }
+impl<E: Into<redb::Error>> From<E> for JournalError {
+    fn from(error: E) -> JournalError {
+        JournalError::Storage(Box::new(error.into()))
     }
 }
-impl std::error::Error for JournalError {}
 
-fn store<E: Into<redb::Error>>(e: E) -> JournalError {
-    JournalError::Store(Box::new(e.into()))
+/// What a journal contained when it was opened.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct RecoveredState {
+    /// The migrations in progress.
+    pub migrations: Vec<MigrationEntry>,
+    /// The assignments of migrated tenants.
+    pub assignments: Vec<AssignmentRecord>,
+    /// The last epoch that was given to any migration.
+    pub last_epoch: Epoch,
 }
 
-/// See the module's head.
+/// An open journal.
 pub struct Journal {
     db: Database,
 }
 
 impl Journal {
-    /// Opens a journal, or begins one, and tells what it had.
-    pub fn open(path: &Path) -> Result<(Journal, Kept), JournalError> {
-        let db = Database::create(path).map_err(|e| match e {
+    /// Opens a journal, or creates one, and returns its content.
+    pub fn open(path: &Path) -> Result<(Journal, RecoveredState), JournalError> {
+        let db = Database::create(path).map_err(|error| match error {
             DatabaseError::DatabaseAlreadyOpen => JournalError::InUse,
-            other => store(other),
+            other => other.into(),
         })?;
-        let begin = db.begin_write().map_err(store)?;
-        let mut kept = Kept::default();
-        {
-            let mut figures = begin.open_table(FIGURES).map_err(store)?;
-            let form = figures
-                .get("form")
-                .map_err(store)?
-                .map_or(FORM, |form| form.value());
-            if form != FORM {
-                return Err(JournalError::Form(form));
-            }
-            figures.insert("form", FORM).map_err(store)?;
-            kept.epoch = figures
-                .get("epoch")
-                .map_err(store)?
-                .map_or(0, |epoch| epoch.value());
-            let works = begin.open_table(WORKS).map_err(store)?;
-            for entry in works.iter().map_err(store)? {
-                let (key, value) = entry.map_err(store)?;
-                let bad = |_| JournalError::Entry("works", key.value().to_string());
-                kept.works
-                    .push(serde_json::from_slice::<Work>(value.value()).map_err(bad)?);
-            }
-            let homes = begin.open_table(HOMES).map_err(store)?;
-            for entry in homes.iter().map_err(store)? {
-                let (key, value) = entry.map_err(store)?;
-                let bad = |_| JournalError::Entry("homes", key.value().to_string());
-                let (place, since, by_hand) =
-                    serde_json::from_slice::<(Place, u64, bool)>(value.value()).map_err(bad)?;
-                kept.homes
-                    .push((Name::from(key.value()), place, since, by_hand));
-            }
-        }
-        begin.commit().map_err(store)?;
-        Ok((Journal { db }, kept))
+        let transaction = db.begin_write()?;
+        let last_epoch = check_format(&transaction)?;
+        let recovered = RecoveredState {
+            migrations: read_migrations(&transaction)?,
+            assignments: read_assignments(&transaction)?,
+            last_epoch,
+        };
+        transaction.commit()?;
+        Ok((Journal { db }, recovered))
     }
 
-    /// Writes records down, all or none; they are on disk when this returns.
-    pub fn write(&self, records: &[Record]) -> Result<(), JournalError> {
-        let write = self.db.begin_write().map_err(store)?;
+    /// Writes records, all or none; they are on disk when this returns.
+    pub fn write(&self, records: &[JournalRecord]) -> Result<(), JournalError> {
+        let transaction = self.db.begin_write()?;
         {
-            let mut works = write.open_table(WORKS).map_err(store)?;
-            let mut homes = write.open_table(HOMES).map_err(store)?;
-            let mut figures = write.open_table(FIGURES).map_err(store)?;
+            let mut tables = Tables::open(&transaction)?;
             for record in records {
-                match record {
-                    Record::Work(work, epoch) => {
-                        let entry = |_| JournalError::Entry("works", work.tenant.to_string());
-                        let bytes = serde_json::to_vec(work).map_err(entry)?;
-                        works.insert(&*work.tenant, &bytes[..]).map_err(store)?;
-                        figures.insert("epoch", *epoch).map_err(store)?;
-                    }
-                    Record::Home(tenant, place, since, by_hand) => {
-                        let entry = |_| JournalError::Entry("homes", tenant.to_string());
-                        let bytes = serde_json::to_vec(&(place, since, by_hand)).map_err(entry)?;
-                        homes.insert(&**tenant, &bytes[..]).map_err(store)?;
-                    }
-                    Record::Over(tenant) => drop(works.remove(&**tenant).map_err(store)?),
-                }
+                tables.write(record)?;
             }
         }
-        write.commit().map_err(store)
+        transaction.commit()?;
+        Ok(())
+    }
+
+    /// The number of tenants whose assignment is stored.
+    pub fn assignment_count(&self) -> Result<usize, JournalError> {
+        let transaction = self.db.begin_read()?;
+        let assignments = transaction.open_table(ASSIGNMENTS)?;
+        Ok(assignments.iter()?.count())
+    }
+}
+
+/// Checks the version of the format, or sets that of a new journal, and returns the last epoch.
+fn check_format(transaction: &WriteTransaction) -> Result<Epoch, JournalError> {
+    let mut numbers = transaction.open_table(NUMBERS)?;
+    let format = numbers
+        .get(FORMAT_KEY)?
+        .map_or(FORMAT, |format| format.value());
+    if format != FORMAT {
+        return Err(JournalError::UnknownFormat(format));
+    }
+    numbers.insert(FORMAT_KEY, FORMAT)?;
+    let last_epoch = numbers
+        .get(LAST_EPOCH_KEY)?
+        .map_or(0, |epoch| epoch.value());
+    Ok(last_epoch)
+}
+
+fn read_migrations(transaction: &WriteTransaction) -> Result<Vec<MigrationEntry>, JournalError> {
+    let table = transaction.open_table(MIGRATIONS)?;
+    let mut migrations = Vec::new();
+    for row in table.iter()? {
+        let (key, value) = row?;
+        let entry = serde_json::from_slice(value.value())
+            .map_err(|error| invalid_entry(MIGRATIONS_TABLE, key.value(), error))?;
+        migrations.push(entry);
     }
+    Ok(migrations)
+}
+
+fn read_assignments(transaction: &WriteTransaction) -> Result<Vec<AssignmentRecord>, JournalError> {
+    let table = transaction.open_table(ASSIGNMENTS)?;
+    let mut assignments = Vec::new();
+    for row in table.iter()? {
+        let (key, value) = row?;
+        let (cells, since, is_manual): (AssignedCells, Epoch, bool) =
+            serde_json::from_slice(value.value())
+                .map_err(|error| invalid_entry(ASSIGNMENTS_TABLE, key.value(), error))?;
+        assignments.push(AssignmentRecord {
+            tenant: Name::from(key.value()),
+            cells,
+            since,
+            is_manual,
+        });
+    }
+    Ok(assignments)
+}
 
-    /// How many tenants it keeps a home of.
-    pub fn homes(&self) -> Result<usize, JournalError> {
-        let read = self.db.begin_read().map_err(store)?;
-        let homes = read.open_table(HOMES).map_err(store)?;
-        Ok(homes.iter().map_err(store)?.count())
+fn invalid_entry(table: &'static str, key: &str, source: serde_json::Error) -> JournalError {
+    JournalError::InvalidEntry {
+        table,
+        key: key.to_string(),
+        source,
+    }
+}
+
+/// The tables of a write transaction.
+struct Tables<'a> {
+    migrations: Table<'a, &'static str, &'static [u8]>,
+    assignments: Table<'a, &'static str, &'static [u8]>,
+    numbers: Table<'a, &'static str, u64>,
+}
+
+impl Tables<'_> {
+    fn open(transaction: &WriteTransaction) -> Result<Tables<'_>, JournalError> {
+        Ok(Tables {
+            migrations: transaction.open_table(MIGRATIONS)?,
+            assignments: transaction.open_table(ASSIGNMENTS)?,
+            numbers: transaction.open_table(NUMBERS)?,
+        })
+    }
+
+    fn write(&mut self, record: &JournalRecord) -> Result<(), JournalError> {
+        match record {
+            JournalRecord::Migration { entry, last_epoch } => {
+                let bytes = serde_json::to_vec(entry)
+                    .map_err(|error| invalid_entry(MIGRATIONS_TABLE, &entry.tenant, error))?;
+                self.migrations.insert(&*entry.tenant, &bytes[..])?;
+                self.numbers.insert(LAST_EPOCH_KEY, *last_epoch)?;
+            }
+            JournalRecord::Assignment(record) => {
+                let value = (&record.cells, record.since, record.is_manual);
+                let bytes = serde_json::to_vec(&value)
+                    .map_err(|error| invalid_entry(ASSIGNMENTS_TABLE, &record.tenant, error))?;
+                self.assignments.insert(&*record.tenant, &bytes[..])?;
+            }
+            JournalRecord::Finished(tenant) => {
+                self.migrations.remove(&**tenant)?;
+            }
+        }
+        Ok(())
     }
 }
--- a/crates/migration-coordinator/src/lib.rs
+++ b/crates/migration-coordinator/src/lib.rs
@@ -1,8 +1,16 @@
-//! The coordinator of moves: [`Coordinator`] decides, without I/O, clock or threads; [`Journal`] keeps what it decided
-//! on disk, written before anything that follows from it is sent.
+//! The coordinator of tenant migrations. [`Coordinator`] decides, without I/O, clock or threads; [`Journal`] stores its
+//! decisions on disk before anything that follows from them is sent.
 
-mod decide;
+mod coordinator;
+mod effect;
+mod entry;
 mod journal;
+mod planning;
+mod timeouts;
 
-pub use decide::{Act, Coordinator, Kept, Patience, Record, Refused, Work};
-pub use journal::{Journal, JournalError};
+pub use coordinator::Coordinator;
+pub use effect::{AssignmentRecord, Effect, JournalRecord};
+pub use entry::MigrationEntry;
+pub use journal::{Journal, JournalError, RecoveredState};
+pub use planning::StartError;
+pub use timeouts::Timeouts;
--- a/crates/migration-coordinator/tests/golden.rs
+++ b/crates/migration-coordinator/tests/golden.rs
@@ -4,58 +4,60 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-use cells::map::Place;
-use cells::moves::{Known, Move, Step};
-use migration_coordinator::{Journal, Kept, Record, Work};
+use cells::migration::{KeyStatus, Migration, MigrationPhase};
+use cells::AssignedCells;
+use migration_coordinator::{
+    AssignmentRecord, Journal, JournalRecord, MigrationEntry, RecoveredState,
+};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 
-/// A file of this test's own that goes with the value.
-struct Scratch(PathBuf);
-impl Scratch {
-    fn new(name: &str) -> Scratch {
+/// A file that is removed with the value.
+struct ScratchFile(PathBuf);
+impl ScratchFile {
+    fn new(name: &str) -> ScratchFile {
         let path = std::env::temp_dir().join(format!("golden-{}-{name}", std::process::id()));
         let _ = std::fs::remove_file(&path);
-        Scratch(path)
+        ScratchFile(path)
     }
 }
-impl Drop for Scratch {
+impl Drop for ScratchFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-/// A move in hand at each step, with distinct values in all fields.
-fn works() -> Vec<Work> {
-    let steps = [
-        ("t-1-prepare", Step::Prepare),
-        ("t-2-freeze", Step::Freeze),
-        ("t-3-hand-over", Step::HandOver),
-        ("t-4-commit", Step::Commit),
-        ("t-5-release", Step::Release),
-        ("t-6-done", Step::Done),
-        ("t-7-abort", Step::Abort),
-        ("t-8-aborted", Step::Aborted),
+/// A migration at each phase, with distinct values in all fields.
+fn migrations() -> Vec<MigrationEntry> {
+    let phases = [
+        ("t-1-prepare", MigrationPhase::Prepare),
+        ("t-2-freeze", MigrationPhase::Freeze),
+        ("t-3-hand-over", MigrationPhase::HandOver),
+        ("t-4-commit", MigrationPhase::Commit),
+        ("t-5-release", MigrationPhase::Release),
+        ("t-6-done", MigrationPhase::Done),
+        ("t-7-abort", MigrationPhase::Abort),
+        ("t-8-aborted", MigrationPhase::Aborted),
     ];
-    let work = |(at, (tenant, step)): (u64, (&str, Step))| Work {
+    let entry = |(at, (tenant, phase)): (u64, (&str, MigrationPhase))| MigrationEntry {
         tenant: tenant.into(),
         to: match at % 2 {
-            0 => Place::One("c1".into()),
-            _ => Place::Split(["c2".into(), "c3".into()].into()),
+            0 => AssignedCells::One("c1".into()),
+            _ => AssignedCells::Split(["c2".into(), "c3".into()].into()),
         },
-        by_hand: at % 2 == 0,
-        adopts: at % 4 >= 2,
-        state: Move {
+        is_manual: at % 2 == 0,
+        is_adoption: at % 4 >= 2,
+        migration: Migration {
             id: 100 + at,
-            step,
+            phase,
             epoch: 200 + at,
-            from: BTreeSet::from([1, 2]),
-            to: BTreeSet::from([3, 4, 5]),
-            lives: BTreeMap::from([(1, 11), (2, 12), (3, 13)]),
-            answered: BTreeSet::from([2, 4]),
+            sources: BTreeSet::from([1, 2]),
+            targets: BTreeSet::from([3, 4, 5]),
+            incarnations: BTreeMap::from([(1, 11), (2, 12), (3, 13)]),
+            acknowledged: BTreeSet::from([2, 4]),
             fenced: BTreeSet::from([1]),
-            anew: BTreeSet::from([5]),
-            keys: BTreeMap::from([(u64::MAX, Known::MayHaveRun), (7, Known::Ran)]),
-            doubtful: at % 3 == 0,
+            restarted_targets: BTreeSet::from([5]),
+            keys: BTreeMap::from([(u64::MAX, KeyStatus::MayHaveRun), (7, KeyStatus::Ran)]),
+            may_lack_keys: at % 3 == 0,
         },
         nodes: BTreeMap::from([
             (1, "n-one".into()),
@@ -63,46 +65,61 @@
             (3, "n-three".into()),
         ]),
     };
-    (0..).zip(steps).map(work).collect()
+    (0..).zip(phases).map(entry).collect()
 }
 
-fn expected() -> Kept {
-    let homes = vec![
-        ("h-by-hand".into(), Place::One("c4".into()), 31, true),
-        ("h-by-map".into(), Place::One("c5".into()), 32, false),
-        (
-            "h-split".into(),
-            Place::Split(["c6".into(), "c7".into()].into()),
+fn assignment(tenant: &str, cells: AssignedCells, since: u64, is_manual: bool) -> AssignmentRecord {
+    AssignmentRecord {
+        tenant: tenant.into(),
+        cells,
+        since,
+        is_manual,
+    }
+}
+
+fn expected() -> RecoveredState {
+    let assignments = vec![
+        assignment("h-by-hand", AssignedCells::One("c4".into()), 31, true),
+        assignment("h-by-map", AssignedCells::One("c5".into()), 32, false),
+        assignment(
+            "h-split",
+            AssignedCells::Split(["c6".into(), "c7".into()].into()),
             33,
             false,
         ),
     ];
-    Kept {
-        works: works(),
-        homes,
-        epoch: 999,
+    RecoveredState {
+        migrations: migrations(),
+        assignments,
+        last_epoch: 999,
     }
 }
 
-/// Writes every kind of record; a move that is over leaves nothing.
+/// Writes every kind of record; a finished migration leaves nothing.
 fn write(path: &Path) {
-    let (journal, kept) = Journal::open(path).expect("a new journal");
-    assert_eq!(kept, Kept::default());
-    let mut records: Vec<Record> = works()
+    let (journal, recovered) = Journal::open(path).expect("a new journal");
+    assert_eq!(recovered, RecoveredState::default());
+    let mut records: Vec<JournalRecord> = migrations()
         .into_iter()
-        .map(|w| Record::Work(Box::new(w), 998))
+        .map(|entry| JournalRecord::Migration {
+            entry: Box::new(entry),
+            last_epoch: 998,
+        })
         .collect();
-    for (tenant, place, since, by_hand) in expected().homes {
-        records.push(Record::Home(tenant, place, since, by_hand));
+    for record in expected().assignments {
+        records.push(JournalRecord::Assignment(record));
     }
-    let over = Work {
+    let finished = MigrationEntry {
         tenant: "t-over".into(),
-        ..works().remove(0)
+        ..migrations().remove(0)
     };
-    records.push(Record::Work(Box::new(over), 999));
+    records.push(JournalRecord::Migration {
+        entry: Box::new(finished),
+        last_epoch: 999,
+    });
     journal.write(&records).expect("written");
     journal
-        .write(&[Record::Over("t-over".into())])
+        .write(&[JournalRecord::Finished("t-over".into())])
         .expect("written");
 }
 
@@ -142,23 +159,23 @@
 
 #[test]
 fn journal_of_an_earlier_program_opens_with_its_content() {
-    let scratch = Scratch::new("opens");
+    let scratch = ScratchFile::new("opens");
     std::fs::write(&scratch.0, include_bytes!("golden/journal.redb")).expect("copied");
-    let (journal, kept) = Journal::open(&scratch.0).expect("it opens");
-    assert_eq!(kept, expected());
-    assert_eq!(journal.homes().expect("homes"), 3);
+    let (journal, recovered) = Journal::open(&scratch.0).expect("it opens");
+    assert_eq!(recovered, expected());
+    assert_eq!(journal.assignment_count().expect("assignments"), 3);
 }
 
 #[test]
 fn journal_of_an_earlier_program_has_the_golden_rows() {
-    let scratch = Scratch::new("has");
+    let scratch = ScratchFile::new("has");
     std::fs::write(&scratch.0, include_bytes!("golden/journal.redb")).expect("copied");
     assert_eq!(rows(&scratch.0), include_str!("golden/rows.txt"));
 }
 
 #[test]
 fn journal_rows_are_stable() {
-    let scratch = Scratch::new("rows");
+    let scratch = ScratchFile::new("rows");
     write(&scratch.0);
     assert_eq!(rows(&scratch.0), include_str!("golden/rows.txt"));
 }
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -194,7 +194,7 @@
     }
 
     fn take_layout(&mut self, layout: &cells::Layout) -> Result<(), cells::LayoutError> {
-        let (map, moves) = self.map.next(layout)?;
+        let (map, moves) = self.map.apply_layout(layout)?;
         if !moves.is_empty() {
             warn!(self.log, "tenants stay where they live until they are moved"; "tenants" => moves.len());
         }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -199,11 +199,11 @@
         if request.deadline < now + self.rules.least_left {
             return (ticket, Route::Refuse(Refusal::TooLate));
         }
-        let Some(cell) = map.cell_of(&request.tenant, request.subject.as_deref()) else {
+        let Some(cell) = map.cell_for(&request.tenant, request.subject.as_deref()) else {
             return (ticket, Route::Refuse(Refusal::NoCell));
         };
         self.budgets.first_try(&request.tenant, &cell.name);
-        let shard = map.shard(cell, &request.tenant);
+        let shard = map.shard_nodes(cell, &request.tenant);
         let up = presence::candidates(shard, &there);
         let mut open = Open {
             request,
@@ -266,12 +266,12 @@
             return given_up(self);
         }
         // The tenant may have moved since: another cell never gets what this one may have in hand.
-        let cell = map.cell_of(&open.request.tenant, open.request.subject.as_deref());
+        let cell = map.cell_for(&open.request.tenant, open.request.subject.as_deref());
         let Some(cell) = cell.filter(|cell| cell.name == open.cell || end != End::Lost) else {
             return given_up(self);
         };
         open.cell = cell.name.clone();
-        let shard = map.shard(cell, &open.request.tenant);
+        let shard = map.shard_nodes(cell, &open.request.tenant);
         let shard = shard
             .into_iter()
             .filter(|n| !open.tried.contains(&n.name))
@@ -330,12 +330,12 @@
                 return self.next(map, there, now);
             };
             let late = open.request.deadline < now + self.rules.least_left;
-            let home = map.cell_of(&open.request.tenant, open.request.subject.as_deref());
+            let home = map.cell_for(&open.request.tenant, open.request.subject.as_deref());
             let route = match home {
                 _ if late => Route::Refuse(Refusal::TooLate),
                 None => Route::Refuse(Refusal::NoCell),
                 Some(home) => {
-                    let shard = map.shard(home, &open.request.tenant);
+                    let shard = map.shard_nodes(home, &open.request.tenant);
                     let up = presence::candidates(shard, &there);
                     match self.choose(&open, &up, now) {
                         Choice::Node(node) => {
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use cells::file::{CellSpec, NodeSpec, Placement, TenantSpec};
 use cells::map::CellMap;
 use cells::Layout;
+use cells::{CellSpec, NodeSpec, Placement, TenantSpec};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use routing::{
     After, Budget, Checks, End, Presence, Refusal, Request, Route, Router, Rules, Standing, Ticket,
@@ -40,7 +40,7 @@
             },
         );
     }
-    CellMap::default().next(&layout).expect("a map").0
+    CellMap::from_layout(&layout).expect("a map")
 }
 
 fn read(tenant: &str) -> Request {
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use cells_cli::Cells;
+use cells_cli::CellsCommand;
 use clap::{Parser, Subcommand};
 use crossbeam_channel::{after, bounded, never, select, Receiver, Sender};
 use fleet_cli::Fleet;
@@ -18,9 +18,9 @@
 use protocol_gateway::member::Member;
 use protocol_gateway::net::jsonrpc::Front;
 use protocol_gateway::net::{database, door, executor, membership, spawn, take_address, Address};
+use protocol_gateway::node::cell_guard::CellGuardError;
 use protocol_gateway::node::config::{Config, ConfigError};
-use protocol_gateway::node::confinement::CellsError;
-use protocol_gateway::node::{Board, Confinement, Fleet as Counting, Limits, Module, Msg, Peers};
+use protocol_gateway::node::{Board, CellGuard, Fleet as Counting, Limits, Module, Msg, Peers};
 use protocol_gateway::seat::{Parts, Standing};
 use router::{Config as Router, ConfigError as RouterError, RouterLoop};
 use routing::Rules;
@@ -52,7 +52,7 @@
 enum Command {
     /// Check, show and plan cells: which nodes serve which tenants.
     #[command(subcommand)]
-    Cells(Cells),
+    Cells(CellsCommand),
     /// Show what members of a fleet see of each other.
     #[command(subcommand)]
     Fleet(Fleet),
@@ -147,7 +147,7 @@
 enum StartError {
     Config(ConfigError),
     Inventory(InventoryError),
-    Cells(CellsError),
+    Cells(CellGuardError),
     Fleet(fleet::ConfigError),
     Router(RouterError),
     System(&'static str, io::Error),
@@ -190,7 +190,7 @@
     });
     let queues = queues.map_err(StartError::Inventory)?;
     let cells = cells
-        .map(|file| Confinement::read(file, &config.name))
+        .map(|file| CellGuard::read(file, &config.name))
         .transpose()
         .map_err(StartError::Cells)?;
     limits.front.connections = limits.front.connections.saturating_sub(queues.len());
@@ -494,7 +494,7 @@
 
 /// Where the peers are, and who must hear when they move.
 struct Moves {
-    cells: Option<Confinement>,
+    cells: Option<CellGuard>,
     executor: (SocketAddr, Sender<SocketAddr>),
     database: Arc<Address>,
     list: (SocketAddr, Sender<membership::Report>),
@@ -504,7 +504,7 @@
 impl Moves {
     /// Reads the configuration again and hands new addresses on. One that can't be used changes nothing.
     fn reload(&mut self, name: &str, listen: SocketAddr) {
-        match self.cells.as_ref().map(Confinement::reload) {
+        match self.cells.as_ref().map(CellGuard::reload) {
             Some(Ok(epoch)) => info!(self.log, "cells read again"; "epoch" => epoch),
             Some(Err(e)) => warn!(self.log, "the new cells are not used"; "error" => %e),
             None => {}
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,8 +1,8 @@
 //! The core of the node. It knows no wire: fronts hand it [`Arrival`]s, peers hand it [`Msg`]s, and it speaks to
 //! them through mailboxes.
 
+pub mod cell_guard;
 pub mod config;
-pub mod confinement;
 pub mod limits;
 mod module;
 mod request;
@@ -18,7 +18,7 @@
 use lifecycle::{Refused, State, Step, PARTS};
 use shared_state::Live;
 
-pub use confinement::Confinement;
+pub use cell_guard::CellGuard;
 pub use limits::Limits;
 pub use module::Module;
 use policy::{RequestId, Time};
--- a/src/node/module.rs
+++ b/src/node/module.rs
@@ -16,7 +16,7 @@
 use super::request::{Answer, Arrival, Failure, Outcome, Reply, Rid};
 use super::request_table::{End, Entry, RequestTable, Stage};
 use super::{
-    unix_now, Board, Call, CallResult, Confinement, Limits, Msg, Peers, RunExit, Seldom, ToExecutor,
+    unix_now, Board, Call, CallResult, CellGuard, Limits, Msg, Peers, RunExit, Seldom, ToExecutor,
 };
 use crate::wire::Site;
 use policy::Policy;
@@ -45,7 +45,7 @@
     peers: Peers,
     board: Arc<Board>,
     /// Where cells are in force: whose requests are this node's.
-    cells: Option<Confinement>,
+    cells: Option<CellGuard>,
     log: Logger,
     policy: Option<Policy>,
     requests: RequestTable,
@@ -89,7 +89,7 @@
         (site, seed, stop): (Arc<Site>, u64, Duration),
         limits: Limits,
         peers: Peers,
-        (board, cells): (Arc<Board>, Option<Confinement>),
+        (board, cells): (Arc<Board>, Option<CellGuard>),
         log: Logger,
     ) -> Module {
         // A try that lay unread for longer is refused as it is read.
@@ -461,7 +461,7 @@
         }
         let named = a.named.filter(|_| repeats.is_none());
         if let Some((cells, (tenant, subject))) = self.cells.as_ref().zip(named) {
-            if let Some(epoch) = cells.elsewhere(&tenant, subject.as_deref()) {
+            if let Some(epoch) = cells.wrong_cell_epoch(&tenant, subject.as_deref()) {
                 return give(reply, Outcome::Elsewhere { epoch });
             }
         }
