--- a/crates/cells-cli/src/lib.rs
+++ b/crates/cells-cli/src/lib.rs
@@ -6,8 +6,9 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use cells::{CellMap, FileError, Layout, LayoutError, PendingMigration};
+use cells::{CellMap, Layout, LayoutError, PendingMigration};
 use clap::{Args, Subcommand};
+use json5_errors::ConfigFileError;
 
 /// The commands. Their documentation and that of their arguments is the program's help text.
 #[derive(Debug, Subcommand)]
@@ -61,7 +62,7 @@
     },
     /// The file can't be used.
     #[error(transparent)]
-    File(#[from] FileError),
+    File(#[from] ConfigFileError),
     /// The changed file can't follow the one in force.
     #[error("{}: {source}", .path.display())]
     Layout {
--- a/crates/cells/src/layout_file.rs
+++ b/crates/cells/src/layout_file.rs
@@ -2,13 +2,12 @@
 //! line and the field.
 
 use std::collections::BTreeMap;
-use std::fmt;
 use std::net::SocketAddr;
 
+use json5_errors::{ConfigFileError, FieldPositions};
 use serde::Deserialize;
 
 use crate::layout::{CellSpec, Layout, LayoutError, NodeSpec, Placement, TenantSpec};
-use crate::positions::FieldPositions;
 use crate::{CellMap, Name};
 
 /// The version of the file format.
@@ -18,33 +17,6 @@
 /// The largest weight of a node.
 const MAX_WEIGHT: f64 = 1000.0;
 
-/// Why a file can't be used: one line with the position.
-#[derive(Clone, Debug, PartialEq)]
-pub struct FileError {
-    /// The file, as it was named.
-    pub file: String,
-    /// The line, from 1; none where the error concerns the whole file.
-    pub line: Option<usize>,
-    /// The path of the field, with dots between its names; empty where the error concerns none.
-    pub field: String,
-    /// What is wrong.
-    pub what: String,
-}
-
-impl fmt::Display for FileError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}", self.file)?;
-        if let Some(line) = self.line {
-            write!(f, ":{line}")?;
-        }
-        if !self.field.is_empty() {
-            write!(f, ": {}", self.field)?;
-        }
-        write!(f, ": {}", self.what)
-    }
-}
-impl std::error::Error for FileError {}
-
 // `expecting` keeps the wording of type errors, which operators know.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct File")]
@@ -98,7 +70,7 @@
 
 impl Layout {
     /// Reads the text of a file; errors name the file as `file`.
-    pub fn parse(file: &str, text: &str) -> Result<Layout, FileError> {
+    pub fn parse(file: &str, text: &str) -> Result<Layout, ConfigFileError> {
         let source = Source {
             file,
             positions: FieldPositions::scan(text),
@@ -119,42 +91,33 @@
 }
 
 impl Source<'_> {
-    fn error(&self, path: &[&str], what: impl Into<String>) -> FileError {
-        FileError {
+    fn error(&self, path: &[&str], message: impl Into<String>) -> ConfigFileError {
+        ConfigFileError {
             file: self.file.to_string(),
-            line: self.positions.line_of(path),
+            line: self.positions.line(path),
             field: path.join("."),
-            what: what.into(),
+            message: message.into(),
         }
     }
 
-    fn deserialize(&self, text: &str) -> Result<RawLayout, FileError> {
+    fn deserialize(&self, text: &str) -> Result<RawLayout, ConfigFileError> {
         json5::from_str(text).map_err(|error| {
-            let line = error.position().map(|position| position.line + 1);
-            let message = error.to_string();
-            // The position is a part of the message; here it stands before it.
-            let what = message.split(" at line ").next().unwrap_or(&message);
-            FileError {
-                file: self.file.to_string(),
-                line,
-                field: line.map_or(String::new(), |line| self.positions.field_before(line)),
-                what: what.to_string(),
-            }
+            ConfigFileError::from_json5_with_field(self.file, &error, &self.positions)
         })
     }
 
-    fn check(&self, raw: &RawLayout) -> Result<(), FileError> {
+    fn check(&self, raw: &RawLayout) -> Result<(), ConfigFileError> {
         if let Some(duplicate) = self.positions.duplicate() {
-            return Err(FileError {
+            return Err(ConfigFileError {
                 file: self.file.to_string(),
                 line: Some(duplicate.line),
                 field: duplicate.field.clone(),
-                what: "stands here a second time".into(),
+                message: "stands here a second time".into(),
             });
         }
         if raw.version != VERSION {
-            let what = format!("{} is not known here: {VERSION} is", raw.version);
-            return Err(self.error(&["version"], what));
+            let message = format!("{} is not known here: {VERSION} is", raw.version);
+            return Err(self.error(&["version"], message));
         }
         if !(0.0..=MAX_SLACK).contains(&raw.slack) {
             return Err(self.error(&["slack"], format!("is not from 0 to {MAX_SLACK}")));
@@ -169,14 +132,14 @@
         raw: &RawLayout,
         path: &[&str],
         cell: &Name,
-    ) -> Result<(), FileError> {
+    ) -> Result<(), ConfigFileError> {
         if raw.cells.contains_key(cell) {
             return Ok(());
         }
         Err(self.error(path, format!("there is no cell {cell}")))
     }
 
-    fn check_cells(&self, raw: &RawLayout) -> Result<(), FileError> {
+    fn check_cells(&self, raw: &RawLayout) -> Result<(), ConfigFileError> {
         for (name, cell) in &raw.cells {
             let path = ["cells", name, "neighbours"];
             for neighbour in &cell.neighbours {
@@ -189,12 +152,12 @@
         Ok(())
     }
 
-    fn check_nodes(&self, raw: &RawLayout) -> Result<(), FileError> {
+    fn check_nodes(&self, raw: &RawLayout) -> Result<(), ConfigFileError> {
         let mut addresses = BTreeMap::new();
         for (name, node) in &raw.nodes {
             if !(node.weight > 0.0 && node.weight <= MAX_WEIGHT) {
-                let what = format!("is not above 0 and at most {MAX_WEIGHT}");
-                return Err(self.error(&["nodes", name, "weight"], what));
+                let message = format!("is not above 0 and at most {MAX_WEIGHT}");
+                return Err(self.error(&["nodes", name, "weight"], message));
             }
             if node.site.is_empty() {
                 return Err(self.error(&["nodes", name, "site"], "is empty"));
@@ -206,14 +169,14 @@
                 .address
                 .and_then(|address| addresses.insert(address, name));
             if let Some(other) = other {
-                let what = format!("is that of {other} too");
-                return Err(self.error(&["nodes", name, "address"], what));
+                let message = format!("is that of {other} too");
+                return Err(self.error(&["nodes", name, "address"], message));
             }
         }
         Ok(())
     }
 
-    fn check_tenants(&self, raw: &RawLayout) -> Result<(), FileError> {
+    fn check_tenants(&self, raw: &RawLayout) -> Result<(), ConfigFileError> {
         for (name, tenant) in &raw.tenants {
             if !(tenant.share > 0.0 && tenant.share.is_finite()) {
                 return Err(self.error(&["tenants", name, "share"], "is not above 0"));
@@ -227,27 +190,27 @@
             }
             let cells = raw.cells.len();
             if tenant.split.is_some_and(|split| split < 2 || split > cells) {
-                let what = format!("is not from 2 to {cells}, the cells there are");
-                return Err(self.error(&split_path, what));
+                let message = format!("is not from 2 to {cells}, the cells there are");
+                return Err(self.error(&split_path, message));
             }
         }
         Ok(())
     }
 
     /// A fault of the whole layout, at the cell or tenant that it concerns.
-    fn layout_error(&self, error: &LayoutError) -> FileError {
-        let what = error.to_string();
+    fn layout_error(&self, error: &LayoutError) -> ConfigFileError {
+        let message = error.to_string();
         match error {
-            LayoutError::NoCells => self.error(&["cells"], what),
+            LayoutError::NoCells => self.error(&["cells"], message),
             LayoutError::NoNodes(cell) | LayoutError::OneSite { cell, .. } => {
-                self.error(&["cells", cell], what)
+                self.error(&["cells", cell], message)
             }
             LayoutError::UnknownCell {
                 referrer: tenant, ..
             }
             | LayoutError::TooManyShards { tenant, .. }
             | LayoutError::NoCapacity(tenant)
-            | LayoutError::CellInUse { tenant, .. } => self.error(&["tenants", tenant], what),
+            | LayoutError::CellInUse { tenant, .. } => self.error(&["tenants", tenant], message),
         }
     }
 }
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -9,14 +9,13 @@
 mod layout_file;
 pub mod map;
 pub mod migration;
-mod positions;
 pub mod spillover;
 
 use std::sync::Arc;
 
 pub use health::CellHealth;
+pub use json5_errors::ConfigFileError as FileError; // ALIAS until users follow
 pub use layout::{CellSpec, Layout, LayoutError, NodeSpec, Placement, TenantSpec};
-pub use layout_file::FileError;
 pub use map::{AssignedCells, Assignment, Cell, CellMap, Node, PendingMigration, PublishedMap};
 pub use migration::{Fence, Migration, MigrationPhase};
 
--- a/src/node/cell_guard.rs
+++ b/src/node/cell_guard.rs
@@ -4,7 +4,8 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use cells::{CellMap, FileError, Layout, LayoutError, Name, PublishedMap};
+use cells::{CellMap, Layout, LayoutError, Name, PublishedMap};
+use json5_errors::ConfigFileError;
 
 /// Why a file of cells can't be put in force.
 #[derive(Debug, thiserror::Error)]
@@ -19,7 +20,7 @@
     },
     /// The file can't be used.
     #[error(transparent)]
-    File(#[from] FileError),
+    File(#[from] ConfigFileError),
     /// The file can't follow the one in force.
     #[error("{}: {source}", .path.display())]
     Layout {
