--- /dev/null
+++ b/crates/client-listener/src/accepting.rs
@@ -0,0 +1,132 @@
+//! Accepting connections, and making room for them.
+
+use std::io::{self, ErrorKind};
+use std::sync::atomic::Ordering::SeqCst;
+use std::time::Instant;
+
+use connections::{ConnectionId, ConnectionState, Eviction};
+use mio::net::{TcpListener, TcpStream};
+use mio::Interest;
+use slog::warn;
+
+use crate::connection::ClientConnection;
+use crate::listener::LISTENER;
+use crate::{ClientHandler, ClientListener};
+
+impl<H: ClientHandler> ClientListener<H> {
+    /// Accepts connections of this socket from now on.
+    ///
+    /// # Errors
+    /// An error of the system's poll.
+    pub fn listen(&mut self, mut socket: TcpListener, now: Instant) -> io::Result<()> {
+        self.poll
+            .registry()
+            .register(&mut socket, LISTENER, Interest::READABLE)?;
+        self.socket = Some(socket);
+        // Some may wait already, and the poll reports changes only.
+        self.acceptable_at = Some(now);
+        Ok(())
+    }
+
+    /// Accepts those that wait at the socket and closes it. The system has completed their handshakes, and closing the
+    /// socket over them would reset them; it follows directly on the last accept, so that hardly any connection arrives
+    /// between.
+    pub fn stop_listening(&mut self, handler: &mut H, now: Instant) {
+        self.acceptable_at = Some(now);
+        // Bounded, as clients that connect faster than they are accepted must not hold the loop.
+        for _ in 0..self.settings.final_accept_rounds {
+            if self.acceptable_at.is_none_or(|at| at > now) {
+                break;
+            }
+            self.accept(handler, now);
+        }
+        self.close_socket();
+    }
+
+    /// Stops listening at once.
+    pub fn close_socket(&mut self) {
+        self.socket = None;
+        self.counters.is_listening.store(false, SeqCst);
+    }
+
+    pub(crate) fn accept(&mut self, handler: &mut H, now: Instant) {
+        for _ in 0..self.settings.accepts_per_step {
+            let may_accept = self.acceptable_at.is_some_and(|at| at <= now);
+            let Some(socket) = self.socket.as_ref().filter(|_| may_accept) else {
+                return;
+            };
+            match socket.accept() {
+                Ok((stream, _)) => {
+                    if let Err(e) = self.add_connection(handler, stream, now) {
+                        handler.connection_rejected(&e);
+                    }
+                }
+                Err(e) if e.kind() == ErrorKind::WouldBlock => self.acceptable_at = None,
+                Err(e) if is_transient(&e) => {}
+                Err(e) => {
+                    // Out of descriptors, for example: give them time to come back.
+                    warn!(self.log, "accept"; "error" => %e);
+                    self.acceptable_at = self.settings.accept_retry_pause.map(|pause| now + pause);
+                }
+            }
+        }
+    }
+
+    fn add_connection(
+        &mut self,
+        handler: &mut H,
+        mut stream: TcpStream,
+        now: Instant,
+    ) -> io::Result<()> {
+        self.update_max_connections();
+        self.make_room(handler, now);
+        if self.connections.len() >= self.limits.max_connections {
+            return Err(io::Error::other("too many connections"));
+        }
+        stream.set_nodelay(true)?;
+        let token = self.register(&mut stream)?;
+        let id = ConnectionId(token.0);
+        let state = ConnectionState::new(&self.limits, now);
+        self.connections
+            .insert(id, ClientConnection::new(stream, state));
+        self.counters
+            .connections
+            .store(self.connections.len(), SeqCst);
+        self.flush_and_update(id, now);
+        Ok(())
+    }
+
+    /// Follows the number of connections that is allowed now. Connections past a lowered limit are evicted as their slots
+    /// are needed.
+    fn update_max_connections(&mut self) {
+        let max_connections = self.live_limits.max_connections();
+        if max_connections != self.limits.max_connections {
+            self.limits.set_max_connections(max_connections);
+        }
+    }
+
+    fn make_room(&mut self, handler: &mut H, now: Instant) {
+        let evictions =
+            self.idle_connections
+                .choose_evictions(self.connections.len(), &self.limits, now);
+        for eviction in evictions {
+            match eviction {
+                Eviction::Close(id) => {
+                    if let Some(connection) = self.connections.get_mut(&id) {
+                        connection.state.skip_linger(&self.limits, now);
+                    }
+                    self.begin_close(handler, id, now);
+                }
+                Eviction::SayGoodbye(id) => self.send_goodbye(id, now),
+            }
+        }
+    }
+}
+
+/// Whether accepting can go on after this error.
+fn is_transient(error: &io::Error) -> bool {
+    matches!(
+        error.kind(),
+        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+    )
+}
--- /dev/null
+++ b/src/net/jsonrpc/answer.rs
@@ -0,0 +1,152 @@
+//! The lines that clients get: answers, health answers, errors and the goodbye.
+
+use serde::Serialize;
+use serde_json::json;
+
+use crate::node::{Answer, Outcome};
+
+/// The error code of a rejected request: it never ran here.
+const REJECTED: i32 = -32002;
+/// The error code of a failed request: it may have run.
+const FAILED: i32 = -32000;
+/// The error code of a line that is not JSON.
+pub(super) const PARSE_ERROR: i32 = -32700;
+/// The error code of a line that is not a request of this protocol.
+pub(super) const INVALID_REQUEST: i32 = -32600;
+/// The error code of a request with an unknown method.
+pub(super) const METHOD_NOT_FOUND: i32 = -32601;
+/// The error code of a request with invalid parameters.
+pub(super) const INVALID_PARAMS: i32 = -32602;
+
+/// The notification after which a connection gets no new requests.
+pub(super) const GOODBYE_LINE: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n";
+
+#[derive(Serialize)]
+struct ResponseLine<'a> {
+    jsonrpc: &'static str,
+    id: u64,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    result: Option<ResponseResult<'a>>,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    error: Option<ResponseError>,
+}
+
+#[derive(Serialize, Default)]
+struct ResponseResult<'a> {
+    #[serde(skip_serializing_if = "Option::is_none")]
+    body: Option<&'a str>,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    ready: Option<bool>,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    hint: Option<f64>,
+}
+
+#[derive(Serialize)]
+struct ResponseError {
+    code: i32,
+    message: &'static str,
+    data: ErrorData,
+}
+
+#[derive(Serialize, Default)]
+struct ErrorData {
+    #[serde(skip_serializing_if = "Option::is_none", rename = "backoff")]
+    retry_after_ms: Option<u64>,
+    #[serde(skip_serializing_if = "Option::is_none", rename = "final")]
+    final_flag: Option<u8>,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    hint: Option<f64>,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    epoch: Option<u64>,
+}
+
+fn response_line(
+    id: u64,
+    result: Option<ResponseResult<'_>>,
+    error: Option<ResponseError>,
+) -> String {
+    let line = ResponseLine {
+        jsonrpc: "2.0",
+        id,
+        result,
+        error,
+    };
+    // Numbers and strings alone: this can't fail.
+    let mut text = serde_json::to_string(&line).unwrap_or_default();
+    text.push('\n');
+    text
+}
+
+fn result_line(id: u64, result: ResponseResult<'_>) -> String {
+    response_line(id, Some(result), None)
+}
+
+fn error_line(id: u64, code: i32, message: &'static str, data: ErrorData) -> String {
+    let error = ResponseError {
+        code,
+        message,
+        data,
+    };
+    response_line(id, None, Some(error))
+}
+
+/// The answer to a request.
+pub(super) fn answer_line(id: u64, answer: &Answer) -> String {
+    let hint = answer.hint;
+    match &answer.outcome {
+        Outcome::Served(body) => {
+            let result = ResponseResult {
+                body: Some(body.as_base64()),
+                hint,
+                ..ResponseResult::default()
+            };
+            result_line(id, result)
+        }
+        Outcome::Refused { stay_away, give_up } => {
+            let data = ErrorData {
+                retry_after_ms: Some(stay_away.ms().ceil() as u64).filter(|ms| *ms > 0),
+                final_flag: give_up.then_some(1),
+                hint,
+                epoch: None,
+            };
+            error_line(id, REJECTED, "refused: never ran here", data)
+        }
+        Outcome::Elsewhere { epoch } => {
+            let data = ErrorData {
+                hint,
+                epoch: Some(*epoch),
+                ..ErrorData::default()
+            };
+            error_line(id, REJECTED, "refused: its tenant is in another cell", data)
+        }
+        Outcome::Failed(reason) => {
+            let data = ErrorData {
+                hint,
+                ..ErrorData::default()
+            };
+            error_line(id, FAILED, reason.word(), data)
+        }
+    }
+}
+
+/// The answer to a health check.
+pub(super) fn health_line(id: u64, is_ready: bool, hint: Option<f64>) -> String {
+    let result = ResponseResult {
+        ready: Some(is_ready),
+        hint,
+        ..ResponseResult::default()
+    };
+    result_line(id, result)
+}
+
+/// The rejection of a request on a connection that has too many open.
+pub(super) fn too_many_requests_line(id: u64) -> String {
+    let message = "refused: too many requests are open on this connection";
+    error_line(id, REJECTED, message, ErrorData::default())
+}
+
+/// The last line on a connection whose peer breaks the protocol. It answers no request unless it has the id of one.
+pub(super) fn violation_line(id: Option<u64>, code: i32, message: &str) -> String {
+    let error = json!({"code": code, "message": message});
+    json!({"jsonrpc": "2.0", "id": id, "error": error}).to_string() + "\n"
+}
--- /dev/null
+++ b/src/net/jsonrpc/handler.rs
@@ -0,0 +1,151 @@
+//! What the JSON-RPC server does with the messages of its clients: requests go to the policy, answers come back through
+//! the mailbox.
+
+use std::collections::HashMap;
+use std::io;
+use std::sync::Arc;
+use std::time::Instant;
+
+use client_listener::{ClientHandler, ClientListener, ClientMessage, RequestHandle};
+use crossbeam_channel::Receiver;
+use mio::net::TcpStream;
+use slog::{info, warn, Logger};
+
+use super::answer::{
+    answer_line, health_line, too_many_requests_line, violation_line, INVALID_REQUEST,
+};
+use super::mailbox::{Mailbox, ServerCommand};
+use super::message::{parse_line, ClassifiedRequest};
+use super::server_loop::NodeContext;
+use crate::node::{Arrival, Msg, Reply, Rid, Seldom};
+
+/// The protocol of the JSON-RPC server.
+pub(super) struct RequestHandler {
+    pub(super) context: NodeContext,
+    pub(super) mailbox: Arc<Mailbox>,
+    pub(super) commands: Receiver<ServerCommand>,
+    pub(super) log: Logger,
+    /// Log lines that any peer can cause.
+    pub(super) rate_limited_log: Seldom,
+}
+
+/// Open requests of a connection by their ids, at sites whose clients say when they no longer wait.
+type OpenRequests = HashMap<u64, Rid>;
+
+impl ClientHandler for RequestHandler {
+    type ConnectionData = OpenRequests;
+    type Request = ClassifiedRequest;
+
+    fn parse_line(&self, line: &[u8]) -> ClientMessage<ClassifiedRequest> {
+        parse_line(line, &self.context.site)
+    }
+
+    fn health_answer(&self, id: u64, _now: Instant) -> String {
+        let board = &self.context.board;
+        health_line(id, board.ready(), board.hint())
+    }
+
+    fn line_too_long_answer(&self) -> String {
+        violation_line(None, INVALID_REQUEST, "a line is too long")
+    }
+
+    fn duplicate_id_answer(&self) -> String {
+        violation_line(None, INVALID_REQUEST, "a request with this id is open")
+    }
+
+    fn too_many_requests_answer(&self, id: u64) -> String {
+        too_many_requests_line(id)
+    }
+
+    fn handle_request(
+        &mut self,
+        clients: &mut ClientListener<Self>,
+        handle: RequestHandle,
+        request: ClassifiedRequest,
+        _now: Instant,
+    ) {
+        let mailbox = self.mailbox.clone();
+        let reply = Reply::new(move |answer| mailbox.send(ServerCommand::Answer(handle, answer)));
+        let site = &self.context.site;
+        let arrival: Arrival = request.params.into_arrival(request.class, site, reply);
+        if site.tells_gone {
+            if let Some(open_requests) = clients.connection_data(handle.connection) {
+                open_requests.insert(handle.id, arrival.rid);
+            }
+        }
+        // Without the policy's thread the node has ended.
+        let _ = self.context.module.send(Msg::Arrived(Box::new(arrival)));
+    }
+
+    fn cancel_request(
+        &mut self,
+        clients: &mut ClientListener<Self>,
+        handle: RequestHandle,
+        now: Instant,
+    ) {
+        // A request that is answered or was never here needs no cancelling.
+        let Some(uid) = forget_request(clients, handle) else {
+            return;
+        };
+        clients.abandon_request(handle, now);
+        let _ = self.context.module.send(Msg::CallerLeft(uid));
+    }
+
+    fn before_turns(&mut self, clients: &mut ClientListener<Self>, now: Instant) {
+        let mailbox = self.mailbox.clone();
+        let commands = self.commands.clone();
+        let mut answered = Vec::new();
+        for command in mailbox.drain(&commands) {
+            match command {
+                ServerCommand::Answer(handle, answer) => {
+                    forget_request(clients, handle);
+                    if clients.close_request(handle, now) {
+                        let line = answer_line(handle.id, &answer);
+                        clients.enqueue_line(handle.connection, &line, now);
+                        answered.push(handle.connection);
+                    }
+                }
+                ServerCommand::SayGoodbye => clients.send_goodbye_to_all(now),
+                ServerCommand::Listen(socket) => {
+                    if let Err(e) = listen_on(clients, socket, now) {
+                        // Nothing that a peer does leads here.
+                        warn!(self.log, "listen"; "error" => %e);
+                    }
+                }
+                ServerCommand::StopListening => clients.stop_listening(self, now),
+            }
+        }
+        clients.flush_answers(&answered, now);
+    }
+
+    fn connection_rejected(&self, error: &io::Error) {
+        self.rate_limited_log
+            .log(|more| warn!(self.log, "connection"; "error" => %error, "more" => more));
+    }
+
+    fn protocol_violated(&self, peer: &TcpStream, answer: &str) {
+        self.rate_limited_log.log(|more| {
+            let peer = peer.peer_addr().map(|a| a.to_string()).unwrap_or_default();
+            info!(self.log, "protocol broken"; "peer" => peer, "answer" => answer.trim_end(), "more" => more);
+        });
+    }
+}
+
+fn forget_request(
+    clients: &mut ClientListener<RequestHandler>,
+    handle: RequestHandle,
+) -> Option<Rid> {
+    clients
+        .connection_data(handle.connection)?
+        .remove(&handle.id)
+}
+
+/// Accepts connections of this socket from now on.
+pub(super) fn listen_on(
+    clients: &mut ClientListener<RequestHandler>,
+    socket: std::net::TcpListener,
+    now: Instant,
+) -> io::Result<()> {
+    socket.set_nonblocking(true)?;
+    clients.listen(mio::net::TcpListener::from_std(socket), now)
+}
--- a/src/net/jsonrpc/mod.rs
+++ b/src/net/jsonrpc/mod.rs
@@ -1,125 +1,118 @@
-//! The platform's front: JSON-RPC 2.0, one message a line. One thread accepts, reads, frames, answers and keeps the
-//! timers of all connections, see `events`; a connection's states, and who goes when slots run short, are decided in the
-//! crate `connections`. Two threads a connection, as the house style has it, cost a starved node all its
-//! time in task switches: `docs/front.md` has the figures.
+//! The JSON-RPC 2.0 server, one message per line. One thread accepts, reads, frames and answers, and keeps the timers of
+//! all connections: the loop is the crate `client_listener`, and the states of a connection and the evictions are decided
+//! in the crate `connections`. `docs/front.md` has the figures for one thread against two for each connection.
 //!
-//! Slots are for those that use them. A connection on which nothing sensible comes is closed soon, one that breaks the
-//! protocol at once, and when slots run short the one goes that has been silent or unused the longest. None goes
-//! while a request of a peer that keeps the protocol is open on it.
+//! Slots are for connections that use them. A connection on which nothing valid arrives is closed soon, one that breaks
+//! the protocol at once, and when slots run short the one goes that has been silent or idle the longest. None goes while a
+//! request of a peer that keeps to the protocol is open on it.
 
-mod events;
+mod answer;
+mod handler;
+mod mailbox;
 mod message;
+mod request;
+mod server_loop;
 
 use std::io;
 use std::net::TcpListener;
-use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
+use std::sync::atomic::Ordering::SeqCst;
 use std::sync::Arc;
 
-use crossbeam_channel::{Receiver, Sender};
-use mio::Waker;
+use client_listener::ListenerCounters;
+use crossbeam_channel::Sender;
 use slog::Logger;
 
 use super::spawn;
-use crate::node::{Answer, Board, Limits, Msg};
+use crate::node::{Board, Limits, Msg};
 use crate::wire::Site;
-pub use events::{Core, Events};
+use mailbox::{Mailbox, ServerCommand};
+pub use server_loop::{NodeContext, ServerLoop};
+pub use JsonRpcServer as Front; // ALIAS until users follow
 
-/// What the front's thread is told.
-enum Out {
-    /// The answer to the request of this id on the connection of this number.
-    Answer(usize, u64, Answer),
-    /// Say farewell on each connection.
-    Farewell,
-    /// Listen here.
-    Open(TcpListener),
-    /// Take what waits to be accepted, and stop listening.
-    Close,
-}
-
-/// The mailbox of the front's thread. No sender ever waits: each request is answered once, so it holds no more than
-/// there are requests open.
-struct Mailbox {
-    sender: Sender<Out>,
-    waker: Waker,
-    /// The thread has been woken and has not looked since.
-    woken: AtomicBool,
-}
-
-impl Mailbox {
-    fn tell(&self, out: Out) {
-        // Without a thread there is nobody left to answer, and the node leaves.
-        if self.sender.send(out).is_ok() && !self.woken.swap(true, SeqCst) {
-            let _ = self.waker.wake();
-        }
-    }
-    /// What it holds, for the thread: whoever tells it more from now on wakes it again.
-    fn empty<'a>(&self, inbox: &'a Receiver<Out>) -> impl Iterator<Item = Out> + 'a {
-        self.woken.store(false, SeqCst);
-        inbox.try_iter()
-    }
-}
-
-/// What the others may know of the front's thread.
-#[derive(Default)]
-struct Counts {
-    /// Requests read whose answer is not written.
-    open: AtomicUsize,
-    /// Connections on which something waits to be written.
-    unsent: AtomicUsize,
-    connections: AtomicUsize,
-    /// It accepts, or is about to.
-    listening: AtomicBool,
-}
-
-/// The front, as the node's main thread knows it.
-pub struct Front {
+/// The JSON-RPC server, as the node's main thread controls it.
+pub struct JsonRpcServer {
     mailbox: Arc<Mailbox>,
-    counts: Arc<Counts>,
+    counters: Arc<ListenerCounters>,
 }
 
-impl Front {
-    /// Starts the front's thread; it takes nobody in before [`Front::listen`].
+impl JsonRpcServer {
+    /// Starts the server's thread, which accepts nobody before [`JsonRpcServer::listen`].
+    ///
+    /// # Errors
+    /// An error of the system: no poll or no thread.
     pub fn start(
         site: Arc<Site>,
         limits: &Limits,
         board: &Arc<Board>,
         module: &Sender<Msg>,
         log: &Logger,
-    ) -> io::Result<Front> {
-        let core = Core {
+    ) -> io::Result<JsonRpcServer> {
+        let context = NodeContext {
             site,
             board: board.clone(),
             module: module.clone(),
         };
-        let events = Events::new(core, limits, log)?;
-        let (mailbox, counts) = (events.mailbox(), events.counts());
-        spawn("front", limits.stack, move || events.run())?;
-        Ok(Front { mailbox, counts })
+        let server_loop = ServerLoop::new(context, limits, log)?;
+        let server = JsonRpcServer {
+            mailbox: server_loop.mailbox(),
+            counters: server_loop.counters(),
+        };
+        spawn("front", limits.stack, move || server_loop.run())?;
+        Ok(server)
     }
 
-    /// Accepts connections here.
-    pub fn listen(&self, listener: TcpListener) {
-        self.counts.listening.store(true, SeqCst);
-        self.mailbox.tell(Out::Open(listener));
+    /// Accepts connections of this socket.
+    pub fn listen(&self, socket: TcpListener) {
+        self.counters.is_listening.store(true, SeqCst);
+        self.mailbox.send(ServerCommand::Listen(socket));
     }
-    /// Requests read and not yet answered on the wire, and connections with something left to write.
-    pub fn open(&self) -> usize {
-        self.counts.open.load(SeqCst) + self.counts.unsent.load(SeqCst)
+
+    /// Requests whose answer is not written, and connections with something left to write.
+    pub fn unfinished_count(&self) -> usize {
+        self.counters.open_requests.load(SeqCst) + self.counters.unsent_connections.load(SeqCst)
     }
+
     /// Whether some may still wait to be accepted.
-    pub fn listening(&self) -> bool {
-        self.counts.listening.load(SeqCst)
+    pub fn is_listening(&self) -> bool {
+        self.counters.is_listening.load(SeqCst)
     }
+
     /// Open connections.
+    pub fn connection_count(&self) -> usize {
+        self.counters.connections.load(SeqCst)
+    }
+
+    /// Sends all clients a goodbye.
+    pub fn say_goodbye(&self) {
+        self.mailbox.send(ServerCommand::SayGoodbye);
+    }
+
+    /// Accepts those that wait to be accepted, and stops listening.
+    pub fn stop_listening(&self) {
+        self.mailbox.send(ServerCommand::StopListening);
+    }
+}
+
+/// ALIAS: earlier names, until `src/main.rs` follows.
+impl JsonRpcServer {
+    #[doc(hidden)]
+    pub fn open(&self) -> usize {
+        self.unfinished_count()
+    }
+    #[doc(hidden)]
+    pub fn listening(&self) -> bool {
+        self.is_listening()
+    }
+    #[doc(hidden)]
     pub fn connections(&self) -> usize {
-        self.counts.connections.load(SeqCst)
+        self.connection_count()
     }
-    /// Says farewell on each connection.
+    #[doc(hidden)]
     pub fn farewell(&self) {
-        self.mailbox.tell(Out::Farewell);
+        self.say_goodbye();
     }
-    /// Takes in those that wait to be accepted, and stops listening.
+    #[doc(hidden)]
     pub fn close(&self) {
-        self.mailbox.tell(Out::Close);
+        self.stop_listening();
     }
 }
--- /dev/null
+++ b/src/net/jsonrpc/request.rs
@@ -0,0 +1,151 @@
+//! The fields of a request: their ranges, and the request that the policy gets.
+
+use base64::engine::general_purpose::STANDARD;
+use base64::Engine as _;
+use serde::Deserialize;
+
+use crate::node::{Arrival, Body, Reply, Rid};
+use crate::wire::Site;
+use crate::{CallerId, ClassId, Effect, Span, Time};
+
+/// Bytes of a body at most.
+const MAX_BODY_BYTES: usize = 2048;
+/// Hex digits of an idempotency key.
+const KEY_DIGITS: usize = 32;
+/// The longest wait that a caller may ask for, in milliseconds: the deadline of no class is later.
+const MAX_BUDGET_MS: f64 = 3.6e6;
+/// Unix milliseconds up to which a floating-point number holds each exactly.
+const MAX_TIMESTAMP_MS: f64 = 9e15;
+/// Memory in kB below which the size of a request has to be.
+const MAX_MEMORY_KB: f64 = 2000.0;
+
+/// The parameters of a request as they stand in its line. The name of the struct and the number of its fields are part of
+/// error texts that clients get.
+#[derive(Deserialize)]
+pub(super) struct Params {
+    #[serde(rename = "rid")]
+    request_uid: String,
+    #[serde(rename = "t0")]
+    arrived_at_ms: f64,
+    #[serde(rename = "peer")]
+    caller: u64,
+    #[serde(rename = "acct")]
+    tenant: Option<String>,
+    #[serde(rename = "budget")]
+    budget_ms: Option<f64>,
+    #[serde(rename = "token")]
+    idempotency_key: Option<String>,
+    #[serde(rename = "again")]
+    retry_flag: Option<u8>,
+    #[serde(rename = "mem")]
+    memory_kb: f64,
+    #[serde(rename = "prio")]
+    priority: f64,
+    #[serde(rename = "obj")]
+    object: Option<String>,
+    body: String,
+}
+
+impl Params {
+    /// The request for the policy. The parameters were checked with [`Params::check`].
+    pub(super) fn into_arrival(self, class: ClassId, site: &Site, reply: Reply) -> Arrival {
+        let tenant_name = self.tenant.filter(|name| !name.is_empty());
+        let budget = self.budget_ms.filter(|_| site.passes_deadline);
+        Arrival {
+            rid: Rid::parse(&self.request_uid).unwrap_or(Rid::from_number(0)),
+            class,
+            tenant: tenant_name.as_deref().map(|name| site.tenant(name)),
+            named: tenant_name.map(|name| (name.into(), self.object.map(Into::into))),
+            at: Time((self.arrived_at_ms * 1e3) as i64),
+            wait: budget.map(Span::from_ms),
+            caller: CallerId(self.caller),
+            resent: self.retry_flag == Some(1),
+            held_kb: self.memory_kb,
+            body: Body::from_base64(self.body),
+            key: self.idempotency_key.map(Into::into),
+            may_have_run: false,
+            unwanted: false,
+            reply,
+        }
+    }
+
+    /// Checks that every field is what the protocol allows at this site.
+    ///
+    /// # Errors
+    /// The text that names the first field that is not.
+    pub(super) fn check(&self, class: ClassId, site: &Site) -> Result<(), &'static str> {
+        let budget = self.budget_ms;
+        let key = self.idempotency_key.as_deref();
+        let decoded_body = STANDARD.decode(&self.body);
+        let rules = [
+            (is_uid(&self.request_uid), "rid is not 16 hex digits"),
+            (is_memory_size(self.memory_kb), "mem is out of range"),
+            (is_priority(self.priority), "prio is out of range"),
+            (is_timestamp(self.arrived_at_ms), "t0 is out of range"),
+            (
+                self.retry_flag.is_none_or(|flag| flag == 1),
+                "again is not 1",
+            ),
+            (
+                self.object.as_deref().is_none_or(is_uid),
+                "obj is not 16 hex digits",
+            ),
+            (self.may_name_tenant(site), "no such tenant"),
+            (
+                key.is_some() || !needs_idempotency_key(class, site),
+                "no token in a class that is run by key",
+            ),
+            (
+                key.is_none_or(is_idempotency_key),
+                "token is not 32 hex digits",
+            ),
+            (budget.is_some() || !site.passes_deadline, "no budget"),
+            (budget.is_none_or(is_budget), "budget is out of range"),
+            (decoded_body.is_ok(), "body is not base64"),
+            (
+                decoded_body.is_ok_and(|body| body.len() <= MAX_BODY_BYTES),
+                "body is too long",
+            ),
+        ];
+        match rules.iter().find(|(is_kept, _)| !is_kept) {
+            Some((_, text)) => Err(text),
+            None => Ok(()),
+        }
+    }
+
+    fn may_name_tenant(&self, site: &Site) -> bool {
+        self.tenant
+            .as_deref()
+            .is_none_or(|name| site.may_name(name))
+    }
+}
+
+fn is_uid(text: &str) -> bool {
+    Rid::parse(text).is_some()
+}
+
+fn is_memory_size(memory_kb: f64) -> bool {
+    memory_kb > 0.0 && memory_kb < MAX_MEMORY_KB
+}
+
+fn is_priority(priority: f64) -> bool {
+    (0.0..1.0).contains(&priority)
+}
+
+fn is_timestamp(unix_ms: f64) -> bool {
+    unix_ms > 0.0 && unix_ms < MAX_TIMESTAMP_MS
+}
+
+fn is_budget(budget_ms: f64) -> bool {
+    budget_ms > 0.0 && budget_ms <= MAX_BUDGET_MS
+}
+
+fn is_idempotency_key(text: &str) -> bool {
+    text.len() == KEY_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit())
+}
+
+/// Whether requests of this class have an effect that their key makes idempotent.
+fn needs_idempotency_key(class: ClassId, site: &Site) -> bool {
+    let settings = site.settings.classes.get(class.0);
+    settings.is_some_and(|class| class.effect == Effect::ByKey)
+}
--- /dev/null
+++ b/src/net/jsonrpc/server_loop.rs
@@ -0,0 +1,163 @@
+//! The thread of the JSON-RPC server: its listener and handler, run together or stepped by a test.
+
+use std::io;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use client_listener::{ClientListener, ListenerCounters, ListenerSettings, LiveLimits, TimerMode};
+use crossbeam_channel::{unbounded, Sender};
+use lifecycle::share;
+use slog::{warn, Logger};
+
+use super::answer::GOODBYE_LINE;
+use super::handler::{listen_on, RequestHandler};
+use super::mailbox::Mailbox;
+use crate::node::{Board, Limits, Msg, Seldom};
+use crate::wire::Site;
+
+/// What the server needs of the node.
+#[derive(Clone)]
+pub struct NodeContext {
+    /// What requests are checked against.
+    pub site: Arc<Site>,
+    /// Health, the capacity hint and the idle time of connections.
+    pub board: Arc<Board>,
+    /// Where requests go.
+    pub module: Sender<Msg>,
+}
+
+/// The limits that the node changes while it runs.
+struct NodeLiveLimits {
+    context: NodeContext,
+    /// Connections that the node may have; this process has a share of them.
+    max_node_connections: usize,
+    default_idle_timeout: Duration,
+    lines_per_turn: usize,
+    max_waiting_messages: usize,
+    pause: Duration,
+}
+
+impl LiveLimits for NodeLiveLimits {
+    fn idle_timeout(&self) -> Duration {
+        self.context
+            .board
+            .idle()
+            .unwrap_or(self.default_idle_timeout)
+    }
+
+    fn max_connections(&self) -> usize {
+        share(self.max_node_connections, self.context.board.parts())
+    }
+
+    /// Lines are read while the policy's mailbox has room for those of a turn, so that passing them on never waits.
+    fn read_pause(&self) -> Option<Duration> {
+        let has_room = self.context.module.len() + self.lines_per_turn <= self.max_waiting_messages;
+        (!has_room).then_some(self.pause)
+    }
+}
+
+/// The event loop of the JSON-RPC server. It runs on a thread of its own ([`ServerLoop::run`]), or a test takes its steps
+/// one by one, to have something happen between two.
+pub struct ServerLoop {
+    clients: ClientListener<RequestHandler>,
+    handler: RequestHandler,
+    retry_pause: Duration,
+}
+
+impl ServerLoop {
+    /// A loop that does not listen and does not run yet.
+    ///
+    /// # Errors
+    /// An error of the system's poll.
+    pub fn new(context: NodeContext, limits: &Limits, log: &Logger) -> io::Result<ServerLoop> {
+        let live_limits = NodeLiveLimits {
+            context: context.clone(),
+            max_node_connections: limits.front.max_connections,
+            default_idle_timeout: limits.front_idle,
+            lines_per_turn: limits.front.lines_per_turn,
+            max_waiting_messages: limits.module_mailbox / 2,
+            pause: limits.front_hold,
+        };
+        let clients = ClientListener::new(listener_settings(limits), Box::new(live_limits), log)?;
+        let (sender, commands) = unbounded();
+        let mailbox = Mailbox::new(sender, clients.waker()?);
+        let handler = RequestHandler {
+            context,
+            mailbox: Arc::new(mailbox),
+            commands,
+            log: log.clone(),
+            rate_limited_log: Seldom::new(limits.log_seldom),
+        };
+        Ok(ServerLoop {
+            clients,
+            handler,
+            retry_pause: limits.reconnect,
+        })
+    }
+
+    pub(super) fn mailbox(&self) -> Arc<Mailbox> {
+        self.handler.mailbox.clone()
+    }
+
+    pub(super) fn counters(&self) -> Arc<ListenerCounters> {
+        self.clients.counters()
+    }
+
+    /// Runs as long as the process does.
+    pub fn run(mut self) {
+        loop {
+            if let Err(e) = self.step(None) {
+                // Nothing that a peer does leads here.
+                warn!(self.handler.log, "poll"; "error" => %e);
+                std::thread::sleep(self.retry_pause);
+            }
+        }
+    }
+
+    /// Waits for something to do, for `max_wait` at most, and does it.
+    ///
+    /// # Errors
+    /// An error of the system's poll.
+    pub fn step(&mut self, max_wait: Option<Duration>) -> io::Result<()> {
+        self.clients.step(&mut self.handler, max_wait)
+    }
+
+    /// Accepts connections of this socket.
+    ///
+    /// # Errors
+    /// An error of the system.
+    pub fn listen(&mut self, socket: std::net::TcpListener, now: Instant) -> io::Result<()> {
+        listen_on(&mut self.clients, socket, now)
+    }
+
+    /// Accepts those that wait to be accepted, and stops listening.
+    pub fn stop_listening(&mut self, now: Instant) {
+        self.clients.stop_listening(&mut self.handler, now);
+    }
+
+    /// Closes all connections once what has arrived on them is read and answered.
+    pub fn begin_close_all(&mut self, now: Instant) {
+        self.clients.begin_close_all(&mut self.handler, now);
+    }
+
+    /// Open connections.
+    pub fn connection_count(&self) -> usize {
+        self.clients.connection_count()
+    }
+}
+
+fn listener_settings(limits: &Limits) -> ListenerSettings {
+    ListenerSettings {
+        limits: limits.front.clone(),
+        max_events: limits.front_events,
+        read_buffer_bytes: limits.read,
+        accepts_per_step: limits.front_accepts,
+        final_accept_rounds: limits.front_last_accepts,
+        accept_retry_pause: Some(limits.reconnect),
+        max_total_unsent_bytes: limits.front_output_all,
+        goodbye_line: GOODBYE_LINE,
+        is_goodbye_limited: true,
+        writes_on_every_event: false,
+        timer_mode: TimerMode::Exact,
+    }
+}
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,7 +1,7 @@
 //! What comes between two lines of the program: bytes, connections and signals in the very moment in which it shuts, moves or
 //! ends something. The front is stepped by the test, so that each comes exactly there; `docs/crossings.md` has the list.
 use crossbeam_channel::{bounded, Receiver};
-use protocol_gateway::net::jsonrpc::{Core, Events};
+use protocol_gateway::net::jsonrpc::{NodeContext, ServerLoop};
 use protocol_gateway::node::{Answer, Arrival, Body, Limits, Msg, Outcome};
 use protocol_gateway::wire::Site;
 use protocol_gateway::Span;
@@ -28,7 +28,7 @@
 
 /// A front that is stepped, and the module's mailbox.
 struct Stepped {
-    front: Events,
+    front: ServerLoop,
     inbox: Receiver<Msg>,
     at: SocketAddr,
 }
@@ -41,12 +41,13 @@
         let (module, inbox) = bounded(limits.module_mailbox);
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
         let at = listener.local_addr().expect("bound");
-        let core = Core {
+        let context = NodeContext {
             site,
             board: Arc::default(),
             module,
         };
-        let mut front = Events::new(core, &limits, &Logger::root(Discard, o!())).expect("a front");
+        let mut front =
+            ServerLoop::new(context, &limits, &Logger::root(Discard, o!())).expect("a front");
         front.listen(listener, Instant::now()).expect("it listens");
         Stepped { front, inbox, at }
     }
@@ -61,9 +62,11 @@
         }
     }
     fn connect(&mut self) -> Front {
-        let before = self.front.connections();
+        let before = self.front.connection_count();
         let peer = Front::connect(self.at);
-        self.until("it is accepted", |s| s.front.connections() == before + 1);
+        self.until("it is accepted", |s| {
+            s.front.connection_count() == before + 1
+        });
         peer
     }
     /// The next request that the module hears of.
@@ -117,11 +120,11 @@
     let mut s = Stepped::new(|_| {});
     let mut peer = s.connect();
     peer.raw("{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"alive\"}");
-    s.front.part_all(Instant::now());
+    s.front.begin_close_all(Instant::now());
     assert_eq!(peer.next()["id"], 5);
     assert_eq!(peer.next(), Value::Null);
     drop(peer);
-    s.until("it is gone", |s| s.front.connections() == 0);
+    s.until("it is gone", |s| s.front.connection_count() == 0);
 }
 
 /// A request in the instant of an idle close is answered on that connection, which goes after the answer.
@@ -130,9 +133,9 @@
     let mut s = Stepped::new(|_| {});
     let mut peer = s.connect();
     let id = peer.send("statement-read", "serve");
-    s.front.part_all(Instant::now());
+    s.front.begin_close_all(Instant::now());
     let arrival = s.arrival();
-    assert_eq!(s.front.connections(), 1);
+    assert_eq!(s.front.connection_count(), 1);
     Stepped::refuse(arrival);
     let answer = s.answer(&mut peer);
     assert_eq!((answer["id"].as_u64(), code(&answer)), (Some(id), REFUSED));
@@ -147,14 +150,14 @@
     peer.stream
         .write_all(b"{\"jsonrpc\":\"2.0\",\"id\":6,")
         .expect("written");
-    s.front.part_all(Instant::now());
+    s.front.begin_close_all(Instant::now());
     // More of it comes while the writing side is shut already.
     peer.stream.write_all(b"\"method\":").expect("written");
     assert_eq!(peer.next()["id"], 5);
     let mut rest = [0; 16];
     assert_eq!(peer.stream.read(&mut rest).expect("an end, no reset"), 0);
     drop(peer);
-    s.until("it is gone", |s| s.front.connections() == 0);
+    s.until("it is gone", |s| s.front.connection_count() == 0);
 }
 
 /// A peer that breaks the protocol with much more behind it still hears why, and is gone soon after though it sends on.
@@ -177,7 +180,7 @@
     let begun = Instant::now();
     s.until("it is cut", |s| {
         let _ = other.stream.write(&bytes);
-        s.front.connections() <= 1
+        s.front.connection_count() <= 1
     });
     assert!(
         begun.elapsed() < Duration::from_secs(3),
@@ -212,8 +215,8 @@
 fn one_that_never_closes_is_cut_in_time() {
     let mut s = Stepped::new(|limits| limits.front.linger_timeout = Duration::from_millis(5));
     let peer = s.connect();
-    s.front.part_all(Instant::now());
-    s.until("it is cut", |s| s.front.connections() == 0);
+    s.front.begin_close_all(Instant::now());
+    s.until("it is cut", |s| s.front.connection_count() == 0);
     drop(peer);
 }
 
@@ -229,7 +232,7 @@
         s.front.step(Some(Duration::from_millis(1))).is_ok()
     });
     Stepped::refuse(arrival);
-    s.until("it is gone", |s| s.front.connections() == 0);
+    s.until("it is gone", |s| s.front.connection_count() == 0);
     let answer = peer.next();
     assert_eq!((answer["id"].as_u64(), code(&answer)), (Some(id), REFUSED));
 }
@@ -245,7 +248,7 @@
     socket.set_linger(Some(Duration::ZERO)).expect("an option");
     drop(peer);
     Stepped::refuse(arrival);
-    s.until("it is gone", |s| s.front.connections() == 1);
+    s.until("it is gone", |s| s.front.connection_count() == 1);
     let id = other.send("statement-read", "serve");
     Stepped::refuse(s.arrival());
     assert_eq!(s.answer(&mut other)["id"].as_u64(), Some(id));
@@ -294,7 +297,7 @@
     assert_eq!(peer.stream.read(&mut rest).expect("an end, no reset"), 0);
     s.until("it is read", |s| {
         let _ = peer.stream.shutdown(Shutdown::Write);
-        s.front.connections() == 0
+        s.front.connection_count() == 0
     });
     assert!(s.inbox.try_recv().is_err(), "it was sent on");
 }
@@ -319,7 +322,7 @@
             hint: None,
         });
         s.front.step(Some(Duration::ZERO)).expect("a step");
-        s.front.part_all(Instant::now());
+        s.front.begin_close_all(Instant::now());
     }
     let read = std::thread::spawn(move || {
         let mut answered: Vec<u64> = Vec::new();
@@ -335,7 +338,7 @@
         }
     });
     s.until("all is read and the peer is gone", |s| {
-        s.front.connections() == 0
+        s.front.connection_count() == 0
     });
     assert_eq!(read.join().expect("a peer"), ids);
 }
@@ -350,7 +353,7 @@
         .map(|peer| peer.send("statement-read", "serve"))
         .collect();
     s.front.stop_listening(Instant::now());
-    assert_eq!(s.front.connections(), 40);
+    assert_eq!(s.front.connection_count(), 40);
     // One that comes later is refused by the machine, which proves that nothing ran.
     let late = TcpStream::connect(s.at);
     assert!(late.is_err_and(|e| e.kind() == ErrorKind::ConnectionRefused));
