--- a/src/net/jsonrpc/answer.rs
+++ b/src/net/jsonrpc/answer.rs
@@ -92,7 +92,7 @@
 
 /// The answer to a request.
 pub(super) fn answer_line(id: u64, answer: &Answer) -> String {
-    let hint = answer.hint;
+    let hint = answer.capacity_hint;
     match &answer.outcome {
         Outcome::Served(body) => {
             let result = ResponseResult {
@@ -102,16 +102,19 @@
             };
             result_line(id, result)
         }
-        Outcome::Refused { stay_away, give_up } => {
+        Outcome::Rejected {
+            retry_after,
+            is_final,
+        } => {
             let data = ErrorData {
-                retry_after_ms: Some(stay_away.ms().ceil() as u64).filter(|ms| *ms > 0),
-                final_flag: give_up.then_some(1),
+                retry_after_ms: Some(retry_after.ms().ceil() as u64).filter(|ms| *ms > 0),
+                final_flag: is_final.then_some(1),
                 hint,
                 epoch: None,
             };
             error_line(id, REJECTED, "refused: never ran here", data)
         }
-        Outcome::Elsewhere { epoch } => {
+        Outcome::WrongCell { epoch } => {
             let data = ErrorData {
                 hint,
                 epoch: Some(*epoch),
@@ -124,7 +127,7 @@
                 hint,
                 ..ErrorData::default()
             };
-            error_line(id, FAILED, reason.word(), data)
+            error_line(id, FAILED, reason.reason(), data)
         }
     }
 }
--- a/src/net/jsonrpc/handler.rs
+++ b/src/net/jsonrpc/handler.rs
@@ -17,7 +17,7 @@
 use super::mailbox::{Mailbox, ServerCommand};
 use super::message::{parse_line, ClassifiedRequest};
 use super::server_loop::NodeContext;
-use crate::node::{Arrival, Msg, Reply, Rid, Seldom};
+use crate::node::{Arrival, PolicyMessage, RateLimitedLog, RequestUid, Responder};
 
 /// The protocol of the JSON-RPC server.
 pub(super) struct RequestHandler {
@@ -26,11 +26,11 @@
     pub(super) commands: Receiver<ServerCommand>,
     pub(super) log: Logger,
     /// Log lines that any peer can cause.
-    pub(super) rate_limited_log: Seldom,
+    pub(super) rate_limited_log: RateLimitedLog,
 }
 
 /// Open requests of a connection by their ids, at sites whose clients say when they no longer wait.
-type OpenRequests = HashMap<u64, Rid>;
+type OpenRequests = HashMap<u64, RequestUid>;
 
 impl ClientHandler for RequestHandler {
     type ConnectionData = OpenRequests;
@@ -41,8 +41,8 @@
     }
 
     fn health_answer(&self, id: u64, _now: Instant) -> String {
-        let board = &self.context.board;
-        health_line(id, board.ready(), board.hint())
+        let status = &self.context.node_status;
+        health_line(id, status.is_healthy(), status.capacity_hint())
     }
 
     fn line_too_long_answer(&self) -> String {
@@ -65,16 +65,20 @@
         _now: Instant,
     ) {
         let mailbox = self.mailbox.clone();
-        let reply = Reply::new(move |answer| mailbox.send(ServerCommand::Answer(handle, answer)));
+        let responder =
+            Responder::new(move |answer| mailbox.send(ServerCommand::Answer(handle, answer)));
         let site = &self.context.site;
-        let arrival: Arrival = request.params.into_arrival(request.class, site, reply);
+        let arrival: Arrival = request.params.into_arrival(request.class, site, responder);
         if site.tells_gone {
             if let Some(open_requests) = clients.connection_data(handle.connection) {
-                open_requests.insert(handle.id, arrival.rid);
+                open_requests.insert(handle.id, arrival.uid);
             }
         }
         // Without the policy's thread the node has ended.
-        let _ = self.context.module.send(Msg::Arrived(Box::new(arrival)));
+        let _ = self
+            .context
+            .policy
+            .send(PolicyMessage::RequestArrived(Box::new(arrival)));
     }
 
     fn cancel_request(
@@ -88,7 +92,10 @@
             return;
         };
         clients.abandon_request(handle, now);
-        let _ = self.context.module.send(Msg::CallerLeft(uid));
+        let _ = self
+            .context
+            .policy
+            .send(PolicyMessage::CallerDisconnected(uid));
     }
 
     fn before_turns(&mut self, clients: &mut ClientListener<Self>, now: Instant) {
@@ -134,7 +141,7 @@
 fn forget_request(
     clients: &mut ClientListener<RequestHandler>,
     handle: RequestHandle,
-) -> Option<Rid> {
+) -> Option<RequestUid> {
     clients
         .connection_data(handle.connection)?
         .remove(&handle.id)
--- a/src/net/jsonrpc/mod.rs
+++ b/src/net/jsonrpc/mod.rs
@@ -23,7 +23,7 @@
 use slog::Logger;
 
 use super::spawn;
-use crate::node::{Board, Limits, Msg};
+use crate::node::{Limits, NodeStatus, PolicyMessage};
 use crate::wire::Site;
 use mailbox::{Mailbox, ServerCommand};
 pub use server_loop::{NodeContext, ServerLoop};
@@ -43,21 +43,21 @@
     pub fn start(
         site: Arc<Site>,
         limits: &Limits,
-        board: &Arc<Board>,
-        module: &Sender<Msg>,
+        node_status: &Arc<NodeStatus>,
+        policy: &Sender<PolicyMessage>,
         log: &Logger,
     ) -> io::Result<JsonRpcServer> {
         let context = NodeContext {
             site,
-            board: board.clone(),
-            module: module.clone(),
+            node_status: node_status.clone(),
+            policy: policy.clone(),
         };
         let server_loop = ServerLoop::new(context, limits, log)?;
         let server = JsonRpcServer {
             mailbox: server_loop.mailbox(),
             counters: server_loop.counters(),
         };
-        spawn("front", limits.stack, move || server_loop.run())?;
+        spawn("front", limits.stack_bytes, move || server_loop.run())?;
         Ok(server)
     }
 
--- a/src/net/jsonrpc/request.rs
+++ b/src/net/jsonrpc/request.rs
@@ -4,9 +4,9 @@
 use base64::Engine as _;
 use serde::Deserialize;
 
-use crate::node::{Arrival, Body, Reply, Rid};
+use crate::node::{Arrival, CellKey, Payload, RequestUid, Responder};
 use crate::wire::Site;
-use crate::{CallerId, ClassId, Effect, Span, Time};
+use crate::{CallerId, ClassId, Idempotency, Span, Time};
 
 /// Bytes of a body at most.
 const MAX_BODY_BYTES: usize = 2048;
@@ -48,24 +48,27 @@
 
 impl Params {
     /// The request for the policy. The parameters were checked with [`Params::check`].
-    pub(super) fn into_arrival(self, class: ClassId, site: &Site, reply: Reply) -> Arrival {
+    pub(super) fn into_arrival(self, class: ClassId, site: &Site, responder: Responder) -> Arrival {
         let tenant_name = self.tenant.filter(|name| !name.is_empty());
         let budget = self.budget_ms.filter(|_| site.passes_deadline);
         Arrival {
-            rid: Rid::parse(&self.request_uid).unwrap_or(Rid::from_number(0)),
+            uid: RequestUid::parse(&self.request_uid).unwrap_or(RequestUid::from_number(0)),
             class,
             tenant: tenant_name.as_deref().map(|name| site.tenant(name)),
-            named: tenant_name.map(|name| (name.into(), self.object.map(Into::into))),
-            at: Time((self.arrived_at_ms * 1e3) as i64),
-            wait: budget.map(Span::from_ms),
+            cell_key: tenant_name.map(|name| CellKey {
+                tenant: name.into(),
+                subject: self.object.map(Into::into),
+            }),
+            arrived_at: Time((self.arrived_at_ms * 1e3) as i64),
+            caller_timeout: budget.map(Span::from_ms),
             caller: CallerId(self.caller),
-            resent: self.retry_flag == Some(1),
-            held_kb: self.memory_kb,
-            body: Body::from_base64(self.body),
-            key: self.idempotency_key.map(Into::into),
+            is_retry: self.retry_flag == Some(1),
+            queued_kb: self.memory_kb,
+            payload: Payload::from_base64(self.body),
+            idempotency_key: self.idempotency_key.map(Into::into),
             may_have_run: false,
-            unwanted: false,
-            reply,
+            is_handed_back: false,
+            responder,
         }
     }
 
@@ -121,7 +124,7 @@
 }
 
 fn is_uid(text: &str) -> bool {
-    Rid::parse(text).is_some()
+    RequestUid::parse(text).is_some()
 }
 
 fn is_memory_size(memory_kb: f64) -> bool {
@@ -147,5 +150,5 @@
 /// Whether requests of this class have an effect that their key makes idempotent.
 fn needs_idempotency_key(class: ClassId, site: &Site) -> bool {
     let settings = site.settings.classes.get(class.0);
-    settings.is_some_and(|class| class.effect == Effect::ByKey)
+    settings.is_some_and(|class| class.idempotency == Idempotency::ByKey)
 }
--- a/src/net/jsonrpc/server_loop.rs
+++ b/src/net/jsonrpc/server_loop.rs
@@ -12,7 +12,7 @@
 use super::answer::GOODBYE_LINE;
 use super::handler::{listen_on, RequestHandler};
 use super::mailbox::Mailbox;
-use crate::node::{Board, Limits, Msg, Seldom};
+use crate::node::{Limits, NodeStatus, PolicyMessage, RateLimitedLog};
 use crate::wire::Site;
 
 /// What the server needs of the node.
@@ -21,9 +21,9 @@
     /// What requests are checked against.
     pub site: Arc<Site>,
     /// Health, the capacity hint and the idle time of connections.
-    pub board: Arc<Board>,
+    pub node_status: Arc<NodeStatus>,
     /// Where requests go.
-    pub module: Sender<Msg>,
+    pub policy: Sender<PolicyMessage>,
 }
 
 /// The limits that the node changes while it runs.
@@ -40,18 +40,21 @@
 impl LiveLimits for NodeLiveLimits {
     fn idle_timeout(&self) -> Duration {
         self.context
-            .board
-            .idle()
+            .node_status
+            .idle_timeout()
             .unwrap_or(self.default_idle_timeout)
     }
 
     fn max_connections(&self) -> usize {
-        share(self.max_node_connections, self.context.board.parts())
+        share(
+            self.max_node_connections,
+            self.context.node_status.resource_shares(),
+        )
     }
 
     /// Lines are read while the policy's mailbox has room for those of a turn, so that passing them on never waits.
     fn read_pause(&self) -> Option<Duration> {
-        let has_room = self.context.module.len() + self.lines_per_turn <= self.max_waiting_messages;
+        let has_room = self.context.policy.len() + self.lines_per_turn <= self.max_waiting_messages;
         (!has_room).then_some(self.pause)
     }
 }
@@ -75,8 +78,8 @@
             max_node_connections: limits.front.max_connections,
             default_idle_timeout: limits.front_idle,
             lines_per_turn: limits.front.lines_per_turn,
-            max_waiting_messages: limits.module_mailbox / 2,
-            pause: limits.front_hold,
+            max_waiting_messages: limits.policy_mailbox / 2,
+            pause: limits.front_backpressure_interval,
         };
         let clients = ClientListener::new(listener_settings(limits), Box::new(live_limits), log)?;
         let (sender, commands) = unbounded();
@@ -86,12 +89,12 @@
             mailbox: Arc::new(mailbox),
             commands,
             log: log.clone(),
-            rate_limited_log: Seldom::new(limits.log_seldom),
+            rate_limited_log: RateLimitedLog::new(limits.repeated_log_interval),
         };
         Ok(ServerLoop {
             clients,
             handler,
-            retry_pause: limits.reconnect,
+            retry_pause: limits.reconnect_backoff,
         })
     }
 
@@ -149,12 +152,12 @@
 fn listener_settings(limits: &Limits) -> ListenerSettings {
     ListenerSettings {
         limits: limits.front.clone(),
-        max_events: limits.front_events,
-        read_buffer_bytes: limits.read,
-        accepts_per_step: limits.front_accepts,
-        final_accept_rounds: limits.front_last_accepts,
-        accept_retry_pause: Some(limits.reconnect),
-        max_total_unsent_bytes: limits.front_output_all,
+        max_events: limits.front_event_batch,
+        read_buffer_bytes: limits.read_bytes,
+        accepts_per_step: limits.front_accept_batch,
+        final_accept_rounds: limits.front_final_accept_batches,
+        accept_retry_pause: Some(limits.reconnect_backoff),
+        max_total_unsent_bytes: limits.front_output_bytes,
         goodbye_line: GOODBYE_LINE,
         is_goodbye_limited: true,
         writes_on_every_event: false,
--- a/tests/jsonrpc_errors.rs
+++ b/tests/jsonrpc_errors.rs
@@ -14,11 +14,11 @@
 /// What a fresh connection gets for a line, up to its close.
 fn answer_to(line: &str) -> String {
     let limits = Limits::new(512);
-    let (module, _inbox) = bounded(limits.module_mailbox);
+    let (policy, _inbox) = bounded(limits.policy_mailbox);
     let context = NodeContext {
         site: Arc::new(Site::from_json(&settings()).expect("settings")),
-        board: Arc::default(),
-        module,
+        node_status: Arc::default(),
+        policy,
     };
     let mut server =
         ServerLoop::new(context, &limits, &Logger::root(Discard, o!())).expect("a server");
