--- a/src/net/jsonrpc/server_loop.rs
+++ b/src/net/jsonrpc/server_loop.rs
@@ -76,10 +76,10 @@
         let live_limits = NodeLiveLimits {
             context: context.clone(),
             max_node_connections: limits.front.max_connections,
-            default_idle_timeout: limits.front_idle,
+            default_idle_timeout: limits.listener.idle_timeout,
             lines_per_turn: limits.front.lines_per_turn,
-            max_waiting_messages: limits.policy_mailbox / 2,
-            pause: limits.front_backpressure_interval,
+            max_waiting_messages: limits.policy.mailbox / 2,
+            pause: limits.listener.backpressure_interval,
         };
         let clients = ClientListener::new(listener_settings(limits), Box::new(live_limits), log)?;
         let (sender, commands) = unbounded();
@@ -152,12 +152,12 @@
 fn listener_settings(limits: &Limits) -> ListenerSettings {
     ListenerSettings {
         limits: limits.front.clone(),
-        max_events: limits.front_event_batch,
+        max_events: limits.listener.event_batch,
         read_buffer_bytes: limits.read_bytes,
-        accepts_per_step: limits.front_accept_batch,
-        final_accept_rounds: limits.front_final_accept_batches,
+        accepts_per_step: limits.listener.accept_batch,
+        final_accept_rounds: limits.listener.final_accept_batches,
         accept_retry_pause: Some(limits.reconnect_backoff),
-        max_total_unsent_bytes: limits.front_output_bytes,
+        max_total_unsent_bytes: limits.listener.output_bytes,
         goodbye_line: GOODBYE_LINE,
         is_goodbye_limited: true,
         writes_on_every_event: false,
--- a/tests/jsonrpc_errors.rs
+++ b/tests/jsonrpc_errors.rs
@@ -14,7 +14,7 @@
 /// What a fresh connection gets for a line, up to its close.
 fn answer_to(line: &str) -> String {
     let limits = Limits::new(512);
-    let (policy, _inbox) = bounded(limits.policy_mailbox);
+    let (policy, _inbox) = bounded(limits.policy.mailbox);
     let context = NodeContext {
         site: Arc::new(Site::from_json(&settings()).expect("settings")),
         node_status: Arc::default(),
