--- a/src/node/policy_actor/arrivals.rs
+++ b/src/node/policy_actor/arrivals.rs
@@ -90,7 +90,7 @@
         let (Some(cells), Some(key)) = (&self.cells, &arrival.cell_key) else {
             return Ok(());
         };
-        match cells.elsewhere(&key.tenant, key.subject.as_deref()) {
+        match cells.wrong_cell_epoch(&key.tenant, key.subject.as_deref()) {
             Some(epoch) => Err(Outcome::WrongCell { epoch }),
             None => Ok(()),
         }
--- a/src/node/policy_actor/mod.rs
+++ b/src/node/policy_actor/mod.rs
@@ -26,7 +26,7 @@
 
 use self::batch::{GaugeReading, PendingEvent};
 use super::request_table::RequestTable;
-use super::{Confinement, Limits, NodeStatus, Peers, PolicyMessage, RateLimitedLog};
+use super::{CellGuard, Limits, NodeStatus, Peers, PolicyMessage, RateLimitedLog};
 use crate::wire::Site;
 
 /// What a [`PolicyActor`] is configured with.
@@ -40,7 +40,7 @@
     /// Sizes, counts and times of the program.
     pub limits: Limits,
     /// Which tenants this node serves, where cells are in force.
-    pub cells: Option<Confinement>,
+    pub cells: Option<CellGuard>,
 }
 
 /// Runs the policy on real time; see the module's documentation.
@@ -49,7 +49,7 @@
     seed: u64,
     shutdown_timeout: Duration,
     limits: Limits,
-    cells: Option<Confinement>,
+    cells: Option<CellGuard>,
     peers: Peers,
     status: Arc<NodeStatus>,
     log: Logger,
