--- a/src/main.rs
+++ b/src/main.rs
@@ -201,7 +201,7 @@
     let signals = signals(&limits).map_err(system("signals"))?;
     let clients = take_address(config.listen, config.admin.is_some()).map_err(system("listen"))?;
     let door = config
-        .door
+        .admin
         .map(TcpListener::bind)
         .transpose()
         .map_err(system("door"))?;
