--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,13 +1,13 @@
-//! What decides over a node in service, without I/O, clock or threads: its states ([`State`]), the calls at the
-//! operators' door ([`Call`], [`Line`]), what one process makes of another beside it
-//! ([`Beside`]), and how the two divide what the node may have ([`parts`]).
+//! Decisions over the life of a node's process, without I/O, clock or threads: its states ([`ProcessState`]), the admin
+//! commands ([`AdminCommand`], [`LineBuffer`]), what it makes of another process of the same node ([`SiblingProcess`]), and
+//! how the two divide the node's resources ([`target_shares`]).
 
-mod beside;
-mod call;
-mod parts;
-mod state;
+mod admin_command;
+mod process_state;
+mod resource_shares;
+mod sibling_process;
 
-pub use beside::{word, Beside, WORD};
-pub use call::{Answer, Call, Line, Unheard};
-pub use parts::{parts, share, PARTS};
-pub use state::{Refused, Report, State, Step};
+pub use admin_command::{AdminCommand, AdminRequestError, AdminResponse, LineBuffer};
+pub use process_state::{EndpointReport, ProcessState, Transition, TransitionError};
+pub use resource_shares::{amount_for_shares, target_shares, TOTAL_SHARES};
+pub use sibling_process::{status_word, SiblingProcess, STATUS_WORD_LEN};
--- a/crates/shared-state/src/aggregation/aggregator.rs
+++ b/crates/shared-state/src/aggregation/aggregator.rs
@@ -174,7 +174,7 @@
 
     /// Adds a node to the sum, and marks the counters that differ from its previous ones.
     fn insert(&mut self, name: &Name, reporter: ReporterState, previous: &SketchCounters) {
-        self.mark_changed(&reporter.counters.changes_from(std::iter::once(previous)));
+        self.mark_changed(&reporter.counters.changes_from(&std::iter::once(previous)));
         self.sum.add(&reporter.counters);
         if let Some(made_at) = reporter.made_at {
             self.by_made_at.insert((made_at, name.clone()));
--- a/crates/shared-state/src/aggregation/reporter.rs
+++ b/crates/shared-state/src/aggregation/reporter.rs
@@ -109,7 +109,7 @@
                 // The aggregator may hold any report sent since: a counter that is back at its held value is sent as well.
                 let may_be_held = std::iter::once(&self.held.counters)
                     .chain(self.unanswered.iter().map(|sent| &sent.counters));
-                counters.changes_from(may_be_held)
+                counters.changes_from(&may_be_held)
             },
             observations: observations.to_vec(),
             site: local.site.clone(),
--- a/crates/shared-state/src/sketch_counters.rs
+++ b/crates/shared-state/src/sketch_counters.rs
@@ -73,7 +73,7 @@
     /// Values of the counters that differ from those of any of the other sketches.
     pub fn changes_from<'a>(
         &self,
-        others: impl Iterator<Item = &'a SketchCounters> + Clone,
+        others: &(impl Iterator<Item = &'a SketchCounters> + Clone),
     ) -> Vec<CounterChange> {
         let differs = |index: &usize| {
             others
@@ -91,7 +91,7 @@
 
     /// Values of the counters that are not zero.
     pub fn nonzero_changes(&self) -> Vec<CounterChange> {
-        self.changes_from(std::iter::once(&SketchCounters::default()))
+        self.changes_from(&std::iter::once(&SketchCounters::default()))
     }
 
     /// An upper bound of the estimates of all keys.
--- a/crates/shared-state/tests/golden.rs
+++ b/crates/shared-state/tests/golden.rs
@@ -78,12 +78,66 @@
     }
 }
 
+const TERM: Term = Term {
+    number: 0x0102_0304_0506_0708,
+    voter: 2,
+};
+
+/// A message and the name of its line in the golden file.
+type Case = (&'static str, Message);
+
 /// Every message, and every variant of its contents.
-fn cases() -> Vec<(&'static str, Message)> {
-    let term = Term {
-        number: 0x0102_0304_0506_0708,
-        voter: 2,
-    };
+fn cases() -> Vec<Case> {
+    let mut cases = vote_cases();
+    cases.extend(lease_cases());
+    cases.extend(snapshot_cases());
+    cases.extend(aggregation_cases());
+    cases
+}
+
+fn vote_cases() -> Vec<Case> {
+    vec![
+        ("vote-prepare", Message::Vote(Vote::Prepare(TERM))),
+        (
+            "vote-promise-free",
+            Message::Vote(Vote::Promise(TERM, None)),
+        ),
+        (
+            "vote-promise-given",
+            Message::Vote(Vote::Promise(TERM, Some("keeper".into()))),
+        ),
+        ("vote-promised", Message::Vote(Vote::AlreadyPromised(TERM))),
+        ("vote-propose", Message::Vote(Vote::Propose(TERM))),
+        ("vote-accept", Message::Vote(Vote::Accept(TERM))),
+    ]
+}
+
+fn lease_cases() -> Vec<Case> {
+    let term = TERM;
+    vec![
+        (
+            "ask",
+            Message::LeaseRequest {
+                term,
+                incarnation: 301,
+                seq: 402,
+                applied_seq: 503,
+                usage: vec![usage(604, 705), usage(806, 907)],
+            },
+        ),
+        (
+            "grant",
+            Message::LeaseGrant {
+                term,
+                seq: 11,
+                units: vec![0, 127, 128, u64::MAX],
+            },
+        ),
+        ("reigns", Message::Leader("granter".into(), term)),
+    ]
+}
+
+fn snapshot_cases() -> Vec<Case> {
     let budget = |name: &str, is_available: bool| BudgetSnapshot {
         name: name.into(),
         total: 1_001,
@@ -99,7 +153,38 @@
         holders: vec![holder("h1", 607, 708), holder("h2", 809, 910)],
         reserved: 1_011,
     };
-    let report = Report {
+    let snapshot = SharedStateSnapshot {
+        leader: Some("granter".into()),
+        budgets: vec![budget("calls", true), budget("tries", false)],
+        aggregate: None,
+    };
+    vec![
+        ("look", Message::SnapshotRequest(0x0a0b_0c0d)),
+        (
+            "looked-empty",
+            Message::SnapshotReply(1, SharedStateSnapshot::default()),
+        ),
+        ("looked-budgets", Message::SnapshotReply(45, snapshot)),
+        (
+            "looked-ledger-unknown",
+            ledger_reply(DependencyHealth::Unknown),
+        ),
+        ("looked-ledger-sound", ledger_reply(DependencyHealth::Sound)),
+        ("looked-ledger-slow", ledger_reply(DependencyHealth::Slow)),
+        (
+            "looked-ledger-unsure",
+            ledger_reply(DependencyHealth::Unsure),
+        ),
+        (
+            "looked-ledger-only-here",
+            ledger_reply(DependencyHealth::OnlyHere),
+        ),
+        ("looked-ledger-down", ledger_reply(DependencyHealth::Down)),
+    ]
+}
+
+fn report() -> Report {
+    Report {
         incarnation: 0x0012_3456_789a_bcde,
         seq: 1_002,
         base_seq: 1_001,
@@ -118,14 +203,11 @@
             observation(2, ObservedHealth::Failing),
         ],
         site: "north".into(),
-    };
-    let bare = Report {
-        echo: None,
-        counters: vec![],
-        observations: vec![],
-        ..report.clone()
-    };
-    let reply = AggregateReply {
+    }
+}
+
+fn reply() -> AggregateReply {
+    AggregateReply {
         incarnation: 0x0012_3456_789a_bcdf,
         seq: 2_001,
         held_seq: 2_002,
@@ -139,76 +221,28 @@
         },
         present_nodes: 2_008,
         tallies: vec![service_tally(LEDGER, 1), service_tally(3, 100)],
-    };
-    let snapshot = SharedStateSnapshot {
-        leader: Some("granter".into()),
-        budgets: vec![budget("calls", true), budget("tries", false)],
-        aggregate: None,
+    }
+}
+
+fn aggregation_cases() -> Vec<Case> {
+    let bare_report = Report {
+        echo: None,
+        counters: vec![],
+        observations: vec![],
+        ..report()
     };
     vec![
-        ("vote-prepare", Message::Vote(Vote::Prepare(term))),
-        (
-            "vote-promise-free",
-            Message::Vote(Vote::Promise(term, None)),
-        ),
-        (
-            "vote-promise-given",
-            Message::Vote(Vote::Promise(term, Some("keeper".into()))),
-        ),
-        ("vote-promised", Message::Vote(Vote::AlreadyPromised(term))),
-        ("vote-propose", Message::Vote(Vote::Propose(term))),
-        ("vote-accept", Message::Vote(Vote::Accept(term))),
-        (
-            "ask",
-            Message::LeaseRequest {
-                term,
-                incarnation: 301,
-                seq: 402,
-                applied_seq: 503,
-                usage: vec![usage(604, 705), usage(806, 907)],
-            },
-        ),
-        (
-            "grant",
-            Message::LeaseGrant {
-                term,
-                seq: 11,
-                units: vec![0, 127, 128, u64::MAX],
-            },
-        ),
-        ("reigns", Message::Leader("granter".into(), term)),
-        ("look", Message::SnapshotRequest(0x0a0b_0c0d)),
-        (
-            "looked-empty",
-            Message::SnapshotReply(1, SharedStateSnapshot::default()),
-        ),
-        ("looked-budgets", Message::SnapshotReply(45, snapshot)),
-        (
-            "looked-ledger-unknown",
-            ledger_reply(DependencyHealth::Unknown),
-        ),
-        ("looked-ledger-sound", ledger_reply(DependencyHealth::Sound)),
-        ("looked-ledger-slow", ledger_reply(DependencyHealth::Slow)),
-        (
-            "looked-ledger-unsure",
-            ledger_reply(DependencyHealth::Unsure),
-        ),
-        (
-            "looked-ledger-only-here",
-            ledger_reply(DependencyHealth::OnlyHere),
-        ),
-        ("looked-ledger-down", ledger_reply(DependencyHealth::Down)),
         (
             "gather-report",
-            Message::Aggregation(AggregationMessage::Report(report)),
+            Message::Aggregation(AggregationMessage::Report(report())),
         ),
         (
             "gather-report-bare",
-            Message::Aggregation(AggregationMessage::Report(bare)),
+            Message::Aggregation(AggregationMessage::Report(bare_report)),
         ),
         (
             "gather-answer",
-            Message::Aggregation(AggregationMessage::Reply(reply)),
+            Message::Aggregation(AggregationMessage::Reply(reply())),
         ),
     ]
 }
--- a/src/amqp/connection.rs
+++ b/src/amqp/connection.rs
@@ -105,7 +105,7 @@
         let mut backoff = Backoff::new(limits.reconnect_backoff, limits.amqp_backoff_max);
         while !self.leaving() {
             // Nothing is taken from a broker before there is someone to serve it.
-            if !self.shared.node_status.process_state().consumes() {
+            if !self.shared.node_status.process_state().may_consume() {
                 self.pause(limits.reconnect_backoff);
                 continue;
             }
--- /dev/null
+++ b/src/instance_lock.rs
@@ -0,0 +1,231 @@
+//! Lock files by which two processes of one node see each other and divide its resources. They are in the platform's scratch
+//! folder, which the processes of a node share.
+//!
+//! A process holds the lock of one of two instance files for as long as it lives, however it ends, and writes its status word
+//! there. A word counts while its file is locked and no longer, so that nothing left behind by a kill is believed. Names and
+//! content of the files are a stable format: in a replacement an old and a new version meet there.
+
+use std::fs::{File, OpenOptions, TryLockError};
+use std::io::{self, Read, Seek, Write};
+use std::path::{Path, PathBuf};
+
+use lifecycle::{
+    status_word, target_shares, ProcessState, SiblingProcess, STATUS_WORD_LEN, TOTAL_SHARES,
+};
+use slog::{info, warn, Logger};
+
+/// Processes of one node that can live at the same time.
+const INSTANCES: usize = 2;
+
+/// This process's lock among the processes of its node.
+pub enum InstanceLock {
+    /// There is none: the node has no admin address, so no second process, or the folder can't be used, and no second process
+    /// can be seen.
+    Unavailable,
+    /// Two other processes live: this one waits until one of them has ended.
+    Waiting {
+        /// The instance files.
+        paths: [PathBuf; INSTANCES],
+    },
+    /// One of the two files is locked by this process.
+    Held {
+        /// The locked file, with this process's status word.
+        own: File,
+        /// The file of the other process.
+        sibling: PathBuf,
+    },
+}
+
+impl InstanceLock {
+    /// A lock that is not acquired yet, of the node with this name.
+    pub fn new(folder: &Path, node_name: &str) -> InstanceLock {
+        let name = file_name_part(node_name);
+        InstanceLock::Waiting {
+            paths: [0, 1].map(|n| folder.join(format!("mothwinch-{name}.seat{n}"))),
+        }
+    }
+
+    /// Acquires the lock if it is not held and one of the files is free, and publishes the state there.
+    pub fn try_acquire(&mut self, state: ProcessState, log: &Logger) {
+        let InstanceLock::Waiting { paths } = self else {
+            return;
+        };
+        match lock_one(paths) {
+            Ok(Some(held)) => *self = held,
+            Ok(None) => return,
+            Err(e) => {
+                warn!(log, "instance lock unavailable"; "error" => %e);
+                *self = InstanceLock::Unavailable;
+            }
+        }
+        self.publish(state);
+        info!(log, "instance lock"; "sibling" => ?self.sibling());
+    }
+
+    /// Whether this process may accept clients.
+    pub fn may_accept_clients(&self) -> bool {
+        !matches!(self, InstanceLock::Waiting { .. })
+    }
+
+    /// Writes the status word for the other process. If that fails, the other process assumes that this one accepts no
+    /// clients.
+    pub fn publish(&mut self, state: ProcessState) {
+        if let InstanceLock::Held { own, .. } = self {
+            let _ = own
+                .rewind()
+                .and_then(|()| own.write_all(&status_word(state)));
+        }
+    }
+
+    /// The status of the other process. Looking creates no file.
+    pub fn sibling(&self) -> SiblingProcess {
+        let InstanceLock::Held { sibling, .. } = self else {
+            return SiblingProcess::Absent;
+        };
+        let Ok(mut file) = File::open(sibling) else {
+            return SiblingProcess::Absent;
+        };
+        // A shared lock, released with the file: two processes that look at the same time do not see each other's.
+        let is_alive = matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock));
+        let mut word = Vec::new();
+        // One byte more, to tell a longer text from a word.
+        let limit = STATUS_WORD_LEN as u64 + 1;
+        let read = (&mut file).take(limit).read_to_end(&mut word);
+        SiblingProcess::from_status(is_alive, if read.is_ok() { &word } else { b"" })
+    }
+}
+
+/// The shares of the node's resources that this process holds, each by the lock of a file of its own.
+pub struct ResourceShareLocks {
+    files: Vec<ShareFile>,
+    /// Set for a process that can see no other: it has all shares, without locks.
+    has_all: bool,
+}
+
+struct ShareFile {
+    path: PathBuf,
+    /// Present while the share is held; closing the file releases it.
+    lock: Option<File>,
+}
+
+impl ResourceShareLocks {
+    /// No shares are held yet, except by a process without an instance lock, which has all of them at once.
+    pub fn new(folder: &Path, node_name: &str, instance: &InstanceLock) -> ResourceShareLocks {
+        let name = file_name_part(node_name);
+        let has_all = matches!(instance, InstanceLock::Unavailable);
+        let files = if has_all { 0 } else { TOTAL_SHARES };
+        ResourceShareLocks {
+            files: (0..files)
+                .map(|n| ShareFile {
+                    path: folder.join(format!("mothwinch-{name}.part{n}")),
+                    lock: None,
+                })
+                .collect(),
+            has_all,
+        }
+    }
+
+    /// How many shares are held.
+    pub fn held(&self) -> u32 {
+        if self.has_all {
+            return TOTAL_SHARES;
+        }
+        self.files.iter().filter(|file| file.lock.is_some()).count() as u32
+    }
+
+    /// Releases shares, or acquires free ones, so as to hold as many as this process should. Returns how many it holds if that
+    /// has changed.
+    pub fn update(
+        &mut self,
+        own: ProcessState,
+        sibling: SiblingProcess,
+        in_use: u32,
+        log: &Logger,
+    ) -> Option<u32> {
+        if self.has_all {
+            return None;
+        }
+        let before = self.held();
+        let target = target_shares(before, in_use, own, sibling);
+        self.release(before.saturating_sub(target));
+        if let Err(e) = self.acquire(target.saturating_sub(before)) {
+            // Nothing can be divided where nothing can be locked: the instance lock logs the same of this folder.
+            warn!(log, "resource share locks unavailable"; "error" => %e);
+            self.has_all = true;
+        }
+        let held = self.held();
+        if held == before {
+            return None;
+        }
+        info!(log, "resource shares"; "held" => held, "of" => TOTAL_SHARES, "in_use" => in_use, "sibling" => ?sibling);
+        Some(held)
+    }
+
+    /// Releases this many shares, the last ones first.
+    fn release(&mut self, count: u32) {
+        let held = self
+            .files
+            .iter_mut()
+            .rev()
+            .filter(|file| file.lock.is_some());
+        for file in held.take(count as usize) {
+            file.lock = None;
+        }
+    }
+
+    /// Acquires up to this many shares that are free.
+    fn acquire(&mut self, count: u32) -> io::Result<()> {
+        let mut missing = count;
+        for share in self.files.iter_mut().filter(|file| file.lock.is_none()) {
+            if missing == 0 {
+                break;
+            }
+            let file = OpenOptions::new()
+                .write(true)
+                .create(true)
+                .truncate(false)
+                .open(&share.path)?;
+            if file.try_lock().is_ok() {
+                share.lock = Some(file);
+                missing -= 1;
+            }
+        }
+        Ok(())
+    }
+}
+
+/// A node's name as a part of a file name: the name comes from the platform and may contain anything.
+fn file_name_part(name: &str) -> String {
+    name.chars()
+        .map(|c| {
+            if c.is_ascii_alphanumeric() || c == '-' {
+                c
+            } else {
+                '_'
+            }
+        })
+        .collect()
+}
+
+/// Locks one of the instance files; `None` if both are locked.
+fn lock_one(paths: &[PathBuf; INSTANCES]) -> io::Result<Option<InstanceLock>> {
+    for (path, sibling) in [(&paths[0], &paths[1]), (&paths[1], &paths[0])] {
+        let own = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(path)?;
+        match own.try_lock() {
+            Ok(()) => {
+                return Ok(Some(InstanceLock::Held {
+                    own,
+                    sibling: sibling.clone(),
+                }))
+            }
+            Err(TryLockError::WouldBlock) => {}
+            Err(TryLockError::Error(e)) => return Err(e),
+        }
+    }
+    Ok(None)
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,11 +9,11 @@
 //! [`amqp`] the queues', which an [`inventory`] names.
 
 pub mod amqp;
+pub mod instance_lock;
 pub mod inventory;
 pub mod member;
 pub mod net;
 pub mod node;
-pub mod seat;
 pub mod wire;
 
 pub use policy::*;
--- a/src/main.rs
+++ b/src/main.rs
@@ -12,8 +12,9 @@
 use crossbeam_channel::{after, bounded, never, select, Receiver, Sender};
 use fleet_cli::Fleet;
 use fleet_runtime as fleet;
-use lifecycle::{Beside, State, Step, PARTS};
+use lifecycle::{ProcessState, SiblingProcess, Transition, TOTAL_SHARES};
 use protocol_gateway::amqp::Amqp;
+use protocol_gateway::instance_lock::{InstanceLock, ResourceShareLocks};
 use protocol_gateway::inventory::{self, InventoryError};
 use protocol_gateway::member::Member;
 use protocol_gateway::net::jsonrpc::Front;
@@ -23,7 +24,6 @@
 use protocol_gateway::node::{
     Confinement, FleetCounters, Limits, NodeStatus, Peers, PolicyActor, PolicyConfig, PolicyMessage,
 };
-use protocol_gateway::seat::{Parts, Standing};
 use router::{Config as Router, ConfigError as RouterError, RouterLoop};
 use routing::Rules;
 use slog::{info, o, warn, Drain, Logger};
@@ -329,18 +329,18 @@
     }
 
     // Where there is a door another process may stand beside this one.
-    let mut standing = config.door.map_or(Standing::Alone, |_| {
-        Standing::new(&std::env::temp_dir(), &config.name)
+    let mut instance_lock = config.door.map_or(InstanceLock::Unavailable, |_| {
+        InstanceLock::new(&std::env::temp_dir(), &config.name)
     });
-    standing.look(node_status.process_state(), &log);
+    instance_lock.try_acquire(node_status.process_state(), &log);
     let mut divide = Divide {
-        parts: Parts::new(&std::env::temp_dir(), &config.name, &standing),
+        parts: ResourceShareLocks::new(&std::env::temp_dir(), &config.name, &instance_lock),
         node_status: node_status.clone(),
         policy: policy.clone(),
         slots: limits.front.max_connections,
         log: log.clone(),
     };
-    divide.look(&standing, front.connections());
+    divide.look(&instance_lock, front.connections());
     let mut member = Member::new(
         in_fleet,
         cli.fleet.as_deref(),
@@ -350,9 +350,11 @@
         &log,
     );
     // One that is to replace another stays out of the fleet until it takes clients: the name is the other's so long.
-    let another = |standing: &Standing| !standing.may_take() || standing.beside() != Beside::Nobody;
-    member.beside(another(&standing));
-    if standing.beside() != Beside::Taking {
+    let another = |instance_lock: &InstanceLock| {
+        !instance_lock.may_accept_clients() || instance_lock.sibling() != SiblingProcess::Absent
+    };
+    member.beside(another(&instance_lock));
+    if instance_lock.sibling() != SiblingProcess::AcceptingClients {
         member
             .join(node_status.process_state(), serves)
             .map_err(system("fleet"))?;
@@ -381,12 +383,12 @@
             }
             recv(node_status.executor_ready()) -> _ => up = true,
             recv(look) -> _ => {
-                standing.look(node_status.process_state(), &log);
+                instance_lock.try_acquire(node_status.process_state(), &log);
                 // Of two processes the later one leaves to the earlier what is the name's own.
                 if member.is_beside() {
-                    member.beside(another(&standing));
+                    member.beside(another(&instance_lock));
                 }
-                divide.look(&standing, front.connections());
+                divide.look(&instance_lock, front.connections());
                 look = pace(&divide);
             }
             recv(changed) -> _ => {
@@ -397,14 +399,14 @@
         }
         // Without a part it could only refuse what comes.
         let has_part = divide.parts.held() > 0 || began.elapsed() >= limits.first_share_timeout;
-        if up && standing.may_take() && has_part {
+        if up && instance_lock.may_accept_clients() && has_part {
             up = false;
             if let Some(clients) = clients.take() {
                 serves = Some(listen(clients).map_err(system("listen"))?);
             }
             // Said before the door says so: the platform ends the other process on the door's word.
-            standing.say(State::Serving);
-            let _ = node_status.apply_transition(Step::Taking);
+            instance_lock.publish(ProcessState::Serving);
+            let _ = node_status.apply_transition(Transition::AcceptClients);
             member
                 .join(node_status.process_state(), serves)
                 .map_err(system("fleet"))?;
@@ -412,10 +414,10 @@
         }
     }
     let told = Instant::now();
-    let beside = standing.beside();
-    let _ = node_status.apply_transition(beside.leave());
-    let replaced = beside == Beside::Taking;
-    standing.say(node_status.process_state());
+    let beside = instance_lock.sibling();
+    let _ = node_status.apply_transition(beside.shutdown_transition());
+    let replaced = beside == SiblingProcess::AcceptingClients;
+    instance_lock.publish(node_status.process_state());
     let stop = if replaced {
         limits.replaced_lifetime(&site)
     } else {
@@ -461,7 +463,7 @@
         select! {
             recv(after(limits.drain_poll_interval)) -> _ => {}
             recv(look) -> _ => {
-                divide.look(&standing, front.connections());
+                divide.look(&instance_lock, front.connections());
                 look = pace(&divide);
             }
             recv(signals.reload) -> _ => peers.reload(&config.name, config.listen),
@@ -472,7 +474,7 @@
 
 /// How this process and another of the node divide what the node may have, and who must hear when that changes.
 struct Divide {
-    parts: Parts,
+    parts: ResourceShareLocks,
     node_status: Arc<NodeStatus>,
     policy: Sender<PolicyMessage>,
     slots: usize,
@@ -482,15 +484,15 @@
 impl Divide {
     /// All is this process's, as nobody stands beside it.
     fn whole(&self) -> bool {
-        self.parts.held() == PARTS
+        self.parts.held() == TOTAL_SHARES
     }
     /// Looks who stands beside this process, with so many connections here.
-    fn look(&mut self, standing: &Standing, connections: usize) {
-        let taken = (connections * PARTS as usize).div_ceil(self.slots.max(1)) as u32;
+    fn look(&mut self, instance_lock: &InstanceLock, connections: usize) {
+        let taken = (connections * TOTAL_SHARES as usize).div_ceil(self.slots.max(1)) as u32;
         let used = self.node_status.used_shares().max(taken);
-        if let Some(held) = self.parts.look(
+        if let Some(held) = self.parts.update(
             self.node_status.process_state(),
-            standing.beside(),
+            instance_lock.sibling(),
             used,
             &self.log,
         ) {
--- a/src/member.rs
+++ b/src/member.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use fleet_runtime as fleet;
-use lifecycle::State;
+use lifecycle::ProcessState;
 use membership::Said;
 use slog::{info, o, warn, Logger};
 
@@ -63,7 +63,7 @@
         self.beside
     }
     /// Becomes a member if it is none yet, and says how the process stands.
-    pub fn join(&mut self, state: State, serves: Option<SocketAddr>) -> io::Result<()> {
+    pub fn join(&mut self, state: ProcessState, serves: Option<SocketAddr>) -> io::Result<()> {
         if let (None, Some(config)) = (&self.handle, self.config.take()) {
             let me = fleet::Me {
                 name: self.name.as_str().into(),
@@ -89,12 +89,12 @@
         Ok(())
     }
     /// The process stands so.
-    pub fn say(&self, state: State) {
+    pub fn say(&self, state: ProcessState) {
         let said = match state {
-            State::Starting { .. } => Said::Joining,
-            State::Serving => Said::Up,
-            State::Quiesced => Said::Quiesced,
-            State::Leaving { .. } => Said::Leaving,
+            ProcessState::Starting { .. } => Said::Joining,
+            ProcessState::Serving => Said::Up,
+            ProcessState::Quiesced => Said::Quiesced,
+            ProcessState::ShuttingDown { .. } => Said::Leaving,
         };
         if let Some(handle) = &self.handle {
             handle.say(said);
--- a/src/net/door.rs
+++ b/src/net/door.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::Sender;
-use lifecycle::{Answer, Call, Line, Unheard};
+use lifecycle::{AdminCommand, AdminRequestError, AdminResponse, LineBuffer};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 use slog::{info, warn, Logger};
@@ -22,7 +22,7 @@
 /// One caller. Those that came first have the lowest numbers.
 struct Caller {
     stream: TcpStream,
-    line: Line,
+    line: LineBuffer,
     /// It has its answer, and is only waited for to read it: closed on bytes that nobody read, the machine would reset
     /// the connection and the answer with it.
     answered: bool,
@@ -141,7 +141,10 @@
         if self.callers.get(&number).is_some_and(|c| !c.answered) {
             self.crowded
                 .log(|more| warn!(self.log, "door: too many callers"; "more" => more));
-            self.answer(number, Answer::Unheard(Unheard::Crowded));
+            self.answer(
+                number,
+                AdminResponse::InvalidRequest(AdminRequestError::TooManyClients),
+            );
         }
         self.callers.remove(&number);
     }
@@ -157,7 +160,7 @@
         {
             return;
         }
-        let line = Line::new(self.limits.admin_line_bytes);
+        let line = LineBuffer::new(self.limits.admin_line_bytes);
         let until = Instant::now() + self.limits.admin_request_timeout;
         self.callers.insert(
             number,
@@ -185,9 +188,9 @@
                     self.callers.remove(&number);
                     return;
                 }
-                Ok(0) => Some(Err(Unheard::Cut)),
+                Ok(0) => Some(Err(AdminRequestError::Truncated)),
                 Ok(_) if caller.answered => None,
-                Ok(n) => caller.line.feed(&chunk[..n]),
+                Ok(n) => caller.line.push(&chunk[..n]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => None,
                 Err(_) => {
@@ -200,16 +203,16 @@
                     let answer = self.carry_out(call);
                     self.answer(number, answer);
                 }
-                Some(Err(why)) => self.answer(number, Answer::Unheard(why)),
+                Some(Err(why)) => self.answer(number, AdminResponse::InvalidRequest(why)),
                 None => {}
             }
         }
     }
 
-    fn carry_out(&self, call: Call) -> Answer {
+    fn carry_out(&self, call: AdminCommand) -> AdminResponse {
         let (before, answer, after) = self.node_status.update_state(|state| {
             let before = *state;
-            let answer = call.carry_out(state);
+            let answer = call.execute(state);
             (before, answer, *state)
         });
         if before != after {
@@ -220,7 +223,7 @@
         answer
     }
 
-    fn answer(&mut self, number: usize, answer: Answer) {
+    fn answer(&mut self, number: usize, answer: AdminResponse) {
         let Some(caller) = self.callers.get_mut(&number) else {
             return;
         };
@@ -243,7 +246,10 @@
             if self.callers.get(&number).is_some_and(|c| c.answered) {
                 self.callers.remove(&number);
             } else {
-                self.answer(number, Answer::Unheard(Unheard::Late));
+                self.answer(
+                    number,
+                    AdminResponse::InvalidRequest(AdminRequestError::TimedOut),
+                );
             }
         }
     }
--- a/src/net/jsonrpc/events.rs
+++ b/src/net/jsonrpc/events.rs
@@ -13,7 +13,7 @@
     ConnectionId, ConnectionState, Eviction, IdleConnections, ProtocolViolation, TimerAction,
 };
 use crossbeam_channel::{unbounded, Receiver, Sender};
-use lifecycle::share;
+use lifecycle::amount_for_shares;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Poll, Token, Waker};
 use slog::{debug, info, warn, Logger};
@@ -252,7 +252,7 @@
 
     /// Connections that this process may have of the node's. Those past a part that fell go as their room is needed.
     fn look_at_parts(&mut self) {
-        let connections = share(self.whole, self.core.node_status.resource_shares());
+        let connections = amount_for_shares(self.whole, self.core.node_status.resource_shares());
         if connections != self.limits.front.max_connections {
             self.limits.front.set_max_connections(connections);
         }
--- a/src/net/membership.rs
+++ b/src/net/membership.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use crossbeam_channel::{after, select, Receiver};
-use lifecycle as service;
+use lifecycle::EndpointReport;
 use slog::{warn, Logger};
 
 use crate::node::{Limits, NodeStatus};
@@ -18,9 +18,9 @@
     To(SocketAddr),
 }
 
-/// Reports until its mailbox is gone, what the state of the process asks for: see [`State::report`].
+/// Reports until its mailbox is gone, what the state of the process asks for: see [`ProcessState::endpoint_report`].
 ///
-/// [`State::report`]: lifecycle::State::report
+/// [`ProcessState::endpoint_report`]: lifecycle::ProcessState::endpoint_report
 pub fn run(
     mut to: SocketAddr,
     name: &str,
@@ -34,10 +34,10 @@
         Err(e) => return warn!(log, "no socket for the list"; "error" => %e),
     };
     loop {
-        let word = match node_status.process_state().report() {
-            service::Report::Nothing => None,
-            service::Report::Up => Some("UP"),
-            service::Report::Out => Some("OUT"),
+        let word = match node_status.process_state().endpoint_report() {
+            EndpointReport::Nothing => None,
+            EndpointReport::Up => Some("UP"),
+            EndpointReport::Out => Some("OUT"),
         };
         if let Some(word) = word {
             // No answer comes, and a lost report is made good by the next one.
--- a/src/node/policy_actor/mod.rs
+++ b/src/node/policy_actor/mod.rs
@@ -20,7 +20,7 @@
 
 use crossbeam_channel::{at, never, select, tick, Receiver};
 use idempotency::Table;
-use lifecycle::PARTS;
+use lifecycle::TOTAL_SHARES;
 use policy::{Action, Event, Idempotency, Policy, RequestId, Span};
 use slog::{info, Logger};
 
@@ -73,7 +73,7 @@
     tenant_keys: Vec<u64>,
     /// Whether the policy was given other nodes' counts.
     uses_other_counts: bool,
-    /// How many of the node's resource shares this process holds, out of [`PARTS`].
+    /// How many of the node's resource shares this process holds, out of [`TOTAL_SHARES`].
     resource_shares: u32,
     peaks: Peaks,
     last_batch: Instant,
@@ -144,7 +144,7 @@
             is_connected: false,
             is_shutting_down: false,
             uses_other_counts: false,
-            resource_shares: PARTS,
+            resource_shares: TOTAL_SHARES,
             peaks: Peaks::default(),
             last_batch: Instant::now(),
         }
--- a/src/node/policy_actor/quotas.rs
+++ b/src/node/policy_actor/quotas.rs
@@ -1,6 +1,6 @@
 //! What of the node's resources is this process's, and what the fleet's other nodes have in flight.
 
-use lifecycle::PARTS;
+use lifecycle::TOTAL_SHARES;
 use policy::Event;
 
 use super::PolicyActor;
@@ -16,7 +16,7 @@
         // Before there is a policy the event is lost; the policy is notified as it starts.
         self.resource_shares = shares;
         let settings = &self.site.settings;
-        let fraction = f64::from(shares) / f64::from(PARTS);
+        let fraction = f64::from(shares) / f64::from(TOTAL_SHARES);
         // Where the fleet shares a quota of calls, it includes both processes of this node.
         let has_fleet_quota = self.peers.report_waiting.is_some();
         let call_quota = (!has_fleet_quota).then(|| settings.call_quota * fraction.max(MIN_CALLS));
@@ -37,9 +37,9 @@
         let memory = booked_kb / settings.memory_kb.max(1.0);
         let concurrency = on_the_cores / max_concurrency.max(1.0);
         let fraction = memory.max(concurrency) * RESERVE_FACTOR;
-        (fraction * f64::from(PARTS))
+        (fraction * f64::from(TOTAL_SHARES))
             .ceil()
-            .clamp(0.0, f64::from(PARTS)) as u32
+            .clamp(0.0, f64::from(TOTAL_SHARES)) as u32
     }
 
     /// Notifies the policy of what the other nodes have in flight, or that it is no longer known.
--- a/src/node/policy_actor/runs.rs
+++ b/src/node/policy_actor/runs.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lifecycle::PARTS;
+use lifecycle::TOTAL_SHARES;
 use policy::{Event, Idempotency, Policy, RequestId, RunOutcome, Settings};
 use slog::{debug, info, warn};
 
@@ -54,7 +54,7 @@
         let mut actions = Vec::new();
         policy.handle(unix_now() - age, &[], &mut actions);
         self.policy = Some(policy);
-        if self.resource_shares != PARTS {
+        if self.resource_shares != TOTAL_SHARES {
             self.set_resource_shares(self.resource_shares);
         }
         info!(self.log, "executor connected"; "is_cold" => is_cold, "age_ms" => age.ms());
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crossbeam_channel::{bounded, Receiver, Sender};
-use lifecycle::{Refused, State, Step, PARTS};
+use lifecycle::{ProcessState, Transition, TransitionError, TOTAL_SHARES};
 use policy::Span;
 
 /// The node's published state: health, capacity hint, idle timeout, and the count of unanswered requests.
@@ -20,7 +20,7 @@
     unanswered: AtomicUsize,
     resource_shares: AtomicU32,
     used_shares: AtomicU32,
-    process_state: Mutex<State>,
+    process_state: Mutex<ProcessState>,
     executor_ready: (Sender<()>, Receiver<()>),
 }
 
@@ -31,7 +31,7 @@
             capacity_hint: AtomicU64::new(f64::NAN.to_bits()),
             idle_timeout_us: AtomicI64::new(0),
             unanswered: AtomicUsize::new(0),
-            resource_shares: AtomicU32::new(PARTS),
+            resource_shares: AtomicU32::new(TOTAL_SHARES),
             used_shares: AtomicU32::new(0),
             process_state: Mutex::default(),
             executor_ready: bounded(1),
@@ -42,7 +42,7 @@
 impl NodeStatus {
     /// Whether health checks are answered as healthy: the policy accepts requests and the process serves.
     pub fn is_healthy(&self) -> bool {
-        self.is_accepting.load(Relaxed) && self.process_state().healthy()
+        self.is_accepting.load(Relaxed) && self.process_state().is_healthy()
     }
 
     /// The capacity hint to callers, once the policy has set one.
@@ -59,12 +59,12 @@
             .map(Duration::from_micros)
     }
 
-    /// Sets how many of the node's resource shares this process holds, out of [`PARTS`].
+    /// Sets how many of the node's resource shares this process holds, out of [`TOTAL_SHARES`].
     pub fn set_resource_shares(&self, shares: u32) {
         self.resource_shares.store(shares, Relaxed);
     }
 
-    /// How many of the node's resource shares this process holds, out of [`PARTS`].
+    /// How many of the node's resource shares this process holds, out of [`TOTAL_SHARES`].
     pub fn resource_shares(&self) -> u32 {
         self.resource_shares.load(Relaxed)
     }
@@ -80,7 +80,7 @@
     }
 
     /// The state of this process.
-    pub fn process_state(&self) -> State {
+    pub fn process_state(&self) -> ProcessState {
         *self
             .process_state
             .lock()
@@ -88,15 +88,18 @@
     }
 
     /// Applies a transition to the state of this process; all later readers see the new state.
-    pub fn apply_transition(&self, transition: Step) -> Result<State, Refused> {
+    pub fn apply_transition(
+        &self,
+        transition: Transition,
+    ) -> Result<ProcessState, TransitionError> {
         self.update_state(|state| {
-            *state = state.step(transition)?;
+            *state = state.apply(transition)?;
             Ok(*state)
         })
     }
 
     /// Changes the state of this process under its lock and returns what `change` returns.
-    pub fn update_state<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
+    pub fn update_state<T>(&self, change: impl FnOnce(&mut ProcessState) -> T) -> T {
         let mut state = self
             .process_state
             .lock()
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -11,7 +11,7 @@
 use fault_testbed::{Plan, Rig};
 use fleet_cli::{state, All, Shown, Status};
 use golden::{data, run, shape, Folder};
-use lifecycle::{Answer, Call, State, Unheard};
+use lifecycle::{AdminCommand, AdminRequestError, AdminResponse, ProcessState};
 use membership::word::Word;
 use membership::{Conclusion, Record, Said, Standing};
 use serde_json::{json, Value};
@@ -224,34 +224,37 @@
 #[test]
 fn each_admin_command_has_its_answer_in_each_state() {
     let states = [
-        ("starting", State::Starting { quiesced: false }),
-        ("starting, quiesced", State::Starting { quiesced: true }),
-        ("serving", State::Serving),
-        ("quiesced", State::Quiesced),
+        ("starting", ProcessState::Starting { quiesced: false }),
+        (
+            "starting, quiesced",
+            ProcessState::Starting { quiesced: true },
+        ),
+        ("serving", ProcessState::Serving),
+        ("quiesced", ProcessState::Quiesced),
         (
             "leaving",
-            State::Leaving {
+            ProcessState::ShuttingDown {
                 replaced: false,
                 quiesced: false,
             },
         ),
         (
             "leaving, quiesced",
-            State::Leaving {
+            ProcessState::ShuttingDown {
                 replaced: false,
                 quiesced: true,
             },
         ),
         (
             "replaced",
-            State::Leaving {
+            ProcessState::ShuttingDown {
                 replaced: true,
                 quiesced: false,
             },
         ),
         (
             "replaced, quiesced",
-            State::Leaving {
+            ProcessState::ShuttingDown {
                 replaced: true,
                 quiesced: true,
             },
@@ -261,9 +264,9 @@
     for (name, before) in states {
         for line in ["health", "quiesce", "resume"] {
             let mut state = before;
-            let answer = Call::parse(line.as_bytes())
+            let answer = AdminCommand::parse(line.as_bytes())
                 .expect("a command")
-                .carry_out(&mut state);
+                .execute(&mut state);
             found
                 .entry(name)
                 .or_default()
@@ -276,7 +279,14 @@
 
 #[test]
 fn each_reason_for_which_a_line_is_no_admin_command_has_its_answer() {
-    use Unheard::{Crowded, Cut, Late, TooLong, Unknown};
-    let found = [Unknown, TooLong, Cut, Late, Crowded].map(|why| Answer::Unheard(why).to_string());
+    use AdminRequestError::{LineTooLong, TimedOut, TooManyClients, Truncated, UnknownCommand};
+    let found = [
+        UnknownCommand,
+        LineTooLong,
+        Truncated,
+        TimedOut,
+        TooManyClients,
+    ]
+    .map(|error| AdminResponse::InvalidRequest(error).to_string());
     assert_eq!(found.to_vec(), data::<Vec<String>>("admin_errors.json"));
 }
--- a/tests/golden_locks.rs
+++ b/tests/golden_locks.rs
@@ -1,12 +1,12 @@
-//! The lock files by which two processes of one node know of each other. In a replacement an old and a new program meet
+//! The lock files by which two processes of one node see each other. In a replacement an old and a new program meet
 //! there: names of files, words and what they mean may not change. The files under `golden/` never change.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{Read, Seek, Write};
 use std::path::{Path, PathBuf};
 
-use lifecycle::{word, Beside, State, PARTS, WORD};
-use protocol_gateway::seat::{Parts, Standing};
+use lifecycle::{status_word, ProcessState, SiblingProcess, STATUS_WORD_LEN, TOTAL_SHARES};
+use protocol_gateway::instance_lock::{InstanceLock, ResourceShareLocks};
 use slog::{o, Discard, Logger};
 
 /// A folder of this test's own that goes with the value.
@@ -52,42 +52,45 @@
     file
 }
 
-fn seated(folder: &Path, name: &str, state: State) -> Standing {
-    let mut standing = Standing::new(folder, name);
-    standing.look(state, &log());
-    assert!(standing.may_take());
-    standing
+fn locked(folder: &Path, name: &str, state: ProcessState) -> InstanceLock {
+    let mut lock = InstanceLock::new(folder, name);
+    lock.try_acquire(state, &log());
+    assert!(lock.may_accept_clients());
+    lock
 }
 
-const STATES: [(&str, State); 8] = [
-    ("starting", State::Starting { quiesced: false }),
-    ("starting-quiesced", State::Starting { quiesced: true }),
-    ("serving", State::Serving),
-    ("quiesced", State::Quiesced),
+const STATES: [(&str, ProcessState); 8] = [
+    ("starting", ProcessState::Starting { quiesced: false }),
+    (
+        "starting-quiesced",
+        ProcessState::Starting { quiesced: true },
+    ),
+    ("serving", ProcessState::Serving),
+    ("quiesced", ProcessState::Quiesced),
     (
         "leaving",
-        State::Leaving {
+        ProcessState::ShuttingDown {
             replaced: false,
             quiesced: false,
         },
     ),
     (
         "leaving-quiesced",
-        State::Leaving {
+        ProcessState::ShuttingDown {
             replaced: false,
             quiesced: true,
         },
     ),
     (
         "leaving-replaced",
-        State::Leaving {
+        ProcessState::ShuttingDown {
             replaced: true,
             quiesced: false,
         },
     ),
     (
         "leaving-replaced-quiesced",
-        State::Leaving {
+        ProcessState::ShuttingDown {
             replaced: true,
             quiesced: true,
         },
@@ -109,12 +112,12 @@
     let mut written = String::new();
     for name in names {
         let scratch = Scratch::new("names");
-        let first = seated(&scratch.0, name, State::Serving);
-        let second = seated(&scratch.0, name, State::Serving);
-        let mut parts = Parts::new(&scratch.0, name, &first);
+        let first = locked(&scratch.0, name, ProcessState::Serving);
+        let second = locked(&scratch.0, name, ProcessState::Serving);
+        let mut shares = ResourceShareLocks::new(&scratch.0, name, &first);
         assert_eq!(
-            parts.look(State::Serving, Beside::Nobody, 0, &log()),
-            Some(PARTS)
+            shares.update(ProcessState::Serving, SiblingProcess::Absent, 0, &log()),
+            Some(TOTAL_SHARES)
         );
         written += &format!("{name:?}\n");
         scratch
@@ -131,42 +134,47 @@
     let hex = |bytes: &[u8]| bytes.iter().map(|b| format!("{b:02x}")).collect::<String>();
     let written: String = STATES
         .iter()
-        .map(|(name, state)| format!("{name} {}\n", hex(&word(*state))))
+        .map(|(name, state)| format!("{name} {}\n", hex(&status_word(*state))))
         .collect();
     assert_eq!(written, include_str!("golden/lock_words.txt"));
-    assert_eq!(WORD, 16);
-    assert_eq!(PARTS, 8);
+    assert_eq!(STATUS_WORD_LEN, 16);
+    assert_eq!(TOTAL_SHARES, 8);
 }
 
-/// An old program sits at either seat: what it wrote is understood, whoever came first.
+/// An old program holds either instance lock: what it wrote is understood, whichever started first.
 #[test]
 fn word_of_an_old_program_is_understood() {
     for (own, other) in [(0, 1), (1, 0)] {
         let scratch = Scratch::new(&format!("word-{own}"));
         let path = |n: u32| scratch.0.join(format!("mothwinch-a_b-1.seat{n}"));
         let mut old = held(&path(other), b"idle           \n");
-        let new = seated(&scratch.0, "a b-1", State::default());
-        for (text, beside) in [
-            (b"idle           \n", Beside::Idle),
-            (b"taking clients \n", Beside::Taking),
-            (b"leaving        \n", Beside::Leaving),
-            (b"Taking clients \n", Beside::Idle),
+        let new = locked(&scratch.0, "a b-1", ProcessState::default());
+        for (text, sibling) in [
+            (b"idle           \n", SiblingProcess::Idle),
+            (b"taking clients \n", SiblingProcess::AcceptingClients),
+            (b"leaving        \n", SiblingProcess::ShuttingDown),
+            (b"Taking clients \n", SiblingProcess::Idle),
         ] {
             old.rewind().expect("rewound");
             old.write_all(text).expect("written");
-            assert_eq!(new.beside(), beside, "{:?}", String::from_utf8_lossy(text));
+            assert_eq!(
+                new.sibling(),
+                sibling,
+                "{:?}",
+                String::from_utf8_lossy(text)
+            );
         }
         old.write_all(b"more").expect("written");
-        assert_eq!(new.beside(), Beside::Idle, "longer than any word");
+        assert_eq!(new.sibling(), SiblingProcess::Idle, "longer than any word");
         old.set_len(0).expect("cut");
-        assert_eq!(new.beside(), Beside::Idle, "no word");
+        assert_eq!(new.sibling(), SiblingProcess::Idle, "no word");
         old.rewind().expect("rewound");
         old.write_all(b"taking clients \n").expect("written");
-        assert_eq!(new.beside(), Beside::Taking);
+        assert_eq!(new.sibling(), SiblingProcess::AcceptingClients);
         drop(old);
         assert_eq!(
-            new.beside(),
-            Beside::Nobody,
+            new.sibling(),
+            SiblingProcess::Absent,
             "what is left behind counts for nothing"
         );
     }
@@ -176,10 +184,10 @@
 #[test]
 fn old_program_understands_what_is_written() {
     let scratch = Scratch::new("written");
-    let mut new = seated(&scratch.0, "n", State::default());
+    let mut new = locked(&scratch.0, "n", ProcessState::default());
     for (name, state) in STATES {
-        new.say(state);
-        let mut file = File::open(scratch.0.join("mothwinch-n.seat0")).expect("the seat");
+        new.publish(state);
+        let mut file = File::open(scratch.0.join("mothwinch-n.seat0")).expect("the lock file");
         assert!(
             matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock)),
             "{name}"
@@ -187,61 +195,71 @@
         let mut text = Vec::new();
         file.read_to_end(&mut text).expect("read");
         let golden: &[u8; 16] = match state {
-            State::Starting { .. } => b"idle           \n",
-            State::Serving | State::Quiesced => b"taking clients \n",
-            State::Leaving { .. } => b"leaving        \n",
+            ProcessState::Starting { .. } => b"idle           \n",
+            ProcessState::Serving | ProcessState::Quiesced => b"taking clients \n",
+            ProcessState::ShuttingDown { .. } => b"leaving        \n",
         };
         assert_eq!(text, golden, "{name}");
     }
     drop(new);
-    let file = File::open(scratch.0.join("mothwinch-n.seat0")).expect("the seat");
-    assert!(file.try_lock_shared().is_ok(), "the seat is free again");
+    let file = File::open(scratch.0.join("mothwinch-n.seat0")).expect("the lock file");
+    assert!(file.try_lock_shared().is_ok(), "the lock is free again");
 }
 
-/// Two old programs live: a new one waits, and takes a seat once one of them has gone.
+/// Two old programs live: a new one waits, and acquires a lock once one of them has ended.
 #[test]
-fn new_program_waits_while_old_ones_hold_both_seats() {
+fn new_program_waits_while_old_ones_hold_both_locks() {
     let scratch = Scratch::new("waits");
-    let seats = [0, 1].map(|n| {
+    let locks = [0, 1].map(|n| {
         held(
             &scratch.0.join(format!("mothwinch-n.seat{n}")),
             b"leaving        \n",
         )
     });
-    let mut new = Standing::new(&scratch.0, "n");
-    new.look(State::default(), &log());
-    assert!(!new.may_take());
-    let [first, second] = seats;
+    let mut new = InstanceLock::new(&scratch.0, "n");
+    new.try_acquire(ProcessState::default(), &log());
+    assert!(!new.may_accept_clients());
+    let [first, second] = locks;
     drop(first);
-    new.look(State::default(), &log());
-    assert!(new.may_take());
-    assert_eq!(new.beside(), Beside::Leaving);
+    new.try_acquire(ProcessState::default(), &log());
+    assert!(new.may_accept_clients());
+    assert_eq!(new.sibling(), SiblingProcess::ShuttingDown);
     drop(second);
 }
 
-/// Parts that an old program holds are not taken, and those that it lets go of are.
+/// Shares that an old program holds are not acquired, and those that it releases are.
 #[test]
-fn parts_that_an_old_program_holds_are_left_to_it() {
-    let scratch = Scratch::new("parts");
+fn shares_that_an_old_program_holds_are_left_to_it() {
+    let scratch = Scratch::new("shares");
     let path = |n: u32| scratch.0.join(format!("mothwinch-n.part{n}"));
     let mut old: Vec<File> = (0..6).map(|n| held(&path(n), b"")).collect();
-    let new = seated(&scratch.0, "n", State::default());
-    let mut parts = Parts::new(&scratch.0, "n", &new);
+    let new = locked(&scratch.0, "n", ProcessState::default());
+    let mut shares = ResourceShareLocks::new(&scratch.0, "n", &new);
     assert_eq!(
-        parts.look(State::Serving, Beside::Leaving, 0, &log()),
+        shares.update(
+            ProcessState::Serving,
+            SiblingProcess::ShuttingDown,
+            0,
+            &log()
+        ),
         Some(2)
     );
     for n in [6, 7] {
-        let file = File::open(path(n)).expect("a part");
+        let file = File::open(path(n)).expect("a share file");
         assert!(
             matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock)),
-            "part {n}"
+            "share {n}"
         );
     }
     old.truncate(2);
     assert_eq!(
-        parts.look(State::Serving, Beside::Leaving, 0, &log()),
+        shares.update(
+            ProcessState::Serving,
+            SiblingProcess::ShuttingDown,
+            0,
+            &log()
+        ),
         Some(6)
     );
-    assert_eq!(std::fs::metadata(path(7)).expect("a part").len(), 0);
+    assert_eq!(std::fs::metadata(path(7)).expect("a share file").len(), 0);
 }
