--- a/crates/fault-testbed/src/script.rs
+++ b/crates/fault-testbed/src/script.rs
@@ -141,7 +141,7 @@
             file: name.into(),
             line,
             field: field.into(),
-            what,
+            message: what,
         };
         let script: Script = json5::from_str(text)
             .map_err(|e| bad(e.position().map(|at| at.line + 1), "", e.to_string()))?;
--- a/crates/fleet-runtime/src/config.rs
+++ b/crates/fleet-runtime/src/config.rs
@@ -121,13 +121,13 @@
             file: name.into(),
             line: line(field),
             field: field.into(),
-            what,
+            message: what,
         };
         let file: File = json5::from_str(text).map_err(|e| FileError {
             file: name.into(),
             line: e.position().map(|at| at.line + 1),
             field: String::new(),
-            what: e.to_string(),
+            message: e.to_string(),
         })?;
         if file.version != 1 {
             return Err(bad(
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,8 +1,8 @@
 //! The core of the node. It knows no wire protocol: clients hand it [`Arrival`]s, peers hand it
 //! [`PolicyMessage`]s, and it sends its commands to their mailboxes.
 
+pub mod cell_guard;
 pub mod config;
-pub mod confinement;
 pub mod limits;
 mod messages;
 mod peers;
@@ -16,7 +16,7 @@
 
 use policy::Time;
 
-pub use confinement::Confinement;
+pub use cell_guard::CellGuard;
 pub use limits::Limits;
 pub use messages::{CallResult, DatabaseCall, ExecutorCommand, PolicyMessage, RunReport};
 pub use peers::{FleetCounters, Peers};
