--- /dev/null
+++ b/src/actors.rs
@@ -0,0 +1,273 @@
+//! The actors of a node: each runs on a thread of its own and is reached through its mailbox.
+
+use std::net::{SocketAddr, TcpListener};
+use std::sync::Arc;
+
+use crossbeam_channel::{bounded, Receiver, Sender};
+use fleet_runtime as fleet;
+use protocol_gateway::amqp::Amqp;
+use protocol_gateway::inventory::Queue;
+use protocol_gateway::net::jsonrpc::JsonRpcServer;
+use protocol_gateway::net::{database, door, executor, membership, spawn, Address};
+use protocol_gateway::node::config::Config;
+use protocol_gateway::node::{
+    CellGuard, ExecutorCommand, FleetCounters, Limits, NodeStatus, Peers, PolicyActor,
+    PolicyConfig, PolicyMessage,
+};
+use slog::{info, o, Logger};
+
+use crate::startup::StartError;
+
+/// What every actor is started with.
+pub(crate) struct ActorContext<'a> {
+    pub(crate) config: &'a Config,
+    pub(crate) limits: &'a Limits,
+    pub(crate) status: Arc<NodeStatus>,
+    /// The policy's mailbox.
+    pub(crate) policy: Sender<PolicyMessage>,
+    pub(crate) log: &'a Logger,
+    policy_inbox: Receiver<PolicyMessage>,
+}
+
+/// The running actors, and the mailboxes through which the main thread reaches them.
+pub(crate) struct Actors {
+    pub(crate) json_rpc: JsonRpcServer,
+    pub(crate) amqp: Amqp,
+    pub(crate) fleet: FleetLinks,
+    /// The database's address, which may change.
+    pub(crate) database: Arc<Address>,
+    /// New addresses for the executor's actor.
+    pub(crate) executor_moves: Sender<SocketAddr>,
+    /// Reports for the endpoint list's actor.
+    pub(crate) endpoint_list_reports: Sender<membership::Report>,
+    /// Disconnected when the policy's thread ends, however it ends: without the policy the node is of no use.
+    pub(crate) policy_ended: Receiver<()>,
+    /// Receives a message after each change of the process's state by an admin command.
+    pub(crate) state_changes: Receiver<()>,
+    /// Keeps `state_changes` connected where there is no admin listener.
+    _state_change_sender: Sender<()>,
+}
+
+impl Actors {
+    /// Starts all actors.
+    pub(crate) fn start(
+        context: &ActorContext<'_>,
+        fleet: FleetLinks,
+        queues: Vec<Queue>,
+        cells: Option<CellGuard>,
+        admin_listener: Option<TcpListener>,
+    ) -> Result<Actors, StartError> {
+        let (executor_commands, executor_inbox) = bounded(context.limits.executor.mailbox);
+        let (executor_moves, executor_move_inbox) = bounded(1);
+        let (endpoint_list_reports, endpoint_list_inbox) = bounded(1);
+        let (state_change_sender, state_changes) = bounded(1);
+        let database = Arc::new(Address::new(context.config.database));
+        let calls = context.start_database(&database, &fleet)?;
+        let policy_ended = context.start_policy(executor_commands, calls, &fleet, cells)?;
+        context.start_executor(executor_inbox, executor_move_inbox)?;
+        context.start_endpoint_list(endpoint_list_inbox)?;
+        let amqp = context.start_amqp(queues)?;
+        let json_rpc = context.start_json_rpc()?;
+        if let Some(listener) = admin_listener {
+            context.start_admin(listener, state_change_sender.clone())?;
+        }
+        Ok(Actors {
+            json_rpc,
+            amqp,
+            fleet,
+            database,
+            executor_moves,
+            endpoint_list_reports,
+            policy_ended,
+            state_changes,
+            _state_change_sender: state_change_sender,
+        })
+    }
+}
+
+/// The connection between the fleet's shared counts and quotas and this node's actors.
+pub(crate) struct FleetLinks {
+    /// Keeps the database's calls within the quota and the judgement of the fleet.
+    pub(crate) call_guard: Option<database::Guard>,
+    /// Counters that the members of the fleet share.
+    pub(crate) counters: Option<fleet::Shares>,
+    shares_tenant_counts: bool,
+}
+
+impl FleetLinks {
+    /// What this configuration of the fleet asks for; nothing without one.
+    pub(crate) fn new(config: Option<&fleet::Config>) -> FleetLinks {
+        let Some(config) = config else {
+            return FleetLinks {
+                call_guard: None,
+                counters: None,
+                shares_tenant_counts: false,
+            };
+        };
+        let has_call_quota = config.budgets.iter().any(|b| *b.name == *fleet::LEDGER);
+        let counters = (config.counts || config.judgements).then(fleet::Shares::default);
+        let judged = counters.clone().filter(|_| config.judgements);
+        let is_guarded = has_call_quota || judged.is_some();
+        let call_guard =
+            is_guarded.then(|| database::Guard::new(database::Budget::new(has_call_quota, judged)));
+        FleetLinks {
+            call_guard,
+            counters,
+            shares_tenant_counts: config.counts,
+        }
+    }
+
+    /// The counts of requests in flight by tenant, where the fleet shares them.
+    fn tenant_counters(&self) -> Option<FleetCounters> {
+        let counters = self
+            .counters
+            .clone()
+            .filter(|_| self.shares_tenant_counts)?;
+        Some(FleetCounters {
+            own: counters.live(),
+            read_others: Box::new(move |keys| counters.others(keys)),
+        })
+    }
+}
+
+impl<'a> ActorContext<'a> {
+    /// A context with the policy's mailbox and a status of its own.
+    pub(crate) fn new(config: &'a Config, limits: &'a Limits, log: &'a Logger) -> ActorContext<'a> {
+        let (policy, policy_inbox) = bounded(limits.policy.mailbox);
+        ActorContext {
+            config,
+            limits,
+            status: Arc::new(NodeStatus::default()),
+            policy,
+            log,
+            policy_inbox,
+        }
+    }
+
+    fn log_for(&self, actor: &'static str) -> Logger {
+        self.log.new(o!("actor" => actor))
+    }
+
+    /// Starts the database's actor.
+    fn start_database(
+        &self,
+        address: &Arc<Address>,
+        fleet: &FleetLinks,
+    ) -> Result<database::Calls, StartError> {
+        let log = self.log_for("database");
+        database::start(
+            address,
+            fleet.call_guard.clone(),
+            self.limits,
+            &self.policy,
+            &log,
+        )
+        .map_err(StartError::system("threads"))
+    }
+
+    /// Starts the policy's actor. The receiver is disconnected when its thread ends.
+    fn start_policy(
+        &self,
+        executor: Sender<ExecutorCommand>,
+        calls: database::Calls,
+        fleet: &FleetLinks,
+        cells: Option<CellGuard>,
+    ) -> Result<Receiver<()>, StartError> {
+        let report_waiting = fleet
+            .call_guard
+            .clone()
+            .map(|guard| Box::new(move |requests| guard.waits(requests)) as Box<_>);
+        let peers = Peers {
+            executor,
+            database: Box::new(move |call| calls.make(call)),
+            report_waiting,
+            fleet: fleet.tenant_counters(),
+        };
+        let policy_config = PolicyConfig {
+            site: self.config.site.clone(),
+            seed: self.config.seed,
+            shutdown_timeout: self.config.shutdown_timeout,
+            limits: self.limits.clone(),
+            cells,
+        };
+        let log = self.log_for("policy");
+        let actor = PolicyActor::new(policy_config, peers, self.status.clone(), log);
+        let inbox = self.policy_inbox.clone();
+        let (alive, ended) = bounded::<()>(0);
+        spawn("policy", self.limits.policy.stack_bytes, move || {
+            let _alive = alive;
+            actor.run(&inbox);
+        })
+        .map_err(StartError::system("threads"))?;
+        Ok(ended)
+    }
+
+    /// Starts the executor's actor, which reads commands and changes of the executor's address.
+    fn start_executor(
+        &self,
+        commands: Receiver<ExecutorCommand>,
+        moves: Receiver<SocketAddr>,
+    ) -> Result<(), StartError> {
+        let address = self.config.executor;
+        let limits = self.limits.clone();
+        let log = self.log_for("executor");
+        let mailboxes = executor::Mailboxes {
+            commands,
+            moves,
+            policy: self.policy.clone(),
+        };
+        spawn("executor", self.limits.stack_bytes, move || {
+            executor::run(address, &limits, &mailboxes, &log);
+        })
+        .map_err(StartError::system("threads"))
+    }
+
+    /// Starts the actor that reports this node to the endpoint list.
+    fn start_endpoint_list(&self, inbox: Receiver<membership::Report>) -> Result<(), StartError> {
+        let address = self.config.endpoint_list;
+        let name = self.config.name.clone();
+        let limits = self.limits.clone();
+        let status = self.status.clone();
+        let log = self.log_for("endpoint_list");
+        spawn("endpoint-list", self.limits.stack_bytes, move || {
+            membership::run(address, &name, &limits, &status, &inbox, &log);
+        })
+        .map_err(StartError::system("threads"))
+    }
+
+    /// Starts the consumers of AMQP queues.
+    fn start_amqp(&self, queues: Vec<Queue>) -> Result<Amqp, StartError> {
+        let site = self.config.site.clone();
+        let log = self.log_for("amqp");
+        Amqp::start(
+            queues,
+            (site, self.config.seed),
+            self.limits,
+            &self.status,
+            &self.policy,
+            &log,
+        )
+        .map_err(StartError::system("threads"))
+    }
+
+    /// Starts the JSON-RPC server, which listens to no socket yet.
+    fn start_json_rpc(&self) -> Result<JsonRpcServer, StartError> {
+        let site = self.config.site.clone();
+        let log = self.log_for("front");
+        JsonRpcServer::start(site, self.limits, &self.status, &self.policy, &log)
+            .map_err(StartError::system("threads"))
+    }
+
+    /// Starts the admin listener, which reports changes of the process's state.
+    fn start_admin(
+        &self,
+        listener: TcpListener,
+        state_changes: Sender<()>,
+    ) -> Result<(), StartError> {
+        let log = self.log_for("admin");
+        let address = door::start(listener, &self.status, state_changes, self.limits, &log)
+            .map_err(StartError::system("door"))?;
+        info!(self.log, "admin"; "at" => %address);
+        Ok(())
+    }
+}
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -1,6 +1,7 @@
 //! The configuration that the platform gives a node at its start.
 
 use std::net::SocketAddr;
+use std::sync::Arc;
 use std::time::Duration;
 
 use policy::{Dependency, SettingsError, Span};
@@ -96,7 +97,7 @@
     /// Memory that the process may take, in megabytes.
     pub memory_mb: f64,
     /// Classes, tenants and settings of the site.
-    pub site: Site,
+    pub site: Arc<Site>,
 }
 
 impl Config {
@@ -139,7 +140,7 @@
             shutdown_timeout,
             descriptors: file.limits.sockets,
             memory_mb: file.limits.memory_mb,
-            site,
+            site: Arc::new(site),
         })
     }
 }
--- /dev/null
+++ b/src/reload.rs
@@ -0,0 +1,62 @@
+//! A reload of the configuration while the node runs.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use crossbeam_channel::Sender;
+use protocol_gateway::net::{membership, Address};
+use protocol_gateway::node::config::Config;
+use protocol_gateway::node::CellGuard;
+use slog::{info, warn, Logger};
+
+/// Reads the configuration again and notifies the actors of peers whose addresses have changed.
+pub(crate) struct ConfigReloader {
+    /// The node's name, which does not change while it runs.
+    pub(crate) name: String,
+    /// The address for clients, which does not change while the node runs.
+    pub(crate) listen: SocketAddr,
+    pub(crate) cells: Option<CellGuard>,
+    pub(crate) executor: SocketAddr,
+    pub(crate) executor_moves: Sender<SocketAddr>,
+    pub(crate) database: Arc<Address>,
+    pub(crate) endpoint_list: SocketAddr,
+    pub(crate) endpoint_list_reports: Sender<membership::Report>,
+    pub(crate) log: Logger,
+}
+
+impl ConfigReloader {
+    /// Reads the cells and the configuration again. A file that can't be used changes nothing.
+    pub(crate) fn reload(&mut self) {
+        match self.cells.as_ref().map(CellGuard::reload) {
+            Some(Ok(epoch)) => info!(self.log, "cells read again"; "epoch" => epoch),
+            Some(Err(e)) => warn!(self.log, "the new cells are not used"; "error" => %e),
+            None => {}
+        }
+        match Config::from_env() {
+            Ok(config) => self.apply(&config),
+            Err(e) => warn!(self.log, "the new configuration is not used"; "error" => %e),
+        }
+    }
+
+    fn apply(&mut self, config: &Config) {
+        if config.name != self.name || config.listen != self.listen {
+            warn!(
+                self.log,
+                "name and listening address change with a restart only"
+            );
+        }
+        info!(self.log, "configuration read again"; "executor" => %config.executor,
+            "database" => ?config.database, "endpoint_list" => %config.endpoint_list);
+        // The actors always read these mailboxes, so the sends end; if an actor is gone, the node is ending already.
+        if self.executor != config.executor {
+            self.executor = config.executor;
+            let _ = self.executor_moves.send(config.executor);
+        }
+        self.database.set(config.database);
+        if self.endpoint_list != config.endpoint_list {
+            self.endpoint_list = config.endpoint_list;
+            let moved = membership::Report::To(config.endpoint_list);
+            let _ = self.endpoint_list_reports.send(moved);
+        }
+    }
+}
--- /dev/null
+++ b/src/resource_divider.rs
@@ -0,0 +1,45 @@
+//! The division of the node's resources between this process and another one of the same node.
+
+use std::sync::Arc;
+
+use crossbeam_channel::Sender;
+use lifecycle::TOTAL_SHARES;
+use protocol_gateway::instance_lock::{InstanceLock, ResourceShareLocks};
+use protocol_gateway::node::{NodeStatus, PolicyMessage};
+use slog::Logger;
+
+/// Holds this process's resource shares and publishes how many they are.
+pub(crate) struct ResourceDivider {
+    pub(crate) locks: ResourceShareLocks,
+    pub(crate) status: Arc<NodeStatus>,
+    pub(crate) policy: Sender<PolicyMessage>,
+    /// Client connections that the whole node may have.
+    pub(crate) max_connections: usize,
+    pub(crate) log: Logger,
+}
+
+impl ResourceDivider {
+    /// Whether this process holds all shares, as there is no other.
+    pub(crate) fn holds_all(&self) -> bool {
+        self.locks.held() == TOTAL_SHARES
+    }
+
+    /// Whether this process holds any share.
+    pub(crate) fn holds_any(&self) -> bool {
+        self.locks.held() > 0
+    }
+
+    /// Acquires or releases shares after a change of the other process, with this many client connections here.
+    pub(crate) fn update(&mut self, instance_lock: &InstanceLock, connections: usize) {
+        let scaled = connections * TOTAL_SHARES as usize;
+        let connection_shares = scaled.div_ceil(self.max_connections.max(1)) as u32;
+        let used = self.status.used_shares().max(connection_shares);
+        let process_state = self.status.process_state();
+        let sibling = instance_lock.sibling();
+        if let Some(held) = self.locks.update(process_state, sibling, used, &self.log) {
+            self.status.set_resource_shares(held);
+            // The policy reads its mailbox at once; if it has ended, it ends the process.
+            let _ = self.policy.send(PolicyMessage::ResourceSharesChanged(held));
+        }
+    }
+}
--- /dev/null
+++ b/src/route.rs
@@ -0,0 +1,50 @@
+//! The command `route`: runs the router until it is told to stop and all accepted requests are answered.
+
+use std::io;
+use std::path::Path;
+use std::process::ExitCode;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use crossbeam_channel::{bounded, select};
+use protocol_gateway::net::spawn;
+use protocol_gateway::node::Limits;
+use router::{Config, RouterLoop};
+use routing::Rules;
+use slog::info;
+
+use crate::signals::Signals;
+use crate::startup::{logger, StartError};
+
+/// Runs the router that this file configures.
+pub(crate) fn run_router(file: &Path) -> Result<ExitCode, StartError> {
+    let config = Config::read(file)?;
+    let log = logger("router");
+    // Waiting for signals takes the same stack as in any node.
+    let limits = Limits::new(config.clients);
+    let signals = Signals::listen(limits.stack_bytes).map_err(StartError::system("signals"))?;
+    let seed = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_nanos() as u64;
+    let router = RouterLoop::bind(config, Rules::default(), seed, &log)
+        .map_err(StartError::system("listen"))?;
+    let handle = router.handle();
+    info!(log, "listening"; "at" => %handle.address);
+    let (result_sender, ended) = bounded(1);
+    spawn("route", limits.policy.stack_bytes, move || {
+        let _ = result_sender.send(router.run());
+    })
+    .map_err(StartError::system("threads"))?;
+    loop {
+        select! {
+            recv(signals.shut_down) -> _ => handle.stop(),
+            recv(signals.reload) -> _ => handle.reload(),
+            recv(ended) -> result => {
+                let thread_ended = || Err(io::Error::other("the router's thread has ended"));
+                let result = result.unwrap_or_else(|_| thread_ended());
+                result.map_err(StartError::system("poll"))?;
+                return Ok(ExitCode::SUCCESS);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/run_loop.rs
@@ -0,0 +1,280 @@
+//! The main thread of a node: serves until it is told to shut down, then drains what is open and ends.
+
+use std::net::{SocketAddr, TcpListener};
+use std::process::ExitCode;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use crossbeam_channel::{after, never, select, Receiver, Sender};
+use lifecycle::{ProcessState, SiblingProcess, Transition};
+use protocol_gateway::instance_lock::InstanceLock;
+use protocol_gateway::member::Member;
+use protocol_gateway::net::jsonrpc::JsonRpcServer;
+use protocol_gateway::net::membership;
+use protocol_gateway::node::config::Config;
+use protocol_gateway::node::{Limits, NodeStatus, PolicyMessage};
+use slog::{info, Logger};
+use socket2::Socket;
+
+use crate::actors::Actors;
+use crate::reload::ConfigReloader;
+use crate::resource_divider::ResourceDivider;
+use crate::signals::Signals;
+use crate::startup::StartError;
+
+/// A node whose actors run.
+pub(crate) struct Node {
+    pub(crate) config: Config,
+    pub(crate) limits: Limits,
+    pub(crate) status: Arc<NodeStatus>,
+    pub(crate) policy: Sender<PolicyMessage>,
+    pub(crate) actors: Actors,
+    pub(crate) signals: Signals,
+    pub(crate) clients: ClientListener,
+    pub(crate) reloader: ConfigReloader,
+    pub(crate) instance_lock: InstanceLock,
+    pub(crate) divider: ResourceDivider,
+    pub(crate) member: Member,
+    pub(crate) log: Logger,
+}
+
+/// Why the node stopped serving.
+enum ServeEnd {
+    /// It was told to shut down.
+    ShutDown,
+    /// The policy's thread ended.
+    PolicyEnded,
+}
+
+impl Node {
+    /// Serves until the node is told to shut down and everything is answered, or the time for that is over.
+    pub(crate) fn run(mut self) -> Result<ExitCode, StartError> {
+        let mut poll = self.next_poll();
+        match self.serve(&mut poll)? {
+            ServeEnd::ShutDown => Ok(self.shut_down(&mut poll)),
+            ServeEnd::PolicyEnded => Ok(ExitCode::FAILURE),
+        }
+    }
+
+    /// Joins the fleet, unless another process of the node accepts clients: until this one takes over, the member of
+    /// this name is the other process.
+    pub(crate) fn join_fleet_unless_replacing(&mut self) -> Result<(), StartError> {
+        self.member.beside(self.has_sibling());
+        if self.instance_lock.sibling() != SiblingProcess::AcceptingClients {
+            self.join_fleet()?;
+        }
+        Ok(())
+    }
+
+    fn join_fleet(&mut self) -> Result<(), StartError> {
+        self.member
+            .join(self.status.process_state(), self.clients.address)
+            .map_err(StartError::system("fleet"))
+    }
+
+    /// Whether another process of the node exists, or this one still waits for its instance lock.
+    fn has_sibling(&self) -> bool {
+        !self.instance_lock.may_accept_clients()
+            || self.instance_lock.sibling() != SiblingProcess::Absent
+    }
+
+    /// Receives a message when the other process is to be checked again.
+    fn next_poll(&self) -> Receiver<Instant> {
+        match self.config.admin {
+            Some(_) if self.divider.holds_all() => {
+                after(self.limits.replacement.poll_interval_alone)
+            }
+            Some(_) => after(self.limits.replacement.poll_interval),
+            None => never(),
+        }
+    }
+
+    fn serve(&mut self, poll: &mut Receiver<Instant>) -> Result<ServeEnd, StartError> {
+        let started_at = Instant::now();
+        let mut is_executor_ready = false;
+        loop {
+            select! {
+                recv(self.signals.shut_down) -> _ => return Ok(ServeEnd::ShutDown),
+                recv(self.signals.reload) -> _ => {
+                    self.reloader.reload();
+                    self.member.reload();
+                }
+                recv(self.status.executor_ready()) -> _ => is_executor_ready = true,
+                recv(poll) -> _ => {
+                    self.check_sibling();
+                    *poll = self.next_poll();
+                }
+                recv(self.actors.state_changes) -> _ => {
+                    self.report_state_change();
+                    self.member.say(self.status.process_state());
+                }
+                recv(self.actors.policy_ended) -> _ => return Ok(ServeEnd::PolicyEnded),
+            }
+            // Without a resource share the process could only reject requests.
+            let has_waited = started_at.elapsed() >= self.limits.replacement.first_share_timeout;
+            let has_share = self.divider.holds_any() || has_waited;
+            if is_executor_ready && self.instance_lock.may_accept_clients() && has_share {
+                is_executor_ready = false;
+                self.accept_clients()?;
+            }
+        }
+    }
+
+    /// Follows changes of the other process of the node.
+    fn check_sibling(&mut self) {
+        self.instance_lock
+            .try_acquire(self.status.process_state(), &self.log);
+        // Of two processes the later one leaves the fleet's quotas to the earlier one.
+        if self.member.is_beside() {
+            self.member.beside(self.has_sibling());
+        }
+        self.update_shares();
+    }
+
+    fn update_shares(&mut self) {
+        let connections = self.actors.json_rpc.connection_count();
+        self.divider.update(&self.instance_lock, connections);
+    }
+
+    fn accept_clients(&mut self) -> Result<(), StartError> {
+        self.clients.open(&self.actors.json_rpc)?;
+        // Published before the admin listener reports it: the platform ends the other process on that report.
+        self.instance_lock.publish(ProcessState::Serving);
+        let _ = self.status.apply_transition(Transition::AcceptClients);
+        self.join_fleet()?;
+        self.report_state_change();
+        Ok(())
+    }
+
+    /// Has the endpoint list's actor report the new state at once.
+    fn report_state_change(&self) {
+        // A report that waits already will report the new state.
+        let _ = self
+            .actors
+            .endpoint_list_reports
+            .try_send(membership::Report::Changed);
+    }
+
+    /// Drains the node: what is open is answered, as far as time allows.
+    fn shut_down(&mut self, poll: &mut Receiver<Instant>) -> ExitCode {
+        let began_at = Instant::now();
+        let (is_replaced, time_left) = self.begin_shutdown();
+        let deadline = time_left.saturating_sub(self.limits.stop_margin / 4);
+        let mut is_closed = is_replaced;
+        loop {
+            let is_idle = self.is_idle();
+            // Clients that have not received the goodbye yet still send requests; early ones are served.
+            if !is_closed && is_idle && began_at.elapsed() > self.drain_grace() {
+                is_closed = true;
+                self.actors.json_rpc.stop_listening();
+                self.actors.json_rpc.say_goodbye();
+            }
+            let is_drained = is_closed && is_idle && self.has_no_clients();
+            if is_drained || began_at.elapsed() >= deadline {
+                self.log_shutdown(began_at.elapsed());
+                self.member.end(is_replaced);
+                return ExitCode::SUCCESS;
+            }
+            select! {
+                recv(after(self.limits.drain_poll_interval)) -> _ => {}
+                recv(poll) -> _ => {
+                    self.update_shares();
+                    *poll = self.next_poll();
+                }
+                recv(self.signals.reload) -> _ => self.reloader.reload(),
+                recv(self.actors.policy_ended) -> _ => return ExitCode::FAILURE,
+            }
+        }
+    }
+
+    /// Notifies all actors of the shutdown. Whether another process has taken over, and how long this one has left.
+    fn begin_shutdown(&mut self) -> (bool, Duration) {
+        let sibling = self.instance_lock.sibling();
+        let is_replaced = sibling == SiblingProcess::AcceptingClients;
+        let _ = self.status.apply_transition(sibling.shutdown_transition());
+        self.instance_lock.publish(self.status.process_state());
+        let (time_left, message) = if is_replaced {
+            let time_left = self.limits.replaced_lifetime(&self.config.site);
+            info!(self.log, "replaced"; "time_left_ms" => time_left.as_millis() as u64,
+                "unanswered" => self.status.unanswered());
+            (time_left, PolicyMessage::Replaced(time_left))
+        } else {
+            // The fleet is not notified where the node goes on in another process.
+            self.member.say(self.status.process_state());
+            (self.config.shutdown_timeout, PolicyMessage::ShutDown)
+        };
+        let _ = self.policy.send(message);
+        self.report_state_change();
+        if is_replaced {
+            // New clients connect to the other process.
+            self.actors.json_rpc.stop_listening();
+        }
+        self.actors.json_rpc.say_goodbye();
+        self.actors.amqp.leave();
+        (is_replaced, time_left)
+    }
+
+    /// How long after the notice to shut down requests are still accepted.
+    fn drain_grace(&self) -> Duration {
+        let grace = self.config.site.settings.drain_grace;
+        Duration::from_micros(grace.0.unsigned_abs())
+    }
+
+    /// Whether every request is answered and every answer is written.
+    fn is_idle(&self) -> bool {
+        self.actors.json_rpc.unfinished_count() == 0
+            && self.status.unanswered() == 0
+            && self.actors.amqp.has_left()
+    }
+
+    /// Whether no client is connected or waits to be accepted by the listener, which closes with a delay.
+    fn has_no_clients(&self) -> bool {
+        !self.actors.json_rpc.is_listening() && self.actors.json_rpc.connection_count() == 0
+    }
+
+    fn log_shutdown(&self, elapsed: Duration) {
+        info!(self.log, "shut down"; "unanswered" => self.status.unanswered(),
+            "unwritten" => self.actors.json_rpc.unfinished_count(),
+            "unsettled" => self.actors.amqp.unsettled(), "ms" => elapsed.as_millis() as u64);
+    }
+}
+
+/// The socket for clients, which is opened once they can be served.
+pub(crate) struct ClientListener {
+    /// The bound socket, until it listens.
+    socket: Option<Socket>,
+    backlog: i32,
+    /// Where clients connect, once the socket listens.
+    address: Option<SocketAddr>,
+    log: Logger,
+}
+
+impl ClientListener {
+    /// A bound socket that does not listen yet.
+    pub(crate) fn new(socket: Socket, backlog: i32, log: &Logger) -> ClientListener {
+        ClientListener {
+            socket: Some(socket),
+            backlog,
+            address: None,
+            log: log.clone(),
+        }
+    }
+
+    /// Listens, unless it does so already, and hands the connections to the server.
+    pub(crate) fn open(&mut self, server: &JsonRpcServer) -> Result<(), StartError> {
+        let Some(socket) = self.socket.take() else {
+            return Ok(());
+        };
+        socket
+            .listen(self.backlog)
+            .map_err(StartError::system("listen"))?;
+        let listener = TcpListener::from(socket);
+        let address = listener
+            .local_addr()
+            .map_err(StartError::system("listen"))?;
+        info!(self.log, "listening"; "at" => %address);
+        server.listen(listener);
+        self.address = Some(address);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/src/startup.rs
@@ -0,0 +1,195 @@
+//! The start of a node: reads its files, opens its sockets, starts its actors.
+
+use std::io;
+use std::net::TcpListener;
+
+use fleet_runtime as fleet;
+use protocol_gateway::instance_lock::{InstanceLock, ResourceShareLocks};
+use protocol_gateway::inventory::{self, InventoryError, Queue};
+use protocol_gateway::member::Member;
+use protocol_gateway::net::take_address;
+use protocol_gateway::node::cell_guard::CellGuardError;
+use protocol_gateway::node::config::{Config, ConfigError};
+use protocol_gateway::node::{CellGuard, Limits};
+use slog::{o, Drain, Logger};
+use thiserror::Error;
+
+use crate::actors::{ActorContext, Actors, FleetLinks};
+use crate::cli::Cli;
+use crate::reload::ConfigReloader;
+use crate::resource_divider::ResourceDivider;
+use crate::run_loop::{ClientListener, Node};
+use crate::signals::Signals;
+
+/// Why the program did not start.
+#[derive(Debug, Error)]
+pub(crate) enum StartError {
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    Inventory(#[from] InventoryError),
+    #[error(transparent)]
+    Cells(#[from] CellGuardError),
+    #[error(transparent)]
+    Fleet(#[from] fleet::ConfigError),
+    #[error(transparent)]
+    Router(#[from] router::ConfigError),
+    #[error("{operation}: {source}")]
+    System {
+        /// What the operating system refused.
+        operation: &'static str,
+        source: io::Error,
+    },
+}
+
+impl StartError {
+    /// Makes the error of this operation from the system's error.
+    pub(crate) fn system(operation: &'static str) -> impl FnOnce(io::Error) -> StartError {
+        move |source| StartError::System { operation, source }
+    }
+}
+
+/// The log of the node of this name, on standard error.
+pub(crate) fn logger(name: &str) -> Logger {
+    let decorator = slog_term::PlainSyncDecorator::new(io::stderr());
+    let drain = slog_term::FullFormat::new(decorator)
+        .use_utc_timestamp()
+        .build()
+        .fuse();
+    Logger::root(drain, o!("node" => name.to_string()))
+}
+
+/// The contents of the node's files, checked.
+struct NodeFiles {
+    config: Config,
+    fleet: Option<fleet::Config>,
+    queues: Vec<Queue>,
+    cells: Option<CellGuard>,
+    limits: Limits,
+}
+
+impl NodeFiles {
+    fn read(cli: &Cli) -> Result<NodeFiles, StartError> {
+        let config = Config::from_env()?;
+        let fleet = cli.fleet.as_deref().map(fleet::Config::read).transpose()?;
+        let mut limits = Limits::new(config.descriptors).with_memory(config.memory_mb);
+        let env = |name: &str| std::env::var(name).ok();
+        let queues = match cli.inventory.as_deref() {
+            Some(file) => inventory::read(file, &config.site, &limits, env)?,
+            None => Vec::new(),
+        };
+        let cells = cli
+            .cells
+            .as_deref()
+            .map(|file| CellGuard::read(file, &config.name))
+            .transpose()?;
+        // Connections to brokers take descriptors from those of clients.
+        limits.front.max_connections = limits.front.max_connections.saturating_sub(queues.len());
+        Ok(NodeFiles {
+            config,
+            fleet,
+            queues,
+            cells,
+            limits,
+        })
+    }
+}
+
+/// Starts a node, which serves once its executor is connected.
+pub(crate) fn start_node(cli: &Cli) -> Result<Node, StartError> {
+    let NodeFiles {
+        config,
+        fleet,
+        queues,
+        cells,
+        limits,
+    } = NodeFiles::read(cli)?;
+    let log = logger(&config.name);
+    let signals = Signals::listen(limits.stack_bytes).map_err(StartError::system("signals"))?;
+    let client_socket = take_address(config.listen, config.admin.is_some())
+        .map_err(StartError::system("listen"))?;
+    let admin_listener = config
+        .admin
+        .map(TcpListener::bind)
+        .transpose()
+        .map_err(StartError::system("door"))?;
+
+    let context = ActorContext::new(&config, &limits, &log);
+    let actors = Actors::start(
+        &context,
+        FleetLinks::new(fleet.as_ref()),
+        queues,
+        cells.clone(),
+        admin_listener,
+    )?;
+    let mut clients = ClientListener::new(client_socket, limits.listener.backlog, &log);
+    // Where another process may serve at this address, clients must not connect before they can be served.
+    if config.admin.is_none() {
+        clients.open(&actors.json_rpc)?;
+    }
+    let reloader = ConfigReloader {
+        name: config.name.clone(),
+        listen: config.listen,
+        cells,
+        executor: config.executor,
+        executor_moves: actors.executor_moves.clone(),
+        database: actors.database.clone(),
+        endpoint_list: config.endpoint_list,
+        endpoint_list_reports: actors.endpoint_list_reports.clone(),
+        log: log.clone(),
+    };
+    let (instance_lock, divider) = divide_resources(&context, &actors);
+    let member = Member::new(
+        fleet,
+        cli.fleet.as_deref(),
+        &config.name,
+        &limits,
+        (
+            actors.fleet.call_guard.clone(),
+            actors.fleet.counters.clone(),
+        ),
+        &log,
+    );
+    let status = context.status.clone();
+    let policy = context.policy.clone();
+    let mut node = Node {
+        limits,
+        config,
+        status,
+        policy,
+        actors,
+        signals,
+        clients,
+        reloader,
+        instance_lock,
+        divider,
+        member,
+        log,
+    };
+    node.join_fleet_unless_replacing()?;
+    Ok(node)
+}
+
+/// Acquires the instance lock and this process's resource shares. Another process of the node can exist only where there
+/// is an admin listener.
+fn divide_resources(
+    context: &ActorContext<'_>,
+    actors: &Actors,
+) -> (InstanceLock, ResourceDivider) {
+    let name = &context.config.name;
+    let folder = std::env::temp_dir();
+    let mut instance_lock = match context.config.admin {
+        Some(_) => InstanceLock::new(&folder, name),
+        None => InstanceLock::Unavailable,
+    };
+    instance_lock.try_acquire(context.status.process_state(), context.log);
+    let mut divider = ResourceDivider {
+        locks: ResourceShareLocks::new(&folder, name, &instance_lock),
+        status: context.status.clone(),
+        policy: context.policy.clone(),
+        max_connections: context.limits.front.max_connections,
+        log: context.log.clone(),
+    };
+    divider.update(&instance_lock, actors.json_rpc.connection_count());
+    (instance_lock, divider)
+}
