--- a/crates/fault-testbed/src/demo.rs
+++ b/crates/fault-testbed/src/demo.rs
@@ -212,7 +212,7 @@
             "router".into()
         };
         let says = match &told {
-            Some(told) => told.summary.conclusion.to_string(),
+            Some(told) => told.summary.partition_status.to_string(),
             None if rig.runs(name) => "silent".into(),
             None => "killed".into(),
         };
--- a/crates/fault-testbed/src/rig.rs
+++ b/crates/fault-testbed/src/rig.rs
@@ -521,7 +521,7 @@
                 let seen: BTreeSet<&str> = told
                     .members
                     .iter()
-                    .filter(|r| r.word.present())
+                    .filter(|r| r.state.is_present())
                     .map(|r| &*r.name)
                     .collect();
                 digests.insert(told.summary.digest);
@@ -572,7 +572,7 @@
                         .map(|r| {
                             format!(
                                 "{} {} {:?} {:?}",
-                                r.name, r.word.incarnation, r.word.said, r.word.standing
+                                r.name, r.state.version, r.state.status, r.state.liveness
                             )
                         })
                         .collect();
--- a/crates/fleet-cli/src/lib.rs
+++ b/crates/fleet-cli/src/lib.rs
@@ -10,7 +10,7 @@
 
 use clap::{Args, Subcommand};
 use fleet_runtime::{ask, look, AskError, Config, ConfigError, Told};
-use membership::{Record, Said, Standing};
+use membership::{AdvertisedStatus, Liveness, MemberRecord};
 use serde::Serialize;
 use shared_state::Look;
 
@@ -143,36 +143,36 @@
 }
 
 /// The word for how a member stands.
-pub fn state(record: &Record) -> &'static str {
-    match (record.word.standing, record.word.said) {
-        (_, Said::Left) => "left",
-        (Standing::Gone, _) => "gone",
-        (Standing::Suspected, _) => "suspected",
-        (Standing::Present, Said::Joining) => "joining",
-        (Standing::Present, Said::Up) => "up",
-        (Standing::Present, Said::Quiesced) => "quiesced",
-        (Standing::Present, Said::Leaving) => "leaving",
+pub fn state(record: &MemberRecord) -> &'static str {
+    match (record.state.liveness, record.state.status) {
+        (_, AdvertisedStatus::Left) => "left",
+        (Liveness::Dead, _) => "gone",
+        (Liveness::Suspect, _) => "suspected",
+        (Liveness::Alive, AdvertisedStatus::Joining) => "joining",
+        (Liveness::Alive, AdvertisedStatus::Up) => "up",
+        (Liveness::Alive, AdvertisedStatus::Quiesced) => "quiesced",
+        (Liveness::Alive, AdvertisedStatus::Leaving) => "leaving",
     }
 }
 
 /// What a member told, as it is shown.
 pub fn shown(told: &Told) -> Status {
-    let member = |r: &Record| Shown {
+    let member = |r: &MemberRecord| Shown {
         state: state(r),
         site: r.site.to_string(),
-        life: r.word.life,
-        incarnation: r.word.incarnation,
-        at: r.at,
-        serves: r.serves,
+        life: r.state.incarnation,
+        incarnation: r.state.version,
+        at: r.address,
+        serves: r.client_address,
     };
     Status {
         seen_by: told.me.name.to_string(),
-        conclusion: told.summary.conclusion.to_string(),
-        for_ms: told.summary.for_ms,
+        conclusion: told.summary.partition_status.to_string(),
+        for_ms: told.summary.status_age_ms,
         digest: format!("{:016x}", told.summary.digest),
         present: told.summary.present,
         lost: told.summary.lost,
-        health: told.summary.health,
+        health: told.summary.local_health,
         dropped: told.summary.dropped,
         members: told
             .members
@@ -185,10 +185,10 @@
 /// Asks every member that the one at this address sees.
 pub fn ask_all(first: SocketAddr, fleet: &str, wait: Duration) -> Result<All, AskError> {
     let told = ask(first, fleet, wait)?;
-    let here: Vec<Record> = told
+    let here: Vec<MemberRecord> = told
         .members
         .iter()
-        .filter(|r| r.word.present())
+        .filter(|r| r.state.is_present())
         .cloned()
         .collect();
     let mut views: BTreeMap<String, Option<Status>> = std::thread::scope(|scope| {
@@ -197,7 +197,7 @@
             .map(|r| {
                 (
                     r.name.to_string(),
-                    scope.spawn(move || ask(r.at, fleet, wait).ok().map(|t| shown(&t))),
+                    scope.spawn(move || ask(r.address, fleet, wait).ok().map(|t| shown(&t))),
                 )
             })
             .collect();
@@ -306,7 +306,7 @@
     text
 }
 
-fn table_of_state(me: &Record, look: &Look) -> String {
+fn table_of_state(me: &MemberRecord, look: &Look) -> String {
     let mut text = String::new();
     if !look.budgets.is_empty() {
         let granter = look.granter.as_deref().unwrap_or("nobody");
--- a/crates/fleet-runtime/src/ask.rs
+++ b/crates/fleet-runtime/src/ask.rs
@@ -5,19 +5,19 @@
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-use membership::packet::{Summary, LONGEST};
-use membership::{Body, Name, Packet, Record};
+use membership::packet::{ViewSummary, MAX_DATAGRAM_LEN};
+use membership::{Body, MemberRecord, Name, Packet};
 use shared_state::{Look, Message};
 
 /// What a member told of its view.
 #[derive(Clone, Debug)]
 pub struct Told {
     /// The member.
-    pub me: Record,
+    pub me: MemberRecord,
     /// What it concludes.
-    pub summary: Summary,
+    pub summary: ViewSummary,
     /// All it holds, by name.
-    pub members: Vec<Record>,
+    pub members: Vec<MemberRecord>,
 }
 
 /// Why a member told nothing.
@@ -62,18 +62,18 @@
 }
 
 /// Asks the member at this address what it holds of budgets, for so long at most.
-pub fn look(at: SocketAddr, fleet: &str, most: Duration) -> Result<(Record, Look), AskError> {
+pub fn look(at: SocketAddr, fleet: &str, most: Duration) -> Result<(MemberRecord, Look), AskError> {
     let socket = socket(at)?;
     let end = Instant::now() + most;
-    let mut bytes = [0; LONGEST + 1];
+    let mut bytes = [0; MAX_DATAGRAM_LEN + 1];
     socket.set_read_timeout(Some(TRY))?;
     for seq in 1.. {
-        let body = Body::Carried(Message::Look(seq).encode());
+        let body = Body::ApplicationMessage(Message::Look(seq).encode());
         let question = Packet {
             fleet: fleet.into(),
-            from: None,
+            sender: None,
             body,
-            news: Vec::new(),
+            updates: Vec::new(),
         };
         socket.send_to(&question.encode(), at)?;
         if Instant::now() >= end {
@@ -86,8 +86,8 @@
             continue;
         };
         let Packet {
-            from: Some(me),
-            body: Body::Carried(told),
+            sender: Some(me),
+            body: Body::ApplicationMessage(told),
             ..
         } = packet
         else {
@@ -104,9 +104,9 @@
 pub fn ask(at: SocketAddr, fleet: &str, most: Duration) -> Result<Told, AskError> {
     let socket = socket(at)?;
     let end = Instant::now() + most;
-    let mut members: Vec<Record> = Vec::new();
+    let mut members: Vec<MemberRecord> = Vec::new();
     let (mut seq, mut after): (u32, Name) = (0, "".into());
-    let mut bytes = [0; LONGEST + 1];
+    let mut bytes = [0; MAX_DATAGRAM_LEN + 1];
     loop {
         seq += 1;
         let body = Body::Query {
@@ -115,9 +115,9 @@
         };
         let question = Packet {
             fleet: fleet.into(),
-            from: None,
+            sender: None,
             body,
-            news: Vec::new(),
+            updates: Vec::new(),
         };
         socket.send_to(&question.encode(), at)?;
         let asked = Instant::now();
@@ -138,14 +138,14 @@
                 continue;
             };
             let Packet {
-                from: Some(me),
+                sender: Some(me),
                 body:
-                    Body::Answer {
+                    Body::QueryReply {
                         seq: to,
-                        more,
+                        has_more: more,
                         summary,
                     },
-                news,
+                updates: news,
                 ..
             } = packet
             else {
--- a/crates/fleet-runtime/src/config.rs
+++ b/crates/fleet-runtime/src/config.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cells::FileError;
-use membership::packet::NAME;
+use membership::packet::MAX_NAME_LEN;
 use membership::{Name, Settings};
 use serde::Deserialize;
 use shared_state::Plan;
@@ -141,8 +141,8 @@
             ("name", file.name.as_ref()),
         ];
         for (field, value) in named {
-            if value.is_some_and(|v| v.is_empty() || v.len() > NAME) {
-                return Err(bad(field, format!("is not of 1 to {NAME} bytes")));
+            if value.is_some_and(|v| v.is_empty() || v.len() > MAX_NAME_LEN) {
+                return Err(bad(field, format!("is not of 1 to {MAX_NAME_LEN} bytes")));
             }
         }
         let within = |field: &str, value: Option<u64>, from: u64, to: u64| match value {
@@ -174,7 +174,9 @@
         }
         let keepers: BTreeSet<&String> = file.keepers.iter().collect();
         if keepers.len() != file.keepers.len()
-            || keepers.iter().any(|k| k.is_empty() || k.len() > NAME)
+            || keepers
+                .iter()
+                .any(|k| k.is_empty() || k.len() > MAX_NAME_LEN)
         {
             return Err(bad("keepers", "names a member twice, or none".into()));
         }
@@ -210,25 +212,25 @@
         }
         let mut settings = Settings::default();
         if let Some(ms) = file.period_ms {
-            settings.period = Duration::from_millis(ms);
-            settings.gossip = settings.period / 5;
-            settings.answer = settings.period * 6 / 25;
+            settings.probe_interval = Duration::from_millis(ms);
+            settings.gossip_interval = settings.probe_interval / 5;
+            settings.probe_timeout = settings.probe_interval * 6 / 25;
         }
         if let Some(ms) = file.answer_ms {
-            settings.answer = Duration::from_millis(ms);
+            settings.probe_timeout = Duration::from_millis(ms);
         }
         // Two direct tries and one through others have to fit.
-        if settings.answer * 4 > settings.period {
+        if settings.probe_timeout * 4 > settings.probe_interval {
             return Err(bad(
                 "answer_ms",
                 "is more than a quarter of the period".into(),
             ));
         }
         if let Some(s) = file.forget_s {
-            settings.forget = Duration::from_secs(s);
+            settings.tombstone_retention = Duration::from_secs(s);
         }
         if let Some(members) = file.members {
-            settings.members = members;
+            settings.max_members = members;
         }
         Ok(Config {
             fleet: file.fleet.into(),
--- a/crates/fleet-runtime/src/shell.rs
+++ b/crates/fleet-runtime/src/shell.rs
@@ -10,9 +10,10 @@
 
 use arc_swap::ArcSwap;
 use crossbeam_channel::{bounded, Receiver, Sender};
-use membership::packet::LONGEST;
+use membership::packet::MAX_DATAGRAM_LEN;
 use membership::{
-    word, Body, Conclusion, Malformed, Name, Out, Packet, Record, Said, Standing, View,
+    member_state, AdvertisedStatus, Body, DecodeError, Effect, Liveness, MemberRecord, MemberState,
+    MembershipView, Name, Packet, PartitionStatus,
 };
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -47,9 +48,9 @@
 #[derive(Clone, Debug)]
 pub struct Seen {
     /// Members by name, the gone among them.
-    pub members: Vec<Record>,
+    pub members: Vec<MemberRecord>,
     /// What this node concludes of itself.
-    pub conclusion: Conclusion,
+    pub conclusion: PartitionStatus,
     /// Equal where two views hold the same.
     pub digest: u64,
     /// Members that are there.
@@ -60,20 +61,20 @@
 
 impl Seen {
     /// The member of this name.
-    pub fn member(&self, name: &str) -> Option<&Record> {
+    pub fn member(&self, name: &str) -> Option<&MemberRecord> {
         let at = self
             .members
             .binary_search_by(|r| (*r.name).cmp(name))
             .ok()?;
         self.members.get(at)
     }
-    fn of(view: &View) -> Seen {
+    fn of(view: &MembershipView) -> Seen {
         Seen {
             members: view.members().cloned().collect(),
-            conclusion: view.conclusion().0,
+            conclusion: view.partition_status(),
             digest: view.digest(),
-            present: view.present(),
-            lost: view.lost(),
+            present: view.present_count(),
+            lost: view.lost_count(),
         }
     }
 }
@@ -90,7 +91,7 @@
 }
 
 enum Word {
-    Say(Said),
+    Say(AdvertisedStatus),
     Serve(SocketAddr),
     Config(Box<Config>),
     /// Another process of this name lives, or has ended.
@@ -126,7 +127,7 @@
         self.seen.load_full()
     }
     /// The state of the process has changed.
-    pub fn say(&self, said: Said) {
+    pub fn say(&self, said: AdvertisedStatus) {
         self.tell(Word::Say(said));
     }
     /// Where clients connect is known now.
@@ -156,7 +157,7 @@
 
 struct Shell {
     config: Config,
-    view: View,
+    view: MembershipView,
     poll: Poll,
     /// None while another process has the only address that others are told.
     socket: Option<UdpSocket>,
@@ -171,13 +172,13 @@
     gathering: Option<(Gathering, Shares)>,
     judge: Judge,
     /// How the process stands, and whether it is said to be emptied as it alone can't reach the ledger.
-    said: Said,
+    said: AdvertisedStatus,
     steps_back: bool,
     /// The granter when it was last looked at, for the log.
     granter: Option<Name>,
     /// Something is to be published, at this time.
     publish: Option<Instant>,
-    conclusion: Conclusion,
+    conclusion: PartitionStatus,
     /// Another process spoke for the name when this was last looked at.
     succeeded: bool,
     /// The address of the file was taken: when it is tried again.
@@ -227,7 +228,7 @@
         .unwrap_or_default();
     // A draw from the machine, as std's hash tables take it.
     let seed = RandomState::new().hash_one(&me.name);
-    let life = word::life(unix.as_millis() as u64, seed);
+    let life = member_state::new_incarnation(unix.as_millis() as u64, seed);
     let gathering = me.shares.map(|shares| {
         let (name, site) = (me.name.clone(), config.site.clone());
         (
@@ -235,18 +236,18 @@
             shares,
         )
     });
-    let record = Record {
+    let record = MemberRecord {
         name: me.name,
         site: config.site.clone(),
-        at: config.advertise.unwrap_or(at),
-        serves: config.serves.or(me.serves),
-        word: word::Word {
-            life,
-            incarnation: 0,
-            said: Said::Joining,
-            standing: Standing::Present,
+        address: config.advertise.unwrap_or(at),
+        client_address: config.serves.or(me.serves),
+        state: MemberState {
+            incarnation: life,
+            version: 0,
+            status: AdvertisedStatus::Joining,
+            liveness: Liveness::Alive,
         },
-        by: 0,
+        suspected_by: 0,
     };
     let began = Instant::now();
     let budgets = (!config.budgets.is_empty()).then(|| {
@@ -275,7 +276,7 @@
         .iter()
         .map(|b| (b.name.clone(), allowance()))
         .collect();
-    let view = View::new(
+    let view = MembershipView::new(
         config.settings.clone(),
         config.fleet.clone(),
         record,
@@ -292,7 +293,7 @@
         allowances: allowances.clone(),
     };
     let shell = Shell {
-        conclusion: view.conclusion().0,
+        conclusion: view.partition_status(),
         succeeded: false,
         config,
         view,
@@ -303,7 +304,7 @@
         allowances,
         gathering,
         judge: Judge::default(),
-        said: Said::Joining,
+        said: AdvertisedStatus::Joining,
         steps_back: false,
         granter: None,
         rng: ChaCha8Rng::seed_from_u64(seed),
@@ -350,11 +351,11 @@
                 readable = self.read();
             }
             let now = self.began.elapsed();
-            if self.socket.is_some() && self.view.next() <= now {
+            if self.socket.is_some() && self.view.next_deadline() <= now {
                 let mut out = Vec::new();
                 let rng = &mut self.rng;
                 self.view
-                    .tick(now, &mut |n| rng.random_range(0..n.max(1)), &mut out);
+                    .handle_timers(now, &mut |n| rng.random_range(0..n.max(1)), &mut out);
                 self.carry_out(out);
             }
             self.tick_budgets();
@@ -370,7 +371,7 @@
         let next = match self.socket {
             Some(_) => self
                 .view
-                .next()
+                .next_deadline()
                 .saturating_sub(self.began.elapsed())
                 .min(Duration::from_secs(60)),
             None => REBIND,
@@ -407,7 +408,7 @@
         if budgets.next() <= now {
             let mut out = Vec::new();
             let draw = self.rng.random::<f64>();
-            budgets.tick(now, draw, self.view.there(), &mut out);
+            budgets.tick(now, draw, self.view.present_names(), &mut out);
             self.carry_shared(out);
         }
         self.publish_budgets(&budgets);
@@ -467,7 +468,7 @@
     /// One that alone can't reach the ledger is passed over by routers, as long as more than half of those that serve go on:
     /// else the fleet is served better by nodes that fail.
     fn step_back(&mut self, wanted: bool) {
-        let serving = |r: &&Record| r.serves.is_some() && r.word.present();
+        let serving = |r: &&MemberRecord| r.client_address.is_some() && r.state.is_present();
         let (all, up) = self
             .view
             .members()
@@ -475,7 +476,7 @@
             .fold((0, 0), |(all, up), r| {
                 (
                     all + 1,
-                    up + usize::from(r.takes_requests() && r.name != self.view.me().name),
+                    up + usize::from(r.accepts_requests() && r.name != self.view.own_record().name),
                 )
             });
         self.steps_back = wanted && up * 2 > all;
@@ -483,12 +484,12 @@
     }
     /// Tells the others how the process stands.
     fn say(&mut self) {
-        let said = if self.steps_back && self.said == Said::Up {
-            Said::Quiesced
+        let said = if self.steps_back && self.said == AdvertisedStatus::Up {
+            AdvertisedStatus::Quiesced
         } else {
             self.said
         };
-        self.view.say(said, self.began.elapsed());
+        self.view.advertise_status(said, self.began.elapsed());
         self.soon();
     }
     fn publish_budgets(&mut self, budgets: &Budgets) {
@@ -519,7 +520,8 @@
         let mut sent = Vec::new();
         for Shared::Tell(to, message) in out {
             // One that is not there is told nothing; it asks, or is asked again.
-            self.view.carry(&to, message.encode(), &mut sent);
+            self.view
+                .send_application_message(&to, message.encode(), &mut sent);
         }
         self.carry_out(sent);
     }
@@ -527,19 +529,22 @@
     fn hear_shared(&mut self, from: Option<Name>, bytes: &[u8], source: SocketAddr) {
         let now = self.began.elapsed();
         let Some(message) = Message::decode(bytes) else {
-            return self.drop_one(source, &Malformed::Bounds);
+            return self.drop_one(source, &DecodeError::OutOfBounds);
         };
         match (message, from) {
             (Message::Look(seq), None) => {
-                let body = Body::Carried(Message::Looked(seq, self.look(now)).encode());
-                let from = Some(self.view.me().clone());
+                let body = Body::ApplicationMessage(Message::Looked(seq, self.look(now)).encode());
+                let sender = Some(self.view.own_record().clone());
                 let answer = Packet {
                     fleet: self.config.fleet.clone(),
-                    from,
+                    sender,
                     body,
-                    news: Vec::new(),
+                    updates: Vec::new(),
                 };
-                self.carry_out(vec![Out::Send(source, answer)]);
+                self.carry_out(vec![Effect::Send {
+                    to: source,
+                    packet: answer,
+                }]);
             }
             (Message::Gather(said), Some(from)) => {
                 let Some((gathering, _)) = &mut self.gathering else {
@@ -589,7 +594,7 @@
             }
             Word::Serve(at) => self
                 .view
-                .serve_at(Some(self.config.serves.unwrap_or(at)), now),
+                .set_client_address(Some(self.config.serves.unwrap_or(at)), now),
             Word::Config(config) => {
                 let gathers = |c: &Config| (c.counts, c.judgements);
                 let fixed = |c: &Config| {
@@ -641,7 +646,7 @@
             Word::End { silently, done } => {
                 let mut out = Vec::new();
                 if silently {
-                    self.view.hush();
+                    self.view.mute();
                 } else {
                     let rng = &mut self.rng;
                     self.view
@@ -658,7 +663,7 @@
 
     /// Reads what has come, a bounded number of datagrams; true if there may be more.
     fn read(&mut self) -> bool {
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_LEN + 1];
         for _ in 0..AT_ONCE {
             let Some(socket) = &self.socket else {
                 return false;
@@ -667,15 +672,20 @@
                 Ok((n, source)) => match Packet::decode(&bytes[..n], &self.config.fleet) {
                     Ok(mut packet) => {
                         let carried = match &mut packet.body {
-                            Body::Carried(bytes) => Some(std::mem::take(bytes)),
+                            Body::ApplicationMessage(bytes) => Some(std::mem::take(bytes)),
                             _ => None,
                         };
-                        let from = packet.from.as_ref().map(|r| r.name.clone());
+                        let from = packet.sender.as_ref().map(|r| r.name.clone());
                         let mut out = Vec::new();
                         let rng = &mut self.rng;
                         let mut draw = |n: usize| rng.random_range(0..n.max(1));
-                        self.view
-                            .hear(packet, source, self.began.elapsed(), &mut draw, &mut out);
+                        self.view.handle_packet(
+                            packet,
+                            source,
+                            self.began.elapsed(),
+                            &mut draw,
+                            &mut out,
+                        );
                         self.carry_out(out);
                         if let Some(bytes) = carried {
                             self.hear_shared(from, &bytes, source);
@@ -703,11 +713,11 @@
         }
     }
 
-    fn carry_out(&mut self, out: Vec<Out>) {
+    fn carry_out(&mut self, out: Vec<Effect>) {
         for one in out {
             match one {
-                Out::Send(to, mut packet) => {
-                    if let Body::Answer { summary, .. } = &mut packet.body {
+                Effect::Send { to, mut packet } => {
+                    if let Body::QueryReply { summary, .. } = &mut packet.body {
                         summary.dropped = self.dropped;
                     }
                     // One that is not sent is one that is lost: the view lives with those.
@@ -716,13 +726,13 @@
                         debug!(self.log, "datagram not sent"; "to" => %to, "error" => %e);
                     }
                 }
-                Out::Changed(record) => {
+                Effect::MemberChanged(record) => {
                     self.log_member(&record);
                     self.soon();
                 }
             }
         }
-        if self.view.succeeded() != self.succeeded {
+        if self.view.is_superseded() != self.succeeded {
             self.succeeded = !self.succeeded;
             let what = if self.succeeded {
                 "another process has the name"
@@ -731,39 +741,43 @@
             };
             info!(self.log, "view"; "note" => what);
         }
-        let conclusion = self.view.conclusion().0;
+        let conclusion = self.view.partition_status();
         if conclusion != self.conclusion {
             self.conclusion = conclusion;
             let sites: BTreeSet<Name> = self.view.sites();
             let sites: Vec<&str> = sites.iter().map(|s| &**s).collect();
-            info!(self.log, "view"; "conclusion" => conclusion.name(), "present" => self.view.present(),
-                "lost" => self.view.lost(), "sites" => sites.join(" "));
+            info!(self.log, "view"; "conclusion" => conclusion.as_str(), "present" => self.view.present_count(),
+                "lost" => self.view.lost_count(), "sites" => sites.join(" "));
             self.soon();
         }
     }
 
-    fn log_member(&self, record: &Record) {
+    fn log_member(&self, record: &MemberRecord) {
         let before = self.seen.load();
         let before = before
             .member(&record.name)
-            .map(|r| (r.word.life, r.word.said, r.word.standing));
-        let is = (record.word.life, record.word.said, record.word.standing);
+            .map(|r| (r.state.incarnation, r.state.status, r.state.liveness));
+        let is = (
+            record.state.incarnation,
+            record.state.status,
+            record.state.liveness,
+        );
         if before == Some(is) {
             return;
         }
-        let standing = match record.word.standing {
-            Standing::Present => "there",
-            Standing::Suspected => "suspected",
-            Standing::Gone => "gone",
+        let standing = match record.state.liveness {
+            Liveness::Alive => "there",
+            Liveness::Suspect => "suspected",
+            Liveness::Dead => "gone",
         };
         // Suspicions come and go by loss alone.
-        if record.word.standing == Standing::Suspected
-            || before.is_some_and(|b| b.2 == Standing::Suspected && is.2 == Standing::Present)
+        if record.state.liveness == Liveness::Suspect
+            || before.is_some_and(|b| b.2 == Liveness::Suspect && is.2 == Liveness::Alive)
         {
-            debug!(self.log, "member"; "name" => &*record.name, "says" => ?record.word.said, "is" => standing);
+            debug!(self.log, "member"; "name" => &*record.name, "says" => ?record.state.status, "is" => standing);
         } else {
-            info!(self.log, "member"; "name" => &*record.name, "says" => ?record.word.said, "is" => standing,
-                "at" => %record.at, "life" => record.word.life);
+            info!(self.log, "member"; "name" => &*record.name, "says" => ?record.state.status, "is" => standing,
+                "at" => %record.address, "life" => record.state.incarnation);
         }
     }
 
@@ -776,7 +790,8 @@
             self.publish = None;
             self.seen.store(Arc::new(Seen::of(&self.view)));
             if let Some((gathering, _)) = &mut self.gathering {
-                let reports = |r: &&Record| r.serves.is_some() && r.word.present();
+                let reports =
+                    |r: &&MemberRecord| r.client_address.is_some() && r.state.is_present();
                 gathering.members(
                     self.view
                         .members()
@@ -796,7 +811,7 @@
         match socket(self.config.listen, &self.poll) {
             Ok(socket) => {
                 (self.socket, self.rebind) = (Some(socket), None);
-                self.view.move_to(
+                self.view.set_address(
                     self.config.advertise.unwrap_or(self.config.listen),
                     self.began.elapsed(),
                 );
--- a/crates/fleet-runtime/tests/file.rs
+++ b/crates/fleet-runtime/tests/file.rs
@@ -23,7 +23,7 @@
     let slow = GOOD.replace("version: 1,", "version: 1, period_ms: 2000,");
     let slow = Config::parse("f", &slow).expect("it can be used").settings;
     assert_eq!(
-        (slow.period, slow.answer),
+        (slow.probe_interval, slow.probe_timeout),
         (Duration::from_secs(2), Duration::from_millis(480))
     );
 }
--- a/crates/fleet-runtime/tests/golden.rs
+++ b/crates/fleet-runtime/tests/golden.rs
@@ -6,9 +6,8 @@
 use std::time::Duration;
 
 use fleet_runtime::{ask, look};
-use membership::packet::Summary;
-use membership::word::Word;
-use membership::{Body, Packet, Record, Said, Standing};
+use membership::packet::ViewSummary;
+use membership::{AdvertisedStatus, Body, Liveness, MemberRecord, MemberState, Packet};
 use shared_state::{BudgetLook, Look, Message};
 
 const LONG: Duration = Duration::from_secs(20);
@@ -16,40 +15,47 @@
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
-fn record(name: &str, life: u64) -> Record {
-    Record {
+fn record(name: &str, life: u64) -> MemberRecord {
+    MemberRecord {
         name: name.into(),
         site: "north".into(),
-        at: SocketAddr::from(([192, 0, 2, 17], 7946)),
-        serves: None,
-        word: Word {
-            life,
-            incarnation: 3,
-            said: Said::Up,
-            standing: Standing::Present,
+        address: SocketAddr::from(([192, 0, 2, 17], 7946)),
+        client_address: None,
+        state: MemberState {
+            incarnation: life,
+            version: 3,
+            status: AdvertisedStatus::Up,
+            liveness: Liveness::Alive,
         },
-        by: 0,
+        suspected_by: 0,
     }
 }
-fn answer(body: Body, news: Vec<Record>) -> Packet {
+fn answer(body: Body, news: Vec<MemberRecord>) -> Packet {
     Packet {
         fleet: "billing".into(),
-        from: Some(record("me", 2)),
+        sender: Some(record("me", 2)),
         body,
-        news,
+        updates: news,
     }
 }
 fn page(seq: u32, more: bool, member: &str) -> Packet {
-    let summary = Summary {
-        conclusion: "whole".into(),
-        for_ms: 1,
+    let summary = ViewSummary {
+        partition_status: "whole".into(),
+        status_age_ms: 1,
         digest: 2,
         present: 3,
         lost: 4,
-        health: 5,
+        local_health: 5,
         dropped: 6,
     };
-    answer(Body::Answer { seq, more, summary }, vec![record(member, 9)])
+    answer(
+        Body::QueryReply {
+            seq,
+            has_more: more,
+            summary,
+        },
+        vec![record(member, 9)],
+    )
 }
 fn held() -> Look {
     let budget = BudgetLook {
@@ -115,7 +121,11 @@
     let mut bytes = [0; 1400];
     let (n, from) = socket.recv_from(&mut bytes).expect("a question");
     assert_eq!(hex(&bytes[..n]), include_str!("golden/look.txt").trim());
-    let told = answer(Body::Carried(Message::Looked(1, held()).encode()), vec![]).encode();
+    let told = answer(
+        Body::ApplicationMessage(Message::Looked(1, held()).encode()),
+        vec![],
+    )
+    .encode();
     assert_eq!(hex(&told), include_str!("golden/looked.txt").trim());
     socket.send_to(&told, from).expect("sent");
     assert_eq!(
--- a/crates/fleet-simulation/src/main.rs
+++ b/crates/fleet-simulation/src/main.rs
@@ -364,7 +364,7 @@
             }
             println!(
                 "a member takes about {} bytes and its name",
-                membership::View::bytes_a_member()
+                membership::MembershipView::bytes_per_member()
             );
         }
         Command::Gather {
--- a/crates/fleet-simulation/src/views.rs
+++ b/crates/fleet-simulation/src/views.rs
@@ -3,8 +3,10 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use membership::word::{self, Word};
-use membership::{Name, Out, Packet, Record, Said, Settings, Standing, View};
+use membership::member_state::{self, MemberState};
+use membership::{
+    AdvertisedStatus, Effect, Liveness, MemberRecord, MembershipView, Name, Packet, Settings,
+};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
@@ -27,7 +29,7 @@
 /// The shipped view.
 pub struct ViewPeer {
     /// The view itself.
-    pub view: View,
+    pub view: MembershipView,
     given_up: Vec<Id>,
 }
 
@@ -35,47 +37,49 @@
     fn with(
         settings: Settings,
         id: Id,
-        life: u64,
+        incarnation: u64,
         seeds: &[Id],
         now: Duration,
         rng: &mut ChaCha8Rng,
     ) -> ViewPeer {
         // Starts don't fall into step with each other in a real fleet either.
         let site = ["milano-lambrate", "bergamo-est", "brescia-sud"][id % 3];
-        let word = Word {
-            life: word::life(life * 1000, rng.random()),
-            incarnation: 0,
-            said: Said::Joining,
-            standing: Standing::Present,
+        let state = MemberState {
+            incarnation: member_state::new_incarnation(incarnation * 1000, rng.random()),
+            version: 0,
+            status: AdvertisedStatus::Joining,
+            liveness: Liveness::Alive,
         };
-        let me = Record {
+        let me = MemberRecord {
             name: name(id),
             site: site.into(),
-            at: address(id),
-            serves: Some(address(id)),
-            word,
-            by: 0,
+            address: address(id),
+            client_address: Some(address(id)),
+            state,
+            suspected_by: 0,
         };
         let seeds = seeds
             .iter()
             .filter(|s| **s != id)
             .map(|s| address(*s))
             .collect();
-        let mut view = View::new(settings, "drawn".into(), me, seeds, now);
-        view.say(Said::Up, now);
+        let mut view = MembershipView::new(settings, "drawn".into(), me, seeds, now);
+        view.advertise_status(AdvertisedStatus::Up, now);
         ViewPeer {
             view,
             given_up: Vec::new(),
         }
     }
-    fn take(&mut self, done: Vec<Out>, out: &mut Vec<(Id, Packet)>) {
+    fn apply(&mut self, done: Vec<Effect>, out: &mut Vec<(Id, Packet)>) {
         for one in done {
             match one {
-                Out::Send(to, packet) => out.push((number(to), packet)),
-                Out::Changed(r) if r.word.standing == Standing::Gone && !r.word.left() => {
+                Effect::Send { to, packet } => out.push((number(to), packet)),
+                Effect::MemberChanged(r)
+                    if r.state.liveness == Liveness::Dead && !r.state.has_left() =>
+                {
                     self.given_up.extend(r.name[1..].parse::<Id>());
                 }
-                Out::Changed(_) => {}
+                Effect::MemberChanged(_) => {}
             }
         }
     }
@@ -86,13 +90,13 @@
     const NAME: &'static str = "view";
     fn start(
         id: Id,
-        life: u64,
+        incarnation: u64,
         _: usize,
         seeds: &[Id],
         now: Duration,
         rng: &mut ChaCha8Rng,
     ) -> ViewPeer {
-        ViewPeer::with(Settings::default(), id, life, seeds, now, rng)
+        ViewPeer::with(Settings::default(), id, incarnation, seeds, now, rng)
     }
     fn hear(
         &mut self,
@@ -102,24 +106,24 @@
         out: &mut Vec<(Id, Packet)>,
     ) {
         let mut done = Vec::new();
-        let source = packet.from.as_ref().map_or(address(0), |r| r.at);
-        self.view.hear(
+        let source = packet.sender.as_ref().map_or(address(0), |r| r.address);
+        self.view.handle_packet(
             packet,
             source,
             now,
             &mut |n| rng.random_range(0..n),
             &mut done,
         );
-        self.take(done, out);
+        self.apply(done, out);
     }
     fn tick(&mut self, now: Duration, rng: &mut ChaCha8Rng, out: &mut Vec<(Id, Packet)>) {
         let mut done = Vec::new();
         self.view
-            .tick(now, &mut |n| rng.random_range(0..n), &mut done);
-        self.take(done, out);
+            .handle_timers(now, &mut |n| rng.random_range(0..n), &mut done);
+        self.apply(done, out);
     }
     fn next(&self) -> Duration {
-        self.view.next()
+        self.view.next_deadline()
     }
     fn size(packet: &Packet) -> usize {
         packet.encode().len()
@@ -127,10 +131,10 @@
     fn holds(&self, id: Id) -> bool {
         self.view
             .member(&name(id))
-            .is_some_and(|(r, _)| r.word.present())
+            .is_some_and(|r| r.state.is_present())
     }
     fn present(&self) -> usize {
-        self.view.present()
+        self.view.present_count()
     }
     fn digest(&self) -> u64 {
         self.view.digest()
@@ -148,7 +152,7 @@
     const NAME: &'static str = "plain SWIM";
     fn start(
         id: Id,
-        life: u64,
+        incarnation: u64,
         _: usize,
         seeds: &[Id],
         now: Duration,
@@ -157,7 +161,7 @@
         PlainSwim(ViewPeer::with(
             Settings::plain_swim(),
             id,
-            life,
+            incarnation,
             seeds,
             now,
             rng,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,26 +1,27 @@
-//! The view of the fleet that its nodes keep themselves: who is there, in which state, and what a node concludes of
-//! itself from it. SWIM with suspicion and local health, a full exchange in the background, and the gone asked after.
+//! Fleet membership: which members exist, in which state each is, and whether this node can still see a majority of them.
+//! The protocol is SWIM with suspicion and Lifeguard's local health, plus anti-entropy in the background and attempts to
+//! reconnect to members that were declared dead.
 //!
-//! All of it decides and none of it acts. Times, datagrams as values and random draws come in, datagrams to be sent go
-//! out, so the node, the router, the drawn fleet and the model checker run the same functions. `docs/fleet.md` has the
-//! design.
+//! This crate decides and performs no I/O. Times, decoded datagrams and random numbers are passed in, datagrams to send
+//! are returned as [`Effect`]s, so the node, the router, the simulated fleet and the model checker run the same code.
+//! `docs/fleet.md` describes the design.
 //!
-//! - [`word`]: what is said of a member, and which of two words holds.
-//! - [`View`]: one node's view, by time and datagrams.
-//! - [`packet`]: datagrams as values, and their bytes.
+//! - [`member_state`]: what is known of one member, and which of two states takes precedence.
+//! - [`MembershipView`]: one node's view, driven by datagrams and time.
+//! - [`packet`]: datagrams as values, and their encoding.
 
+pub mod member_state;
+mod member_table;
 pub mod packet;
 mod probe;
 mod settings;
-mod suspicion;
-mod table;
+mod suspicion_timer;
 mod view;
-pub mod word;
 
-pub use packet::{Body, Malformed, Packet};
+pub use member_state::{AdvertisedStatus, Liveness, MemberRecord, MemberState, Name};
+pub use packet::{Body, DecodeError, Packet};
 pub use settings::Settings;
-pub use view::{Conclusion, Out, View};
-pub use word::{Name, Record, Said, Standing};
+pub use view::{Effect, MembershipView, PartitionStatus};
 
-/// A draw: a number below the one given, which is at least 1.
-pub type Draw<'a> = &'a mut dyn FnMut(usize) -> usize;
+/// A source of random numbers: returns an index below the given bound, which is at least 1.
+pub type RandomIndex<'a> = &'a mut dyn FnMut(usize) -> usize;
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -1,207 +1,208 @@
-//! Datagrams as values, and their bytes: a mark, the version, `postcard`, and a checksum, as what goes wrong on the way
-//! must not become a word on anybody.
+//! Datagrams as values, and their encoding: magic bytes, a version, `postcard`, and a checksum, so that a datagram that was
+//! damaged on its way changes nobody's state.
+//!
+//! `postcard` encodes by position: the order of fields and variants is the wire format and must not change.
 
-use std::fmt;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::table::BUCKETS;
-use crate::word::{Name, Record};
+use crate::member_state::{MemberRecord, Name};
+use crate::member_table::BUCKET_COUNT;
 
 /// First bytes of each datagram.
-const MARK: [u8; 3] = *b"mwf";
-/// The version of what follows; others are dropped.
-pub const VERSION: u8 = 1;
-/// Bytes of the checksum at the end.
-const CHECK: usize = 4;
-/// Bytes of a name, a site or a fleet's name at most.
-pub const NAME: usize = 64;
-/// The longest datagram that is looked at.
-pub const LONGEST: usize = 1400;
-/// Lives and incarnations from here on are no true ones: there must be room above to object in.
-const HIGHEST_LIFE: u64 = 1 << 62;
-const HIGHEST_INCARNATION: u32 = 1 << 31;
+const MAGIC: [u8; 3] = *b"mwf";
+/// The version of the encoding; datagrams of other versions are dropped.
+pub const PROTOCOL_VERSION: u8 = 1;
+/// Length of the checksum at the end, in bytes.
+const CHECKSUM_LEN: usize = 4;
+/// The longest name of a member, a site or a fleet, in bytes.
+pub const MAX_NAME_LEN: usize = 64;
+/// The longest datagram that is decoded, in bytes.
+pub const MAX_DATAGRAM_LEN: usize = 1400;
+/// Higher incarnations are rejected: there must be room above for refutations.
+const INCARNATION_LIMIT: u64 = 1 << 62;
+/// Higher versions are rejected: there must be room above for refutations.
+const VERSION_LIMIT: u32 = 1 << 31;
 
-/// A datagram between members, or between a member and who asks it.
+/// A datagram between members, or between a member and a tool that queries it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
-    /// The fleet's name: members of others are passed over.
+    /// The fleet's name; members of other fleets drop the datagram.
     pub fleet: Name,
-    /// Who sends it, with its own word. None for one that only asks.
-    pub from: Option<Record>,
-    /// What it wants or says.
+    /// The sender's own record. None for a tool that only queries.
+    pub sender: Option<MemberRecord>,
+    /// The message.
     pub body: Body,
-    /// News carried along.
-    pub news: Vec<Record>,
+    /// Records of other members: piggybacked gossip, or the content of a page or reply.
+    pub updates: Vec<MemberRecord>,
 }
 
-/// What a datagram wants or says.
+/// The message of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// Are you there? An acknowledgement under this number is wanted.
+    /// Asks the target for an acknowledgement.
     Ping {
-        /// The asker's number.
+        /// The sender's sequence number.
         seq: u32,
-        /// Who is meant.
-        name: Name,
+        /// The member that is to answer.
+        target: Name,
     },
-    /// Yes.
+    /// Acknowledges a ping.
     Ack {
-        /// The asker's number.
+        /// The sequence number of the ping.
         seq: u32,
-        /// The digest of the answerer's view.
+        /// The digest of the answering member's view.
         digest: u64,
     },
-    /// Ask that member for me.
-    Errand {
-        /// The asker's number.
+    /// Asks the receiver to ping the target on the sender's behalf (SWIM's ping-req).
+    PingRequest {
+        /// The sender's sequence number.
         seq: u32,
-        /// Who is meant.
-        name: Name,
-        /// Where it is.
-        at: SocketAddr,
+        /// The member to ping.
+        target: Name,
+        /// The target's address.
+        address: SocketAddr,
     },
-    /// I asked for you, and have no answer so far.
+    /// Reports that a ping made on the receiver's behalf has no answer yet.
     Nack {
-        /// The asker's number.
+        /// The sequence number of the request.
         seq: u32,
     },
-    /// News only.
+    /// Carries updates only.
     Gossip,
-    /// The sums of the sender's view: what differs is wanted, and offered.
-    Compare {
-        /// One for each bucket of names.
-        sums: Vec<u64>,
-        /// It answers one: no other is wanted.
-        answer: bool,
+    /// Compares views by the checksums of their buckets: the receiver sends its records of the buckets that differ.
+    CompareChecksums {
+        /// One checksum for each bucket of names.
+        checksums: Vec<u64>,
+        /// Whether this answers a comparison, so that no other answer is needed.
+        is_reply: bool,
     },
-    /// Records of the sender's table, as a comparison asked for.
-    Page,
-    /// A message of what stands on the view, in its own encoding.
-    Carried(Vec<u8>),
-    /// What do you see? Asked by tools.
+    /// Carries records of the sender's view, in answer to a comparison.
+    RecordPage,
+    /// A message of a layer above membership, in its own encoding.
+    ApplicationMessage(Vec<u8>),
+    /// Asks for the receiver's view; sent by tools.
     Query {
-        /// The asker's number.
+        /// The sender's sequence number.
         seq: u32,
-        /// Names after this one.
+        /// Members whose names sort after this one are wanted.
         after: Name,
     },
-    /// Members by their names, in `news`.
-    Answer {
-        /// The asker's number.
+    /// Answers a query: members in the order of their names, in `updates`.
+    QueryReply {
+        /// The sequence number of the query.
         seq: u32,
-        /// Others follow.
-        more: bool,
-        /// What the answerer concludes of itself, for people.
-        summary: Summary,
+        /// Whether further members follow after these.
+        has_more: bool,
+        /// A summary of the answering member's view.
+        summary: ViewSummary,
     },
 }
 
-/// What a member tells of its view.
+/// A summary of a member's view, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Summary {
-    /// Its conclusion: `whole`, `part` or `alone`.
-    pub conclusion: Name,
-    /// Milliseconds for which that has held.
-    pub for_ms: u64,
-    /// The digest of its view.
+pub struct ViewSummary {
+    /// The partition status: `whole`, `part` or `alone`.
+    pub partition_status: Name,
+    /// For how long it has been so, in milliseconds.
+    pub status_age_ms: u64,
+    /// The digest of the view.
     pub digest: u64,
-    /// Members that are there, itself included.
+    /// Members that are present, the answering one included.
     pub present: u32,
-    /// Members that are gone without having said so.
+    /// Members that died without having left.
     pub lost: u32,
-    /// Points of bad health of its own.
-    pub health: u32,
-    /// Datagrams dropped since its start.
+    /// The local health score, 0 for a healthy node.
+    pub local_health: u32,
+    /// Datagrams that were dropped since the member's start.
     pub dropped: u64,
 }
 
-/// Why bytes are no datagram of ours.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Malformed {
-    /// Not marked as a datagram between members.
-    Foreign,
-    /// Of another version.
-    Version,
-    /// Of another fleet.
-    Fleet,
-    /// Cut, garbled, or longer than any.
-    Garbled,
-    /// Whole, and out of bounds in what it says.
-    Bounds,
+/// Why bytes could not be decoded as a datagram of this fleet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum DecodeError {
+    /// The magic bytes are missing.
+    #[error("no datagram of a fleet")]
+    ForeignProtocol,
+    /// The encoding has another version.
+    #[error("another version")]
+    UnsupportedVersion,
+    /// The datagram belongs to another fleet.
+    #[error("another fleet")]
+    WrongFleet,
+    /// The datagram is truncated, damaged or too long.
+    #[error("cut or garbled")]
+    Corrupt,
+    /// The datagram is intact, but a value in it is out of bounds.
+    #[error("out of bounds")]
+    OutOfBounds,
 }
 
-impl fmt::Display for Malformed {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Malformed::Foreign => "no datagram of a fleet",
-            Malformed::Version => "another version",
-            Malformed::Fleet => "another fleet",
-            Malformed::Garbled => "cut or garbled",
-            Malformed::Bounds => "out of bounds",
-        })
-    }
+fn is_record_in_bounds(record: &MemberRecord) -> bool {
+    !record.name.is_empty()
+        && record.name.len() <= MAX_NAME_LEN
+        && record.site.len() <= MAX_NAME_LEN
+        && record.state.incarnation < INCARNATION_LIMIT
+        && record.state.version < VERSION_LIMIT
+        && record.address.port() != 0
 }
-impl std::error::Error for Malformed {}
 
-fn record_in_bounds(r: &Record) -> bool {
-    !r.name.is_empty()
-        && r.name.len() <= NAME
-        && r.site.len() <= NAME
-        && r.word.life < HIGHEST_LIFE
-        && r.word.incarnation < HIGHEST_INCARNATION
-        && r.at.port() != 0
+fn is_body_in_bounds(body: &Body) -> bool {
+    match body {
+        Body::Ping { target, .. } | Body::PingRequest { target, .. } => {
+            !target.is_empty() && target.len() <= MAX_NAME_LEN
+        }
+        Body::CompareChecksums { checksums, .. } => checksums.len() == BUCKET_COUNT,
+        _ => true,
+    }
 }
 
 impl Packet {
-    /// Its bytes.
+    /// Encodes the datagram.
     pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = MARK.to_vec();
-        bytes.push(VERSION);
-        // Serialization of these types into a growing buffer has no way to fail; an empty body would be dropped there.
+        let mut bytes = MAGIC.to_vec();
+        bytes.push(PROTOCOL_VERSION);
+        // These types always serialize into a growing buffer; the receiver would drop an empty body.
         let body = postcard::to_allocvec(self).unwrap_or_default();
         bytes.extend_from_slice(&body);
-        let check = xxh3_64(&bytes) as u32;
-        bytes.extend_from_slice(&check.to_le_bytes());
+        let checksum = xxh3_64(&bytes) as u32;
+        bytes.extend_from_slice(&checksum.to_le_bytes());
         bytes
     }
 
-    /// The datagram that these bytes are, for a member of this fleet.
-    pub fn decode(bytes: &[u8], fleet: &str) -> Result<Packet, Malformed> {
-        if bytes.len() > LONGEST {
-            return Err(Malformed::Garbled);
+    /// Decodes a datagram that a member of this fleet received.
+    ///
+    /// # Errors
+    /// The first check that failed, see [`DecodeError`].
+    pub fn decode(bytes: &[u8], fleet: &str) -> Result<Packet, DecodeError> {
+        if bytes.len() > MAX_DATAGRAM_LEN {
+            return Err(DecodeError::Corrupt);
         }
-        if bytes.len() < MARK.len() + 1 + CHECK || bytes[..MARK.len()] != MARK {
-            return Err(Malformed::Foreign);
+        if bytes.len() < MAGIC.len() + 1 + CHECKSUM_LEN || bytes[..MAGIC.len()] != MAGIC {
+            return Err(DecodeError::ForeignProtocol);
         }
-        if bytes[MARK.len()] != VERSION {
-            return Err(Malformed::Version);
+        if bytes[MAGIC.len()] != PROTOCOL_VERSION {
+            return Err(DecodeError::UnsupportedVersion);
         }
-        let (whole, check) = bytes.split_at(bytes.len() - CHECK);
-        if (xxh3_64(whole) as u32).to_le_bytes() != check {
-            return Err(Malformed::Garbled);
+        let (content, checksum) = bytes.split_at(bytes.len() - CHECKSUM_LEN);
+        if (xxh3_64(content) as u32).to_le_bytes() != checksum {
+            return Err(DecodeError::Corrupt);
         }
-        let packet: Packet = match postcard::take_from_bytes(&whole[MARK.len() + 1..]) {
+        let packet: Packet = match postcard::take_from_bytes(&content[MAGIC.len() + 1..]) {
             Ok((packet, [])) => packet,
-            _ => return Err(Malformed::Garbled),
+            _ => return Err(DecodeError::Corrupt),
         };
         if &*packet.fleet != fleet {
-            return Err(Malformed::Fleet);
+            return Err(DecodeError::WrongFleet);
         }
-        let named = match &packet.body {
-            Body::Ping { name, .. } | Body::Errand { name, .. } => {
-                !name.is_empty() && name.len() <= NAME
-            }
-            Body::Compare { sums, .. } => sums.len() == BUCKETS,
-            _ => true,
-        };
-        let records = packet.from.iter().chain(&packet.news).all(record_in_bounds);
-        if named && records {
+        let mut records = packet.sender.iter().chain(&packet.updates);
+        if is_body_in_bounds(&packet.body) && records.all(is_record_in_bounds) {
             Ok(packet)
         } else {
-            Err(Malformed::Bounds)
+            Err(DecodeError::OutOfBounds)
         }
     }
 }
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,47 +1,49 @@
-//! Probes in hand: the one of this period, and those made for others.
+//! Probes in progress: the one of the current probe interval, and those made on behalf of other members.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::word::Name;
+use crate::member_state::Name;
 
-/// How far a probe is.
+/// How far a probe has escalated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stage {
-    /// Asked once.
-    Asked,
-    /// Asked again.
-    Again,
-    /// Others were asked to ask.
-    Relayed,
+pub(crate) enum ProbeStage {
+    /// One ping was sent.
+    FirstPing,
+    /// A second ping was sent.
+    SecondPing,
+    /// Other members were asked to ping the target.
+    Indirect,
 }
 
-/// The probe of this period.
+/// The probe of the current probe interval.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
-    pub name: Name,
+    pub target: Name,
     pub seq: u32,
-    pub started: Duration,
-    pub stage: Stage,
-    /// When the next stage is due, or the period ends.
-    pub due: Duration,
-    /// Relays asked, and those of them that said that they hear nothing either.
-    pub relays: usize,
-    pub nacks: usize,
-    pub answered: bool,
+    pub started_at: Duration,
+    pub stage: ProbeStage,
+    /// When the probe escalates to its next stage, if no answer comes before.
+    pub escalates_at: Duration,
+    /// How many members were asked to ping the target.
+    pub relay_count: usize,
+    /// How many of them reported that they have no answer either.
+    pub nack_count: usize,
+    pub is_answered: bool,
 }
 
-/// A probe made for another member.
+/// A probe made on behalf of another member.
 #[derive(Clone, Debug)]
-pub(crate) struct Errand {
-    /// Our number, under which the answer comes.
+pub(crate) struct IndirectProbe {
+    /// The sequence number under which the target answers this node.
     pub seq: u32,
-    /// Who asked, and its number.
-    pub to: SocketAddr,
-    pub theirs: u32,
-    /// When the asker hears that there is no answer so far.
-    pub nack: Duration,
-    pub nacked: bool,
-    /// When it is given up.
-    pub until: Duration,
+    /// The member that asked for the probe.
+    pub requester: SocketAddr,
+    /// The requester's own sequence number.
+    pub requester_seq: u32,
+    /// When the requester is told that there is no answer yet.
+    pub nack_at: Duration,
+    pub is_nacked: bool,
+    /// When the probe is abandoned.
+    pub expires_at: Duration,
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,94 +1,98 @@
+//! Times, counts and sizes of the membership protocol.
+
 use std::time::Duration;
 
-/// Every time, count and size that a view keeps to. Each has a reason in `docs/fleet.md`; all members of a fleet should
-/// have the same.
+/// Times, counts and sizes that a view uses. `docs/fleet.md` gives the reason for each; all members of a fleet should have
+/// the same.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Between two probes.
-    pub period: Duration,
-    /// How long a direct answer may take; the ping is then sent once more, and after as long again others are asked.
-    pub answer: Duration,
-    /// Members asked to probe for one that gave no answer.
-    pub relays: usize,
-    /// Suspicion lasts this many periods times the decimal logarithm of the fleet's size, at the least ...
-    pub suspicion: f64,
-    /// ... and this many times longer while nobody else shares it.
-    pub suspicion_most: f64,
-    /// Accusers besides the first that bring it down to the least.
-    pub accusers: u32,
-    /// Between two rounds in which news is told, while there is any.
-    pub gossip: Duration,
-    /// Members told in such a round.
-    pub fanout: usize,
-    /// Each piece of news is told this many times the binary logarithm of the fleet's size.
-    pub telling: f64,
-    /// Bytes of a datagram.
-    pub datagram: usize,
-    /// At the least between two full exchanges that this node begins, while views differ.
-    pub exchange: Duration,
-    /// Datagrams that answer one exchange at most.
-    pub pages: usize,
-    /// Between two questions after a member that is gone, or to a seed that is no member.
-    pub revive: Duration,
-    /// How long the gone are remembered.
-    pub forget: Duration,
-    /// How many of the gone are remembered.
-    pub tombstones: usize,
-    /// Members at most; what else is heard of is dropped.
-    pub members: usize,
-    /// Local health runs from 0 to this; each point adds one more of `answer` and `period` to what a probe may take. 0
-    /// turns it off.
-    pub health: u32,
-    /// Probes that are made for others at once.
-    pub errands: usize,
+    /// Time between two probes.
+    pub probe_interval: Duration,
+    /// How long a direct answer may take. The ping is then repeated, and after as long again other members are asked.
+    pub probe_timeout: Duration,
+    /// How many members are asked to ping one that gave no answer.
+    pub indirect_probes: usize,
+    /// The shortest suspicion timeout is this many probe intervals times the decimal logarithm of the fleet's size.
+    pub suspicion_multiplier: f64,
+    /// The longest suspicion timeout, as a multiple of the shortest.
+    pub max_suspicion_multiplier: f64,
+    /// Confirmations of a suspicion after which the shortest timeout applies.
+    pub suspicion_confirmations: u32,
+    /// Time between two rounds of gossip, while there are updates to spread.
+    pub gossip_interval: Duration,
+    /// How many members receive gossip in a round.
+    pub gossip_fanout: usize,
+    /// Each update is sent this many times the binary logarithm of the fleet's size.
+    pub retransmit_multiplier: f64,
+    /// The size of a datagram, in bytes.
+    pub max_datagram_len: usize,
+    /// The shortest time between two rounds of anti-entropy that this node begins.
+    pub anti_entropy_interval: Duration,
+    /// How many pages of records are sent in answer to one comparison of checksums.
+    pub max_pages_per_comparison: usize,
+    /// Time between two attempts to reach a dead member or a seed that is not a member.
+    pub reconnect_interval: Duration,
+    /// How long members that died or left are remembered.
+    pub tombstone_retention: Duration,
+    /// How many members that died or left are remembered.
+    pub max_tombstones: usize,
+    /// How many members are kept; further ones are ignored.
+    pub max_members: usize,
+    /// Upper bound of the local health score, which is 0 for a healthy node. Each point adds one more `probe_timeout` and
+    /// `probe_interval` to what a probe may take. 0 turns the score off.
+    pub max_local_health: u32,
+    /// How many probes are made at once on behalf of other members.
+    pub max_relayed_probes: usize,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            period: Duration::from_millis(500),
-            answer: Duration::from_millis(120),
-            relays: 3,
-            suspicion: 4.0,
-            suspicion_most: 4.0,
-            accusers: 3,
-            gossip: Duration::from_millis(100),
-            fanout: 3,
-            telling: 1.5,
-            datagram: 1200,
-            exchange: Duration::from_millis(500),
-            pages: 24,
-            revive: Duration::from_secs(1),
-            forget: Duration::from_secs(3600),
-            tombstones: 1024,
-            members: 8192,
-            health: 8,
-            errands: 64,
+            probe_interval: Duration::from_millis(500),
+            probe_timeout: Duration::from_millis(120),
+            indirect_probes: 3,
+            suspicion_multiplier: 4.0,
+            max_suspicion_multiplier: 4.0,
+            suspicion_confirmations: 3,
+            gossip_interval: Duration::from_millis(100),
+            gossip_fanout: 3,
+            retransmit_multiplier: 1.5,
+            max_datagram_len: 1200,
+            anti_entropy_interval: Duration::from_millis(500),
+            max_pages_per_comparison: 24,
+            reconnect_interval: Duration::from_secs(1),
+            tombstone_retention: Duration::from_secs(3600),
+            max_tombstones: 1024,
+            max_members: 8192,
+            max_local_health: 8,
+            max_relayed_probes: 64,
         }
     }
 }
 
 impl Settings {
-    /// SWIM as first published, with suspicion of one length: the same probes through others, news carried along, and
-    /// nothing of what this crate adds. A baseline for measurements.
+    /// SWIM as first published, with suspicions of one length: the same indirect probes and piggybacked gossip, without
+    /// what this crate adds. A baseline for measurements.
     pub fn plain_swim() -> Settings {
         Settings {
-            suspicion_most: 1.0,
-            health: 0,
-            exchange: Duration::MAX,
-            revive: Duration::MAX,
+            max_suspicion_multiplier: 1.0,
+            max_local_health: 0,
+            anti_entropy_interval: Duration::MAX,
+            reconnect_interval: Duration::MAX,
             ..Settings::default()
         }
     }
-    /// Times that each piece of news is told in a fleet of `members`.
-    pub(crate) fn tellings(&self, members: usize) -> u8 {
-        ((members.max(2) as f64).log2() * self.telling)
+
+    /// How many times each update is sent in a fleet of this size.
+    pub(crate) fn update_transmissions(&self, member_count: usize) -> u8 {
+        ((member_count.max(2) as f64).log2() * self.retransmit_multiplier)
             .ceil()
             .clamp(2.0, 60.0) as u8
     }
-    /// How long suspicion lasts at the least in a fleet of `members`.
-    pub(crate) fn least_suspicion(&self, members: usize) -> Duration {
-        self.period
-            .mul_f64(self.suspicion * (members.max(10) as f64).log10())
+
+    /// The shortest suspicion timeout in a fleet of this size.
+    pub(crate) fn min_suspicion_timeout(&self, member_count: usize) -> Duration {
+        self.probe_interval
+            .mul_f64(self.suspicion_multiplier * (member_count.max(10) as f64).log10())
     }
 }
--- /dev/null
+++ b/crates/membership/src/suspicion_timer.rs
@@ -0,0 +1,75 @@
+//! The timeout of one suspicion. It starts long, since the one member that reports it may itself be at fault, and shortens
+//! with each further member that confirms it (Lifeguard).
+
+use std::time::Duration;
+
+/// The shortest and the longest timeout of a suspicion, and how many confirmations lead from one to the other.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SuspicionTimeouts {
+    pub min: Duration,
+    pub max: Duration,
+    /// Confirmations after which the shortest timeout applies.
+    pub wanted_confirmations: u32,
+}
+
+/// The running timeout of one suspicion.
+#[derive(Clone, Debug)]
+pub(crate) struct SuspicionTimer {
+    started_at: Duration,
+    timeouts: SuspicionTimeouts,
+    /// Hashes of the names of the members that suspect; the first began the suspicion.
+    suspected_by: Vec<u32>,
+}
+
+impl SuspicionTimer {
+    /// A suspicion that begins now, reported by one member.
+    pub(crate) fn new(now: Duration, timeouts: SuspicionTimeouts, suspected_by: u32) -> Self {
+        SuspicionTimer {
+            started_at: now,
+            timeouts,
+            suspected_by: vec![suspected_by],
+        }
+    }
+
+    /// Counts a confirmation; returns whether it is new and still shortens the timeout.
+    pub(crate) fn confirm(&mut self, by: u32) -> bool {
+        let wanted = self.timeouts.wanted_confirmations as usize;
+        let is_new =
+            by != 0 && !self.suspected_by.contains(&by) && self.suspected_by.len() <= wanted;
+        if is_new {
+            self.suspected_by.push(by);
+        }
+        is_new
+    }
+
+    /// When the member is to be declared dead.
+    pub(crate) fn expires_at(&self) -> Duration {
+        let SuspicionTimeouts {
+            min,
+            max,
+            wanted_confirmations,
+        } = self.timeouts;
+        let confirmations = self
+            .suspected_by
+            .len()
+            .saturating_sub(1)
+            .min(wanted_confirmations as usize) as f64;
+        let shortened = if wanted_confirmations == 0 {
+            1.0
+        } else {
+            (confirmations + 1.0).ln() / (f64::from(wanted_confirmations) + 1.0).ln()
+        };
+        let timeout = max - max.saturating_sub(min).mul_f64(shortened.min(1.0));
+        self.started_at + timeout.max(min)
+    }
+
+    /// Extends the timeout by a time during which this node could not receive a refutation.
+    pub(crate) fn extend(&mut self, by: Duration) {
+        self.started_at += by;
+    }
+
+    /// Starts the timeout again.
+    pub(crate) fn restart(&mut self, now: Duration) {
+        self.started_at = now;
+    }
+}
--- /dev/null
+++ b/crates/membership/src/view/partition.rs
@@ -0,0 +1,70 @@
+//! What a node concludes of itself from its view: whether it can see a majority of the fleet.
+
+use std::time::Duration;
+
+use super::MembershipView;
+
+/// How much of the fleet a node can see.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum PartitionStatus {
+    /// More than half of the members that have not left.
+    Majority,
+    /// Half of them or fewer: the node must not decide on behalf of the others.
+    Minority,
+    /// None, although others are known or expected.
+    Isolated,
+}
+
+impl PartitionStatus {
+    /// The status as it is named in datagrams, command output and logs.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            PartitionStatus::Majority => "whole",
+            PartitionStatus::Minority => "part",
+            PartitionStatus::Isolated => "alone",
+        }
+    }
+}
+
+impl MembershipView {
+    /// How long a node may hear nobody before it is isolated. Each member is probed by another about once an interval.
+    fn isolation_timeout(&self) -> Duration {
+        self.settings.min_suspicion_timeout(self.present_count()) + self.settings.probe_interval * 2
+    }
+
+    /// When the node becomes isolated if it hears nobody until then; none where that would change nothing.
+    pub(super) fn isolation_deadline(&self) -> Option<Duration> {
+        let can_become_isolated =
+            self.present_count() > 1 && self.partition_status != PartitionStatus::Isolated;
+        can_become_isolated.then(|| self.last_heard_at + self.isolation_timeout())
+    }
+
+    pub(super) fn update_partition_status(&mut self, now: Duration) {
+        let status = self.current_partition_status(now);
+        if status != self.partition_status {
+            self.partition_status = status;
+            self.partition_status_since = now;
+        }
+    }
+
+    fn current_partition_status(&self, now: Duration) -> PartitionStatus {
+        let present = self.present_count();
+        let lost = self.lost_count();
+        if present > 1 {
+            // A node that hears nobody knows it long before it has declared each of the others dead.
+            if now >= self.last_heard_at + self.isolation_timeout() {
+                return PartitionStatus::Isolated;
+            }
+        } else {
+            let expects_others = !self.has_met_others && !self.seeds.is_empty();
+            if lost > 0 || expects_others {
+                return PartitionStatus::Isolated;
+            }
+        }
+        if present > lost {
+            PartitionStatus::Majority
+        } else {
+            PartitionStatus::Minority
+        }
+    }
+}
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -4,9 +4,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use membership::packet::Summary;
-use membership::word::{hash, life, Word};
-use membership::{Body, Conclusion, Packet, Record, Said, Settings, Standing, View};
+use membership::member_state::{hash_name, new_incarnation, MemberState};
+use membership::packet::ViewSummary;
+use membership::{
+    AdvertisedStatus, Body, Liveness, MemberRecord, MembershipView, Packet, PartitionStatus,
+    Settings,
+};
 
 const V4: &str = "192.0.2.17:7946";
 const V6: &str = "[2001:db8::1:2]:7947";
@@ -16,46 +19,46 @@
 }
 fn record(
     name: &str,
-    said: Said,
-    standing: Standing,
+    status: AdvertisedStatus,
+    liveness: Liveness,
     address: &str,
-    serves: Option<&str>,
-) -> Record {
-    Record {
+    client_address: Option<&str>,
+) -> MemberRecord {
+    MemberRecord {
         name: name.into(),
         site: format!("site-of-{name}").into(),
-        at: at(address),
-        serves: serves.map(at),
-        word: Word {
-            life: 0x0012_3456_789a_bcde,
-            incarnation: 0x0102_0304,
-            said,
-            standing,
+        address: at(address),
+        client_address: client_address.map(at),
+        state: MemberState {
+            incarnation: 0x0012_3456_789a_bcde,
+            version: 0x0102_0304,
+            status,
+            liveness,
         },
-        by: 0x0a0b_0c0d,
+        suspected_by: 0x0a0b_0c0d,
     }
 }
 fn packet(body: Body) -> Packet {
-    let from = Some(record(
+    let sender = Some(record(
         "sender",
-        Said::Up,
-        Standing::Present,
+        AdvertisedStatus::Up,
+        Liveness::Alive,
         V4,
         Some("192.0.2.18:8080"),
     ));
     Packet {
         fleet: "billing".into(),
-        from,
+        sender,
         body,
-        news: vec![],
+        updates: vec![],
     }
 }
-fn news(record: Record) -> Packet {
+fn gossip_of(record: MemberRecord) -> Packet {
     Packet {
         fleet: "billing".into(),
-        from: None,
+        sender: None,
         body: Body::Gossip,
-        news: vec![record],
+        updates: vec![record],
     }
 }
 fn hex(bytes: &[u8]) -> String {
@@ -64,30 +67,30 @@
 
 /// Every kind of datagram, then every variant of what is inside a record.
 fn cases() -> Vec<(&'static str, Packet)> {
-    let summary = Summary {
-        conclusion: "part".into(),
-        for_ms: 1_000_001,
+    let summary = ViewSummary {
+        partition_status: "part".into(),
+        status_age_ms: 1_000_001,
         digest: 0x1122_3344_5566_7788,
         present: 201,
         lost: 302,
-        health: 5,
+        local_health: 5,
         dropped: 40_000_000_003,
     };
-    let sums: Vec<u64> = (0..64).map(|n| n * 0x0001_0000_0001).collect();
-    let a = record("a", Said::Joining, Standing::Present, V4, None);
-    let b = record("b", Said::Left, Standing::Gone, V6, Some(V4));
+    let checksums: Vec<u64> = (0..64).map(|n| n * 0x0001_0000_0001).collect();
+    let a = record("a", AdvertisedStatus::Joining, Liveness::Alive, V4, None);
+    let b = record("b", AdvertisedStatus::Left, Liveness::Dead, V6, Some(V4));
     let asks = |body| Packet {
         fleet: "billing".into(),
-        from: None,
+        sender: None,
         body,
-        news: vec![],
+        updates: vec![],
     };
     vec![
         (
             "ping",
             packet(Body::Ping {
                 seq: 0x0304_0506,
-                name: "target".into(),
+                target: "target".into(),
             }),
         ),
         (
@@ -99,18 +102,18 @@
         ),
         (
             "errand-ipv4",
-            packet(Body::Errand {
+            packet(Body::PingRequest {
                 seq: 11,
-                name: "target".into(),
-                at: at(V4),
+                target: "target".into(),
+                address: at(V4),
             }),
         ),
         (
             "errand-ipv6",
-            packet(Body::Errand {
+            packet(Body::PingRequest {
                 seq: 12,
-                name: "target".into(),
-                at: at(V6),
+                target: "target".into(),
+                address: at(V6),
             }),
         ),
         ("nack", packet(Body::Nack { seq: 13 })),
@@ -118,31 +121,34 @@
         (
             "gossip-with-two-records",
             Packet {
-                news: vec![a.clone(), b.clone()],
+                updates: vec![a.clone(), b.clone()],
                 ..packet(Body::Gossip)
             },
         ),
         (
             "compare",
-            packet(Body::Compare {
-                sums: sums.clone(),
-                answer: false,
+            packet(Body::CompareChecksums {
+                checksums: checksums.clone(),
+                is_reply: false,
             }),
         ),
         (
             "compare-answer",
-            packet(Body::Compare { sums, answer: true }),
+            packet(Body::CompareChecksums {
+                checksums,
+                is_reply: true,
+            }),
         ),
         (
             "page",
             Packet {
-                news: vec![a.clone()],
-                ..packet(Body::Page)
+                updates: vec![a.clone()],
+                ..packet(Body::RecordPage)
             },
         ),
         (
             "carried",
-            packet(Body::Carried(vec![0x00, 0x7f, 0x80, 0xff])),
+            packet(Body::ApplicationMessage(vec![0x00, 0x7f, 0x80, 0xff])),
         ),
         (
             "query-first",
@@ -161,49 +167,91 @@
         (
             "answer",
             Packet {
-                news: vec![a, b],
-                ..packet(Body::Answer {
+                updates: vec![a, b],
+                ..packet(Body::QueryReply {
                     seq: 14,
-                    more: false,
+                    has_more: false,
                     summary: summary.clone(),
                 })
             },
         ),
         (
             "answer-more",
-            packet(Body::Answer {
+            packet(Body::QueryReply {
                 seq: 15,
-                more: true,
+                has_more: true,
                 summary,
             }),
         ),
         (
             "record-joining-present",
-            news(record("m", Said::Joining, Standing::Present, V4, None)),
+            gossip_of(record(
+                "m",
+                AdvertisedStatus::Joining,
+                Liveness::Alive,
+                V4,
+                None,
+            )),
         ),
         (
             "record-up-present",
-            news(record("m", Said::Up, Standing::Present, V4, Some(V6))),
+            gossip_of(record(
+                "m",
+                AdvertisedStatus::Up,
+                Liveness::Alive,
+                V4,
+                Some(V6),
+            )),
         ),
         (
             "record-up-suspected",
-            news(record("m", Said::Up, Standing::Suspected, V4, Some(V4))),
+            gossip_of(record(
+                "m",
+                AdvertisedStatus::Up,
+                Liveness::Suspect,
+                V4,
+                Some(V4),
+            )),
         ),
         (
             "record-up-gone",
-            news(record("m", Said::Up, Standing::Gone, V6, Some(V4))),
+            gossip_of(record(
+                "m",
+                AdvertisedStatus::Up,
+                Liveness::Dead,
+                V6,
+                Some(V4),
+            )),
         ),
         (
             "record-quiesced-present",
-            news(record("m", Said::Quiesced, Standing::Present, V6, Some(V6))),
+            gossip_of(record(
+                "m",
+                AdvertisedStatus::Quiesced,
+                Liveness::Alive,
+                V6,
+                Some(V6),
+            )),
         ),
         (
             "record-leaving-present",
-            news(record("m", Said::Leaving, Standing::Present, V6, None)),
+            gossip_of(record(
+                "m",
+                AdvertisedStatus::Leaving,
+                Liveness::Alive,
+                V6,
+                None,
+            )),
         ),
         (
             "record-left-present",
-            news(record("m", Said::Left, Standing::Present, V4, Some(V4))),
+            gossip_of(record(
+                "m",
+                AdvertisedStatus::Left,
+                Liveness::Alive,
+                V4,
+                Some(V4),
+            )),
         ),
     ]
 }
@@ -227,39 +275,56 @@
     }
 }
 
-/// What members compute alike and compare by: hashes of names, a life's number, and the digest of a view.
+/// What members compute alike and compare by: hashes of names, incarnations, and the digest of a view.
 #[test]
 fn hashes_and_digests_are_stable() {
-    let me = record("me", Said::Joining, Standing::Present, V4, None);
+    let own = record("me", AdvertisedStatus::Joining, Liveness::Alive, V4, None);
     let now = Duration::from_secs(1);
-    let mut view = View::new(Settings::default(), "billing".into(), me, vec![], now);
+    let mut view = MembershipView::new(Settings::default(), "billing".into(), own, vec![], now);
     let alone = view.digest();
     let members = vec![
-        record("n1", Said::Joining, Standing::Present, V4, None),
-        record("n2", Said::Up, Standing::Present, V4, Some(V6)),
-        record("n3", Said::Quiesced, Standing::Present, V4, Some(V6)),
-        record("n4", Said::Leaving, Standing::Suspected, V4, Some(V6)),
-        record("n5", Said::Up, Standing::Gone, V4, Some(V6)),
-        record("n6", Said::Left, Standing::Present, V4, Some(V6)),
+        record("n1", AdvertisedStatus::Joining, Liveness::Alive, V4, None),
+        record("n2", AdvertisedStatus::Up, Liveness::Alive, V4, Some(V6)),
+        record(
+            "n3",
+            AdvertisedStatus::Quiesced,
+            Liveness::Alive,
+            V4,
+            Some(V6),
+        ),
+        record(
+            "n4",
+            AdvertisedStatus::Leaving,
+            Liveness::Suspect,
+            V4,
+            Some(V6),
+        ),
+        record("n5", AdvertisedStatus::Up, Liveness::Dead, V4, Some(V6)),
+        record("n6", AdvertisedStatus::Left, Liveness::Alive, V4, Some(V6)),
     ];
-    let told = Packet {
-        news: members,
+    let gossip = Packet {
+        updates: members,
         ..packet(Body::Gossip)
     };
-    view.hear(told, at(V4), now, &mut |_| 0, &mut vec![]);
+    view.handle_packet(gossip, at(V4), now, &mut |_| 0, &mut vec![]);
     let written = format!(
         "hash-of-empty {:016x}\nhash-of-node-1 {:016x}\nlife {:016x}\ndigest-alone {alone:016x}\ndigest-of-all {:016x}\n",
-        hash(""),
-        hash("node-1"),
-        life(1_700_000_000_123, 0xfedc_ba98_7654_3210),
+        hash_name(""),
+        hash_name("node-1"),
+        new_incarnation(1_700_000_000_123, 0xfedc_ba98_7654_3210),
         view.digest(),
     );
     assert_eq!(written, include_str!("golden/hashes.txt"));
 }
 
-/// The names by which a view's conclusion is told in answers and status.
+/// The names by which a partition status is reported in answers and status.
 #[test]
-fn names_of_conclusions_are_stable() {
-    let names = [Conclusion::Whole, Conclusion::Part, Conclusion::Alone].map(Conclusion::name);
+fn names_of_partition_statuses_are_stable() {
+    let names = [
+        PartitionStatus::Majority,
+        PartitionStatus::Minority,
+        PartitionStatus::Isolated,
+    ]
+    .map(PartitionStatus::as_str);
     assert_eq!(names, ["whole", "part", "alone"]);
 }
--- /dev/null
+++ b/crates/membership/tests/packet.rs
@@ -0,0 +1,109 @@
+//! Decoding of datagrams: what is rejected, and why.
+
+use std::net::SocketAddr;
+
+use membership::{
+    AdvertisedStatus, Body, DecodeError, Liveness, MemberRecord, MemberState, Packet,
+};
+use proptest::prelude::*;
+
+fn record(id: u16, incarnation: u64) -> MemberRecord {
+    MemberRecord {
+        name: format!("n{id}").into(),
+        site: "s".into(),
+        address: SocketAddr::from(([127, 0, 0, 1], 7000 + id)),
+        client_address: Some(SocketAddr::from(([127, 0, 0, 1], 7100 + id))),
+        state: MemberState {
+            incarnation: incarnation << 20,
+            version: 0,
+            status: AdvertisedStatus::Joining,
+            liveness: Liveness::Alive,
+        },
+        suspected_by: 0,
+    }
+}
+
+fn ping() -> Packet {
+    Packet {
+        fleet: "few".into(),
+        sender: Some(record(0, 1)),
+        body: Body::Ping {
+            seq: 7,
+            target: "n1".into(),
+        },
+        updates: vec![record(1, 1), record(2, 1)],
+    }
+}
+
+#[test]
+fn foreign_and_damaged_datagrams_are_told_apart() {
+    let bytes = ping().encode();
+    let decode = |bytes: &[u8]| Packet::decode(bytes, "few");
+    assert_eq!(decode(&bytes), Ok(ping()));
+    assert_eq!(
+        Packet::decode(&bytes, "another"),
+        Err(DecodeError::WrongFleet)
+    );
+    assert_eq!(
+        decode(b"GET / HTTP/1.1\r\n"),
+        Err(DecodeError::ForeignProtocol)
+    );
+    assert_eq!(decode(b""), Err(DecodeError::ForeignProtocol));
+    assert_eq!(decode(&[0; 70_000]), Err(DecodeError::Corrupt));
+    let mut other_version = bytes.clone();
+    other_version[3] += 1;
+    assert_eq!(decode(&other_version), Err(DecodeError::UnsupportedVersion));
+}
+
+#[test]
+fn intact_datagrams_with_values_out_of_bounds_are_rejected() {
+    let rejected = [
+        record(0, 1 << 43),
+        MemberRecord {
+            name: "".into(),
+            ..record(0, 1)
+        },
+        MemberRecord {
+            name: "x".repeat(65).into(),
+            ..record(0, 1)
+        },
+    ];
+    for record in rejected {
+        let packet = Packet {
+            updates: vec![record],
+            ..ping()
+        };
+        assert_eq!(
+            Packet::decode(&packet.encode(), "few"),
+            Err(DecodeError::OutOfBounds)
+        );
+    }
+    let too_few_checksums = Packet {
+        body: Body::CompareChecksums {
+            checksums: vec![1; 3],
+            is_reply: false,
+        },
+        ..ping()
+    };
+    assert_eq!(
+        Packet::decode(&too_few_checksums.encode(), "few"),
+        Err(DecodeError::OutOfBounds)
+    );
+}
+
+proptest! {
+    #[test]
+    fn truncated_or_garbled_datagrams_are_dropped(
+        cut in 0usize..200,
+        place in 0usize..200,
+        flip in 1u8..,
+    ) {
+        let bytes = ping().encode();
+        let truncated = &bytes[..cut.min(bytes.len() - 1)];
+        prop_assert!(Packet::decode(truncated, "few").is_err());
+        let mut garbled = bytes.clone();
+        let place = place % garbled.len();
+        garbled[place] ^= flip;
+        prop_assert!(Packet::decode(&garbled, "few").is_err());
+    }
+}
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -1,292 +1,253 @@
-//! Views by hand: few members, each datagram carried by the test.
+//! Views of a few members; the test itself delivers or drops each datagram.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use membership::word::Word;
 use membership::{
-    Body, Conclusion, Malformed, Out, Packet, Record, Said, Settings, Standing, View,
+    AdvertisedStatus, Body, Effect, Liveness, MemberRecord, MemberState, MembershipView, Packet,
+    PartitionStatus, Settings,
 };
 use proptest::prelude::*;
 
-fn at(id: u16) -> SocketAddr {
+fn address(id: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7000 + id))
 }
-fn record(id: u16, life: u64) -> Record {
-    let word = Word {
-        life: life << 20,
-        incarnation: 0,
-        said: Said::Joining,
-        standing: Standing::Present,
-    };
-    Record {
+
+fn record(id: u16, incarnation: u64) -> MemberRecord {
+    MemberRecord {
         name: format!("n{id}").into(),
         site: "s".into(),
-        at: at(id),
-        serves: Some(at(100 + id)),
-        word,
-        by: 0,
+        address: address(id),
+        client_address: Some(address(100 + id)),
+        state: MemberState {
+            incarnation: incarnation << 20,
+            version: 0,
+            status: AdvertisedStatus::Joining,
+            liveness: Liveness::Alive,
+        },
+        suspected_by: 0,
     }
 }
 
-/// A few views and a network that loses what the test says.
-struct Few {
-    views: Vec<Option<View>>,
+/// Numbers that look random and are the same in each run.
+struct Indices(usize);
+
+impl Indices {
+    fn next(&mut self, bound: usize) -> usize {
+        self.0 += 1;
+        (self.0 * 7919) % bound
+    }
+}
+
+fn all_links(_from: SocketAddr, _to: SocketAddr) -> bool {
+    true
+}
+
+/// A few views, and a network that loses what the test says.
+struct SmallFleet {
+    views: Vec<Option<MembershipView>>,
     now: Duration,
-    draws: usize,
+    random: Indices,
 }
 
-impl Few {
-    fn start(count: u16) -> Few {
-        let mut few = Few {
+impl SmallFleet {
+    /// Members that have met each other.
+    fn start(count: u16) -> SmallFleet {
+        let mut fleet = SmallFleet {
             views: Vec::new(),
             now: Duration::from_secs(1),
-            draws: 0,
+            random: Indices(0),
         };
-        (0..count).for_each(|id| few.add(id, 100));
-        few.run(Duration::from_secs(3), |_, _| true);
-        few
+        for id in 0..count {
+            fleet.add(id, 100);
+        }
+        fleet.run(Duration::from_secs(3), all_links);
+        fleet
     }
-    fn add(&mut self, id: u16, life: u64) {
-        let seeds = vec![at(0), at(1)];
-        let mut view = View::new(
+
+    fn add(&mut self, id: u16, incarnation: u64) {
+        let seeds = vec![address(0), address(1)];
+        let mut view = MembershipView::new(
             Settings::default(),
             "few".into(),
-            record(id, life),
+            record(id, incarnation),
             seeds,
             self.now,
         );
-        view.say(Said::Up, self.now);
+        view.advertise_status(AdvertisedStatus::Up, self.now);
         self.views.push(Some(view));
     }
-    fn view(&self, id: usize) -> &View {
-        self.views[id].as_ref().expect("it lives")
+
+    fn view(&self, index: usize) -> &MembershipView {
+        self.views[index].as_ref().expect("it runs")
     }
-    fn deliver(&mut self, sent: Vec<Out>, passes: &dyn Fn(SocketAddr, SocketAddr) -> bool) {
-        let mut queue: Vec<(SocketAddr, Packet)> = Vec::new();
-        let sends = |out: Vec<Out>| {
-            out.into_iter().filter_map(|o| match o {
-                Out::Send(to, packet) => Some((to, packet)),
-                Out::Changed(_) => None,
-            })
-        };
-        queue.extend(sends(sent));
-        while let Some((to, packet)) = queue.pop() {
+
+    fn view_mut(&mut self, index: usize) -> &mut MembershipView {
+        self.views[index].as_mut().expect("it runs")
+    }
+
+    /// Delivers datagrams, and those that are sent in answer, where `is_open` lets them pass from one address to another.
+    fn deliver(&mut self, effects: Vec<Effect>, is_open: &dyn Fn(SocketAddr, SocketAddr) -> bool) {
+        let mut in_transit = sent_packets(effects);
+        while let Some((to, packet)) = in_transit.pop() {
             let bytes = packet.encode();
-            assert!(
-                bytes.len() <= Settings::default().datagram,
-                "{} bytes",
-                bytes.len()
-            );
-            let from = packet.from.as_ref().map_or(at(999), |r| r.at);
-            let packet = Packet::decode(&bytes, "few").expect("what is sent can be read");
+            let len = bytes.len();
+            assert!(len <= Settings::default().max_datagram_len, "{len} bytes");
+            let from = packet.sender.as_ref().map_or(address(999), |r| r.address);
+            let packet = Packet::decode(&bytes, "few").expect("what is sent can be decoded");
             for view in self.views.iter_mut().flatten() {
-                if view.me().at == to && passes(from, to) {
-                    let mut out = Vec::new();
-                    self.draws += 1;
-                    let draws = &mut self.draws;
-                    let mut draw = |n: usize| {
-                        *draws += 1;
-                        (*draws * 7919) % n
-                    };
-                    view.hear(packet.clone(), from, self.now, &mut draw, &mut out);
-                    queue.extend(sends(out));
+                if view.own_record().address == to && is_open(from, to) {
+                    let mut effects = Vec::new();
+                    let random = &mut self.random;
+                    let mut index = |bound| random.next(bound);
+                    view.handle_packet(packet.clone(), from, self.now, &mut index, &mut effects);
+                    in_transit.extend(sent_packets(effects));
                 }
             }
         }
     }
-    fn run(&mut self, long: Duration, passes: impl Fn(SocketAddr, SocketAddr) -> bool) {
-        let end = self.now + long;
+
+    fn run(&mut self, duration: Duration, is_open: impl Fn(SocketAddr, SocketAddr) -> bool) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += Duration::from_millis(10);
-            for id in 0..self.views.len() {
-                let mut out = Vec::new();
-                let draws = &mut self.draws;
-                let mut draw = |n: usize| {
-                    *draws += 1;
-                    (*draws * 7919) % n
-                };
-                if let Some(view) = self.views[id].as_mut().filter(|v| v.next() <= self.now) {
-                    view.tick(self.now, &mut draw, &mut out);
+            for index in 0..self.views.len() {
+                let mut effects = Vec::new();
+                let random = &mut self.random;
+                let view = self.views[index].as_mut();
+                if let Some(view) = view.filter(|view| view.next_deadline() <= self.now) {
+                    let mut index = |bound| random.next(bound);
+                    view.handle_timers(self.now, &mut index, &mut effects);
                 }
-                self.deliver(out, &passes);
+                self.deliver(effects, &is_open);
             }
         }
     }
+
+    fn assert_all_agree(&self, count: usize) {
+        for index in 0..count {
+            assert_eq!(self.view(index).present_count(), count);
+            assert_eq!(self.view(index).digest(), self.view(0).digest());
+        }
+    }
+}
+
+fn sent_packets(effects: Vec<Effect>) -> Vec<(SocketAddr, Packet)> {
+    effects
+        .into_iter()
+        .filter_map(|effect| match effect {
+            Effect::Send { to, packet } => Some((to, packet)),
+            Effect::MemberChanged(_) => None,
+        })
+        .collect()
 }
 
 #[test]
-fn members_meet_and_hear_what_each_says() {
-    let mut few = Few::start(4);
-    assert!((0..4)
-        .all(|id| few.view(id).present() == 4 && few.view(id).digest() == few.view(0).digest()));
-    assert_eq!(few.view(2).conclusion().0, Conclusion::Whole);
-    let now = few.now;
-    few.views[3]
-        .as_mut()
-        .expect("it lives")
-        .say(Said::Quiesced, now);
-    few.run(Duration::from_millis(300), |_, _| true);
-    for id in 0..4 {
-        let (held, _) = few.view(id).member("n3").expect("known");
-        assert_eq!(
-            (held.word.said, held.takes_requests()),
-            (Said::Quiesced, false)
-        );
+fn members_meet_and_learn_what_each_advertises() {
+    let mut fleet = SmallFleet::start(4);
+    fleet.assert_all_agree(4);
+    assert_eq!(fleet.view(2).partition_status(), PartitionStatus::Majority);
+    let now = fleet.now;
+    fleet
+        .view_mut(3)
+        .advertise_status(AdvertisedStatus::Quiesced, now);
+    fleet.run(Duration::from_millis(300), all_links);
+    for index in 0..4 {
+        let record = fleet.view(index).member("n3").expect("it is known");
+        assert_eq!(record.state.status, AdvertisedStatus::Quiesced);
+        assert!(!record.accepts_requests());
     }
 }
 
 #[test]
-fn one_that_is_cut_off_knows_it_and_is_taken_back() {
-    let mut few = Few::start(4);
-    let cut = |from, to| (from == at(3)) == (to == at(3));
-    // It knows by hearing nobody, long before it has given each of them up.
-    few.run(Duration::from_secs(4), cut);
-    assert_eq!(
-        (few.view(3).conclusion().0, few.view(0).conclusion().0),
-        (Conclusion::Alone, Conclusion::Whole)
-    );
-    few.run(Duration::from_secs(30), cut);
-    assert_eq!(few.view(3).conclusion().0, Conclusion::Alone);
-    assert_eq!(
-        (
-            few.view(0).conclusion().0,
-            few.view(0).present(),
-            few.view(0).lost()
-        ),
-        (Conclusion::Whole, 3, 1)
-    );
-    few.run(Duration::from_secs(5), |_, _| true);
-    assert!((0..4)
-        .all(|id| few.view(id).present() == 4 && few.view(id).digest() == few.view(0).digest()));
+fn a_member_that_is_cut_off_is_isolated_and_rejoins() {
+    let mut fleet = SmallFleet::start(4);
+    let cut_off = |from, to| (from == address(3)) == (to == address(3));
+    // It knows by hearing nobody, long before it has declared each of the others dead.
+    fleet.run(Duration::from_secs(4), cut_off);
+    assert_eq!(fleet.view(3).partition_status(), PartitionStatus::Isolated);
+    assert_eq!(fleet.view(0).partition_status(), PartitionStatus::Majority);
+    fleet.run(Duration::from_secs(30), cut_off);
+    assert_eq!(fleet.view(3).partition_status(), PartitionStatus::Isolated);
+    let other = fleet.view(0);
+    assert_eq!(other.partition_status(), PartitionStatus::Majority);
+    assert_eq!((other.present_count(), other.lost_count()), (3, 1));
+    fleet.run(Duration::from_secs(5), all_links);
+    fleet.assert_all_agree(4);
 }
 
-/// Two processes of one name: the one that came later has it, the other says nothing, and takes it up again when the
-/// later one is gone without a word.
+/// Of two processes with one name the later one has it. The other sends nothing, and takes the name back when the later
+/// one has died without leaving.
 #[test]
 fn two_processes_of_one_name_are_one_member() {
-    let mut few = Few::start(3);
-    few.add(2, 200);
+    let mut fleet = SmallFleet::start(3);
+    fleet.add(2, 200);
     // The later one has an address of its own.
-    let now = few.now;
-    few.views[3].as_mut().expect("it lives").move_to(at(3), now);
-    few.run(Duration::from_secs(3), |_, _| true);
-    assert!(few.view(2).succeeded() && !few.view(3).succeeded());
-    let (held, _) = few.view(0).member("n2").expect("known");
-    assert_eq!(
-        (held.at, held.word.life, few.view(0).present()),
-        (at(3), 200 << 20, 3)
-    );
-    few.views[3] = None;
-    few.run(Duration::from_secs(20), |_, _| true);
-    assert!(!few.view(2).succeeded());
-    let (held, _) = few.view(0).member("n2").expect("known");
-    assert!(
-        held.word.present() && held.at == at(2) && held.word.life > 200 << 20,
-        "{held:?}"
-    );
+    let now = fleet.now;
+    fleet.view_mut(3).set_address(address(3), now);
+    fleet.run(Duration::from_secs(3), all_links);
+    assert!(fleet.view(2).is_superseded());
+    assert!(!fleet.view(3).is_superseded());
+    assert_eq!(fleet.view(0).present_count(), 3);
+    let record = fleet.view(0).member("n2").expect("it is known");
+    assert_eq!(record.address, address(3));
+    assert_eq!(record.state.incarnation, 200 << 20);
+    fleet.views[3] = None;
+    fleet.run(Duration::from_secs(20), all_links);
+    assert!(!fleet.view(2).is_superseded());
+    let record = fleet.view(0).member("n2").expect("it is known");
+    assert!(record.state.is_present(), "{record:?}");
+    assert_eq!(record.address, address(2));
+    assert!(record.state.incarnation > 200 << 20, "{record:?}");
 }
 
-/// A node that was stopped accuses nobody of its own silence.
 #[test]
-fn one_that_was_stopped_gives_nobody_up() {
-    let mut few = Few::start(5);
-    let stopped = few.views[4].take();
-    few.run(Duration::from_secs(30), |_, _| true);
-    few.views[4] = stopped;
-    few.run(Duration::from_secs(5), |_, _| true);
-    assert!((0..5).all(|id| few.view(id).present() == 5 && few.view(id).lost() == 0));
-}
-
-fn some_packet() -> Packet {
-    let body = Body::Ping {
-        seq: 7,
-        name: "n1".into(),
-    };
-    Packet {
-        fleet: "few".into(),
-        from: Some(record(0, 1)),
-        body,
-        news: vec![record(1, 1), record(2, 1)],
+fn a_node_that_was_stopped_declares_nobody_dead() {
+    let mut fleet = SmallFleet::start(5);
+    let stopped = fleet.views[4].take();
+    fleet.run(Duration::from_secs(30), all_links);
+    fleet.views[4] = stopped;
+    fleet.run(Duration::from_secs(5), all_links);
+    for index in 0..5 {
+        let view = fleet.view(index);
+        assert_eq!((view.present_count(), view.lost_count()), (5, 0));
     }
 }
 
-#[test]
-fn what_is_no_datagram_of_ours_is_told_apart() {
-    let bytes = some_packet().encode();
-    assert_eq!(Packet::decode(&bytes, "few"), Ok(some_packet()));
-    assert_eq!(Packet::decode(&bytes, "another"), Err(Malformed::Fleet));
-    assert_eq!(
-        Packet::decode(b"GET / HTTP/1.1\r\n", "few"),
-        Err(Malformed::Foreign)
-    );
-    assert_eq!(Packet::decode(b"", "few"), Err(Malformed::Foreign));
-    assert_eq!(Packet::decode(&[0; 70_000], "few"), Err(Malformed::Garbled));
-    let mut other = bytes.clone();
-    other[3] += 1;
-    assert_eq!(Packet::decode(&other, "few"), Err(Malformed::Version));
-    // Whole, and nothing that a member can be.
-    for bad in [
-        record(0, 1 << 43),
-        Record {
-            name: "".into(),
-            ..record(0, 1)
-        },
-        Record {
-            name: "x".repeat(65).into(),
-            ..record(0, 1)
-        },
-    ] {
-        let packet = Packet {
-            news: vec![bad],
-            ..some_packet()
-        };
-        assert_eq!(
-            Packet::decode(&packet.encode(), "few"),
-            Err(Malformed::Bounds)
-        );
-    }
-    let short = Packet {
-        body: Body::Compare {
-            sums: vec![1; 3],
-            answer: false,
-        },
-        ..some_packet()
-    };
-    assert_eq!(
-        Packet::decode(&short.encode(), "few"),
-        Err(Malformed::Bounds)
-    );
+fn any_liveness() -> impl Strategy<Value = Liveness> {
+    (0usize..3).prop_map(|index| [Liveness::Alive, Liveness::Suspect, Liveness::Dead][index])
 }
 
 proptest! {
+    /// Forged datagrams, intact and in bounds, at a high rate: the view stays in its bounds and keeps its own state.
     #[test]
-    fn cut_or_garbled_datagrams_are_dropped(cut in 0usize..200, place in 0usize..200, flip in 1u8..) {
-        let whole = some_packet().encode();
-        let cut_off = &whole[..cut.min(whole.len() - 1)];
-        prop_assert!(Packet::decode(cut_off, "few").is_err());
-        let mut garbled = whole.clone();
-        let place = place % garbled.len();
-        garbled[place] ^= flip;
-        prop_assert!(Packet::decode(&garbled, "few").is_err());
-    }
-
-    /// Forged datagrams, whole and in bounds, at a high rate: the view stays in its bounds and its own member speaks on.
-    #[test]
-    fn forged_words_leave_a_view_that_objects(words in prop::collection::vec((0u16..6, 0u64..1 << 61, 0u32..1 << 30, 0u8..3), 1..60)) {
-        let mut view = View::new(Settings { members: 4, ..Settings::default() }, "few".into(), record(0, 5), vec![], Duration::ZERO);
-        view.say(Said::Up, Duration::ZERO);
-        for (id, life, incarnation, standing) in words {
-            let standing = [Standing::Present, Standing::Suspected, Standing::Gone][usize::from(standing)];
-            let word = Word { life, incarnation, said: Said::Up, standing };
-            let forged = Record { word, ..record(id, 1) };
-            let packet = Packet { fleet: "few".into(), from: None, body: Body::Gossip, news: vec![forged] };
-            let mut out = Vec::new();
-            view.hear(packet, at(50), Duration::from_secs(1), &mut |_| 0, &mut out);
-            view.tick(Duration::from_secs(1), &mut |_| 0, &mut out);
+    fn forged_records_are_refuted_and_bounded(
+        forged in prop::collection::vec(
+            (0u16..6, 0u64..1 << 61, 0u32..1 << 30, any_liveness()),
+            1..60,
+        )
+    ) {
+        let settings = Settings { max_members: 4, ..Settings::default() };
+        let now = Duration::from_secs(1);
+        let mut view =
+            MembershipView::new(settings, "few".into(), record(0, 5), vec![], Duration::ZERO);
+        view.advertise_status(AdvertisedStatus::Up, Duration::ZERO);
+        for (id, incarnation, version, liveness) in forged {
+            let status = AdvertisedStatus::Up;
+            let state = MemberState { incarnation, version, status, liveness };
+            let packet = Packet {
+                fleet: "few".into(),
+                sender: None,
+                body: Body::Gossip,
+                updates: vec![MemberRecord { state, ..record(id, 1) }],
+            };
+            let mut effects = Vec::new();
+            view.handle_packet(packet, address(50), now, &mut |_| 0, &mut effects);
+            view.handle_timers(now, &mut |_| 0, &mut effects);
         }
         prop_assert!(view.members().count() <= 5);
-        let mine = view.member("n0").expect("its own").0.word;
-        prop_assert!(view.succeeded() || mine == view.me().word && mine.present());
+        let own = view.member("n0").expect("its own record").state;
+        let keeps_own_state = own == view.own_record().state && own.is_present();
+        prop_assert!(view.is_superseded() || keeps_own_state);
     }
 }
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -12,7 +12,7 @@
 use cells::map::{CellMap, Name};
 use connections::{Bounds, Breach, Due, Go, Room, Session};
 use fleet_runtime as fleet;
-use membership::Said;
+use membership::AdvertisedStatus;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
 use routing::{After, End, Presence, Refusal, Request, Route, Router, Rules, Ticket};
@@ -184,7 +184,7 @@
         let log = self.log.new(o!("actor" => "fleet"));
         let view = fleet::start(config, me, FLEET_STACK, changed, &log)?;
         info!(log, "fleet"; "at" => %view.at);
-        view.say(Said::Up);
+        view.say(AdvertisedStatus::Up);
         self.nodes.join(view);
         Ok(())
     }
--- a/crates/router/src/nodes.rs
+++ b/crates/router/src/nodes.rs
@@ -8,7 +8,7 @@
 
 use cells::map::{CellMap, Name};
 use fleet_runtime::{Handle, Seen};
-use membership::{Conclusion, Standing};
+use membership::{Liveness, PartitionStatus};
 use routing::{Checks, Presence};
 
 /// Between two health checks of a node.
@@ -56,8 +56,8 @@
         let seen = self.view.as_ref().map(|(_, seen)| seen);
         let says = |name: &Name| {
             seen.and_then(|s| s.member(name))
-                .filter(|r| r.word.present())?
-                .serves
+                .filter(|r| r.state.is_present())?
+                .client_address
         };
         self.addresses = self
             .by_file
@@ -75,12 +75,12 @@
             return;
         }
         let was = std::mem::replace(before, seen);
-        if self.by_view().is_none() && was.conclusion != Conclusion::Alone {
+        if self.by_view().is_none() && was.conclusion != PartitionStatus::Isolated {
             // It hears nobody from now on. Who was there before goes on until a check says otherwise.
             for name in self.by_file.keys() {
                 if was
                     .member(name)
-                    .is_some_and(membership::Record::takes_requests)
+                    .is_some_and(membership::MemberRecord::accepts_requests)
                 {
                     self.checks.heard(name, true, now);
                 }
@@ -92,7 +92,7 @@
         self.view
             .as_ref()
             .map(|(_, seen)| &**seen)
-            .filter(|seen| seen.conclusion != Conclusion::Alone)
+            .filter(|seen| seen.conclusion != PartitionStatus::Isolated)
     }
     /// Whether nodes have to be asked one by one.
     pub(crate) fn asks(&self) -> bool {
@@ -107,8 +107,8 @@
         let Some(seen) = self.by_view() else {
             return self.checks.presence(node, now);
         };
-        match seen.member(node).filter(|r| r.takes_requests()) {
-            Some(r) if r.word.standing == Standing::Suspected => Presence::Doubtful,
+        match seen.member(node).filter(|r| r.accepts_requests()) {
+            Some(r) if r.state.liveness == Liveness::Suspect => Presence::Doubtful,
             Some(_) => Presence::There,
             None => Presence::Away,
         }
--- a/crates/shared-state/src/gather.rs
+++ b/crates/shared-state/src/gather.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use membership::word::hash;
+use membership::member_state::hash_name;
 use membership::Name;
 use serde::{Deserialize, Serialize};
 
@@ -544,7 +544,7 @@
         let (mut count, mut best): (usize, Vec<(u64, &Name, &Name)>) = (0, Vec::new());
         for (name, site) in all {
             count += 1;
-            let new = (hash(name), name, site);
+            let new = (hash_name(name), name, site);
             // The best of each site, of which there are few.
             match best.iter_mut().find(|(_, _, of)| *of == site) {
                 Some(known) => *known = new.min(*known),
--- a/src/member.rs
+++ b/src/member.rs
@@ -6,7 +6,7 @@
 
 use fleet_runtime as fleet;
 use lifecycle::State;
-use membership::Said;
+use membership::AdvertisedStatus;
 use slog::{info, o, warn, Logger};
 
 use crate::net::database::Guard;
@@ -91,10 +91,10 @@
     /// The process stands so.
     pub fn say(&self, state: State) {
         let said = match state {
-            State::Starting { .. } => Said::Joining,
-            State::Serving => Said::Up,
-            State::Quiesced => Said::Quiesced,
-            State::Leaving { .. } => Said::Leaving,
+            State::Starting { .. } => AdvertisedStatus::Joining,
+            State::Serving => AdvertisedStatus::Up,
+            State::Quiesced => AdvertisedStatus::Quiesced,
+            State::Leaving { .. } => AdvertisedStatus::Leaving,
         };
         if let Some(handle) = &self.handle {
             handle.say(said);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,8 +6,7 @@
 use std::time::{Duration, Instant};
 
 use fault_testbed::{Plan, Rig};
-use membership::word::Word;
-use membership::{Body, Packet, Record, Said, Standing};
+use membership::{AdvertisedStatus, Body, Liveness, MemberRecord, MemberState, Packet};
 use serde_json::json;
 use test_doubles::until;
 
@@ -57,7 +56,7 @@
             rig.told(n).is_some_and(|t| {
                 !t.members
                     .iter()
-                    .any(|r| r.word.present() && those.iter().any(|x| **x == *r.name))
+                    .any(|r| r.state.is_present() && those.iter().any(|x| **x == *r.name))
             })
         })
 }
@@ -67,15 +66,15 @@
 }
 fn gone_by(rig: &Rig, whom: &[String]) -> BTreeSet<String> {
     let tell = |n: &String| rig.told(n).map_or(vec![], |t| t.members);
-    let all: Vec<Record> = whom.iter().filter(|n| rig.runs(n)).flat_map(tell).collect();
+    let all: Vec<MemberRecord> = whom.iter().filter(|n| rig.runs(n)).flat_map(tell).collect();
     all.iter()
-        .filter(|r| r.word.standing == Standing::Gone)
+        .filter(|r| r.state.liveness == Liveness::Dead)
         .map(|r| r.name.to_string())
         .collect()
 }
 fn conclusion(rig: &Rig, name: &str) -> String {
     rig.told(name)
-        .map_or("silent".into(), |t| t.summary.conclusion.to_string())
+        .map_or("silent".into(), |t| t.summary.partition_status.to_string())
 }
 
 // ---- the hard cases, for any size and pace ----
@@ -182,7 +181,7 @@
             rig.told(n).is_some_and(|t| {
                 !t.members
                     .iter()
-                    .any(|r| &*r.name == "n1" && r.word.present())
+                    .any(|r| &*r.name == "n1" && r.state.is_present())
             })
         })
     })
@@ -195,7 +194,7 @@
 }
 fn restarted(count: usize, period: u64) -> Duration {
     let mut rig = fleet(count, period);
-    let life = rig.told("n1").expect("it answers").me.word.life;
+    let life = rig.told("n1").expect("it answers").me.state.incarnation;
     rig.kill("n1");
     rig.start("n1");
     rig.up(&["n1"]);
@@ -206,7 +205,7 @@
         .members
         .into_iter()
         .find(|r| &*r.name == "n1");
-    assert!(held.is_some_and(|r| r.word.life > life));
+    assert!(held.is_some_and(|r| r.state.incarnation > life));
     took
 }
 fn rolling(count: usize, period: u64) -> Duration {
@@ -278,30 +277,34 @@
         .find(|r| &*r.name == "n2")
         .expect("held");
     let late = |said, standing, incarnation| {
-        let word = Word {
-            life: held.word.life - 1,
-            incarnation,
-            said,
-            standing,
+        let state = MemberState {
+            incarnation: held.state.incarnation - 1,
+            version: incarnation,
+            status: said,
+            liveness: standing,
         };
-        let news = vec![Record {
-            word,
+        let news = vec![MemberRecord {
+            state,
             ..held.clone()
         }];
         Packet {
             fleet: "rig".into(),
-            from: None,
+            sender: None,
             body: Body::Gossip,
-            news,
+            updates: news,
         }
         .encode()
     };
     let socket = UdpSocket::bind("127.0.0.1:0").expect("loopback");
     let at = rig.node("n0").logged("fleet").expect("logged");
-    let whole = late(Said::Up, Standing::Gone, 1 << 30);
-    for said in [Said::Left, Said::Quiesced, Said::Up] {
+    let whole = late(AdvertisedStatus::Up, Liveness::Dead, 1 << 30);
+    for said in [
+        AdvertisedStatus::Left,
+        AdvertisedStatus::Quiesced,
+        AdvertisedStatus::Up,
+    ] {
         socket
-            .send_to(&late(said, Standing::Suspected, 9), at)
+            .send_to(&late(said, Liveness::Suspect, 9), at)
             .expect("sent");
     }
     socket.send_to(&whole, at).expect("sent");
@@ -328,7 +331,7 @@
         .into_iter()
         .find(|r| &*r.name == "n2")
         .expect("held");
-    assert_eq!(now.word, held.word);
+    assert_eq!(now.state, held.state);
     let mut front = rig.front("n0");
     assert_eq!(
         front.ask("statement-read", "serve:flood")["error"],
@@ -357,22 +360,23 @@
         second.logged("fleet").is_some()
     });
     until("it has the name", || {
-        held(&rig).word.life > before.word.life && held(&rig).word.said == Said::Up
+        held(&rig).state.incarnation > before.state.incarnation
+            && held(&rig).state.status == AdvertisedStatus::Up
     });
-    assert_ne!(held(&rig).at, hears, "the address was taken");
+    assert_ne!(held(&rig).address, hears, "the address was taken");
     // The first one ends on the platform's word and says nothing of the name.
     rig.end("n1");
     until("the second takes the address over", || {
-        held(&rig).at == hears
+        held(&rig).address == hears
     });
-    assert!(held(&rig).word.present());
+    assert!(held(&rig).state.is_present());
     second.terminate();
     second.exit();
     until("it said goodbye", || {
         let told = rig.told("n0").expect("it answers");
         told.members
             .iter()
-            .any(|r| &*r.name == "n1" && r.word.left())
+            .any(|r| &*r.name == "n1" && r.state.has_left())
     });
 }
 
@@ -394,12 +398,13 @@
     until("the second takes clients", || {
         second.logged("listening").is_some()
     });
-    assert_eq!(held(&rig).word.life, before.word.life);
+    assert_eq!(held(&rig).state.incarnation, before.state.incarnation);
     rig.end("n1");
     until("the second has the name", || {
-        held(&rig).word.life > before.word.life && held(&rig).word.said == Said::Up
+        held(&rig).state.incarnation > before.state.incarnation
+            && held(&rig).state.status == AdvertisedStatus::Up
     });
-    assert_eq!(held(&rig).at, before.at);
+    assert_eq!(held(&rig).address, before.address);
 }
 
 #[test]
@@ -512,7 +517,7 @@
         rig.told("r0").is_some_and(|t| {
             t.members
                 .iter()
-                .any(|r| &*r.name == "n1" && r.word.said == Said::Quiesced)
+                .any(|r| &*r.name == "n1" && r.state.status == AdvertisedStatus::Quiesced)
         })
     });
     heard.expect("it hears");
@@ -694,7 +699,7 @@
             &log,
         )
         .expect("a socket");
-        view.say(Said::Up);
+        view.say(AdvertisedStatus::Up);
         view
     };
     let first = start(0, ([127, 0, 0, 1], 9).into());
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -12,8 +12,7 @@
 use fleet_cli::{state, All, Shown, Status};
 use golden::{data, run, shape, Folder};
 use lifecycle::{Answer, Call, State, Unheard};
-use membership::word::Word;
-use membership::{Conclusion, Record, Said, Standing};
+use membership::{AdvertisedStatus, Liveness, MemberRecord, MemberState, PartitionStatus};
 use serde_json::{json, Value};
 use shared_state::{Judgement, Look};
 use test_doubles::Node;
@@ -155,35 +154,38 @@
 #[test]
 fn states_and_conclusions_have_their_names_in_the_json() {
     let state = |said, standing| {
-        let word = Word {
-            life: 1,
-            incarnation: 0,
-            said,
-            standing,
+        let member_state = MemberState {
+            incarnation: 1,
+            version: 0,
+            status: said,
+            liveness: standing,
         };
         let at = SocketAddr::from(([127, 0, 0, 1], 7946));
-        state(&Record {
+        state(&MemberRecord {
             name: "n0".into(),
             site: "milano".into(),
-            at,
-            serves: None,
-            word,
-            by: 0,
+            address: at,
+            client_address: None,
+            state: member_state,
+            suspected_by: 0,
         })
     };
     let mut states = Vec::new();
     for said in [
-        Said::Joining,
-        Said::Up,
-        Said::Quiesced,
-        Said::Leaving,
-        Said::Left,
+        AdvertisedStatus::Joining,
+        AdvertisedStatus::Up,
+        AdvertisedStatus::Quiesced,
+        AdvertisedStatus::Leaving,
+        AdvertisedStatus::Left,
     ] {
-        states
-            .push([Standing::Present, Standing::Suspected, Standing::Gone].map(|s| state(said, s)));
+        states.push([Liveness::Alive, Liveness::Suspect, Liveness::Dead].map(|s| state(said, s)));
     }
-    let conclusions =
-        [Conclusion::Whole, Conclusion::Part, Conclusion::Alone].map(Conclusion::name);
+    let conclusions = [
+        PartitionStatus::Majority,
+        PartitionStatus::Minority,
+        PartitionStatus::Isolated,
+    ]
+    .map(PartitionStatus::as_str);
     let dependency = [
         Judgement::Unknown,
         Judgement::Sound,
