--- a/crates/fleet-runtime/src/config.rs
+++ b/crates/fleet-runtime/src/config.rs
@@ -10,7 +10,7 @@
 use membership::packet::MAX_NAME_LEN;
 use membership::{Name, Settings};
 use serde::Deserialize;
-use shared_state::Plan;
+use shared_state::QuotaConfig;
 
 /// What a member is told of its fleet.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     /// Members of which one grants the budgets.
     pub keepers: Vec<Name>,
     /// The budgets.
-    pub budgets: Vec<Plan>,
+    pub budgets: Vec<QuotaConfig>,
     /// Nodes tell each other what they have in flight by tenant.
     pub counts: bool,
     /// Nodes tell each other what they find of the ledger.
@@ -121,13 +121,13 @@
             file: name.into(),
             line: line(field),
             field: field.into(),
-            what,
+            message: what,
         };
         let file: File = json5::from_str(text).map_err(|e| FileError {
             file: name.into(),
             line: e.position().map(|at| at.line + 1),
             field: String::new(),
-            what: e.to_string(),
+            message: e.to_string(),
         })?;
         if file.version != 1 {
             return Err(bad(
@@ -245,10 +245,10 @@
             budgets: file
                 .budgets
                 .into_iter()
-                .map(|(name, b)| Plan {
+                .map(|(name, b)| QuotaConfig {
                     name: name.into(),
                     total: b.total,
-                    floors: b
+                    guaranteed: b
                         .floors
                         .into_iter()
                         .map(|(n, units)| (n.into(), units))
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -14,7 +14,7 @@
 use lifecycle::{Answer, Call, State, Unheard};
 use membership::{AdvertisedStatus, Liveness, MemberRecord, MemberState, PartitionStatus};
 use serde_json::{json, Value};
-use shared_state::{Judgement, Look};
+use shared_state::{DependencyHealth, SharedStateSnapshot};
 use test_doubles::Node;
 
 /// The names in a help text by section, with their defaults, and its line of usage; descriptions are left out.
@@ -142,7 +142,7 @@
             same: false,
             differ: BTreeMap::from([("n1".into(), holders)]),
         },
-        "state": Look::default(),
+        "state": SharedStateSnapshot::default(),
     });
     assert_eq!(
         found,
@@ -187,12 +187,12 @@
     ]
     .map(PartitionStatus::as_str);
     let dependency = [
-        Judgement::Unknown,
-        Judgement::Sound,
-        Judgement::Slow,
-        Judgement::Unsure,
-        Judgement::OnlyHere,
-        Judgement::Down,
+        DependencyHealth::Unknown,
+        DependencyHealth::Sound,
+        DependencyHealth::Slow,
+        DependencyHealth::Unsure,
+        DependencyHealth::OnlyHere,
+        DependencyHealth::Down,
     ];
     let found = json!({"states": states, "conclusions": conclusions, "dependency": dependency});
     assert_eq!(found, data::<Value>("fleet_names.json"), "found {found}");
