--- a/crates/fault-testbed/src/rig.rs
+++ b/crates/fault-testbed/src/rig.rs
@@ -497,7 +497,7 @@
     pub fn look(&self, name: &str) -> Option<Look> {
         look(self.node(name).logged("fleet")?, FLEET, ASK)
             .ok()
-            .map(|(_, look)| look)
+            .map(|reply| reply.state)
     }
     /// Who grants, as this process knows.
     pub fn granter(&self, name: &str) -> Option<String> {
--- /dev/null
+++ b/crates/fleet-runtime/src/actor/datagrams.rs
@@ -0,0 +1,118 @@
+//! Receiving datagrams, and carrying out what the membership protocol decides.
+
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+
+use membership::packet::LONGEST;
+use membership::{Body, Malformed, Name, Out, Packet};
+use shared_state::{Message, Out as SharedStateOut};
+use slog::info;
+
+use super::{random_index, FleetActor};
+
+/// Datagrams that are read before the timers are checked again, so that a flood can't delay the protocol.
+const MAX_DATAGRAMS_AT_ONCE: usize = 64;
+
+impl FleetActor {
+    /// Reads a bounded number of datagrams; whether there may be more.
+    pub(super) fn receive_datagrams(&mut self) -> bool {
+        let mut buffer = [0; LONGEST + 1];
+        for _ in 0..MAX_DATAGRAMS_AT_ONCE {
+            match self.socket.receive(&mut buffer) {
+                Ok((length, source)) => self.handle_datagram(&buffer[..length], source),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
+                // An earlier send met a closed port; the failure detector finds such a member.
+                Err(_) => {}
+            }
+        }
+        true
+    }
+
+    fn handle_datagram(&mut self, bytes: &[u8], source: SocketAddr) {
+        let mut packet = match Packet::decode(bytes, &self.config.fleet) {
+            Ok(packet) => packet,
+            Err(reason) => return self.socket.record_drop(source, &reason),
+        };
+        let shared_state_message = match &mut packet.body {
+            Body::Carried(bytes) => Some(std::mem::take(bytes)),
+            _ => None,
+        };
+        let sender = packet.from.as_ref().map(|record| record.name.clone());
+        let now = self.now();
+        let mut effects = Vec::new();
+        let mut draw = random_index(&mut self.rng);
+        self.membership
+            .hear(packet, source, now, &mut draw, &mut effects);
+        drop(draw);
+        self.apply_effects(effects);
+        if let Some(bytes) = shared_state_message {
+            self.handle_shared_state_message(sender, &bytes, source);
+        }
+    }
+
+    fn handle_shared_state_message(
+        &mut self,
+        sender: Option<Name>,
+        bytes: &[u8],
+        source: SocketAddr,
+    ) {
+        let Some(message) = Message::decode(bytes) else {
+            return self.socket.record_drop(source, &Malformed::Bounds);
+        };
+        match (message, sender) {
+            (Message::Look(seq), None) => self.answer_shared_state_query(seq, source),
+            (Message::Gather(message), Some(sender)) => {
+                self.handle_aggregation_message(&sender, message);
+            }
+            (message, Some(sender)) => self.handle_budget_message(&sender, message),
+            (_, None) => {}
+        }
+    }
+
+    fn answer_shared_state_query(&mut self, seq: u32, source: SocketAddr) {
+        let state = self.shared_state_snapshot();
+        let answer = Packet {
+            fleet: self.config.fleet.clone(),
+            from: Some(self.membership.me().clone()),
+            body: Body::Carried(Message::Looked(seq, state).encode()),
+            news: Vec::new(),
+        };
+        self.apply_effects(vec![Out::Send(source, answer)]);
+    }
+
+    /// Sends messages on shared state. One to a member that is not present is dropped: that member asks again.
+    pub(super) fn send_shared_state(&mut self, messages: Vec<SharedStateOut>) {
+        let mut effects = Vec::new();
+        for SharedStateOut::Tell(to, message) in messages {
+            self.membership.carry(&to, message.encode(), &mut effects);
+        }
+        self.apply_effects(effects);
+    }
+
+    /// Carries out what the membership protocol decided.
+    pub(super) fn apply_effects(&mut self, effects: Vec<Out>) {
+        for effect in effects {
+            match effect {
+                Out::Send(to, packet) => self.socket.send(to, packet),
+                Out::Changed(record) => {
+                    self.log_member_change(&record);
+                    self.schedule_publication();
+                }
+            }
+        }
+        self.log_supersession_change();
+        self.log_partition_status_change();
+    }
+
+    /// Moves to the configured address once the process that had it has released it.
+    pub(super) fn rebind_if_due(&mut self) {
+        if !self.socket.rebind_if_due(self.config.listen, &self.poll) {
+            return;
+        }
+        let now = self.now();
+        self.membership
+            .move_to(self.config.advertised_address(), now);
+        info!(self.log, "fleet"; "at" => %self.config.listen);
+        self.schedule_publication();
+    }
+}
--- /dev/null
+++ b/crates/fleet-runtime/src/actor/mod.rs
@@ -0,0 +1,175 @@
+//! The fleet actor: one thread that owns the UDP socket and the timers of a fleet member.
+//!
+//! It carries out what the membership protocol, the budgets and the aggregation of counters decide, applies the
+//! commands of the process, and publishes what it knows.
+
+mod aggregation;
+mod budgets;
+mod commands;
+mod datagrams;
+mod publishing;
+mod socket;
+mod spawn;
+
+use std::io::ErrorKind;
+use std::ops::ControlFlow;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use arc_swap::ArcSwap;
+use crossbeam_channel::Receiver;
+use membership::{Conclusion, Name, Said, View};
+use mio::{Events, Poll, Token};
+use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
+use shared_state::{Budgets, Gathering, Judge};
+use slog::{warn, Logger};
+
+use crate::config::Config;
+use crate::handle::ActorCommand;
+use crate::quota_handle::QuotaHandle;
+use crate::shared_counters::SharedCounters;
+use crate::snapshot::MembershipSnapshot;
+
+use socket::{FleetSocket, REBIND_INTERVAL};
+
+pub use spawn::{spawn_fleet_actor, LocalMember};
+
+const SOCKET: Token = Token(0);
+const WAKER: Token = Token(1);
+/// Events of the poll that are read at once.
+const EVENT_CAPACITY: usize = 4;
+/// The longest wait while no timer is due: an upper bound, as a wake-up a minute costs nothing.
+const MAX_POLL_TIMEOUT: Duration = Duration::from_secs(60);
+/// The pause after a failed poll.
+const POLL_ERROR_PAUSE: Duration = Duration::from_millis(10);
+
+/// The state of the actor's thread. Times that the protocols see count from `started_at`.
+struct FleetActor {
+    config: Config,
+    membership: View,
+    poll: Poll,
+    socket: FleetSocket,
+    started_at: Instant,
+    rng: ChaCha8Rng,
+    commands: Receiver<ActorCommand>,
+    /// `None` where the fleet file has no budgets.
+    budgets: Option<Budgets>,
+    quotas: Vec<(Name, QuotaHandle)>,
+    /// The leader that grants budgets when it was last logged.
+    budget_leader: Option<Name>,
+    /// `None` where nodes share neither counts nor health observations.
+    aggregation: Option<Aggregation>,
+    ledger_judge: Judge,
+    /// The status that the process set.
+    process_status: Said,
+    /// Whether the process is advertised as quiesced because only this node can't reach the ledger.
+    is_withdrawn: bool,
+    snapshot: Arc<ArcSwap<MembershipSnapshot>>,
+    on_change: Box<dyn Fn() + Send>,
+    /// When the next snapshot is due; `None` while nothing has changed.
+    publish_at: Option<Instant>,
+    /// The partition status when it was last logged.
+    partition_status: Conclusion,
+    /// Whether another process had this member's name when that was last logged.
+    is_superseded: bool,
+    log: Logger,
+}
+
+/// The aggregation of counters over the fleet, and this node's own counters.
+struct Aggregation {
+    protocol: Gathering,
+    counters: SharedCounters,
+}
+
+impl FleetActor {
+    fn run(mut self) {
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
+        let mut may_be_readable = true;
+        loop {
+            let timeout = if may_be_readable {
+                Duration::ZERO
+            } else {
+                self.time_to_next_timer()
+            };
+            self.poll_events(&mut events, timeout);
+            may_be_readable |= events.iter().any(|event| event.token() == SOCKET);
+            if self.handle_commands().is_break() {
+                return;
+            }
+            if may_be_readable {
+                may_be_readable = self.receive_datagrams();
+            }
+            self.run_membership_timers();
+            self.update_budgets();
+            self.update_aggregation();
+            self.rebind_if_due();
+            self.publish_if_due();
+        }
+    }
+
+    /// The time on the clock that the protocols use.
+    fn now(&self) -> Duration {
+        self.started_at.elapsed()
+    }
+
+    fn poll_events(&mut self, events: &mut Events, timeout: Duration) {
+        match self.poll.poll(events, Some(timeout)) {
+            Err(e) if e.kind() != ErrorKind::Interrupted => {
+                warn!(self.log, "fleet: poll"; "error" => %e);
+                std::thread::sleep(POLL_ERROR_PAUSE);
+            }
+            _ => {}
+        }
+    }
+
+    fn handle_commands(&mut self) -> ControlFlow<()> {
+        while let Ok(command) = self.commands.try_recv() {
+            self.handle_command(command)?;
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// How long the poll may wait.
+    fn time_to_next_timer(&self) -> Duration {
+        let now = Instant::now();
+        let protocols = if self.socket.is_open() {
+            self.time_to_next_protocol_timer()
+        } else {
+            REBIND_INTERVAL
+        };
+        [self.publish_at, self.socket.rebind_at()]
+            .into_iter()
+            .flatten()
+            .map(|due_at| due_at.saturating_duration_since(now))
+            .fold(protocols, Duration::min)
+    }
+
+    fn time_to_next_protocol_timer(&self) -> Duration {
+        let budgets = self.budgets.as_ref().map(Budgets::next);
+        let aggregation = self.aggregation.as_ref().map(|a| a.protocol.next());
+        let now = self.now();
+        [Some(self.membership.next()), budgets, aggregation]
+            .into_iter()
+            .flatten()
+            .map(|due_at| due_at.saturating_sub(now))
+            .fold(MAX_POLL_TIMEOUT, Duration::min)
+    }
+
+    fn run_membership_timers(&mut self) {
+        let now = self.now();
+        if !self.socket.is_open() || self.membership.next() > now {
+            return;
+        }
+        let mut effects = Vec::new();
+        let mut draw = random_index(&mut self.rng);
+        self.membership.tick(now, &mut draw, &mut effects);
+        drop(draw);
+        self.apply_effects(effects);
+    }
+}
+
+/// Draws an index below a length.
+fn random_index(rng: &mut ChaCha8Rng) -> impl FnMut(usize) -> usize + '_ {
+    |length| rng.random_range(0..length.max(1))
+}
--- /dev/null
+++ b/crates/fleet-runtime/src/actor/publishing.rs
@@ -0,0 +1,119 @@
+//! Publishing the state of the membership to the process and to the log.
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::Instant;
+
+use membership::{Name, Record, Said, Standing};
+use slog::{debug, info};
+
+use crate::snapshot::MembershipSnapshot;
+
+use super::FleetActor;
+
+impl FleetActor {
+    /// Has a snapshot published at the end of this turn of the loop.
+    pub(super) fn schedule_publication(&mut self) {
+        self.publish_at.get_or_insert_with(Instant::now);
+    }
+
+    pub(super) fn publish_if_due(&mut self) {
+        let now = Instant::now();
+        if self.publish_at.is_none_or(|publish_at| publish_at > now) {
+            return;
+        }
+        self.publish_at = None;
+        let snapshot = MembershipSnapshot::capture(&self.membership);
+        self.snapshot.store(Arc::new(snapshot));
+        self.update_reporting_members();
+        (self.on_change)();
+    }
+
+    /// Has the aggregation choose among the members that report now.
+    fn update_reporting_members(&mut self) {
+        let Some(aggregation) = &mut self.aggregation else {
+            return;
+        };
+        let reporting = self
+            .membership
+            .members()
+            .filter(|record| serves_clients(record))
+            .map(|record| (&record.name, &record.site));
+        aggregation.protocol.members(reporting);
+    }
+
+    /// Logs a change of a member's status, unless it is the state that was last published.
+    pub(super) fn log_member_change(&self, record: &Record) {
+        let published = self.snapshot.load();
+        let previous = published.member(&record.name).map(LoggedState::from);
+        let current = LoggedState::from(record);
+        if previous == Some(current) {
+            return;
+        }
+        let liveness = match current.liveness {
+            Standing::Present => "alive",
+            Standing::Suspected => "suspect",
+            Standing::Gone => "dead",
+        };
+        // Members become suspect and alive again by the loss of a few datagrams alone.
+        let is_refuted = current.liveness == Standing::Present
+            && previous.is_some_and(|previous| previous.liveness == Standing::Suspected);
+        if current.liveness == Standing::Suspected || is_refuted {
+            debug!(self.log, "member"; "name" => &*record.name, "status" => ?current.status,
+                "liveness" => liveness);
+        } else {
+            info!(self.log, "member"; "name" => &*record.name, "status" => ?current.status,
+                "liveness" => liveness, "at" => %record.at, "incarnation" => current.incarnation);
+        }
+    }
+
+    pub(super) fn log_supersession_change(&mut self) {
+        if self.membership.succeeded() == self.is_superseded {
+            return;
+        }
+        self.is_superseded = !self.is_superseded;
+        let note = if self.is_superseded {
+            "another process has the name"
+        } else {
+            "the name is this process's again"
+        };
+        info!(self.log, "membership"; "note" => note);
+    }
+
+    pub(super) fn log_partition_status_change(&mut self) {
+        let status = self.membership.conclusion().0;
+        if status == self.partition_status {
+            return;
+        }
+        self.partition_status = status;
+        let sites: BTreeSet<Name> = self.membership.sites();
+        let sites: Vec<&str> = sites.iter().map(|site| &**site).collect();
+        info!(self.log, "membership"; "partition_status" => status.name(),
+            "present" => self.membership.present(), "lost" => self.membership.lost(),
+            "sites" => sites.join(" "));
+        self.schedule_publication();
+    }
+}
+
+/// Whether a member is present and serves clients.
+pub(super) fn serves_clients(record: &Record) -> bool {
+    record.serves.is_some() && record.word.present()
+}
+
+/// What of a member's record is worth a line in the log.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct LoggedState {
+    incarnation: u64,
+    status: Said,
+    liveness: Standing,
+}
+
+impl From<&Record> for LoggedState {
+    fn from(record: &Record) -> LoggedState {
+        LoggedState {
+            incarnation: record.word.life,
+            status: record.word.said,
+            liveness: record.word.standing,
+        }
+    }
+}
--- a/crates/fleet-runtime/src/lib.rs
+++ b/crates/fleet-runtime/src/lib.rs
@@ -1,14 +1,31 @@
-//! The fleet's view on a real socket: one UDP socket and one thread carry out what [`membership::View`] decides, and
-//! publish what it sees. The file that puts it in force is read here, and tools ask from here.
+//! Runs a fleet member on a real UDP socket.
+//!
+//! The decisions are made elsewhere: [`membership`] decides about members, [`shared_state`] about budgets and
+//! aggregated counters. This crate reads the fleet file ([`Config`]), runs one thread with the socket and the timers
+//! ([`spawn_fleet_actor`]), publishes the state to the process ([`FleetHandle`]) and has the queries of tools
+//! ([`query_members`], [`query_shared_state`]).
 
-mod allowance;
-mod ask;
+mod actor;
 mod config;
-mod shares;
-mod shell;
+mod handle;
+mod query;
+mod quota_handle;
+mod shared_counters;
+mod snapshot;
 
-pub use allowance::Allowance;
-pub use ask::{ask, look, AskError, Told};
-pub use config::{Config, ConfigError, LEDGER, TRIES};
-pub use shares::{Known, Shares};
-pub use shell::{start, Handle, Me, Seen};
+pub use actor::{spawn_fleet_actor, LocalMember};
+pub use config::{Config, ConfigError, LEDGER_BUDGET, RETRY_BUDGET};
+pub use handle::FleetHandle;
+pub use query::{query_members, query_shared_state, QueryError, QueryReply, SharedStateReply};
+pub use quota_handle::QuotaHandle;
+pub use shared_counters::{InFlightElsewhere, SharedCounters};
+pub use snapshot::MembershipSnapshot;
+
+// ALIAS until users follow.
+pub use actor::{spawn_fleet_actor as start, LocalMember as Me};
+pub use config::{LEDGER_BUDGET as LEDGER, RETRY_BUDGET as TRIES};
+pub use handle::FleetHandle as Handle;
+pub use query::{query_members as ask, query_shared_state as look, QueryReply as Told};
+pub use quota_handle::QuotaHandle as Allowance;
+pub use shared_counters::SharedCounters as Shares;
+pub use snapshot::MembershipSnapshot as Seen;
--- /dev/null
+++ b/crates/fleet-runtime/src/query.rs
@@ -0,0 +1,203 @@
+//! Queries to a running member over UDP, as command-line tools and tests use them.
+
+use std::io;
+use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
+use std::time::{Duration, Instant};
+
+use membership::packet::{Summary, LONGEST};
+use membership::{Body, Name, Packet, Record};
+use shared_state::{Look, Message};
+
+/// How long a query waits for its answer before it is sent again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(150);
+
+/// A member's view of the fleet.
+#[derive(Clone, Debug)]
+pub struct QueryReply {
+    /// The member that answered.
+    pub responder: Record,
+    /// The summary of its view.
+    pub summary: Summary,
+    /// All members that it knows, by name.
+    pub members: Vec<Record>,
+}
+
+/// What a member knows of the fleet's shared state.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SharedStateReply {
+    /// The member that answered.
+    pub responder: Record,
+    /// Its budgets, counts and health observations.
+    pub state: Look,
+}
+
+/// Why a query has no reply.
+#[derive(Debug, thiserror::Error)]
+pub enum QueryError {
+    /// No answer came in time.
+    #[error("{address}: no answer; is it the fleet's address of a member of this fleet?")]
+    NoAnswer {
+        /// The address that was queried.
+        address: SocketAddr,
+    },
+    /// The socket failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+/// Asks the member at `address` for its view of the fleet, page by page, for at most `timeout`.
+pub fn query_members(
+    address: SocketAddr,
+    fleet: &str,
+    timeout: Duration,
+) -> Result<QueryReply, QueryError> {
+    let mut client = QueryClient::open(address, fleet, timeout)?;
+    let mut members: Vec<Record> = Vec::new();
+    let mut after: Name = "".into();
+    let mut seq = 0;
+    loop {
+        seq += 1;
+        client.send(Body::Query {
+            seq,
+            after: after.clone(),
+        })?;
+        // Without an answer in time the same page is asked for again.
+        let Some(page) = client.receive_page(seq)? else {
+            continue;
+        };
+        members.extend(page.members);
+        match members.last() {
+            Some(last) if page.has_more => after = last.name.clone(),
+            _ => {
+                return Ok(QueryReply {
+                    responder: page.responder,
+                    summary: page.summary,
+                    members,
+                })
+            }
+        }
+    }
+}
+
+/// Asks the member at `address` for its shared state, for at most `timeout`.
+pub fn query_shared_state(
+    address: SocketAddr,
+    fleet: &str,
+    timeout: Duration,
+) -> Result<SharedStateReply, QueryError> {
+    let mut client = QueryClient::open(address, fleet, timeout)?;
+    client.socket.set_read_timeout(Some(RETRY_INTERVAL))?;
+    for seq in 1.. {
+        client.send(Body::Carried(Message::Look(seq).encode()))?;
+        if client.has_expired() {
+            break;
+        }
+        if let Some(reply) = client.receive().and_then(shared_state_reply) {
+            return Ok(reply);
+        }
+    }
+    Err(QueryError::NoAnswer { address })
+}
+
+fn shared_state_reply(packet: Packet) -> Option<SharedStateReply> {
+    let responder = packet.from?;
+    let Body::Carried(bytes) = packet.body else {
+        return None;
+    };
+    match Message::decode(&bytes)? {
+        Message::Looked(_, state) => Some(SharedStateReply { responder, state }),
+        _ => None,
+    }
+}
+
+/// One page of a member's view.
+struct MemberPage {
+    responder: Record,
+    summary: Summary,
+    members: Vec<Record>,
+    has_more: bool,
+}
+
+/// The client side of one query.
+struct QueryClient<'a> {
+    socket: UdpSocket,
+    address: SocketAddr,
+    fleet: &'a str,
+    expires_at: Instant,
+    buffer: [u8; LONGEST + 1],
+}
+
+impl<'a> QueryClient<'a> {
+    fn open(address: SocketAddr, fleet: &'a str, timeout: Duration) -> io::Result<QueryClient<'a>> {
+        let socket = UdpSocket::bind(local_address_for(address))?;
+        Ok(QueryClient {
+            socket,
+            address,
+            fleet,
+            expires_at: Instant::now() + timeout,
+            buffer: [0; LONGEST + 1],
+        })
+    }
+
+    fn has_expired(&self) -> bool {
+        Instant::now() >= self.expires_at
+    }
+
+    fn send(&self, body: Body) -> io::Result<()> {
+        let query = Packet {
+            fleet: self.fleet.into(),
+            from: None,
+            body,
+            news: Vec::new(),
+        };
+        self.socket.send_to(&query.encode(), self.address)?;
+        Ok(())
+    }
+
+    /// The next datagram; `None` if none came within the socket's timeout or it can't be decoded.
+    fn receive(&mut self) -> Option<Packet> {
+        let length = self.socket.recv(&mut self.buffer).ok()?;
+        Packet::decode(&self.buffer[..length], self.fleet).ok()
+    }
+
+    /// Waits for the page with this number; `None` if it did not come within the retry interval.
+    fn receive_page(&mut self, seq: u32) -> Result<Option<MemberPage>, QueryError> {
+        let sent_at = Instant::now();
+        loop {
+            if self.has_expired() {
+                let address = self.address;
+                return Err(QueryError::NoAnswer { address });
+            }
+            let remaining = RETRY_INTERVAL.saturating_sub(sent_at.elapsed());
+            if remaining.is_zero() {
+                return Ok(None);
+            }
+            self.socket.set_read_timeout(Some(remaining))?;
+            if let Some(page) = self.receive().and_then(|packet| member_page(packet, seq)) {
+                return Ok(Some(page));
+            }
+        }
+    }
+}
+
+fn member_page(packet: Packet, expected_seq: u32) -> Option<MemberPage> {
+    let responder = packet.from?;
+    match packet.body {
+        Body::Answer { seq, more, summary } if seq == expected_seq => Some(MemberPage {
+            responder,
+            summary,
+            members: packet.news,
+            has_more: more,
+        }),
+        _ => None,
+    }
+}
+
+/// The local address from which a member at `address` can be reached.
+fn local_address_for(address: SocketAddr) -> SocketAddr {
+    match address {
+        SocketAddr::V4(v4) if v4.ip().is_loopback() => (Ipv4Addr::LOCALHOST, 0).into(),
+        SocketAddr::V4(_) => (Ipv4Addr::UNSPECIFIED, 0).into(),
+        SocketAddr::V6(_) => (Ipv6Addr::UNSPECIFIED, 0).into(),
+    }
+}
--- /dev/null
+++ b/crates/fleet-runtime/src/quota_handle.rs
@@ -0,0 +1,82 @@
+//! This node's share of a budget, as the code that spends it reads it and reports its use. Nothing here blocks.
+
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use arc_swap::ArcSwap;
+use mio::Waker;
+use shared_state::{Spend, Terms, Units};
+
+/// This node's share of one budget. Clones share the same state.
+#[derive(Clone)]
+pub struct QuotaHandle {
+    started_at: Instant,
+    spendable: Arc<ArcSwap<Spend>>,
+    usage: Arc<Usage>,
+    waker: Arc<Waker>,
+}
+
+/// The last reported usage.
+#[derive(Debug, Default)]
+struct Usage {
+    in_use: AtomicU64,
+    wanted: AtomicU64,
+}
+
+impl QuotaHandle {
+    /// A share of which nothing may be spent yet. Times of the quota count from `started_at`; `waker` wakes the fleet
+    /// actor.
+    pub(crate) fn new(started_at: Instant, waker: Arc<Waker>) -> QuotaHandle {
+        let nothing = Spend {
+            floor: (0, Duration::ZERO),
+            leased: (0, Duration::ZERO),
+        };
+        QuotaHandle {
+            started_at,
+            spendable: Arc::new(ArcSwap::from_pointee(nothing)),
+            usage: Arc::default(),
+            waker,
+        }
+    }
+
+    /// The units that may be in use now.
+    pub fn limit(&self) -> Units {
+        self.spendable.load().limit(self.started_at.elapsed())
+    }
+
+    /// Reports how many units are in use, and how many would be if the quota allowed it.
+    pub fn report_usage(&self, in_use: Units, wanted: Units) {
+        self.usage.in_use.store(in_use, Relaxed);
+        let previously_wanted = self.usage.wanted.swap(wanted, Relaxed);
+        if wanted > previously_wanted && wanted > self.limit() {
+            // An actor that has ended needs no wake-up.
+            let _ = self.waker.wake();
+        }
+    }
+
+    /// The longest that a unit may stay in use: after this time the spender must have ended what it began, as the units
+    /// may be granted to another node.
+    pub fn max_use_duration(&self) -> Duration {
+        Terms::default().longest
+    }
+
+    /// The units in use, as last reported.
+    pub(crate) fn in_use(&self) -> Units {
+        self.usage.in_use.load(Relaxed)
+    }
+
+    /// The units that are wanted, as last reported.
+    pub(crate) fn wanted(&self) -> Units {
+        self.usage.wanted.load(Relaxed)
+    }
+
+    /// Sets what may be spent from now on; returns what could be spent before.
+    pub(crate) fn set_spendable(&self, spendable: Spend) -> Spend {
+        let previous = **self.spendable.load();
+        if spendable != previous {
+            self.spendable.store(Arc::new(spendable));
+        }
+        previous
+    }
+}
--- /dev/null
+++ b/crates/fleet-runtime/src/shared_counters.rs
@@ -0,0 +1,119 @@
+//! Counts of requests in flight and observations of the ledger: what this node contributes, and what the fleet as a
+//! whole has. Threads that serve requests write and read here without waiting for the fleet actor.
+
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::{Duration, Instant};
+
+use arc_swap::ArcSwap;
+use shared_state::{Condition, Gathered, Judgement, Live, Window};
+
+/// What the fleet actor last published.
+#[derive(Clone, Debug)]
+pub(crate) struct FleetCounters {
+    /// The sum of the other nodes' counts.
+    pub(crate) aggregate: Gathered,
+    /// When the aggregate is too old to be used.
+    pub(crate) expires_at: Instant,
+    /// The health of the ledger, as this node concludes from its own and the others' observations.
+    pub(crate) ledger_health: Judgement,
+}
+
+/// Requests that the other nodes have in flight.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct InFlightElsewhere {
+    /// Nodes whose counts are included, this one among them.
+    pub node_count: u32,
+    /// Requests in flight at the other nodes, one figure for each key that was asked for.
+    pub requests: Vec<u32>,
+}
+
+/// This node's recent calls to the ledger.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct LedgerObservation {
+    /// What the calls say about the ledger; `None` where there were too few.
+    pub(crate) condition: Option<Condition>,
+    /// Recent calls.
+    pub(crate) calls: usize,
+    /// Those of them that failed.
+    pub(crate) failed_calls: usize,
+}
+
+/// Counts and observations of this node and of the fleet. Clones share the same state.
+#[derive(Clone, Debug)]
+pub struct SharedCounters {
+    started_at: Instant,
+    in_flight: Arc<Live>,
+    ledger_calls: Arc<Mutex<Window>>,
+    fleet: Arc<ArcSwap<FleetCounters>>,
+}
+
+impl Default for SharedCounters {
+    fn default() -> SharedCounters {
+        let started_at = Instant::now();
+        let nothing_known = FleetCounters {
+            aggregate: Gathered::default(),
+            expires_at: started_at,
+            ledger_health: Judgement::Unknown,
+        };
+        SharedCounters {
+            started_at,
+            in_flight: Arc::default(),
+            ledger_calls: Arc::default(),
+            fleet: Arc::new(ArcSwap::from_pointee(nothing_known)),
+        }
+    }
+}
+
+impl SharedCounters {
+    /// This node's counters of requests in flight.
+    pub fn in_flight(&self) -> Arc<Live> {
+        self.in_flight.clone()
+    }
+
+    /// Records a call to the ledger that has ended: its duration, or `None` if it failed.
+    pub fn record_ledger_call(&self, duration: Option<Duration>) {
+        let now = self.started_at.elapsed();
+        self.ledger_calls
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .ended(now, duration);
+    }
+
+    /// What the other nodes have in flight for each key; `None` while there is no fresh aggregate.
+    pub fn in_flight_elsewhere(&self, keys: &[u64]) -> Option<InFlightElsewhere> {
+        let fleet = self.fleet.load();
+        let is_fresh = fleet.aggregate.by.is_some() && Instant::now() < fleet.expires_at;
+        is_fresh.then(|| InFlightElsewhere {
+            node_count: fleet.aggregate.covered,
+            requests: keys
+                .iter()
+                .map(|key| fleet.aggregate.others.estimate(*key))
+                .collect(),
+        })
+    }
+
+    /// The health of the ledger, as this node concludes.
+    pub fn ledger_health(&self) -> Judgement {
+        self.fleet.load().ledger_health
+    }
+
+    /// What this node's recent calls say about the ledger.
+    pub(crate) fn observe_ledger(&self) -> LedgerObservation {
+        let now = self.started_at.elapsed();
+        let window = self
+            .ledger_calls
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let (calls, failed_calls) = window.counts(now);
+        LedgerObservation {
+            condition: window.condition(now),
+            calls,
+            failed_calls,
+        }
+    }
+
+    /// Replaces what is known of the fleet.
+    pub(crate) fn publish(&self, counters: FleetCounters) {
+        self.fleet.store(Arc::new(counters));
+    }
+}
--- a/crates/fleet-runtime/tests/golden.rs
+++ b/crates/fleet-runtime/tests/golden.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Duration;
 
-use fleet_runtime::{ask, look};
+use fleet_runtime::{query_members, query_shared_state};
 use membership::packet::Summary;
 use membership::word::Word;
 use membership::{Body, Packet, Record, Said, Standing};
@@ -79,7 +79,7 @@
 fn question_about_members_is_stable() {
     let socket = member();
     let at = socket.local_addr().expect("an address");
-    let tool = thread::spawn(move || ask(at, "billing", LONG));
+    let tool = thread::spawn(move || query_members(at, "billing", LONG));
     let mut bytes = [0; 1400];
     let mut first = None;
     socket
@@ -104,22 +104,20 @@
     );
     let told = tool.join().expect("the tool").expect("an answer");
     assert_eq!(told.members, [record("n1", 9), record("n2", 9)]);
-    assert_eq!(told.me, record("me", 2));
+    assert_eq!(told.responder, record("me", 2));
 }
 
 #[test]
 fn question_about_budgets_is_stable() {
     let socket = member();
     let at = socket.local_addr().expect("an address");
-    let tool = thread::spawn(move || look(at, "billing", LONG));
+    let tool = thread::spawn(move || query_shared_state(at, "billing", LONG));
     let mut bytes = [0; 1400];
     let (n, from) = socket.recv_from(&mut bytes).expect("a question");
     assert_eq!(hex(&bytes[..n]), include_str!("golden/look.txt").trim());
     let told = answer(Body::Carried(Message::Looked(1, held()).encode()), vec![]).encode();
     assert_eq!(hex(&told), include_str!("golden/looked.txt").trim());
     socket.send_to(&told, from).expect("sent");
-    assert_eq!(
-        tool.join().expect("the tool").expect("an answer"),
-        (record("me", 2), held())
-    );
+    let told = tool.join().expect("the tool").expect("an answer");
+    assert_eq!((told.responder, told.state), (record("me", 2), held()));
 }
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -176,15 +176,15 @@
     fn join(&mut self, config: fleet::Config) -> io::Result<()> {
         let me = fleet::Me {
             name: config.name.clone().unwrap_or_default(),
-            serves: None,
-            shares: None,
+            client_address: None,
+            shared_counters: None,
         };
         let waker = self.handle.waker.clone();
         let changed = Box::new(move || drop(waker.wake()));
         let log = self.log.new(o!("actor" => "fleet"));
         let view = fleet::start(config, me, FLEET_STACK, changed, &log)?;
-        info!(log, "fleet"; "at" => %view.at);
-        view.say(Said::Up);
+        info!(log, "fleet"; "at" => %view.address);
+        view.set_status(Said::Up);
         self.nodes.join(view);
         Ok(())
     }
@@ -231,7 +231,7 @@
                     && self.clients.values().all(|c| c.session.unsent().is_empty())
                 {
                     if let Some(view) = self.nodes.view() {
-                        view.end(false);
+                        view.leave();
                     }
                     return Ok(());
                 }
@@ -866,11 +866,7 @@
 
     /// Further tries, where the fleet has a budget of them: what was spent and wanted, and what may be from now on.
     fn share_tries(&mut self, now: Instant) {
-        let Some(tries) = self
-            .nodes
-            .view()
-            .and_then(|view| view.allowance(fleet::TRIES))
-        else {
+        let Some(tries) = self.nodes.view().and_then(|view| view.quota(fleet::TRIES)) else {
             return;
         };
         let a_second = |count: u64| count * 1000 / BEAT.as_millis() as u64;
@@ -878,7 +874,7 @@
         // What was wanted a moment ago may be wanted again before a part that went could come back.
         self.tries_wanted = (a_second(asked) + 1).max(self.tries_wanted / 2);
         let limit = tries.limit();
-        tries.uses(a_second(spent).min(limit), self.tries_wanted);
+        tries.report_usage(a_second(spent).min(limit), self.tries_wanted);
         let now = self.time(now);
         self.router.budgets().set_part(Some(limit), now);
     }
--- a/crates/router/src/nodes.rs
+++ b/crates/router/src/nodes.rs
@@ -36,7 +36,7 @@
         }
     }
     pub(crate) fn join(&mut self, handle: Handle) {
-        let seen = handle.seen();
+        let seen = handle.snapshot();
         self.view = Some((handle, seen));
     }
     pub(crate) fn view(&self) -> Option<&Handle> {
@@ -70,12 +70,12 @@
         let Some((handle, before)) = &mut self.view else {
             return;
         };
-        let seen = handle.seen();
+        let seen = handle.snapshot();
         if Arc::ptr_eq(before, &seen) {
             return;
         }
         let was = std::mem::replace(before, seen);
-        if self.by_view().is_none() && was.conclusion != Conclusion::Alone {
+        if self.by_view().is_none() && was.partition_status != Conclusion::Alone {
             // It hears nobody from now on. Who was there before goes on until a check says otherwise.
             for name in self.by_file.keys() {
                 if was
@@ -92,7 +92,7 @@
         self.view
             .as_ref()
             .map(|(_, seen)| &**seen)
-            .filter(|seen| seen.conclusion != Conclusion::Alone)
+            .filter(|seen| seen.partition_status != Conclusion::Alone)
     }
     /// Whether nodes have to be asked one by one.
     pub(crate) fn asks(&self) -> bool {
--- /dev/null
+++ b/src/fleet_membership.rs
@@ -0,0 +1,156 @@
+//! The node's membership in its fleet: joining it, advertising the state of the process, and leaving it. All methods
+//! are called by the main thread.
+
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+use fleet_runtime::{
+    spawn_fleet_actor, Config, FleetHandle, LocalMember, SharedCounters, LEDGER_BUDGET,
+};
+use lifecycle::State;
+use membership::Said;
+use slog::{info, o, warn, Logger};
+
+use crate::net::database::Guard;
+
+/// What a node needs to become a member of a fleet.
+pub struct FleetMembershipOptions {
+    /// The fleet's configuration; `None` for a node that is in no fleet.
+    pub config: Option<Config>,
+    /// The fleet file, for reloading it.
+    pub config_file: Option<PathBuf>,
+    /// The node's name.
+    pub node_name: String,
+    /// The stack of the fleet actor's thread, in bytes.
+    pub stack_size: usize,
+    /// The guard of ledger calls, where the fleet has a budget for them or shares what it observes of them.
+    pub ledger_guard: Option<Guard>,
+    /// The node's counters, where the fleet shares them.
+    pub shared_counters: Option<SharedCounters>,
+}
+
+/// The node's membership in its fleet. Without a fleet configuration it never joins one, and no thread is started.
+pub struct FleetMembership {
+    options: FleetMembershipOptions,
+    /// `None` until the node has joined.
+    handle: Option<FleetHandle>,
+    is_sibling_running: bool,
+    log: Logger,
+}
+
+impl FleetMembership {
+    /// A node that has not joined its fleet yet.
+    pub fn new(options: FleetMembershipOptions, log: &Logger) -> FleetMembership {
+        FleetMembership {
+            options,
+            handle: None,
+            is_sibling_running: false,
+            log: log.new(o!("actor" => "fleet")),
+        }
+    }
+
+    /// Notes whether another process of this node runs, so that its guaranteed quota is not spent by both. To be called
+    /// before the node joins, and at each change. Without budgets it has no effect.
+    pub fn set_sibling_running(&mut self, is_running: bool) {
+        if self.options.ledger_guard.is_none() || self.is_sibling_running == is_running {
+            return;
+        }
+        self.is_sibling_running = is_running;
+        if let Some(handle) = &self.handle {
+            handle.set_sibling_running(is_running);
+        }
+    }
+
+    /// Whether another process of this node runs, as last noted.
+    pub fn is_sibling_running(&self) -> bool {
+        self.is_sibling_running
+    }
+
+    /// Joins the fleet unless the node has done so, and advertises the state of the process and where clients connect.
+    ///
+    /// # Errors
+    /// The fleet's socket can't be bound, or its thread can't be started.
+    pub fn join(&mut self, state: State, client_address: Option<SocketAddr>) -> io::Result<()> {
+        if self.handle.is_none() {
+            if let Some(config) = self.options.config.take() {
+                self.handle = Some(self.spawn_member(config)?);
+            }
+        }
+        if let (Some(handle), Some(address)) = (&self.handle, client_address) {
+            handle.set_client_address(address);
+        }
+        self.advertise_state(state);
+        Ok(())
+    }
+
+    fn spawn_member(&self, config: Config) -> io::Result<FleetHandle> {
+        let member = LocalMember {
+            name: self.options.node_name.as_str().into(),
+            client_address: None,
+            shared_counters: self.options.shared_counters.clone(),
+        };
+        let guard = self.options.ledger_guard.clone();
+        let on_change = Box::new(move || {
+            if let Some(guard) = &guard {
+                guard.look();
+            }
+        });
+        let handle = spawn_fleet_actor(
+            config,
+            member,
+            self.options.stack_size,
+            on_change,
+            &self.log,
+        )?;
+        info!(self.log, "fleet"; "at" => %handle.address);
+        if self.is_sibling_running {
+            handle.set_sibling_running(true);
+        }
+        if let (Some(guard), Some(quota)) =
+            (&self.options.ledger_guard, handle.quota(LEDGER_BUDGET))
+        {
+            guard.joined(quota);
+        }
+        Ok(handle)
+    }
+
+    /// Advertises the state of the process to the other members.
+    pub fn advertise_state(&self, state: State) {
+        let status = match state {
+            State::Starting { .. } => Said::Joining,
+            State::Serving => Said::Up,
+            State::Quiesced => Said::Quiesced,
+            State::Leaving { .. } => Said::Leaving,
+        };
+        if let Some(handle) = &self.handle {
+            handle.set_status(status);
+        }
+    }
+
+    /// Reads the fleet file again. A file with an error changes nothing.
+    pub fn reload_config(&self) {
+        let (Some(handle), Some(file)) = (&self.handle, &self.options.config_file) else {
+            return;
+        };
+        match Config::read(file) {
+            Ok(config) => {
+                info!(self.log, "fleet's file read again"; "seeds" => config.seeds.len());
+                handle.reload(config);
+            }
+            Err(e) => warn!(self.log, "the new fleet's file is not used"; "error" => %e),
+        }
+    }
+
+    /// Leaves the fleet; without an announcement if a successor process continues under the node's name.
+    pub fn leave(&self, is_replaced: bool) {
+        let Some(handle) = &self.handle else {
+            return;
+        };
+        if is_replaced {
+            handle.stop_silently();
+        } else {
+            handle.leave();
+        }
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,8 +9,8 @@
 //! [`amqp`] the queues', which an [`inventory`] names.
 
 pub mod amqp;
+pub mod fleet_membership;
 pub mod inventory;
-pub mod member;
 pub mod net;
 pub mod node;
 pub mod seat;
--- a/src/main.rs
+++ b/src/main.rs
@@ -14,8 +14,8 @@
 use fleet_runtime as fleet;
 use lifecycle::{Beside, State, Step, PARTS};
 use protocol_gateway::amqp::Amqp;
+use protocol_gateway::fleet_membership::{FleetMembership, FleetMembershipOptions};
 use protocol_gateway::inventory::{self, InventoryError};
-use protocol_gateway::member::Member;
 use protocol_gateway::net::jsonrpc::Front;
 use protocol_gateway::net::{database, door, executor, membership, spawn, take_address, Address};
 use protocol_gateway::node::config::{Config, ConfigError};
@@ -219,11 +219,11 @@
         .is_some_and(|f| f.budgets.iter().any(|b| *b.name == *fleet::LEDGER));
     let shares = in_fleet
         .as_ref()
-        .filter(|f| f.counts || f.judgements)
+        .filter(|f| f.shares_counts || f.shares_ledger_health)
         .map(|_| fleet::Shares::default());
     let judged = in_fleet
         .as_ref()
-        .filter(|f| f.judgements)
+        .filter(|f| f.shares_ledger_health)
         .and(shares.clone());
     let guard = (budgeted || judged.is_some())
         .then(|| database::Guard::new(database::Budget::new(budgeted, judged)));
@@ -232,10 +232,16 @@
     let waiting = guard
         .clone()
         .map(|budget| Box::new(move |requests| budget.waits(requests)) as Box<_>);
-    let counts = in_fleet.as_ref().filter(|f| f.counts).and(shares.clone());
+    let counts = in_fleet
+        .as_ref()
+        .filter(|f| f.shares_counts)
+        .and(shares.clone());
     let counts = counts.map(|s| Counting {
-        live: s.live(),
-        others: Box::new(move |keys| s.others(keys)),
+        live: s.in_flight(),
+        others: Box::new(move |keys| {
+            s.in_flight_elsewhere(keys)
+                .map(|others| (others.node_count, others.requests))
+        }),
     });
     let peers = Peers {
         executor: to_executor,
@@ -334,17 +340,18 @@
         log: log.clone(),
     };
     divide.look(&standing, front.connections());
-    let mut member = Member::new(
-        in_fleet,
-        cli.fleet.as_deref(),
-        &config.name,
-        &limits,
-        (guard, shares),
-        &log,
-    );
+    let fleet_options = FleetMembershipOptions {
+        config: in_fleet,
+        config_file: cli.fleet.clone(),
+        node_name: config.name.clone(),
+        stack_size: limits.stack,
+        ledger_guard: guard,
+        shared_counters: shares,
+    };
+    let mut member = FleetMembership::new(fleet_options, &log);
     // One that is to replace another stays out of the fleet until it takes clients: the name is the other's so long.
     let another = |standing: &Standing| !standing.may_take() || standing.beside() != Beside::Nobody;
-    member.beside(another(&standing));
+    member.set_sibling_running(another(&standing));
     if standing.beside() != Beside::Taking {
         member
             .join(board.state(), serves)
@@ -370,21 +377,21 @@
             recv(signals.leave) -> _ => break,
             recv(signals.reload) -> _ => {
                 peers.reload(&config.name, config.listen);
-                member.reload();
+                member.reload_config();
             }
             recv(board.up()) -> _ => up = true,
             recv(look) -> _ => {
                 standing.look(board.state(), &log);
                 // Of two processes the later one leaves to the earlier what is the name's own.
-                if member.is_beside() {
-                    member.beside(another(&standing));
+                if member.is_sibling_running() {
+                    member.set_sibling_running(another(&standing));
                 }
                 divide.look(&standing, front.connections());
                 look = pace(&divide);
             }
             recv(changed) -> _ => {
                 let _ = to_list.try_send(membership::Report::Changed);
-                member.say(board.state());
+                member.advertise_state(board.state());
             }
             recv(ended) -> _ => return Ok(ExitCode::FAILURE),
         }
@@ -419,7 +426,7 @@
     }
     // Of a node that goes on under a successor nothing is said.
     if !replaced {
-        member.say(board.state());
+        member.advertise_state(board.state());
     }
     let _ = module.send(if replaced {
         Msg::Replaced(stop)
@@ -448,7 +455,7 @@
         if gone || told.elapsed() >= stop {
             info!(log, "left"; "owed" => board.owed(), "unwritten" => front.open(),
                 "unsettled" => amqp.unsettled(), "ms" => told.elapsed().as_millis() as u64);
-            member.end(replaced);
+            member.leave(replaced);
             return Ok(ExitCode::SUCCESS);
         }
         select! {
--- a/src/net/database.rs
+++ b/src/net/database.rs
@@ -78,7 +78,7 @@
     fn holds_back(&self) -> bool {
         self.shares
             .as_ref()
-            .is_some_and(|s| s.ledger().holds_back())
+            .is_some_and(|s| s.ledger_health().holds_back())
     }
     /// The node is a member from now on. It becomes one once.
     pub fn joined(&self, allowance: Allowance) {
@@ -286,7 +286,7 @@
                 if let Some(allowance) = budget.allowance.get() {
                     // One more than can be used now: what comes next is not to wait for an answer of the granter's.
                     let wanted = in_hand + self.waiting.len() + budget.waiting.load(SeqCst) + 1;
-                    allowance.uses(in_hand as u64, wanted as u64);
+                    allowance.report_usage(in_hand as u64, wanted as u64);
                 }
             }
             if budgeted.is_some() && self.told_places != places {
@@ -327,7 +327,7 @@
             .guard
             .as_ref()
             .and_then(|b| b.allowance.get())
-            .map(Allowance::longest);
+            .map(Allowance::max_use_duration);
         longest.map_or(call.limit, |longest| call.limit.min(longest))
     }
 
@@ -429,7 +429,7 @@
     ) -> Result<(), Gone> {
         if let Some(shares) = self.guard.as_ref().and_then(|b| b.shares.as_ref()) {
             let served = how.as_ref().is_ok_and(|reply| reply.status < 500);
-            shares.tried(served.then(|| begun.elapsed()));
+            shares.record_ledger_call(served.then(|| begun.elapsed()));
         }
         let result = match how {
             Ok(reply) => reply.result(),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -195,7 +195,7 @@
 }
 fn restarted(count: usize, period: u64) -> Duration {
     let mut rig = fleet(count, period);
-    let life = rig.told("n1").expect("it answers").me.word.life;
+    let life = rig.told("n1").expect("it answers").responder.word.life;
     rig.kill("n1");
     rig.start("n1");
     rig.up(&["n1"]);
@@ -682,8 +682,8 @@
     };
     let me = |name: usize| wire::Me {
         name: format!("v{name}").into(),
-        serves: None,
-        shares: None,
+        client_address: None,
+        shared_counters: None,
     };
     let start = |name, seed| {
         let view = wire::start(
@@ -694,16 +694,16 @@
             &log,
         )
         .expect("a socket");
-        view.say(Said::Up);
+        view.set_status(Said::Up);
         view
     };
     let first = start(0, ([127, 0, 0, 1], 9).into());
-    let views: Vec<wire::Handle> = (1..255).map(|n| start(n, first.at)).collect();
+    let views: Vec<wire::Handle> = (1..255).map(|n| start(n, first.address)).collect();
     let file = Scratch::new(
         "own.json5",
         &format!(
             "{{ version: 1, fleet: 'rig', site: 's', listen: '127.0.0.1:0', seeds: ['{}'] }}",
-            first.at
+            first.address
         ),
     );
     println!("| | CPU at rest, % of a core | resident MB | threads | answer, µs: median, 99th |");
@@ -716,7 +716,7 @@
             };
             if with {
                 until("all see it", || {
-                    views.iter().all(|v| v.seen().present == 256)
+                    views.iter().all(|v| v.snapshot().present == 256)
                 });
             }
             std::thread::sleep(Duration::from_secs(10));
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use fault_testbed::{Plan, Rig};
-use fleet_cli::{state, All, Shown, Status};
+use fleet_cli::{state_name, FleetReport, MemberReport, ViewReport};
 use golden::{data, run, shape, Folder};
 use lifecycle::{Answer, Call, State, Unheard};
 use membership::word::Word;
@@ -117,17 +117,17 @@
 /// What a settled fleet doesn't show: a member without an answer, one that serves nothing, and views that differ.
 #[test]
 fn missing_answers_and_differences_have_their_place_in_the_json() {
-    let member = Shown {
+    let member = MemberReport {
         state: "up",
         site: "milano".into(),
-        life: 7,
-        incarnation: 2,
-        at: SocketAddr::from(([127, 0, 0, 1], 7946)),
-        serves: None,
+        incarnation: 7,
+        version: 2,
+        address: SocketAddr::from(([127, 0, 0, 1], 7946)),
+        client_address: None,
     };
-    let status = Status {
-        seen_by: "n0".into(),
-        conclusion: "part".into(),
+    let status = ViewReport {
+        observer: "n0".into(),
+        partition_status: "part".into(),
         for_ms: 5,
         digest: "00ff".into(),
         present: 1,
@@ -138,10 +138,10 @@
     };
     let holders = BTreeMap::from([("gone".to_string(), vec!["n0".to_string()])]);
     let found = json!({
-        "status": All {
+        "status": FleetReport {
             views: BTreeMap::from([("n0".into(), Some(status)), ("n1".into(), None)]),
-            same: false,
-            differ: BTreeMap::from([("n1".into(), holders)]),
+            is_consistent: false,
+            differences: BTreeMap::from([("n1".into(), holders)]),
         },
         "state": Look::default(),
     });
@@ -162,7 +162,7 @@
             standing,
         };
         let at = SocketAddr::from(([127, 0, 0, 1], 7946));
-        state(&Record {
+        state_name(&Record {
             name: "n0".into(),
             site: "milano".into(),
             at,
