--- a/crates/fleet-cli/src/text.rs
+++ b/crates/fleet-cli/src/text.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use shared_state::{BudgetLook, GatheredLook, Look};
+use shared_state::{AggregateSnapshot, BudgetSnapshot, SharedStateSnapshot};
 
 use crate::report::{FleetReport, ViewReport};
 
@@ -88,31 +88,28 @@
 }
 
 /// The shared state that the member called `name` knows.
-pub(crate) fn format_shared_state(name: &str, state: &Look) -> String {
+pub(crate) fn format_shared_state(name: &str, state: &SharedStateSnapshot) -> String {
     let mut text = String::new();
     if !state.budgets.is_empty() {
-        let leader = state.granter.as_deref().unwrap_or("nobody");
+        let leader = state.leader.as_deref().unwrap_or("nobody");
         push_line!(text, "{name} knows as granter: {leader}");
     }
     for budget in &state.budgets {
         push_budget(&mut text, budget);
     }
-    if let Some(aggregate) = &state.gathered {
+    if let Some(aggregate) = &state.aggregate {
         push_counts(&mut text, name, aggregate);
         push_ledger_health(&mut text, aggregate);
     }
     text
 }
 
-fn push_budget(text: &mut String, budget: &BudgetLook) {
-    let (guaranteed, is_spendable) = budget.floor;
-    let note = if is_spendable {
+fn push_budget(text: &mut String, budget: &BudgetSnapshot) {
+    let note = if budget.guaranteed.is_available {
         "may be spent"
     } else {
         "not yet, calls of an earlier process may be in hand"
     };
-    let (leased, expires_in_ms) = budget.leased;
-    let (in_use, wanted) = budget.in_use;
     push_line!(
         text,
         "{}: total {} by this member's file",
@@ -121,29 +118,41 @@
     );
     push_line!(
         text,
-        "  its own {guaranteed} ({note}); leased {leased} for {expires_in_ms} ms more"
+        "  its own {} ({note}); leased {} for {} ms more",
+        budget.guaranteed.units,
+        budget.leased.units,
+        budget.leased.remaining_ms
+    );
+    push_line!(
+        text,
+        "  uses {}, wants {}",
+        budget.usage.in_use,
+        budget.usage.demand
     );
-    push_line!(text, "  uses {in_use}, wants {wanted}");
     if !budget.holders.is_empty() {
-        push_line!(text, "  it grants; counted for all: {}", budget.counted);
+        push_line!(text, "  it grants; counted for all: {}", budget.reserved);
     }
-    for (holder, counted, wanted) in &budget.holders {
+    for holder in &budget.holders {
         push_line!(
             text,
-            "    {holder:<16} counted {counted:>6}, wants {wanted:>6}"
+            "    {:<16} counted {:>6}, wants {:>6}",
+            holder.name,
+            holder.reserved,
+            holder.demand
         );
     }
 }
 
-fn push_counts(text: &mut String, name: &str, aggregate: &GatheredLook) {
-    let (covered, present) = aggregate.covered;
-    match &aggregate.by {
+fn push_counts(text: &mut String, name: &str, aggregate: &AggregateSnapshot) {
+    match &aggregate.aggregator {
         Some(aggregator) => {
             push_line!(
                 text,
-                "{name} knows what {covered} of {present} nodes count, by {aggregator}, none older than {} ms; no tenant has more than {} in flight at the others",
+                "{name} knows what {} of {} nodes count, by {aggregator}, none older than {} ms; no tenant has more than {} in flight at the others",
+                aggregate.coverage.covered,
+                aggregate.coverage.present,
                 aggregate.age_ms,
-                aggregate.most
+                aggregate.max_in_flight
             );
         }
         None => {
@@ -153,18 +162,18 @@
             );
         }
     }
-    let aggregators: Vec<&str> = aggregate.gatherers.iter().map(|name| &**name).collect();
+    let aggregators: Vec<&str> = aggregate.aggregators.iter().map(|name| &**name).collect();
     push_line!(text, "  reports to: {}", aggregators.join(" "));
 }
 
-fn push_ledger_health(text: &mut String, aggregate: &GatheredLook) {
-    let (health, for_ms) = aggregate.ledger;
-    let (calls, failed) = aggregate.calls;
+fn push_ledger_health(text: &mut String, aggregate: &AggregateSnapshot) {
     push_line!(
         text,
-        "ledger: {} for {:.1} s; {calls} own calls of late, {failed} failed",
-        health.name(),
-        seconds(for_ms)
+        "ledger: {} for {:.1} s; {} own calls of late, {} failed",
+        aggregate.ledger.health.name(),
+        seconds(aggregate.ledger.for_ms),
+        aggregate.calls.total,
+        aggregate.calls.failed
     );
     let here = aggregate.others.here;
     let elsewhere = aggregate.others.elsewhere;
--- a/crates/fleet-runtime/src/actor/aggregation.rs
+++ b/crates/fleet-runtime/src/actor/aggregation.rs
@@ -2,7 +2,10 @@
 
 use membership::{Name, Said};
 use rand::RngExt;
-use shared_state::{judge, Judgement, Look, Message, Out, Said as AggregationMessage, LEDGER};
+use shared_state::{
+    evaluate_health, AggregationMessage, CallCounts, DependencyHealth, HealthState, Message,
+    Outgoing, ServiceObservation, SharedStateSnapshot, LEDGER,
+};
 use slog::info;
 
 use crate::shared_counters::FleetCounters;
@@ -20,21 +23,24 @@
         let Some(aggregation) = &mut self.aggregation else {
             return;
         };
-        if aggregation.protocol.next() > now {
+        if aggregation.node.next_timeout() > now {
             return;
         }
-        let observed = aggregation.counters.observe_ledger().condition;
+        let observed = aggregation.counters.observe_ledger().health;
         let observations: Vec<_> = observed
             .filter(|_| self.config.shares_ledger_health)
-            .map(|condition| (LEDGER, condition))
+            .map(|health| ServiceObservation {
+                service: LEDGER,
+                health,
+            })
             .into_iter()
             .collect();
-        let counts = aggregation.counters.in_flight().now();
+        let counts = aggregation.counters.in_flight().load();
         let draw = self.rng.random::<f64>();
         let mut messages = Vec::new();
         aggregation
-            .protocol
-            .tick(now, &counts, &observations, draw, &mut messages);
+            .node
+            .handle_timeout(now, &counts, &observations, draw, &mut messages);
         self.send_aggregation(messages);
         self.publish_aggregate();
     }
@@ -50,16 +56,19 @@
         };
         let mut replies = Vec::new();
         aggregation
-            .protocol
-            .hear(sender, message, now, &mut replies);
+            .node
+            .handle_message(sender, message, now, &mut replies);
         self.send_aggregation(replies);
         self.publish_aggregate();
     }
 
-    fn send_aggregation(&mut self, messages: Vec<(Name, AggregationMessage)>) {
+    fn send_aggregation(&mut self, messages: Vec<Outgoing<AggregationMessage>>) {
         let messages = messages
             .into_iter()
-            .map(|(to, message)| Out::Tell(to, Message::Gather(message)))
+            .map(|Outgoing { to, message }| Outgoing {
+                to,
+                message: Message::Aggregation(message),
+            })
             .collect();
         self.send_shared_state(messages);
     }
@@ -70,17 +79,17 @@
         let Some(aggregation) = &self.aggregation else {
             return;
         };
-        let aggregate = aggregation.protocol.gathered().clone();
+        let aggregate = aggregation.node.aggregate().clone();
         let observation = aggregation.counters.observe_ledger();
         let others = aggregate.tally(LEDGER, now);
-        let (previous_health, _) = self.ledger_judge.said();
+        let previous_health = self.ledger_health.health();
         if self.config.shares_ledger_health {
             let site_count = self.membership.sites().len();
-            let health = judge(observation.condition, &others, site_count);
-            self.ledger_judge.look(now, health, aggregate.as_of);
+            let health = evaluate_health(observation.health, &others, site_count);
+            self.ledger_health.update(now, health, aggregate.as_of);
         }
-        let (ledger_health, _) = self.ledger_judge.said();
-        let expires_at = self.started_at + aggregate.until;
+        let ledger_health = self.ledger_health.health();
+        let expires_at = self.started_at + aggregate.expires_at;
         aggregation.counters.publish(FleetCounters {
             aggregate,
             expires_at,
@@ -88,10 +97,10 @@
         });
         if ledger_health != previous_health {
             info!(self.log, "ledger"; "health" => ledger_health.name(),
-                "previous" => previous_health.name(), "calls" => observation.calls,
-                "failed" => observation.failed_calls, "others" => ?others);
+                "previous" => previous_health.name(), "calls" => observation.calls.total,
+                "failed" => observation.calls.failed, "others" => ?others);
             (self.on_change)();
-            self.set_withdrawn(ledger_health == Judgement::OnlyHere);
+            self.set_withdrawn(ledger_health == DependencyHealth::OnlyHere);
         }
     }
 
@@ -122,21 +131,24 @@
     }
 
     /// What this node knows of the shared state, for tools.
-    pub(super) fn shared_state_snapshot(&self) -> Look {
+    pub(super) fn shared_state_snapshot(&self) -> SharedStateSnapshot {
         let now = self.now();
-        let budgets = self.budgets.as_ref().map(|budgets| budgets.look(now));
-        let gathered = self.aggregation.as_ref().map(|aggregation| {
-            let observation = aggregation.counters.observe_ledger();
-            let (health, since) = self.ledger_judge.said();
-            let health_for_ms = now.saturating_sub(since).as_millis() as u64;
-            aggregation.protocol.look(
-                now,
-                (health, health_for_ms),
-                (observation.calls as u32, observation.failed_calls as u32),
-            )
+        let budgets = self.budgets.as_ref().map(|budgets| budgets.snapshot(now));
+        let aggregate = self.aggregation.as_ref().map(|aggregation| {
+            let changed_at = self.ledger_health.changed_at();
+            let health = HealthState {
+                health: self.ledger_health.health(),
+                for_ms: now.saturating_sub(changed_at).as_millis() as u64,
+            };
+            let calls = aggregation.counters.observe_ledger().calls;
+            let calls = CallCounts {
+                total: calls.total as u32,
+                failed: calls.failed as u32,
+            };
+            aggregation.node.snapshot(now, health, calls)
         });
-        Look {
-            gathered,
+        SharedStateSnapshot {
+            aggregate,
             ..budgets.unwrap_or_default()
         }
     }
--- a/crates/fleet-runtime/src/actor/budgets.rs
+++ b/crates/fleet-runtime/src/actor/budgets.rs
@@ -18,12 +18,12 @@
             return;
         };
         for (index, (_, quota)) in self.quotas.iter().enumerate() {
-            budgets.wants(index, quota.in_use(), quota.wanted(), now);
+            budgets.set_usage(index, quota.usage(), now);
         }
-        if budgets.next() <= now {
+        if budgets.next_timeout() <= now {
             let mut messages = Vec::new();
             let draw = self.rng.random::<f64>();
-            budgets.tick(now, draw, self.membership.there(), &mut messages);
+            budgets.handle_timeout(now, draw, self.membership.there(), &mut messages);
             self.send_shared_state(messages);
         }
         self.publish_budgets(&budgets);
@@ -36,7 +36,7 @@
             return;
         };
         let mut replies = Vec::new();
-        budgets.hear(sender, message, now, &mut replies);
+        budgets.handle_message(sender, message, now, &mut replies);
         self.send_shared_state(replies);
         self.publish_budgets(&budgets);
         self.budgets = Some(budgets);
@@ -44,7 +44,7 @@
 
     fn publish_budgets(&mut self, budgets: &Budgets) {
         let has_changed = self.publish_quotas(budgets);
-        let leader = budgets.granter(self.now()).map(|(name, _)| name);
+        let leader = budgets.leader(self.now()).map(|leader| leader.name);
         if leader != self.budget_leader {
             info!(self.log, "budgets"; "leader" => leader.as_deref().unwrap_or("none"));
             self.budget_leader = leader;
@@ -58,14 +58,14 @@
     fn publish_quotas(&self, budgets: &Budgets) -> bool {
         let mut has_changed = false;
         for (index, (name, quota)) in self.quotas.iter().enumerate() {
-            let Some(spendable) = budgets.spend(index) else {
+            let Some(spendable) = budgets.spendable_quota(index) else {
                 continue;
             };
             let previous = quota.set_spendable(spendable);
-            if spendable.leased.0 != previous.leased.0 {
+            if spendable.leased.units != previous.leased.units {
                 has_changed = true;
-                debug!(self.log, "budget"; "name" => &**name, "leased" => spendable.leased.0,
-                    "guaranteed" => spendable.floor.0);
+                debug!(self.log, "budget"; "name" => &**name, "leased" => spendable.leased.units,
+                    "guaranteed" => spendable.guaranteed.units);
             }
         }
         has_changed
--- a/crates/fleet-runtime/src/actor/commands.rs
+++ b/crates/fleet-runtime/src/actor/commands.rs
@@ -2,7 +2,7 @@
 
 use std::ops::ControlFlow;
 
-use shared_state::Plan;
+use shared_state::QuotaConfig;
 use slog::warn;
 
 use crate::config::Config;
@@ -47,7 +47,7 @@
         self.membership.set_seeds(config.seeds.clone());
         self.membership.set_settings(config.settings.clone());
         if let Some(budgets) = &mut self.budgets {
-            let totals = self
+            let totals: Vec<_> = self
                 .config
                 .budgets
                 .iter()
@@ -70,9 +70,9 @@
             return;
         };
         if is_running {
-            budgets.beside_another();
+            budgets.yield_to_sibling();
         } else {
-            budgets.alone_from(now);
+            budgets.resume_after_sibling(now);
         }
     }
 
@@ -90,7 +90,7 @@
 }
 
 /// The total of a budget in a new configuration, or the present one where it is missing there.
-fn reloaded_total(budget: &Plan, config: &Config) -> u64 {
+fn reloaded_total(budget: &QuotaConfig, config: &Config) -> u64 {
     config
         .budgets
         .iter()
--- a/crates/fleet-runtime/src/actor/datagrams.rs
+++ b/crates/fleet-runtime/src/actor/datagrams.rs
@@ -5,7 +5,7 @@
 
 use membership::packet::LONGEST;
 use membership::{Body, Malformed, Name, Out, Packet};
-use shared_state::{Message, Out as SharedStateOut};
+use shared_state::{Message, Outgoing};
 use slog::info;
 
 use super::{random_index, FleetActor};
@@ -60,8 +60,8 @@
             return self.socket.record_drop(source, &Malformed::Bounds);
         };
         match (message, sender) {
-            (Message::Look(seq), None) => self.answer_shared_state_query(seq, source),
-            (Message::Gather(message), Some(sender)) => {
+            (Message::SnapshotRequest(seq), None) => self.answer_shared_state_query(seq, source),
+            (Message::Aggregation(message), Some(sender)) => {
                 self.handle_aggregation_message(&sender, message);
             }
             (message, Some(sender)) => self.handle_budget_message(&sender, message),
@@ -74,16 +74,16 @@
         let answer = Packet {
             fleet: self.config.fleet.clone(),
             from: Some(self.membership.me().clone()),
-            body: Body::Carried(Message::Looked(seq, state).encode()),
+            body: Body::Carried(Message::SnapshotReply(seq, state).encode()),
             news: Vec::new(),
         };
         self.apply_effects(vec![Out::Send(source, answer)]);
     }
 
     /// Sends messages on shared state. One to a member that is not present is dropped: that member asks again.
-    pub(super) fn send_shared_state(&mut self, messages: Vec<SharedStateOut>) {
+    pub(super) fn send_shared_state(&mut self, messages: Vec<Outgoing>) {
         let mut effects = Vec::new();
-        for SharedStateOut::Tell(to, message) in messages {
+        for Outgoing { to, message } in messages {
             self.membership.carry(&to, message.encode(), &mut effects);
         }
         self.apply_effects(effects);
--- a/crates/fleet-runtime/src/actor/mod.rs
+++ b/crates/fleet-runtime/src/actor/mod.rs
@@ -22,7 +22,7 @@
 use mio::{Events, Poll, Token};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
-use shared_state::{Budgets, Gathering, Judge};
+use shared_state::{AggregationNode, Budgets, HealthEvaluator};
 use slog::{warn, Logger};
 
 use crate::config::Config;
@@ -60,7 +60,7 @@
     budget_leader: Option<Name>,
     /// `None` where nodes share neither counts nor health observations.
     aggregation: Option<Aggregation>,
-    ledger_judge: Judge,
+    ledger_health: HealthEvaluator,
     /// The status that the process set.
     process_status: Said,
     /// Whether the process is advertised as quiesced because only this node can't reach the ledger.
@@ -78,7 +78,7 @@
 
 /// The aggregation of counters over the fleet, and this node's own counters.
 struct Aggregation {
-    protocol: Gathering,
+    node: AggregationNode,
     counters: SharedCounters,
 }
 
@@ -146,8 +146,8 @@
     }
 
     fn time_to_next_protocol_timer(&self) -> Duration {
-        let budgets = self.budgets.as_ref().map(Budgets::next);
-        let aggregation = self.aggregation.as_ref().map(|a| a.protocol.next());
+        let budgets = self.budgets.as_ref().map(Budgets::next_timeout);
+        let aggregation = self.aggregation.as_ref().map(|a| a.node.next_timeout());
         let now = self.now();
         [Some(self.membership.next()), budgets, aggregation]
             .into_iter()
--- a/crates/fleet-runtime/src/actor/publishing.rs
+++ b/crates/fleet-runtime/src/actor/publishing.rs
@@ -39,7 +39,7 @@
             .members()
             .filter(|record| serves_clients(record))
             .map(|record| (&record.name, &record.site));
-        aggregation.protocol.members(reporting);
+        aggregation.node.set_members(reporting);
     }
 
     /// Logs a change of a member's status, unless it is the state that was last published.
--- a/crates/fleet-runtime/src/actor/spawn.rs
+++ b/crates/fleet-runtime/src/actor/spawn.rs
@@ -13,7 +13,7 @@
 use mio::{Poll, Waker};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use shared_state::{Budgets, Gathering, Judge, Pace, Terms};
+use shared_state::{AggregationNode, Budgets, HealthEvaluator, LeaseTimings, ReportingSettings};
 use slog::Logger;
 
 use crate::config::Config;
@@ -98,7 +98,7 @@
         commands,
         quotas: handle.quotas.clone(),
         budget_leader: None,
-        ledger_judge: Judge::default(),
+        ledger_health: HealthEvaluator::default(),
         process_status: Said::Joining,
         is_withdrawn: false,
         snapshot: handle.snapshot.clone(),
@@ -161,7 +161,7 @@
         return None;
     }
     Some(Budgets::new(
-        Terms::default(),
+        LeaseTimings::default(),
         identity.name.clone(),
         identity.incarnation,
         config.voters.clone(),
@@ -171,12 +171,12 @@
 }
 
 fn new_aggregation(config: &Config, identity: &Identity, counters: SharedCounters) -> Aggregation {
-    let protocol = Gathering::new(
-        Pace::default(),
+    let node = AggregationNode::new(
+        ReportingSettings::default(),
         identity.name.clone(),
         config.site.clone(),
         identity.incarnation,
         Duration::ZERO,
     );
-    Aggregation { protocol, counters }
+    Aggregation { node, counters }
 }
--- a/crates/fleet-runtime/src/config/mod.rs
+++ b/crates/fleet-runtime/src/config/mod.rs
@@ -9,7 +9,7 @@
 
 use json5_errors::ConfigFileError;
 use membership::{Name, Settings};
-use shared_state::Plan;
+use shared_state::QuotaConfig;
 
 use checks::Checker;
 use file::{BudgetSection, FleetFile};
@@ -41,7 +41,7 @@
     /// The members that elect the leader which grants the budgets.
     pub voters: Vec<Name>,
     /// The budgets that the fleet divides among its members.
-    pub budgets: Vec<Plan>,
+    pub budgets: Vec<QuotaConfig>,
     /// Whether nodes share their requests in flight by tenant.
     pub shares_counts: bool,
     /// Whether nodes share what they observe of the ledger's health.
@@ -99,7 +99,7 @@
             budgets: file
                 .budgets
                 .into_iter()
-                .map(|(name, section)| budget_plan(name, section))
+                .map(|(name, section)| quota_config(name, section))
                 .collect(),
             shares_counts: file.counts,
             shares_ledger_health: file.judgements,
@@ -123,11 +123,11 @@
     }
 }
 
-fn budget_plan(name: String, section: BudgetSection) -> Plan {
-    Plan {
+fn quota_config(name: String, section: BudgetSection) -> QuotaConfig {
+    QuotaConfig {
         name: name.into(),
         total: section.total,
-        floors: section
+        guaranteed: section
             .floors
             .into_iter()
             .map(|(member, units)| (member.into(), units))
--- a/crates/fleet-runtime/src/query.rs
+++ b/crates/fleet-runtime/src/query.rs
@@ -6,7 +6,7 @@
 
 use membership::packet::{Summary, LONGEST};
 use membership::{Body, Name, Packet, Record};
-use shared_state::{Look, Message};
+use shared_state::{Message, SharedStateSnapshot};
 
 /// How long a query waits for its answer before it is sent again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
@@ -28,7 +28,7 @@
     /// The member that answered.
     pub responder: Record,
     /// Its budgets, counts and health observations.
-    pub state: Look,
+    pub state: SharedStateSnapshot,
 }
 
 /// Why a query has no reply.
@@ -88,7 +88,7 @@
     let mut client = QueryClient::open(address, fleet, timeout)?;
     client.socket.set_read_timeout(Some(RETRY_INTERVAL))?;
     for seq in 1.. {
-        client.send(Body::Carried(Message::Look(seq).encode()))?;
+        client.send(Body::Carried(Message::SnapshotRequest(seq).encode()))?;
         if client.has_expired() {
             break;
         }
@@ -105,7 +105,7 @@
         return None;
     };
     match Message::decode(&bytes)? {
-        Message::Looked(_, state) => Some(SharedStateReply { responder, state }),
+        Message::SnapshotReply(_, state) => Some(SharedStateReply { responder, state }),
         _ => None,
     }
 }
--- a/crates/fleet-runtime/src/shared_counters.rs
+++ b/crates/fleet-runtime/src/shared_counters.rs
@@ -5,17 +5,20 @@
 use std::time::{Duration, Instant};
 
 use arc_swap::ArcSwap;
-use shared_state::{Condition, Gathered, Judgement, Live, Window};
+use shared_state::health::AttemptCounts;
+use shared_state::{
+    Aggregate, AtomicSketchCounters, AttemptWindow, DependencyHealth, ObservedHealth,
+};
 
 /// What the fleet actor last published.
 #[derive(Clone, Debug)]
 pub(crate) struct FleetCounters {
     /// The sum of the other nodes' counts.
-    pub(crate) aggregate: Gathered,
+    pub(crate) aggregate: Aggregate,
     /// When the aggregate is too old to be used.
     pub(crate) expires_at: Instant,
     /// The health of the ledger, as this node concludes from its own and the others' observations.
-    pub(crate) ledger_health: Judgement,
+    pub(crate) ledger_health: DependencyHealth,
 }
 
 /// Requests that the other nodes have in flight.
@@ -31,19 +34,17 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LedgerObservation {
     /// What the calls say about the ledger; `None` where there were too few.
-    pub(crate) condition: Option<Condition>,
-    /// Recent calls.
-    pub(crate) calls: usize,
-    /// Those of them that failed.
-    pub(crate) failed_calls: usize,
+    pub(crate) health: Option<ObservedHealth>,
+    /// How many calls there were, and how many of them failed.
+    pub(crate) calls: AttemptCounts,
 }
 
 /// Counts and observations of this node and of the fleet. Clones share the same state.
 #[derive(Clone, Debug)]
 pub struct SharedCounters {
     started_at: Instant,
-    in_flight: Arc<Live>,
-    ledger_calls: Arc<Mutex<Window>>,
+    in_flight: Arc<AtomicSketchCounters>,
+    ledger_calls: Arc<Mutex<AttemptWindow>>,
     fleet: Arc<ArcSwap<FleetCounters>>,
 }
 
@@ -51,9 +52,9 @@
     fn default() -> SharedCounters {
         let started_at = Instant::now();
         let nothing_known = FleetCounters {
-            aggregate: Gathered::default(),
+            aggregate: Aggregate::default(),
             expires_at: started_at,
-            ledger_health: Judgement::Unknown,
+            ledger_health: DependencyHealth::Unknown,
         };
         SharedCounters {
             started_at,
@@ -66,7 +67,7 @@
 
 impl SharedCounters {
     /// This node's counters of requests in flight.
-    pub fn in_flight(&self) -> Arc<Live> {
+    pub fn in_flight(&self) -> Arc<AtomicSketchCounters> {
         self.in_flight.clone()
     }
 
@@ -76,15 +77,15 @@
         self.ledger_calls
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .ended(now, duration);
+            .record(now, duration);
     }
 
     /// What the other nodes have in flight for each key; `None` while there is no fresh aggregate.
     pub fn in_flight_elsewhere(&self, keys: &[u64]) -> Option<InFlightElsewhere> {
         let fleet = self.fleet.load();
-        let is_fresh = fleet.aggregate.by.is_some() && Instant::now() < fleet.expires_at;
+        let is_fresh = fleet.aggregate.aggregator.is_some() && Instant::now() < fleet.expires_at;
         is_fresh.then(|| InFlightElsewhere {
-            node_count: fleet.aggregate.covered,
+            node_count: fleet.aggregate.covered_nodes,
             requests: keys
                 .iter()
                 .map(|key| fleet.aggregate.others.estimate(*key))
@@ -93,7 +94,7 @@
     }
 
     /// The health of the ledger, as this node concludes.
-    pub fn ledger_health(&self) -> Judgement {
+    pub fn ledger_health(&self) -> DependencyHealth {
         self.fleet.load().ledger_health
     }
 
@@ -104,11 +105,9 @@
             .ledger_calls
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let (calls, failed_calls) = window.counts(now);
         LedgerObservation {
-            condition: window.condition(now),
-            calls,
-            failed_calls,
+            health: window.observed_health(now),
+            calls: window.counts(now),
         }
     }
 
