--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -115,7 +115,7 @@
                 file: name.clone(),
                 line,
                 field: field.into(),
-                what,
+                message: what,
             })
         };
         let own = text(path)?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use cells_cli::Cells;
+use cells_cli::CellsCommand;
 use clap::{Parser, Subcommand};
 use crossbeam_channel::{after, bounded, never, select, Receiver, Sender};
 use fleet_cli::Fleet;
@@ -18,10 +18,10 @@
 use protocol_gateway::inventory::{self, InventoryError};
 use protocol_gateway::net::jsonrpc::Front;
 use protocol_gateway::net::{database, door, executor, membership, spawn, take_address, Address};
+use protocol_gateway::node::cell_guard::CellGuardError;
 use protocol_gateway::node::config::{Config, ConfigError};
-use protocol_gateway::node::confinement::CellsError;
 use protocol_gateway::node::{
-    Confinement, FleetCounters, Limits, NodeStatus, Peers, PolicyActor, PolicyConfig, PolicyMessage,
+    CellGuard, FleetCounters, Limits, NodeStatus, Peers, PolicyActor, PolicyConfig, PolicyMessage,
 };
 use protocol_gateway::seat::{Parts, Standing};
 use router::{Config as Router, ConfigError as RouterError, RouterLoop};
@@ -54,7 +54,7 @@
 enum Command {
     /// Check, show and plan cells: which nodes serve which tenants.
     #[command(subcommand)]
-    Cells(Cells),
+    Cells(CellsCommand),
     /// Show what members of a fleet see of each other.
     #[command(subcommand)]
     Fleet(Fleet),
@@ -128,7 +128,7 @@
     let handle = router.handle();
     info!(log, "listening"; "at" => %handle.address);
     let (tell, ended) = bounded(1);
-    spawn("route", limits.policy_stack_bytes, move || {
+    spawn("route", limits.policy.stack_bytes, move || {
         let _ = tell.send(router.run());
     })
     .map_err(system("threads"))?;
@@ -149,7 +149,7 @@
 enum StartError {
     Config(ConfigError),
     Inventory(InventoryError),
-    Cells(CellsError),
+    Cells(CellGuardError),
     Fleet(fleet::ConfigError),
     Router(RouterError),
     System(&'static str, io::Error),
@@ -185,14 +185,14 @@
         .map(fleet::Config::read)
         .transpose()
         .map_err(StartError::Fleet)?;
-    let mut limits = Limits::new(config.sockets).within(config.memory_mb);
+    let mut limits = Limits::new(config.sockets).with_memory(config.memory_mb);
     let env = |name: &str| std::env::var(name).ok();
     let queues = inventory.map_or(Ok(Vec::new()), |file| {
         inventory::read(file, &config.site, &limits, env)
     });
     let queues = queues.map_err(StartError::Inventory)?;
     let cells = cells
-        .map(|file| Confinement::read(file, &config.name))
+        .map(|file| CellGuard::read(file, &config.name))
         .transpose()
         .map_err(StartError::Cells)?;
     limits.front.max_connections = limits.front.max_connections.saturating_sub(queues.len());
@@ -207,8 +207,8 @@
         .map_err(system("door"))?;
 
     let node_status = Arc::new(NodeStatus::default());
-    let (policy, inbox) = bounded(limits.policy_mailbox);
-    let (to_executor, executor_inbox) = bounded(limits.executor_mailbox);
+    let (policy, inbox) = bounded(limits.policy.mailbox);
+    let (to_executor, executor_inbox) = bounded(limits.executor.mailbox);
     let (to_list, list_inbox) = bounded(1);
     let (to_moves, moves) = bounded(1);
 
@@ -266,7 +266,7 @@
     );
     // Dropped when the module's thread ends, however it ends: without it the node is of no use.
     let (alive, ended) = bounded::<()>(0);
-    spawn("policy", limits.policy_stack_bytes, move || {
+    spawn("policy", limits.policy.stack_bytes, move || {
         let _alive = alive;
         actor.run(&inbox);
     })
@@ -318,7 +318,7 @@
         info!(log, "admin"; "at" => %at);
     }
     let listen = |clients: Socket| -> io::Result<SocketAddr> {
-        clients.listen(limits.backlog)?;
+        clients.listen(limits.listener.backlog)?;
         let listener = TcpListener::from(clients);
         let at = listener.local_addr()?;
         info!(log, "listening"; "at" => %at);
@@ -365,8 +365,8 @@
             .map_err(system("fleet"))?;
     }
     let pace = |divide: &Divide| match config.door {
-        Some(_) if divide.whole() => after(limits.instance_poll_interval_alone),
-        Some(_) => after(limits.instance_poll_interval),
+        Some(_) if divide.whole() => after(limits.replacement.poll_interval_alone),
+        Some(_) => after(limits.replacement.poll_interval),
         None => never(),
     };
     let began = Instant::now();
@@ -403,7 +403,8 @@
             recv(ended) -> _ => return Ok(ExitCode::FAILURE),
         }
         // Without a part it could only refuse what comes.
-        let has_part = divide.parts.held() > 0 || began.elapsed() >= limits.first_share_timeout;
+        let has_part =
+            divide.parts.held() > 0 || began.elapsed() >= limits.replacement.first_share_timeout;
         if up && standing.may_take() && has_part {
             up = false;
             if let Some(clients) = clients.take() {
@@ -510,7 +511,7 @@
 
 /// Where the peers are, and who must hear when they move.
 struct Moves {
-    cells: Option<Confinement>,
+    cells: Option<CellGuard>,
     executor: (SocketAddr, Sender<SocketAddr>),
     database: Arc<Address>,
     list: (SocketAddr, Sender<membership::Report>),
@@ -520,7 +521,7 @@
 impl Moves {
     /// Reads the configuration again and hands new addresses on. One that can't be used changes nothing.
     fn reload(&mut self, name: &str, listen: SocketAddr) {
-        match self.cells.as_ref().map(Confinement::reload) {
+        match self.cells.as_ref().map(CellGuard::reload) {
             Some(Ok(epoch)) => info!(self.log, "cells read again"; "epoch" => epoch),
             Some(Err(e)) => warn!(self.log, "the new cells are not used"; "error" => %e),
             None => {}
