--- a/src/fleet_membership.rs
+++ b/src/fleet_membership.rs
@@ -8,7 +8,7 @@
 use fleet_runtime::{
     spawn_fleet_actor, Config, FleetHandle, LocalMember, SharedCounters, LEDGER_BUDGET,
 };
-use lifecycle::State;
+use lifecycle::ProcessState;
 use membership::Said;
 use slog::{info, o, warn, Logger};
 
@@ -71,7 +71,11 @@
     ///
     /// # Errors
     /// The fleet's socket can't be bound, or its thread can't be started.
-    pub fn join(&mut self, state: State, client_address: Option<SocketAddr>) -> io::Result<()> {
+    pub fn join(
+        &mut self,
+        state: ProcessState,
+        client_address: Option<SocketAddr>,
+    ) -> io::Result<()> {
         if self.handle.is_none() {
             if let Some(config) = self.options.config.take() {
                 self.handle = Some(self.spawn_member(config)?);
@@ -116,12 +120,12 @@
     }
 
     /// Advertises the state of the process to the other members.
-    pub fn advertise_state(&self, state: State) {
+    pub fn advertise_state(&self, state: ProcessState) {
         let status = match state {
-            State::Starting { .. } => Said::Joining,
-            State::Serving => Said::Up,
-            State::Quiesced => Said::Quiesced,
-            State::Leaving { .. } => Said::Leaving,
+            ProcessState::Starting { .. } => Said::Joining,
+            ProcessState::Serving => Said::Up,
+            ProcessState::Quiesced => Said::Quiesced,
+            ProcessState::ShuttingDown { .. } => Said::Leaving,
         };
         if let Some(handle) = &self.handle {
             handle.set_status(status);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,10 +10,10 @@
 
 pub mod amqp;
 pub mod fleet_membership;
+pub mod instance_lock;
 pub mod inventory;
 pub mod net;
 pub mod node;
-pub mod seat;
 pub mod wire;
 
 pub use policy::*;
