--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use fault_testbed::{Plan, Rig};
-use fleet_cli::{state, All, Shown, Status};
+use fleet_cli::{state_name, FleetReport, MemberReport, ViewReport};
 use golden::{data, run, shape, Folder};
-use lifecycle::{Answer, Call, State, Unheard};
+use lifecycle::{AdminCommand, AdminRequestError, AdminResponse, ProcessState};
 use membership::{AdvertisedStatus, Liveness, MemberRecord, MemberState, PartitionStatus};
 use serde_json::{json, Value};
 use shared_state::{DependencyHealth, SharedStateSnapshot};
@@ -116,17 +116,17 @@
 /// What a settled fleet doesn't show: a member without an answer, one that serves nothing, and views that differ.
 #[test]
 fn missing_answers_and_differences_have_their_place_in_the_json() {
-    let member = Shown {
+    let member = MemberReport {
         state: "up",
         site: "milano".into(),
-        life: 7,
-        incarnation: 2,
-        at: SocketAddr::from(([127, 0, 0, 1], 7946)),
-        serves: None,
+        incarnation: 7,
+        version: 2,
+        address: SocketAddr::from(([127, 0, 0, 1], 7946)),
+        client_address: None,
     };
-    let status = Status {
-        seen_by: "n0".into(),
-        conclusion: "part".into(),
+    let status = ViewReport {
+        observer: "n0".into(),
+        partition_status: "part".into(),
         for_ms: 5,
         digest: "00ff".into(),
         present: 1,
@@ -137,10 +137,10 @@
     };
     let holders = BTreeMap::from([("gone".to_string(), vec!["n0".to_string()])]);
     let found = json!({
-        "status": All {
+        "status": FleetReport {
             views: BTreeMap::from([("n0".into(), Some(status)), ("n1".into(), None)]),
-            same: false,
-            differ: BTreeMap::from([("n1".into(), holders)]),
+            is_consistent: false,
+            differences: BTreeMap::from([("n1".into(), holders)]),
         },
         "state": SharedStateSnapshot::default(),
     });
@@ -161,7 +161,7 @@
             liveness: standing,
         };
         let at = SocketAddr::from(([127, 0, 0, 1], 7946));
-        state(&MemberRecord {
+        state_name(&MemberRecord {
             name: "n0".into(),
             site: "milano".into(),
             address: at,
@@ -226,34 +226,37 @@
 #[test]
 fn each_admin_command_has_its_answer_in_each_state() {
     let states = [
-        ("starting", State::Starting { quiesced: false }),
-        ("starting, quiesced", State::Starting { quiesced: true }),
-        ("serving", State::Serving),
-        ("quiesced", State::Quiesced),
+        ("starting", ProcessState::Starting { quiesced: false }),
+        (
+            "starting, quiesced",
+            ProcessState::Starting { quiesced: true },
+        ),
+        ("serving", ProcessState::Serving),
+        ("quiesced", ProcessState::Quiesced),
         (
             "leaving",
-            State::Leaving {
+            ProcessState::ShuttingDown {
                 replaced: false,
                 quiesced: false,
             },
         ),
         (
             "leaving, quiesced",
-            State::Leaving {
+            ProcessState::ShuttingDown {
                 replaced: false,
                 quiesced: true,
             },
         ),
         (
             "replaced",
-            State::Leaving {
+            ProcessState::ShuttingDown {
                 replaced: true,
                 quiesced: false,
             },
         ),
         (
             "replaced, quiesced",
-            State::Leaving {
+            ProcessState::ShuttingDown {
                 replaced: true,
                 quiesced: true,
             },
@@ -263,9 +266,9 @@
     for (name, before) in states {
         for line in ["health", "quiesce", "resume"] {
             let mut state = before;
-            let answer = Call::parse(line.as_bytes())
+            let answer = AdminCommand::parse(line.as_bytes())
                 .expect("a command")
-                .carry_out(&mut state);
+                .execute(&mut state);
             found
                 .entry(name)
                 .or_default()
@@ -278,7 +281,14 @@
 
 #[test]
 fn each_reason_for_which_a_line_is_no_admin_command_has_its_answer() {
-    use Unheard::{Crowded, Cut, Late, TooLong, Unknown};
-    let found = [Unknown, TooLong, Cut, Late, Crowded].map(|why| Answer::Unheard(why).to_string());
+    use AdminRequestError::{LineTooLong, TimedOut, TooManyClients, Truncated, UnknownCommand};
+    let found = [
+        UnknownCommand,
+        LineTooLong,
+        Truncated,
+        TimedOut,
+        TooManyClients,
+    ]
+    .map(|error| AdminResponse::InvalidRequest(error).to_string());
     assert_eq!(found.to_vec(), data::<Vec<String>>("admin_errors.json"));
 }
