--- a/src/actors.rs
+++ b/src/actors.rs
@@ -90,7 +90,7 @@
     /// Keeps the database's calls within the quota and the judgement of the fleet.
     pub(crate) call_guard: Option<database::Guard>,
     /// Counters that the members of the fleet share.
-    pub(crate) counters: Option<fleet::Shares>,
+    pub(crate) counters: Option<fleet::SharedCounters>,
     shares_tenant_counts: bool,
 }
 
@@ -105,15 +105,16 @@
             };
         };
         let has_call_quota = config.budgets.iter().any(|b| *b.name == *fleet::LEDGER);
-        let counters = (config.counts || config.judgements).then(fleet::Shares::default);
-        let judged = counters.clone().filter(|_| config.judgements);
+        let counters = (config.shares_counts || config.shares_ledger_health)
+            .then(fleet::SharedCounters::default);
+        let judged = counters.clone().filter(|_| config.shares_ledger_health);
         let is_guarded = has_call_quota || judged.is_some();
         let call_guard =
             is_guarded.then(|| database::Guard::new(database::Budget::new(has_call_quota, judged)));
         FleetLinks {
             call_guard,
             counters,
-            shares_tenant_counts: config.counts,
+            shares_tenant_counts: config.shares_counts,
         }
     }
 
@@ -124,8 +125,12 @@
             .clone()
             .filter(|_| self.shares_tenant_counts)?;
         Some(FleetCounters {
-            own: counters.live(),
-            read_others: Box::new(move |keys| counters.others(keys)),
+            own: counters.in_flight(),
+            read_others: Box::new(move |keys| {
+                counters
+                    .in_flight_elsewhere(keys)
+                    .map(|others| (others.node_count, others.requests))
+            }),
         })
     }
 }
--- a/src/run_loop.rs
+++ b/src/run_loop.rs
@@ -7,8 +7,8 @@
 
 use crossbeam_channel::{after, never, select, Receiver, Sender};
 use lifecycle::{ProcessState, SiblingProcess, Transition};
+use protocol_gateway::fleet_membership::FleetMembership;
 use protocol_gateway::instance_lock::InstanceLock;
-use protocol_gateway::member::Member;
 use protocol_gateway::net::jsonrpc::JsonRpcServer;
 use protocol_gateway::net::membership;
 use protocol_gateway::node::config::Config;
@@ -34,7 +34,7 @@
     pub(crate) reloader: ConfigReloader,
     pub(crate) instance_lock: InstanceLock,
     pub(crate) divider: ResourceDivider,
-    pub(crate) member: Member,
+    pub(crate) member: FleetMembership,
     pub(crate) log: Logger,
 }
 
@@ -59,7 +59,7 @@
     /// Joins the fleet, unless another process of the node accepts clients: until this one takes over, the member of
     /// this name is the other process.
     pub(crate) fn join_fleet_unless_replacing(&mut self) -> Result<(), StartError> {
-        self.member.beside(self.has_sibling());
+        self.member.set_sibling_running(self.has_sibling());
         if self.instance_lock.sibling() != SiblingProcess::AcceptingClients {
             self.join_fleet()?;
         }
@@ -97,7 +97,7 @@
                 recv(self.signals.shut_down) -> _ => return Ok(ServeEnd::ShutDown),
                 recv(self.signals.reload) -> _ => {
                     self.reloader.reload();
-                    self.member.reload();
+                    self.member.reload_config();
                 }
                 recv(self.status.executor_ready()) -> _ => is_executor_ready = true,
                 recv(poll) -> _ => {
@@ -106,7 +106,7 @@
                 }
                 recv(self.actors.state_changes) -> _ => {
                     self.report_state_change();
-                    self.member.say(self.status.process_state());
+                    self.member.advertise_state(self.status.process_state());
                 }
                 recv(self.actors.policy_ended) -> _ => return Ok(ServeEnd::PolicyEnded),
             }
@@ -125,8 +125,8 @@
         self.instance_lock
             .try_acquire(self.status.process_state(), &self.log);
         // Of two processes the later one leaves the fleet's quotas to the earlier one.
-        if self.member.is_beside() {
-            self.member.beside(self.has_sibling());
+        if self.member.is_sibling_running() {
+            self.member.set_sibling_running(self.has_sibling());
         }
         self.update_shares();
     }
@@ -172,7 +172,7 @@
             let is_drained = is_closed && is_idle && self.has_no_clients();
             if is_drained || began_at.elapsed() >= deadline {
                 self.log_shutdown(began_at.elapsed());
-                self.member.end(is_replaced);
+                self.member.leave(is_replaced);
                 return ExitCode::SUCCESS;
             }
             select! {
@@ -200,7 +200,7 @@
             (time_left, PolicyMessage::Replaced(time_left))
         } else {
             // The fleet is not notified where the node goes on in another process.
-            self.member.say(self.status.process_state());
+            self.member.advertise_state(self.status.process_state());
             (self.config.shutdown_timeout, PolicyMessage::ShutDown)
         };
         let _ = self.policy.send(message);
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -4,9 +4,9 @@
 use std::net::TcpListener;
 
 use fleet_runtime as fleet;
+use protocol_gateway::fleet_membership::{FleetMembership, FleetMembershipOptions};
 use protocol_gateway::instance_lock::{InstanceLock, ResourceShareLocks};
 use protocol_gateway::inventory::{self, InventoryError, Queue};
-use protocol_gateway::member::Member;
 use protocol_gateway::net::take_address;
 use protocol_gateway::node::cell_guard::CellGuardError;
 use protocol_gateway::node::config::{Config, ConfigError};
@@ -139,17 +139,15 @@
         log: log.clone(),
     };
     let (instance_lock, divider) = divide_resources(&context, &actors);
-    let member = Member::new(
-        fleet,
-        cli.fleet.as_deref(),
-        &config.name,
-        &limits,
-        (
-            actors.fleet.call_guard.clone(),
-            actors.fleet.counters.clone(),
-        ),
-        &log,
-    );
+    let membership_options = FleetMembershipOptions {
+        config: fleet,
+        config_file: cli.fleet.clone(),
+        node_name: config.name.clone(),
+        stack_size: limits.stack_bytes,
+        ledger_guard: actors.fleet.call_guard.clone(),
+        shared_counters: actors.fleet.counters.clone(),
+    };
+    let member = FleetMembership::new(membership_options, &log);
     let status = context.status.clone();
     let policy = context.policy.clone();
     let mut node = Node {
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -9,11 +9,10 @@
 use std::time::Duration;
 
 use fault_testbed::{Plan, Rig};
-use fleet_cli::{state, All, Shown, Status};
+use fleet_cli::{state_name, FleetReport, MemberReport, ViewReport};
 use golden::{data, run, shape, Folder};
 use lifecycle::{AdminCommand, AdminRequestError, AdminResponse, ProcessState};
-use membership::word::Word;
-use membership::{Conclusion, Record, Said, Standing};
+use membership::{AdvertisedStatus, Liveness, MemberRecord, MemberState, PartitionStatus};
 use serde_json::{json, Value};
 use shared_state::{DependencyHealth, SharedStateSnapshot};
 use test_doubles::Node;
@@ -117,17 +116,17 @@
 /// What a settled fleet doesn't show: a member without an answer, one that serves nothing, and views that differ.
 #[test]
 fn missing_answers_and_differences_have_their_place_in_the_json() {
-    let member = Shown {
+    let member = MemberReport {
         state: "up",
         site: "milano".into(),
-        life: 7,
-        incarnation: 2,
-        at: SocketAddr::from(([127, 0, 0, 1], 7946)),
-        serves: None,
+        incarnation: 7,
+        version: 2,
+        address: SocketAddr::from(([127, 0, 0, 1], 7946)),
+        client_address: None,
     };
-    let status = Status {
-        seen_by: "n0".into(),
-        conclusion: "part".into(),
+    let status = ViewReport {
+        observer: "n0".into(),
+        partition_status: "part".into(),
         for_ms: 5,
         digest: "00ff".into(),
         present: 1,
@@ -138,10 +137,10 @@
     };
     let holders = BTreeMap::from([("gone".to_string(), vec!["n0".to_string()])]);
     let found = json!({
-        "status": All {
+        "status": FleetReport {
             views: BTreeMap::from([("n0".into(), Some(status)), ("n1".into(), None)]),
-            same: false,
-            differ: BTreeMap::from([("n1".into(), holders)]),
+            is_consistent: false,
+            differences: BTreeMap::from([("n1".into(), holders)]),
         },
         "state": SharedStateSnapshot::default(),
     });
@@ -155,35 +154,38 @@
 #[test]
 fn states_and_conclusions_have_their_names_in_the_json() {
     let state = |said, standing| {
-        let word = Word {
-            life: 1,
-            incarnation: 0,
-            said,
-            standing,
+        let member_state = MemberState {
+            incarnation: 1,
+            version: 0,
+            status: said,
+            liveness: standing,
         };
         let at = SocketAddr::from(([127, 0, 0, 1], 7946));
-        state(&Record {
+        state_name(&MemberRecord {
             name: "n0".into(),
             site: "milano".into(),
-            at,
-            serves: None,
-            word,
-            by: 0,
+            address: at,
+            client_address: None,
+            state: member_state,
+            suspected_by: 0,
         })
     };
     let mut states = Vec::new();
     for said in [
-        Said::Joining,
-        Said::Up,
-        Said::Quiesced,
-        Said::Leaving,
-        Said::Left,
+        AdvertisedStatus::Joining,
+        AdvertisedStatus::Up,
+        AdvertisedStatus::Quiesced,
+        AdvertisedStatus::Leaving,
+        AdvertisedStatus::Left,
     ] {
-        states
-            .push([Standing::Present, Standing::Suspected, Standing::Gone].map(|s| state(said, s)));
+        states.push([Liveness::Alive, Liveness::Suspect, Liveness::Dead].map(|s| state(said, s)));
     }
-    let conclusions =
-        [Conclusion::Whole, Conclusion::Part, Conclusion::Alone].map(Conclusion::name);
+    let conclusions = [
+        PartitionStatus::Majority,
+        PartitionStatus::Minority,
+        PartitionStatus::Isolated,
+    ]
+    .map(PartitionStatus::as_str);
     let dependency = [
         DependencyHealth::Unknown,
         DependencyHealth::Sound,
