--- a/crates/shared-state/src/budgets/message.rs
+++ b/crates/shared-state/src/budgets/message.rs
@@ -17,25 +17,29 @@
     pub message: M,
 }
 
+/// A holder's requests for quota of all budgets.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct HolderRequest {
+    /// The leader's term, as the holder knows it. A request under another term is answered with the present one and otherwise
+    /// ignored: it may describe what was long ago.
+    pub term: Term,
+    /// The holder's incarnation.
+    pub incarnation: u64,
+    /// Sequence number; rises with each request.
+    pub seq: u64,
+    /// The request whose grant is in force at the holder.
+    pub applied_seq: u64,
+    /// For each budget, units that may be in use and units that could be.
+    pub usage: Vec<QuotaUsage>,
+}
+
 /// A message between nodes about shared state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Between voters of the leader's election.
     Vote(Vote),
     /// A holder's requests for quota, one for each budget.
-    LeaseRequest {
-        /// The leader's term, as the holder knows it. A request under another term is answered with the present one and
-        /// otherwise ignored: it may describe what was long ago.
-        term: Term,
-        /// The holder's incarnation.
-        incarnation: u64,
-        /// Sequence number; rises with each request.
-        seq: u64,
-        /// The request whose grant is in force at the holder.
-        applied_seq: u64,
-        /// For each budget, units that may be in use and units that could be.
-        usage: Vec<QuotaUsage>,
-    },
+    LeaseRequest(HolderRequest),
     /// A leader's answer to a request.
     LeaseGrant {
         /// The leader's term.
--- a/crates/shared-state/src/budgets/mod.rs
+++ b/crates/shared-state/src/budgets/mod.rs
@@ -13,16 +13,13 @@
 use crate::lease_table::LeaseTable;
 use crate::LeaseTimings;
 
-pub use message::{Message, Outgoing};
+pub use message::{HolderRequest, Message, Outgoing};
 pub use quota::{GuaranteedQuota, LeasedQuota, QuotaConfig, QuotaUsage, SpendableQuota, Units};
 pub use snapshot::{
     BudgetSnapshot, GuaranteedSnapshot, HolderSnapshot, LeaseSnapshot, SharedStateSnapshot,
 };
 
-/// Most holders in a snapshot, which has to fit one datagram.
-const MAX_SNAPSHOT_HOLDERS: usize = 16;
-
-/// Voters are picked at random by a draw from 0 to 1 times this.
+/// Range to which a random draw from 0 to 1 is scaled to pick a voter.
 const VOTER_DRAW_RANGE: f64 = 4096.0;
 
 /// The lease tables of one leadership, one for each budget.
@@ -156,7 +153,7 @@
             .enumerate()
             .map(|(index, (config, holder))| {
                 let table = tables.and_then(|tables| tables.get(index));
-                budget_snapshot(config, holder, table, now)
+                BudgetSnapshot::new(config, holder, table, now)
             })
             .collect();
         SharedStateSnapshot {
@@ -209,25 +206,8 @@
                     self.next_request_at = now;
                 }
             }
-            Message::LeaseRequest {
-                term,
-                incarnation,
-                seq,
-                applied_seq,
-                usage,
-            } => {
-                let requests: Vec<LeaseRequest> = usage
-                    .into_iter()
-                    .map(|usage| LeaseRequest {
-                        seq,
-                        applied_seq,
-                        in_use: usage.in_use,
-                        demand: usage.demand,
-                    })
-                    .collect();
-                if let Some(reply) =
-                    self.reply_to_request(from, incarnation, term, seq, &requests, now)
-                {
+            Message::LeaseRequest(request) => {
+                if let Some(reply) = self.reply_to_request(from, &request, now) {
                     self.send(from, reply, now, out);
                 }
             }
@@ -285,7 +265,7 @@
         let Some(first) = requests.first() else {
             return;
         };
-        let message = Message::LeaseRequest {
+        let message = Message::LeaseRequest(HolderRequest {
             term: leader.term,
             incarnation: self.incarnation,
             seq: first.seq,
@@ -297,7 +277,7 @@
                     demand: request.demand,
                 })
                 .collect(),
-        };
+        });
         self.send(&leader.name, message, now, out);
     }
 
@@ -307,14 +287,11 @@
         self.next_request_at = self.next_request_at.min(earliest);
     }
 
-    /// The answer to a holder's requests, one for each budget; none to requests that are late or duplicates.
+    /// The answer to a holder's requests; none to those that are late or duplicates.
     fn reply_to_request(
         &mut self,
         from: &Name,
-        incarnation: u64,
-        term: Term,
-        seq: u64,
-        requests: &[LeaseRequest],
+        request: &HolderRequest,
         now: Duration,
     ) -> Option<Message> {
         let Some(own) = self.election.own_leadership(now) else {
@@ -323,19 +300,25 @@
             return Some(Message::Leader(leader.name, leader.term));
         };
         let leadership = self.leadership.as_mut().filter(|l| l.term == own.term)?;
-        if term != leadership.term || requests.len() != leadership.tables.len() {
+        if request.term != leadership.term || request.usage.len() != leadership.tables.len() {
             return Some(Message::Leader(self.name.clone(), own.term));
         }
-        let units = leadership
-            .tables
-            .iter_mut()
-            .zip(requests)
-            .map(|(table, request)| {
-                let grant = table.grant_request(from, incarnation, *request, now)?;
-                Some(grant.units)
-            })
-            .collect::<Option<Vec<Units>>>()?;
-        Some(Message::LeaseGrant { term, seq, units })
+        let mut units = Vec::with_capacity(leadership.tables.len());
+        for (table, usage) in leadership.tables.iter_mut().zip(&request.usage) {
+            let lease_request = LeaseRequest {
+                seq: request.seq,
+                applied_seq: request.applied_seq,
+                in_use: usage.in_use,
+                demand: usage.demand,
+            };
+            let grant = table.grant_request(from, request.incarnation, lease_request, now)?;
+            units.push(grant.units);
+        }
+        Some(Message::LeaseGrant {
+            term: request.term,
+            seq: request.seq,
+            units,
+        })
     }
 
     fn apply_grants(&mut self, seq: u64, units: &[Units], now: Duration) {
@@ -373,31 +356,3 @@
         message: Message::Vote(vote.message),
     }));
 }
-
-fn budget_snapshot(
-    config: &QuotaConfig,
-    holder: &LeaseHolder,
-    table: Option<&LeaseTable>,
-    now: Duration,
-) -> BudgetSnapshot {
-    let SpendableQuota { guaranteed, leased } = holder.spendable_quota();
-    let mut holders: Vec<HolderSnapshot> =
-        table.map_or(vec![], |table| table.holders(now).collect());
-    holders.sort_by_key(|holder| std::cmp::Reverse(holder.reserved));
-    holders.truncate(MAX_SNAPSHOT_HOLDERS);
-    BudgetSnapshot {
-        name: config.name.clone(),
-        total: config.total,
-        guaranteed: GuaranteedSnapshot {
-            units: guaranteed.units,
-            is_available: now >= guaranteed.available_from,
-        },
-        leased: LeaseSnapshot {
-            units: leased.available(now),
-            remaining_ms: leased.expires_at.saturating_sub(now).as_millis() as u64,
-        },
-        usage: holder.usage(),
-        holders,
-        reserved: table.map_or(0, |table| table.reserved(now)),
-    }
-}
--- a/crates/shared-state/src/budgets/snapshot.rs
+++ b/crates/shared-state/src/budgets/snapshot.rs
@@ -1,12 +1,20 @@
 //! Read-only copies of a node's shared state for tools. Names and shapes of the JSON fields are a stable format.
 
+use std::cmp::Reverse;
+use std::time::Duration;
+
 use membership::Name;
 use serde::{Deserialize, Serialize};
 
-use super::{QuotaUsage, Units};
+use super::{QuotaConfig, QuotaUsage, SpendableQuota, Units};
 use crate::aggregation::AggregateSnapshot;
+use crate::lease_holder::LeaseHolder;
+use crate::lease_table::LeaseTable;
 use crate::tuple_format::serialize_as_tuple;
 
+/// Most holders in a snapshot, which has to fit one datagram.
+const MAX_SNAPSHOT_HOLDERS: usize = 16;
+
 /// A node's shared state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SharedStateSnapshot {
@@ -42,6 +50,37 @@
     pub reserved: Units,
 }
 
+impl BudgetSnapshot {
+    /// A copy of one budget's state; with a lease table on the leader.
+    pub(super) fn new(
+        config: &QuotaConfig,
+        holder: &LeaseHolder,
+        table: Option<&LeaseTable>,
+        now: Duration,
+    ) -> BudgetSnapshot {
+        let SpendableQuota { guaranteed, leased } = holder.spendable_quota();
+        let mut holders: Vec<HolderSnapshot> =
+            table.map_or(vec![], |table| table.holders(now).collect());
+        holders.sort_by_key(|holder| Reverse(holder.reserved));
+        holders.truncate(MAX_SNAPSHOT_HOLDERS);
+        BudgetSnapshot {
+            name: config.name.clone(),
+            total: config.total,
+            guaranteed: GuaranteedSnapshot {
+                units: guaranteed.units,
+                is_available: now >= guaranteed.available_from,
+            },
+            leased: LeaseSnapshot {
+                units: leased.available(now),
+                remaining_ms: leased.expires_at.saturating_sub(now).as_millis() as u64,
+            },
+            usage: holder.usage(),
+            holders,
+            reserved: table.map_or(0, |table| table.reserved(now)),
+        }
+    }
+}
+
 /// A node's guaranteed quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Units, bool)", into = "(Units, bool)")]
--- a/crates/shared-state/src/lease_table.rs
+++ b/crates/shared-state/src/lease_table.rs
@@ -47,6 +47,17 @@
             .fold(in_use, Units::max)
     }
 
+    /// Takes in what a request says; its units in use are released by `release_at`.
+    fn record_request(&mut self, request: LeaseRequest, release_at: Duration, now: Duration) {
+        // Grants before the one in force at the holder will never take effect.
+        self.grants
+            .retain(|grant| grant.seq >= request.applied_seq && now < grant.expires_at);
+        self.last_seq = request.seq;
+        self.demand = request.demand;
+        self.reported_in_use = request.in_use;
+        self.in_use_until = release_at;
+    }
+
     fn is_active(&self, now: Duration) -> bool {
         now < self.in_use_until || self.grants.iter().any(|grant| now < grant.expires_at)
     }
@@ -126,14 +137,7 @@
         } else {
             reserved
         };
-        // Grants before the one in force at the holder will never take effect.
-        holder
-            .grants
-            .retain(|grant| grant.seq >= request.applied_seq && now < grant.expires_at);
-        holder.last_seq = request.seq;
-        holder.demand = request.demand;
-        holder.reported_in_use = request.in_use;
-        holder.in_use_until = release_at;
+        holder.record_request(request, release_at, now);
         if now >= self.fair_share_expires_at {
             self.recompute_fair_share(now);
         }
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -31,9 +31,9 @@
     CoverageSnapshot, HealthState, ReportingSettings, ServiceObservation, SumVersion, LEDGER,
 };
 pub use budgets::{
-    BudgetSnapshot, Budgets, GuaranteedQuota, GuaranteedSnapshot, HolderSnapshot, LeaseSnapshot,
-    LeasedQuota, Message, Outgoing, QuotaConfig, QuotaUsage, SharedStateSnapshot, SpendableQuota,
-    Units,
+    BudgetSnapshot, Budgets, GuaranteedQuota, GuaranteedSnapshot, HolderRequest, HolderSnapshot,
+    LeaseSnapshot, LeasedQuota, Message, Outgoing, QuotaConfig, QuotaUsage, SharedStateSnapshot,
+    SpendableQuota, Units,
 };
 pub use election::{Election, KnownLeader, OwnLeadership, Term, Vote};
 pub use health::{
--- a/crates/shared-state/tests/golden.rs
+++ b/crates/shared-state/tests/golden.rs
@@ -6,8 +6,8 @@
 use shared_state::{
     counter_indices, AggregateSnapshot, AggregationMessage, BudgetSnapshot, CallCounts,
     CounterChange, CoverageSnapshot, DependencyHealth, GuaranteedSnapshot, HealthState,
-    HolderSnapshot, LeaseSnapshot, Message, ObservedHealth, QuotaUsage, ServiceObservation,
-    SharedStateSnapshot, SumVersion, Tally, Term, Vote, LEDGER,
+    HolderRequest, HolderSnapshot, LeaseSnapshot, Message, ObservedHealth, QuotaUsage,
+    ServiceObservation, SharedStateSnapshot, SumVersion, Tally, Term, Vote, LEDGER,
 };
 
 fn hex(bytes: &[u8]) -> String {
@@ -117,13 +117,13 @@
     vec![
         (
             "ask",
-            Message::LeaseRequest {
+            Message::LeaseRequest(HolderRequest {
                 term,
                 incarnation: 301,
                 seq: 402,
                 applied_seq: 503,
                 usage: vec![usage(604, 705), usage(806, 907)],
-            },
+            }),
         ),
         (
             "grant",
--- a/tests/golden_locks.rs
+++ b/tests/golden_locks.rs
@@ -10,13 +10,13 @@
 use slog::{o, Discard, Logger};
 
 /// A folder of this test's own that goes with the value.
-struct Scratch(PathBuf);
-impl Scratch {
-    fn new(name: &str) -> Scratch {
+struct TestFolder(PathBuf);
+impl TestFolder {
+    fn new(name: &str) -> TestFolder {
         let path = std::env::temp_dir().join(format!("golden-locks-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
         std::fs::create_dir_all(&path).expect("a folder");
-        Scratch(path)
+        TestFolder(path)
     }
     fn files(&self) -> Vec<String> {
         let entry = |e: std::io::Result<std::fs::DirEntry>| e.expect("an entry").file_name();
@@ -28,7 +28,7 @@
         files
     }
 }
-impl Drop for Scratch {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -111,16 +111,16 @@
     ];
     let mut written = String::new();
     for name in names {
-        let scratch = Scratch::new("names");
-        let first = locked(&scratch.0, name, ProcessState::Serving);
-        let second = locked(&scratch.0, name, ProcessState::Serving);
-        let mut shares = ResourceShareLocks::new(&scratch.0, name, &first);
+        let folder = TestFolder::new("names");
+        let first = locked(&folder.0, name, ProcessState::Serving);
+        let second = locked(&folder.0, name, ProcessState::Serving);
+        let mut shares = ResourceShareLocks::new(&folder.0, name, &first);
         assert_eq!(
             shares.update(ProcessState::Serving, SiblingProcess::Absent, 0, &log()),
             Some(TOTAL_SHARES)
         );
         written += &format!("{name:?}\n");
-        scratch
+        folder
             .files()
             .iter()
             .for_each(|file| written += &format!("  {file}\n"));
@@ -145,10 +145,10 @@
 #[test]
 fn word_of_an_old_program_is_understood() {
     for (own, other) in [(0, 1), (1, 0)] {
-        let scratch = Scratch::new(&format!("word-{own}"));
-        let path = |n: u32| scratch.0.join(format!("mothwinch-a_b-1.seat{n}"));
+        let folder = TestFolder::new(&format!("word-{own}"));
+        let path = |n: u32| folder.0.join(format!("mothwinch-a_b-1.seat{n}"));
         let mut old = held(&path(other), b"idle           \n");
-        let new = locked(&scratch.0, "a b-1", ProcessState::default());
+        let new = locked(&folder.0, "a b-1", ProcessState::default());
         for (text, sibling) in [
             (b"idle           \n", SiblingProcess::Idle),
             (b"taking clients \n", SiblingProcess::AcceptingClients),
@@ -183,11 +183,11 @@
 /// The other way around: what an old program looks at is the lock and the 16 bytes.
 #[test]
 fn old_program_understands_what_is_written() {
-    let scratch = Scratch::new("written");
-    let mut new = locked(&scratch.0, "n", ProcessState::default());
+    let folder = TestFolder::new("written");
+    let mut new = locked(&folder.0, "n", ProcessState::default());
     for (name, state) in STATES {
         new.publish(state);
-        let mut file = File::open(scratch.0.join("mothwinch-n.seat0")).expect("the lock file");
+        let mut file = File::open(folder.0.join("mothwinch-n.seat0")).expect("the lock file");
         assert!(
             matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock)),
             "{name}"
@@ -202,21 +202,21 @@
         assert_eq!(text, golden, "{name}");
     }
     drop(new);
-    let file = File::open(scratch.0.join("mothwinch-n.seat0")).expect("the lock file");
+    let file = File::open(folder.0.join("mothwinch-n.seat0")).expect("the lock file");
     assert!(file.try_lock_shared().is_ok(), "the lock is free again");
 }
 
 /// Two old programs live: a new one waits, and acquires a lock once one of them has ended.
 #[test]
 fn new_program_waits_while_old_ones_hold_both_locks() {
-    let scratch = Scratch::new("waits");
+    let folder = TestFolder::new("waits");
     let locks = [0, 1].map(|n| {
         held(
-            &scratch.0.join(format!("mothwinch-n.seat{n}")),
+            &folder.0.join(format!("mothwinch-n.seat{n}")),
             b"leaving        \n",
         )
     });
-    let mut new = InstanceLock::new(&scratch.0, "n");
+    let mut new = InstanceLock::new(&folder.0, "n");
     new.try_acquire(ProcessState::default(), &log());
     assert!(!new.may_accept_clients());
     let [first, second] = locks;
@@ -230,11 +230,11 @@
 /// Shares that an old program holds are not acquired, and those that it releases are.
 #[test]
 fn shares_that_an_old_program_holds_are_left_to_it() {
-    let scratch = Scratch::new("shares");
-    let path = |n: u32| scratch.0.join(format!("mothwinch-n.part{n}"));
+    let folder = TestFolder::new("shares");
+    let path = |n: u32| folder.0.join(format!("mothwinch-n.part{n}"));
     let mut old: Vec<File> = (0..6).map(|n| held(&path(n), b"")).collect();
-    let new = locked(&scratch.0, "n", ProcessState::default());
-    let mut shares = ResourceShareLocks::new(&scratch.0, "n", &new);
+    let new = locked(&folder.0, "n", ProcessState::default());
+    let mut shares = ResourceShareLocks::new(&folder.0, "n", &new);
     assert_eq!(
         shares.update(
             ProcessState::Serving,
