--- a/crates/fleet-cli/src/report.rs
+++ b/crates/fleet-cli/src/report.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use fleet_runtime::QueryReply;
-use membership::{Record, Said, Standing};
+use membership::{AdvertisedStatus, Liveness, MemberRecord};
 use serde::Serialize;
 
 /// A member of the fleet as another member knows it.
@@ -67,27 +67,27 @@
 }
 
 /// The name of a member's state: `suspected`, `gone`, `left`, or the status that it advertises.
-pub fn state_name(record: &Record) -> &'static str {
-    match (record.word.standing, record.word.said) {
-        (_, Said::Left) => "left",
-        (Standing::Gone, _) => "gone",
-        (Standing::Suspected, _) => "suspected",
-        (Standing::Present, Said::Joining) => "joining",
-        (Standing::Present, Said::Up) => "up",
-        (Standing::Present, Said::Quiesced) => "quiesced",
-        (Standing::Present, Said::Leaving) => "leaving",
+pub fn state_name(record: &MemberRecord) -> &'static str {
+    match (record.state.liveness, record.state.status) {
+        (_, AdvertisedStatus::Left) => "left",
+        (Liveness::Dead, _) => "gone",
+        (Liveness::Suspect, _) => "suspected",
+        (Liveness::Alive, AdvertisedStatus::Joining) => "joining",
+        (Liveness::Alive, AdvertisedStatus::Up) => "up",
+        (Liveness::Alive, AdvertisedStatus::Quiesced) => "quiesced",
+        (Liveness::Alive, AdvertisedStatus::Leaving) => "leaving",
     }
 }
 
-impl From<&Record> for MemberReport {
-    fn from(record: &Record) -> MemberReport {
+impl From<&MemberRecord> for MemberReport {
+    fn from(record: &MemberRecord) -> MemberReport {
         MemberReport {
             state: state_name(record),
             site: record.site.to_string(),
-            incarnation: record.word.life,
-            version: record.word.incarnation,
-            address: record.at,
-            client_address: record.serves,
+            incarnation: record.state.incarnation,
+            version: record.state.version,
+            address: record.address,
+            client_address: record.client_address,
         }
     }
 }
@@ -97,12 +97,12 @@
         let summary = &reply.summary;
         ViewReport {
             observer: reply.responder.name.to_string(),
-            partition_status: summary.conclusion.to_string(),
-            for_ms: summary.for_ms,
+            partition_status: summary.partition_status.to_string(),
+            for_ms: summary.status_age_ms,
             digest: format!("{:016x}", summary.digest),
             present: summary.present,
             lost: summary.lost,
-            health: summary.health,
+            health: summary.local_health,
             dropped: summary.dropped,
             members: reply
                 .members
--- a/crates/fleet-runtime/src/actor/commands.rs
+++ b/crates/fleet-runtime/src/actor/commands.rs
@@ -21,7 +21,7 @@
             }
             ActorCommand::SetClientAddress(address) => {
                 let address = self.config.serves.unwrap_or(address);
-                self.membership.serve_at(Some(address), now);
+                self.membership.set_client_address(Some(address), now);
             }
             ActorCommand::ReloadConfig(config) => self.reload_config(*config),
             ActorCommand::SetSiblingRunning(is_running) => self.set_sibling_running(is_running),
@@ -83,7 +83,7 @@
             let mut draw = random_index(&mut self.rng);
             self.membership.leave(now, &mut draw, &mut effects);
         } else {
-            self.membership.hush();
+            self.membership.mute();
         }
         self.apply_effects(effects);
     }
--- a/crates/fleet-runtime/src/actor/mod.rs
+++ b/crates/fleet-runtime/src/actor/mod.rs
@@ -18,7 +18,7 @@
 
 use arc_swap::ArcSwap;
 use crossbeam_channel::Receiver;
-use membership::{Conclusion, Name, Said, View};
+use membership::{AdvertisedStatus, MembershipView, Name, PartitionStatus};
 use mio::{Events, Poll, Token};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -47,7 +47,7 @@
 /// The state of the actor's thread. Times that the protocols see count from `started_at`.
 struct FleetActor {
     config: Config,
-    membership: View,
+    membership: MembershipView,
     poll: Poll,
     socket: FleetSocket,
     started_at: Instant,
@@ -62,7 +62,7 @@
     aggregation: Option<Aggregation>,
     ledger_health: HealthEvaluator,
     /// The status that the process set.
-    process_status: Said,
+    process_status: AdvertisedStatus,
     /// Whether the process is advertised as quiesced because only this node can't reach the ledger.
     is_withdrawn: bool,
     snapshot: Arc<ArcSwap<MembershipSnapshot>>,
@@ -70,7 +70,7 @@
     /// When the next snapshot is due; `None` while nothing has changed.
     publish_at: Option<Instant>,
     /// The partition status when it was last logged.
-    partition_status: Conclusion,
+    partition_status: PartitionStatus,
     /// Whether another process had this member's name when that was last logged.
     is_superseded: bool,
     log: Logger,
@@ -149,7 +149,7 @@
         let budgets = self.budgets.as_ref().map(Budgets::next_timeout);
         let aggregation = self.aggregation.as_ref().map(|a| a.node.next_timeout());
         let now = self.now();
-        [Some(self.membership.next()), budgets, aggregation]
+        [Some(self.membership.next_deadline()), budgets, aggregation]
             .into_iter()
             .flatten()
             .map(|due_at| due_at.saturating_sub(now))
@@ -158,12 +158,12 @@
 
     fn run_membership_timers(&mut self) {
         let now = self.now();
-        if !self.socket.is_open() || self.membership.next() > now {
+        if !self.socket.is_open() || self.membership.next_deadline() > now {
             return;
         }
         let mut effects = Vec::new();
         let mut draw = random_index(&mut self.rng);
-        self.membership.tick(now, &mut draw, &mut effects);
+        self.membership.handle_timers(now, &mut draw, &mut effects);
         drop(draw);
         self.apply_effects(effects);
     }
--- a/crates/fleet-runtime/src/actor/publishing.rs
+++ b/crates/fleet-runtime/src/actor/publishing.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use membership::{Name, Record, Said, Standing};
+use membership::{AdvertisedStatus, Liveness, MemberRecord, Name};
 use slog::{debug, info};
 
 use crate::snapshot::MembershipSnapshot;
@@ -43,7 +43,7 @@
     }
 
     /// Logs a change of a member's status, unless it is the state that was last published.
-    pub(super) fn log_member_change(&self, record: &Record) {
+    pub(super) fn log_member_change(&self, record: &MemberRecord) {
         let published = self.snapshot.load();
         let previous = published.member(&record.name).map(LoggedState::from);
         let current = LoggedState::from(record);
@@ -51,24 +51,24 @@
             return;
         }
         let liveness = match current.liveness {
-            Standing::Present => "alive",
-            Standing::Suspected => "suspect",
-            Standing::Gone => "dead",
+            Liveness::Alive => "alive",
+            Liveness::Suspect => "suspect",
+            Liveness::Dead => "dead",
         };
         // Members become suspect and alive again by the loss of a few datagrams alone.
-        let is_refuted = current.liveness == Standing::Present
-            && previous.is_some_and(|previous| previous.liveness == Standing::Suspected);
-        if current.liveness == Standing::Suspected || is_refuted {
+        let is_refuted = current.liveness == Liveness::Alive
+            && previous.is_some_and(|previous| previous.liveness == Liveness::Suspect);
+        if current.liveness == Liveness::Suspect || is_refuted {
             debug!(self.log, "member"; "name" => &*record.name, "status" => ?current.status,
                 "liveness" => liveness);
         } else {
             info!(self.log, "member"; "name" => &*record.name, "status" => ?current.status,
-                "liveness" => liveness, "at" => %record.at, "incarnation" => current.incarnation);
+                "liveness" => liveness, "at" => %record.address, "incarnation" => current.incarnation);
         }
     }
 
     pub(super) fn log_supersession_change(&mut self) {
-        if self.membership.succeeded() == self.is_superseded {
+        if self.membership.is_superseded() == self.is_superseded {
             return;
         }
         self.is_superseded = !self.is_superseded;
@@ -81,39 +81,39 @@
     }
 
     pub(super) fn log_partition_status_change(&mut self) {
-        let status = self.membership.conclusion().0;
+        let status = self.membership.partition_status();
         if status == self.partition_status {
             return;
         }
         self.partition_status = status;
         let sites: BTreeSet<Name> = self.membership.sites();
         let sites: Vec<&str> = sites.iter().map(|site| &**site).collect();
-        info!(self.log, "membership"; "partition_status" => status.name(),
-            "present" => self.membership.present(), "lost" => self.membership.lost(),
+        info!(self.log, "membership"; "partition_status" => status.as_str(),
+            "present" => self.membership.present_count(), "lost" => self.membership.lost_count(),
             "sites" => sites.join(" "));
         self.schedule_publication();
     }
 }
 
 /// Whether a member is present and serves clients.
-pub(super) fn serves_clients(record: &Record) -> bool {
-    record.serves.is_some() && record.word.present()
+pub(super) fn serves_clients(record: &MemberRecord) -> bool {
+    record.client_address.is_some() && record.state.is_present()
 }
 
 /// What of a member's record is worth a line in the log.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct LoggedState {
     incarnation: u64,
-    status: Said,
-    liveness: Standing,
+    status: AdvertisedStatus,
+    liveness: Liveness,
 }
 
-impl From<&Record> for LoggedState {
-    fn from(record: &Record) -> LoggedState {
+impl From<&MemberRecord> for LoggedState {
+    fn from(record: &MemberRecord) -> LoggedState {
         LoggedState {
-            incarnation: record.word.life,
-            status: record.word.said,
-            liveness: record.word.standing,
+            incarnation: record.state.incarnation,
+            status: record.state.status,
+            liveness: record.state.liveness,
         }
     }
 }
--- a/crates/fleet-runtime/src/actor/socket.rs
+++ b/crates/fleet-runtime/src/actor/socket.rs
@@ -93,7 +93,7 @@
 
     /// Sends a datagram. One that can't be sent counts as lost, which the protocols tolerate.
     pub(super) fn send(&self, to: SocketAddr, mut packet: Packet) {
-        if let Body::Answer { summary, .. } = &mut packet.body {
+        if let Body::QueryReply { summary, .. } = &mut packet.body {
             summary.dropped = self.dropped_datagrams;
         }
         let Some(socket) = &self.socket else {
--- a/crates/fleet-runtime/src/actor/spawn.rs
+++ b/crates/fleet-runtime/src/actor/spawn.rs
@@ -9,7 +9,9 @@
 
 use arc_swap::ArcSwap;
 use crossbeam_channel::bounded;
-use membership::{word, Name, Record, Said, Standing, View};
+use membership::{
+    member_state, AdvertisedStatus, Liveness, MemberRecord, MemberState, MembershipView, Name,
+};
 use mio::{Poll, Waker};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -59,7 +61,7 @@
     let seed = RandomState::new().hash_one(&member.name);
     let identity = Identity {
         name: member.name,
-        incarnation: word::life(unix_time_ms(), seed),
+        incarnation: member_state::new_incarnation(unix_time_ms(), seed),
     };
     let started_at = Instant::now();
     let quotas: Vec<(Name, QuotaHandle)> = config
@@ -84,7 +86,7 @@
         quotas,
     };
     let actor = FleetActor {
-        partition_status: membership.conclusion().0,
+        partition_status: membership.partition_status(),
         budgets: new_budgets(&config, &identity),
         aggregation: member
             .shared_counters
@@ -99,7 +101,7 @@
         quotas: handle.quotas.clone(),
         budget_leader: None,
         ledger_health: HealthEvaluator::default(),
-        process_status: Said::Joining,
+        process_status: AdvertisedStatus::Joining,
         is_withdrawn: false,
         snapshot: handle.snapshot.clone(),
         on_change,
@@ -133,21 +135,21 @@
     identity: &Identity,
     address: SocketAddr,
     client_address: Option<SocketAddr>,
-) -> View {
-    let record = Record {
+) -> MembershipView {
+    let record = MemberRecord {
         name: identity.name.clone(),
         site: config.site.clone(),
-        at: config.advertise.unwrap_or(address),
-        serves: config.serves.or(client_address),
-        word: word::Word {
-            life: identity.incarnation,
-            incarnation: 0,
-            said: Said::Joining,
-            standing: Standing::Present,
+        address: config.advertise.unwrap_or(address),
+        client_address: config.serves.or(client_address),
+        state: MemberState {
+            incarnation: identity.incarnation,
+            version: 0,
+            status: AdvertisedStatus::Joining,
+            liveness: Liveness::Alive,
         },
-        by: 0,
+        suspected_by: 0,
     };
-    View::new(
+    MembershipView::new(
         config.settings.clone(),
         config.fleet.clone(),
         record,
--- a/crates/fleet-runtime/src/config/mod.rs
+++ b/crates/fleet-runtime/src/config/mod.rs
@@ -139,18 +139,18 @@
 fn membership_settings(file: &FleetFile) -> Settings {
     let mut settings = Settings::default();
     if let Some(ms) = file.period_ms {
-        settings.period = Duration::from_millis(ms);
-        settings.gossip = settings.period / 5;
-        settings.answer = settings.period * 6 / 25;
+        settings.probe_interval = Duration::from_millis(ms);
+        settings.gossip_interval = settings.probe_interval / 5;
+        settings.probe_timeout = settings.probe_interval * 6 / 25;
     }
     if let Some(ms) = file.answer_ms {
-        settings.answer = Duration::from_millis(ms);
+        settings.probe_timeout = Duration::from_millis(ms);
     }
     if let Some(seconds) = file.forget_s {
-        settings.forget = Duration::from_secs(seconds);
+        settings.tombstone_retention = Duration::from_secs(seconds);
     }
     if let Some(members) = file.members {
-        settings.members = members;
+        settings.max_members = members;
     }
     settings
 }
