--- a/src/actors.rs
+++ b/src/actors.rs
@@ -126,11 +126,7 @@
             .filter(|_| self.shares_tenant_counts)?;
         Some(FleetCounters {
             own: counters.in_flight(),
-            read_others: Box::new(move |keys| {
-                counters
-                    .in_flight_elsewhere(keys)
-                    .map(|others| (others.node_count, others.requests))
-            }),
+            read_others: Box::new(move |keys| counters.in_flight_elsewhere(keys)),
         })
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -9,7 +9,7 @@
 mod signals;
 mod startup;
 
-use std::fmt::Display;
+use std::error::Error;
 use std::process::ExitCode;
 
 use clap::Parser;
@@ -34,43 +34,29 @@
 }
 
 /// Runs a node until it has shut down.
-fn serve(cli: &Cli) -> Result<ExitCode, String> {
-    let node = startup::start_node(cli).map_err(to_text)?;
-    node.run().map_err(to_text)
+fn serve(cli: &Cli) -> Result<ExitCode, Box<dyn Error>> {
+    let node = startup::start_node(cli)?;
+    Ok(node.run()?)
 }
 
-fn run_command(command: &Command) -> Result<ExitCode, String> {
+fn run_command(command: &Command) -> Result<ExitCode, Box<dyn Error>> {
     match command {
-        Command::Cells(command) => print_output(cells_cli::run(command)),
-        Command::Fleet(command) => print_output(fleet_cli::run(command)),
+        Command::Cells(command) => print!("{}", cells_cli::run(command)?),
+        Command::Fleet(command) => print!("{}", fleet_cli::run(command)?),
         Command::Faults { file } => {
-            let script = fault_testbed::script::Script::read(file).map_err(to_text)?;
-            script.play(true).map_err(to_text)?;
-            Ok(ExitCode::SUCCESS)
+            let script = fault_testbed::script::Script::read(file)?;
+            script.play(true)?;
         }
-        Command::Demo(demo) => run_demo(demo),
-        Command::Route { file } => route::run_router(file).map_err(to_text),
+        Command::Demo(demo) => run_demo(demo)?,
+        Command::Route { file } => route::run_router(file)?,
     }
-}
-
-fn print_output<E: Display>(output: Result<String, E>) -> Result<ExitCode, String> {
-    print!("{}", output.map_err(to_text)?);
     Ok(ExitCode::SUCCESS)
 }
 
-fn run_demo(demo: &fault_testbed::demo::Demo) -> Result<ExitCode, String> {
+fn run_demo(demo: &fault_testbed::demo::Demo) -> Result<(), Box<dyn Error>> {
     let limits = Limits::new(COMMAND_DESCRIPTORS);
-    let signals = Signals::listen(limits.stack_bytes).map_err(to_text)?;
+    let signals = Signals::listen(limits.stack_bytes)?;
     let is_stopped = || signals.shut_down.try_recv().is_ok();
-    fault_testbed::demo::run(demo, is_stopped).map_err(to_text)?;
-    Ok(ExitCode::SUCCESS)
-}
-
-/// The text of an error, as the program ends with it.
-#[expect(
-    clippy::needless_pass_by_value,
-    reason = "an argument of `map_err`, which passes errors by value"
-)]
-fn to_text(error: impl Display) -> String {
-    error.to_string()
+    fault_testbed::demo::run(demo, is_stopped)?;
+    Ok(())
 }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -3,12 +3,13 @@
 use std::sync::Arc;
 
 use crossbeam_channel::Sender;
+use fleet_runtime::InFlightElsewhere;
 use shared_state::AtomicSketchCounters;
 
 use super::messages::{DatabaseCall, ExecutorCommand};
 
-/// Reads how many nodes are counted, and what the others have in flight for each of these keys, while that is known.
-type ReadOthers = dyn Fn(&[u64]) -> Option<(u32, Vec<u32>)> + Send;
+/// Reads the other nodes' counts for each of these keys, while they are known.
+type ReadOthers = dyn Fn(&[u64]) -> Option<InFlightElsewhere> + Send;
 
 /// Counts of requests in flight by tenant, where the fleet shares them.
 pub struct FleetCounters {
--- a/src/node/policy_actor/quotas.rs
+++ b/src/node/policy_actor/quotas.rs
@@ -52,11 +52,17 @@
             return;
         }
         self.uses_other_counts = counts.is_some();
-        let (nodes, in_flight) = counts.unwrap_or_default();
-        let in_flight = in_flight.into_iter().map(f64::from).collect();
-        self.queue_event(Event::FleetLoad {
-            servers: f64::from(nodes),
-            in_flight_elsewhere: in_flight,
-        });
+        // An event without servers says that the counts are not known any more.
+        let event = counts.map_or(
+            Event::FleetLoad {
+                servers: 0.0,
+                in_flight_elsewhere: Vec::new(),
+            },
+            |counts| Event::FleetLoad {
+                servers: f64::from(counts.node_count),
+                in_flight_elsewhere: counts.requests.into_iter().map(f64::from).collect(),
+            },
+        );
+        self.queue_event(event);
     }
 }
--- a/src/route.rs
+++ b/src/route.rs
@@ -2,7 +2,6 @@
 
 use std::io;
 use std::path::Path;
-use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use crossbeam_channel::{bounded, select};
@@ -16,7 +15,7 @@
 use crate::startup::{logger, StartError};
 
 /// Runs the router that this file configures.
-pub(crate) fn run_router(file: &Path) -> Result<ExitCode, StartError> {
+pub(crate) fn run_router(file: &Path) -> Result<(), StartError> {
     let config = Config::read(file)?;
     let log = logger("router");
     // Waiting for signals takes the same stack as in any node.
@@ -42,8 +41,7 @@
             recv(ended) -> result => {
                 let thread_ended = || Err(io::Error::other("the router's thread has ended"));
                 let result = result.unwrap_or_else(|_| thread_ended());
-                result.map_err(StartError::system("poll"))?;
-                return Ok(ExitCode::SUCCESS);
+                return result.map_err(StartError::system("poll"));
             }
         }
     }
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -151,8 +151,8 @@
     let status = context.status.clone();
     let policy = context.policy.clone();
     let mut node = Node {
-        limits,
         config,
+        limits,
         status,
         policy,
         actors,
