--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -18,7 +18,10 @@
 use membership::Said;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
-use routing::{After, End, Presence, Refusal, Request, Route, Router, Rules, Ticket};
+use routing::{
+    AttemptOutcome, Availability, Rejection, Request, RetryDecision, RouteDecision, Router,
+    RoutingSettings, Ticket,
+};
 use slog::{debug, info, o, warn, Logger};
 
 use crate::config::Config;
@@ -130,7 +133,12 @@
 
 impl RouterLoop {
     /// Binds the listener.
-    pub fn bind(config: Config, rules: Rules, seed: u64, log: &Logger) -> io::Result<RouterLoop> {
+    pub fn bind(
+        config: Config,
+        rules: RoutingSettings,
+        seed: u64,
+        log: &Logger,
+    ) -> io::Result<RouterLoop> {
         let poll = Poll::new()?;
         let mut listener = TcpListener::bind(config.listen)?;
         poll.registry()
@@ -519,7 +527,7 @@
         if call.method == "alive" {
             c.session.record_message(now);
             let time = self.time(now);
-            let up = |node| self.nodes.presence(node, time) != Presence::Away;
+            let up = |node| self.nodes.presence(node, time) != Availability::Unavailable;
             let ready = self.nodes.addresses.keys().any(|node| up(node));
             let line =
                 format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"result\":{{\"ready\":{ready}}}}}\n");
@@ -571,7 +579,7 @@
         let request = Request {
             tenant: fields.acct.unwrap_or("").into(),
             subject: fields.obj.map(Into::into),
-            once: class.once,
+            is_idempotent: !class.once,
             deadline: self.time(now) + left,
         };
         let open = Open {
@@ -589,23 +597,27 @@
         let nodes = &self.nodes;
         let (ticket, route) =
             self.router
-                .arrive(request, &self.map, |n| nodes.presence(n, time), time);
+                .route_request(request, &self.map, |n| nodes.presence(n, time), time);
         self.timers.push(Reverse((open.deadline, ticket)));
         self.open.insert(ticket, open);
         self.handle.counts.open.store(self.open.len(), SeqCst);
         self.route(ticket, route, now);
     }
 
-    fn route(&mut self, ticket: Ticket, route: Route, now: Instant) {
+    fn route(&mut self, ticket: Ticket, route: RouteDecision, now: Instant) {
         match route {
-            Route::Send(node) => self.send(ticket, &node, now),
-            Route::Wait => {}
-            Route::Refuse(why) => {
+            RouteDecision::Forward(node) => self.send(ticket, &node, now),
+            RouteDecision::Queue => {}
+            RouteDecision::Reject(why) => {
                 let (what, backoff) = match why {
-                    Refusal::NoCell => ("refused: no cell serves this tenant", None),
-                    Refusal::NoNode(stay) => ("refused: no node of its cell is there", Some(stay)),
-                    Refusal::Full(stay) => ("refused: too many wait for its cell", Some(stay)),
-                    Refusal::TooLate => ("refused: its time is over", None),
+                    Rejection::NoCell => ("refused: no cell serves this tenant", None),
+                    Rejection::NoNode { retry_after: stay } => {
+                        ("refused: no node of its cell is there", Some(stay))
+                    }
+                    Rejection::QueueFull { retry_after: stay } => {
+                        ("refused: too many wait for its cell", Some(stay))
+                    }
+                    Rejection::DeadlinePassed => ("refused: its time is over", None),
                 };
                 self.handle.counts.refused.fetch_add(1, SeqCst);
                 self.refuse(ticket, what, backoff, now);
@@ -644,7 +656,7 @@
 
     fn send(&mut self, ticket: Ticket, node: &Name, now: Instant) {
         let Some(link) = self.link_to(node) else {
-            return self.ended(ticket, End::NotSent, None, None, now);
+            return self.ended(ticket, AttemptOutcome::NotSent, None, None, now);
         };
         let Some(open) = self.open.get_mut(&ticket) else {
             return;
@@ -783,11 +795,11 @@
             return;
         }
         let end = match code {
-            None => End::Served,
-            Some(REFUSED) => End::Refused {
-                last: told.last == Some(1),
+            None => AttemptOutcome::Served,
+            Some(REFUSED) => AttemptOutcome::Rejected {
+                is_final: told.last == Some(1),
             },
-            Some(_) => End::Failed,
+            Some(_) => AttemptOutcome::Failed,
         };
         let Some(id) = self.open.get(&ticket).map(|open| open.id) else {
             // Given up at its deadline: its place is free now.
@@ -812,7 +824,11 @@
             if ticket != HEALTH {
                 self.ended(
                     ticket,
-                    if taken { End::Lost } else { End::NotSent },
+                    if taken {
+                        AttemptOutcome::Lost
+                    } else {
+                        AttemptOutcome::NotSent
+                    },
                     None,
                     None,
                     now,
@@ -825,14 +841,14 @@
     fn ended(
         &mut self,
         ticket: Ticket,
-        end: End,
+        end: AttemptOutcome,
         hint: Option<f64>,
         answer: Option<String>,
         now: Instant,
     ) {
         let time = self.time(now);
         let nodes = &self.nodes;
-        let after = self.router.ended(
+        let after = self.router.finish_attempt(
             ticket,
             end,
             hint,
@@ -845,17 +861,17 @@
         };
         let id = open.id;
         match after {
-            After::Again(node) => {
+            RetryDecision::Retry(node) => {
                 self.handle.counts.again.fetch_add(1, SeqCst);
                 self.send(ticket, &node, now);
             }
-            After::Answer => {
+            RetryDecision::ReturnAnswer => {
                 self.handle.counts.answered.fetch_add(1, SeqCst);
                 let line =
                     answer.unwrap_or_else(|| message::error(Some(id), -32000, "failed", None));
                 self.answer(ticket, &line, now);
             }
-            After::MayHaveRun => {
+            RetryDecision::MayHaveRun => {
                 self.handle.counts.may_have_run.fetch_add(1, SeqCst);
                 self.answer(
                     ticket,
@@ -863,7 +879,7 @@
                     now,
                 );
             }
-            After::NeverRan(stay) => {
+            RetryDecision::NeverRan { retry_after: stay } => {
                 self.handle.counts.refused.fetch_add(1, SeqCst);
                 self.refuse(ticket, "refused: no node could be reached", Some(stay), now);
             }
@@ -882,13 +898,13 @@
             return;
         };
         let a_second = |count: u64| count * 1000 / BEAT.as_millis() as u64;
-        let (spent, asked) = self.router.budgets().take_counts();
+        let usage = self.router.retry_budgets().take_usage();
         // What was wanted a moment ago may be wanted again before a part that went could come back.
-        self.tries_wanted = (a_second(asked) + 1).max(self.tries_wanted / 2);
+        self.tries_wanted = (a_second(usage.requested) + 1).max(self.tries_wanted / 2);
         let limit = tries.limit();
-        tries.uses(a_second(spent).min(limit), self.tries_wanted);
+        tries.uses(a_second(usage.sent).min(limit), self.tries_wanted);
         let now = self.time(now);
-        self.router.budgets().set_part(Some(limit), now);
+        self.router.retry_budgets().set_quota(Some(limit), now);
     }
     /// What is done each beat; where no view tells who is there, a health check for each node, on a connection of its own.
     fn beats(&mut self, now: Instant) {
@@ -976,8 +992,12 @@
                 continue;
             };
             // One that waits was never sent, and others before it in the line may have longer than it has.
-            if self.router.give_up(ticket) {
-                self.route(ticket, Route::Refuse(Refusal::TooLate), now);
+            if self.router.remove_queued(ticket) {
+                self.route(
+                    ticket,
+                    RouteDecision::Reject(Rejection::DeadlinePassed),
+                    now,
+                );
                 continue;
             }
             if open.link.is_some() {
@@ -998,7 +1018,7 @@
             let nodes = &self.nodes;
             let next = self
                 .router
-                .next(&self.map, |n| nodes.presence(n, time), time);
+                .route_next_queued(&self.map, |n| nodes.presence(n, time), time);
             let Some((ticket, route)) = next else { return };
             self.route(ticket, route, now);
         }
--- a/crates/router/src/nodes.rs
+++ b/crates/router/src/nodes.rs
@@ -9,7 +9,7 @@
 use cells::map::{CellMap, Name};
 use fleet_runtime::{Handle, Seen};
 use membership::{Conclusion, Standing};
-use routing::{Checks, Presence};
+use routing::{Availability, HealthChecks};
 
 /// Between two health checks of a node.
 pub(crate) const BEAT: Duration = Duration::from_millis(200);
@@ -17,18 +17,18 @@
 const HOLDS: Duration = Duration::from_secs(1);
 
 pub(crate) struct Nodes {
-    checks: Checks,
+    checks: HealthChecks,
     view: Option<(Handle, Arc<Seen>)>,
     /// Where they are by the file of cells, and where they are now.
     by_file: HashMap<Name, SocketAddr>,
     pub addresses: HashMap<Name, SocketAddr>,
-    logged: BTreeMap<Name, Presence>,
+    logged: BTreeMap<Name, Availability>,
 }
 
 impl Nodes {
     pub(crate) fn new() -> Nodes {
         Nodes {
-            checks: Checks::new(HOLDS),
+            checks: HealthChecks::new(HOLDS),
             view: None,
             by_file: HashMap::new(),
             addresses: HashMap::new(),
@@ -82,7 +82,7 @@
                     .member(name)
                     .is_some_and(membership::Record::takes_requests)
                 {
-                    self.checks.heard(name, true, now);
+                    self.checks.record(name, true, now);
                 }
             }
         }
@@ -100,23 +100,23 @@
     }
     /// A health check was answered.
     pub(crate) fn checked(&mut self, node: &Name, ready: bool, now: Duration) {
-        self.checks.heard(node, ready, now);
+        self.checks.record(node, ready, now);
     }
     /// How a node stands.
-    pub(crate) fn presence(&self, node: &str, now: Duration) -> Presence {
+    pub(crate) fn presence(&self, node: &str, now: Duration) -> Availability {
         let Some(seen) = self.by_view() else {
-            return self.checks.presence(node, now);
+            return self.checks.availability(node, now);
         };
         match seen.member(node).filter(|r| r.takes_requests()) {
-            Some(r) if r.word.standing == Standing::Suspected => Presence::Doubtful,
-            Some(_) => Presence::There,
-            None => Presence::Away,
+            Some(r) if r.word.standing == Standing::Suspected => Availability::Suspect,
+            Some(_) => Availability::Available,
+            None => Availability::Unavailable,
         }
     }
     /// Nodes that stand otherwise than when this was last asked.
-    pub(crate) fn changed(&mut self, now: Duration) -> Vec<(Name, Presence)> {
+    pub(crate) fn changed(&mut self, now: Duration) -> Vec<(Name, Availability)> {
         let names: Vec<Name> = self.by_file.keys().cloned().collect();
-        let is: Vec<(Name, Presence)> = names
+        let is: Vec<(Name, Availability)> = names
             .into_iter()
             .map(|n| (n.clone(), self.presence(&n, now)))
             .collect();
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use router::{Config, ConfigError, Handle, RouterLoop};
-use routing::Rules;
+use routing::RoutingSettings;
 use serde_json::{json, Value};
 use slog::{o, Discard, Logger};
 
@@ -111,8 +111,13 @@
         );
         std::fs::write(dir.join("router.json5"), file).expect("a file");
         let config = Config::read(&dir.join("router.json5")).expect("a configuration");
-        let router = RouterLoop::bind(config, Rules::default(), 7, &Logger::root(Discard, o!()))
-            .expect("a router");
+        let router = RouterLoop::bind(
+            config,
+            RoutingSettings::default(),
+            7,
+            &Logger::root(Discard, o!()),
+        )
+        .expect("a router");
         let handle = router.handle();
         let running = Some(thread::spawn(move || router.run()));
         let fleet = Fleet {
--- /dev/null
+++ b/crates/routing/src/node_selection.rs
@@ -0,0 +1,168 @@
+//! Selects the node for an attempt: of two random candidates the one with less load for its capacity.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use cells::{Name, Node};
+
+use crate::outlier::{EjectionState, OutlierDetector};
+use crate::request::AttemptOutcome;
+use crate::settings::RoutingSettings;
+
+/// The range that a node's capacity hint is limited to.
+const HINT_RANGE: (f64, f64) = (0.05, 4.0);
+
+/// What the selection leads to.
+pub(crate) enum Selection {
+    /// This node.
+    Node(Name),
+    /// All nodes have as many requests in flight as they may.
+    AllBusy,
+    /// No node is available.
+    NoneAvailable,
+}
+
+#[derive(Clone, Debug, Default)]
+struct NodeLoad {
+    in_flight: usize,
+    /// The fraction of the usual traffic that the node wants, as it last reported.
+    hint: Option<f64>,
+}
+
+/// A node that may be selected.
+struct Candidate<'a> {
+    name: &'a Name,
+    /// The load that one request more leads to, relative to the node's capacity.
+    relative_load: f64,
+}
+
+/// The load of the nodes, and the outliers among them.
+#[derive(Debug)]
+pub(crate) struct NodeSelector {
+    max_in_flight_per_node: usize,
+    max_ejected_fraction: f64,
+    loads: BTreeMap<Name, NodeLoad>,
+    outliers: OutlierDetector,
+    random_state: u64,
+}
+
+impl NodeSelector {
+    pub(crate) fn new(settings: &RoutingSettings, seed: u64) -> NodeSelector {
+        NodeSelector {
+            max_in_flight_per_node: settings.max_in_flight_per_node,
+            max_ejected_fraction: settings.outliers.max_ejected_fraction,
+            loads: BTreeMap::new(),
+            outliers: OutlierDetector::new(settings.outliers.clone()),
+            random_state: seed,
+        }
+    }
+
+    pub(crate) fn in_flight(&self, node: &str) -> usize {
+        self.loads.get(node).map_or(0, |load| load.in_flight)
+    }
+
+    pub(crate) fn ejection_state(&self, node: &str, now: Duration) -> EjectionState {
+        self.outliers.state(node, now)
+    }
+
+    /// Records that an attempt is sent to a node.
+    pub(crate) fn begin_attempt(&mut self, node: &Name) {
+        self.loads.entry(node.clone()).or_default().in_flight += 1;
+    }
+
+    /// Records that an attempt at a node has ended, with the capacity hint of its answer.
+    pub(crate) fn finish_attempt(
+        &mut self,
+        node: &Name,
+        outcome: AttemptOutcome,
+        hint: Option<f64>,
+        now: Duration,
+    ) {
+        let load = self.loads.entry(node.clone()).or_default();
+        load.in_flight = load.in_flight.saturating_sub(1);
+        let valid_hint = hint.filter(|hint| hint.is_finite() && *hint >= 0.0);
+        load.hint = valid_hint.or(load.hint);
+        self.outliers
+            .record_outcome(node, outcome.is_healthy(), now);
+    }
+
+    /// Selects one of some available nodes. An ejected node gets a probe now and then, which is always an idempotent
+    /// request.
+    pub(crate) fn select(
+        &mut self,
+        nodes: &[&Node],
+        is_idempotent: bool,
+        now: Duration,
+    ) -> Selection {
+        if nodes.is_empty() {
+            return Selection::NoneAvailable;
+        }
+        // With too many ejected, none of them is an outlier any more: all are used.
+        let ignores_ejections = self.ejected_fraction_is_exceeded(nodes, now);
+        let mut candidates = Vec::with_capacity(nodes.len());
+        for node in nodes {
+            let fraction = match self.outliers.state(&node.name, now) {
+                _ if ignores_ejections => 1.0,
+                EjectionState::Admitted { fraction } => fraction,
+                EjectionState::Probing if is_idempotent => {
+                    self.outliers.record_probe(&node.name, now);
+                    return Selection::Node(node.name.clone());
+                }
+                EjectionState::Probing | EjectionState::Ejected => continue,
+            };
+            candidates.extend(self.candidate(node, fraction));
+        }
+        self.select_candidate(&candidates)
+    }
+
+    fn ejected_fraction_is_exceeded(&self, nodes: &[&Node], now: Duration) -> bool {
+        let total: f64 = nodes.iter().map(|node| node.weight).sum();
+        let ejected: f64 = nodes
+            .iter()
+            .filter(|node| self.outliers.state(&node.name, now).is_ejected())
+            .map(|node| node.weight)
+            .sum();
+        ejected > total * self.max_ejected_fraction
+    }
+
+    /// The node as a candidate that gets this fraction of its usual requests; none if it is busy.
+    fn candidate<'a>(&self, node: &'a Node, fraction: f64) -> Option<Candidate<'a>> {
+        let load = self.loads.get(&node.name);
+        let in_flight = load.map_or(0, |load| load.in_flight) as f64;
+        let hint = load.and_then(|load| load.hint).unwrap_or(1.0);
+        let hint = hint.clamp(HINT_RANGE.0, HINT_RANGE.1);
+        let is_busy = in_flight >= self.max_in_flight_per_node as f64 * node.weight;
+        (!is_busy).then(|| Candidate {
+            name: &node.name,
+            relative_load: (in_flight + 1.0) / (node.weight * hint * fraction),
+        })
+    }
+
+    fn select_candidate(&mut self, candidates: &[Candidate]) -> Selection {
+        match candidates {
+            [] => Selection::AllBusy,
+            [only] => Selection::Node(only.name.clone()),
+            _ => {
+                let count = candidates.len();
+                let first = self.random_below(count);
+                let second = (first + 1 + self.random_below(count - 1)) % count;
+                let (first, second) = (&candidates[first], &candidates[second]);
+                let selected = if second.relative_load < first.relative_load {
+                    second
+                } else {
+                    first
+                };
+                Selection::Node(selected.name.clone())
+            }
+        }
+    }
+
+    /// A number below `n`, from a sequence that the seed determines (splitmix64).
+    fn random_below(&mut self, n: usize) -> usize {
+        self.random_state = self.random_state.wrapping_add(0x9E37_79B9_7F4A_7C15);
+        let mut z = self.random_state;
+        z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+        z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+        ((z ^ (z >> 31)) % n.max(1) as u64) as usize
+    }
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -25,7 +25,7 @@
 };
 use protocol_gateway::seat::{Parts, Standing};
 use router::{Config as Router, ConfigError as RouterError, RouterLoop};
-use routing::Rules;
+use routing::RoutingSettings;
 use slog::{info, o, warn, Drain, Logger};
 use socket2::Socket;
 
@@ -123,8 +123,8 @@
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default()
         .as_nanos() as u64;
-    let router =
-        RouterLoop::bind(config, Rules::default(), seed, &log).map_err(system("listen"))?;
+    let router = RouterLoop::bind(config, RoutingSettings::default(), seed, &log)
+        .map_err(system("listen"))?;
     let handle = router.handle();
     info!(log, "listening"; "at" => %handle.address);
     let (tell, ended) = bounded(1);
