--- a/crates/shared-state/src/aggregation/node.rs
+++ b/crates/shared-state/src/aggregation/node.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use membership::word::hash;
+use membership::member_state::hash_name;
 use membership::Name;
 
 use super::aggregator::Aggregator;
@@ -68,7 +68,7 @@
         let mut candidates: Vec<(u64, &Name, &Name)> = Vec::new();
         for (name, site) in members {
             count += 1;
-            let member = (hash(name), name, site);
+            let member = (hash_name(name), name, site);
             match candidates.iter_mut().find(|(_, _, s)| *s == site) {
                 Some(lowest) => *lowest = member.min(*lowest),
                 None => candidates.push(member),
--- a/src/main.rs
+++ b/src/main.rs
@@ -12,10 +12,11 @@
 use crossbeam_channel::{after, bounded, never, select, Receiver, Sender};
 use fleet_cli::Fleet;
 use fleet_runtime as fleet;
-use lifecycle::{Beside, State, Step, PARTS};
+use lifecycle::{ProcessState, SiblingProcess, Transition, TOTAL_SHARES};
 use protocol_gateway::amqp::Amqp;
+use protocol_gateway::fleet_membership::{FleetMembership, FleetMembershipOptions};
+use protocol_gateway::instance_lock::{InstanceLock, ResourceShareLocks};
 use protocol_gateway::inventory::{self, InventoryError};
-use protocol_gateway::member::Member;
 use protocol_gateway::net::jsonrpc::Front;
 use protocol_gateway::net::{database, door, executor, membership, spawn, take_address, Address};
 use protocol_gateway::node::cell_guard::CellGuardError;
@@ -23,7 +24,6 @@
 use protocol_gateway::node::{
     CellGuard, FleetCounters, Limits, NodeStatus, Peers, PolicyActor, PolicyConfig, PolicyMessage,
 };
-use protocol_gateway::seat::{Parts, Standing};
 use router::{Config as Router, ConfigError as RouterError, RouterLoop};
 use routing::RoutingSettings;
 use slog::{info, o, warn, Drain, Logger};
@@ -185,7 +185,7 @@
         .map(fleet::Config::read)
         .transpose()
         .map_err(StartError::Fleet)?;
-    let mut limits = Limits::new(config.sockets).with_memory(config.memory_mb);
+    let mut limits = Limits::new(config.descriptors).with_memory(config.memory_mb);
     let env = |name: &str| std::env::var(name).ok();
     let queues = inventory.map_or(Ok(Vec::new()), |file| {
         inventory::read(file, &config.site, &limits, env)
@@ -199,9 +199,9 @@
     let system = |what| move |e| StartError::System(what, e);
     let log = logger(&config.name);
     let signals = signals(&limits).map_err(system("signals"))?;
-    let clients = take_address(config.listen, config.door.is_some()).map_err(system("listen"))?;
+    let clients = take_address(config.listen, config.admin.is_some()).map_err(system("listen"))?;
     let door = config
-        .door
+        .admin
         .map(TcpListener::bind)
         .transpose()
         .map_err(system("door"))?;
@@ -221,11 +221,11 @@
         .is_some_and(|f| f.budgets.iter().any(|b| *b.name == *fleet::LEDGER));
     let shares = in_fleet
         .as_ref()
-        .filter(|f| f.counts || f.judgements)
+        .filter(|f| f.shares_counts || f.shares_ledger_health)
         .map(|_| fleet::Shares::default());
     let judged = in_fleet
         .as_ref()
-        .filter(|f| f.judgements)
+        .filter(|f| f.shares_ledger_health)
         .and(shares.clone());
     let guard = (budgeted || judged.is_some())
         .then(|| database::Guard::new(database::Budget::new(budgeted, judged)));
@@ -234,10 +234,16 @@
     let waiting = guard
         .clone()
         .map(|budget| Box::new(move |requests| budget.waits(requests)) as Box<_>);
-    let counts = in_fleet.as_ref().filter(|f| f.counts).and(shares.clone());
+    let counts = in_fleet
+        .as_ref()
+        .filter(|f| f.shares_counts)
+        .and(shares.clone());
     let counts = counts.map(|s| FleetCounters {
-        own: s.live(),
-        read_others: Box::new(move |keys| s.others(keys)),
+        own: s.in_flight(),
+        read_others: Box::new(move |keys| {
+            s.in_flight_elsewhere(keys)
+                .map(|others| (others.node_count, others.requests))
+        }),
     });
     let peers = Peers {
         executor: to_executor,
@@ -248,7 +254,7 @@
     let policy_config = PolicyConfig {
         site: site.clone(),
         seed: config.seed,
-        shutdown_timeout: config.stop,
+        shutdown_timeout: config.shutdown_timeout,
         limits: limits.clone(),
         cells: cells.clone(),
     };
@@ -281,7 +287,7 @@
     })
     .map_err(system("threads"))?;
     let (at, own, own_log, own_board) = (
-        config.members,
+        config.endpoint_list,
         limits.clone(),
         log.new(o!("actor" => "list")),
         node_status.clone(),
@@ -322,42 +328,45 @@
     // Where another process may serve at this address, clients must not come here before they can be served.
     let mut clients = Some(clients);
     let mut serves = None;
-    if config.door.is_none() {
+    if config.admin.is_none() {
         if let Some(clients) = clients.take() {
             serves = Some(listen(clients).map_err(system("listen"))?);
         }
     }
 
     // Where there is a door another process may stand beside this one.
-    let mut standing = config.door.map_or(Standing::Alone, |_| {
-        Standing::new(&std::env::temp_dir(), &config.name)
+    let mut instance_lock = config.admin.map_or(InstanceLock::Unavailable, |_| {
+        InstanceLock::new(&std::env::temp_dir(), &config.name)
     });
-    standing.look(node_status.process_state(), &log);
+    instance_lock.try_acquire(node_status.process_state(), &log);
     let mut divide = Divide {
-        parts: Parts::new(&std::env::temp_dir(), &config.name, &standing),
+        parts: ResourceShareLocks::new(&std::env::temp_dir(), &config.name, &instance_lock),
         node_status: node_status.clone(),
         policy: policy.clone(),
         slots: limits.front.max_connections,
         log: log.clone(),
     };
-    divide.look(&standing, front.connections());
-    let mut member = Member::new(
-        in_fleet,
-        cli.fleet.as_deref(),
-        &config.name,
-        &limits,
-        (guard, shares),
-        &log,
-    );
+    divide.look(&instance_lock, front.connections());
+    let fleet_options = FleetMembershipOptions {
+        config: in_fleet,
+        config_file: cli.fleet.clone(),
+        node_name: config.name.clone(),
+        stack_size: limits.stack_bytes,
+        ledger_guard: guard,
+        shared_counters: shares,
+    };
+    let mut member = FleetMembership::new(fleet_options, &log);
     // One that is to replace another stays out of the fleet until it takes clients: the name is the other's so long.
-    let another = |standing: &Standing| !standing.may_take() || standing.beside() != Beside::Nobody;
-    member.beside(another(&standing));
-    if standing.beside() != Beside::Taking {
+    let another = |instance_lock: &InstanceLock| {
+        !instance_lock.may_accept_clients() || instance_lock.sibling() != SiblingProcess::Absent
+    };
+    member.set_sibling_running(another(&instance_lock));
+    if instance_lock.sibling() != SiblingProcess::AcceptingClients {
         member
             .join(node_status.process_state(), serves)
             .map_err(system("fleet"))?;
     }
-    let pace = |divide: &Divide| match config.door {
+    let pace = |divide: &Divide| match config.admin {
         Some(_) if divide.whole() => after(limits.replacement.poll_interval_alone),
         Some(_) => after(limits.replacement.poll_interval),
         None => never(),
@@ -369,7 +378,7 @@
         cells,
         executor: (config.executor, to_moves),
         database,
-        list: (config.members, to_list.clone()),
+        list: (config.endpoint_list, to_list.clone()),
         log: log.clone(),
     };
     loop {
@@ -377,35 +386,35 @@
             recv(signals.leave) -> _ => break,
             recv(signals.reload) -> _ => {
                 peers.reload(&config.name, config.listen);
-                member.reload();
+                member.reload_config();
             }
             recv(node_status.executor_ready()) -> _ => up = true,
             recv(look) -> _ => {
-                standing.look(node_status.process_state(), &log);
+                instance_lock.try_acquire(node_status.process_state(), &log);
                 // Of two processes the later one leaves to the earlier what is the name's own.
-                if member.is_beside() {
-                    member.beside(another(&standing));
+                if member.is_sibling_running() {
+                    member.set_sibling_running(another(&instance_lock));
                 }
-                divide.look(&standing, front.connections());
+                divide.look(&instance_lock, front.connections());
                 look = pace(&divide);
             }
             recv(changed) -> _ => {
                 let _ = to_list.try_send(membership::Report::Changed);
-                member.say(node_status.process_state());
+                member.advertise_state(node_status.process_state());
             }
             recv(ended) -> _ => return Ok(ExitCode::FAILURE),
         }
         // Without a part it could only refuse what comes.
         let has_part =
             divide.parts.held() > 0 || began.elapsed() >= limits.replacement.first_share_timeout;
-        if up && standing.may_take() && has_part {
+        if up && instance_lock.may_accept_clients() && has_part {
             up = false;
             if let Some(clients) = clients.take() {
                 serves = Some(listen(clients).map_err(system("listen"))?);
             }
             // Said before the door says so: the platform ends the other process on the door's word.
-            standing.say(State::Serving);
-            let _ = node_status.apply_transition(Step::Taking);
+            instance_lock.publish(ProcessState::Serving);
+            let _ = node_status.apply_transition(Transition::AcceptClients);
             member
                 .join(node_status.process_state(), serves)
                 .map_err(system("fleet"))?;
@@ -413,21 +422,21 @@
         }
     }
     let told = Instant::now();
-    let beside = standing.beside();
-    let _ = node_status.apply_transition(beside.leave());
-    let replaced = beside == Beside::Taking;
-    standing.say(node_status.process_state());
+    let beside = instance_lock.sibling();
+    let _ = node_status.apply_transition(beside.shutdown_transition());
+    let replaced = beside == SiblingProcess::AcceptingClients;
+    instance_lock.publish(node_status.process_state());
     let stop = if replaced {
         limits.replaced_lifetime(&site)
     } else {
-        config.stop
+        config.shutdown_timeout
     };
     if replaced {
         info!(log, "replaced"; "time_left_ms" => stop.as_millis() as u64, "unanswered" => node_status.unanswered());
     }
     // Of a node that goes on under a successor nothing is said.
     if !replaced {
-        member.say(node_status.process_state());
+        member.advertise_state(node_status.process_state());
     }
     let _ = policy.send(if replaced {
         PolicyMessage::Replaced(stop)
@@ -456,13 +465,13 @@
         if gone || told.elapsed() >= stop {
             info!(log, "shut down"; "unanswered" => node_status.unanswered(), "unwritten" => front.open(),
                 "unsettled" => amqp.unsettled(), "ms" => told.elapsed().as_millis() as u64);
-            member.end(replaced);
+            member.leave(replaced);
             return Ok(ExitCode::SUCCESS);
         }
         select! {
             recv(after(limits.drain_poll_interval)) -> _ => {}
             recv(look) -> _ => {
-                divide.look(&standing, front.connections());
+                divide.look(&instance_lock, front.connections());
                 look = pace(&divide);
             }
             recv(signals.reload) -> _ => peers.reload(&config.name, config.listen),
@@ -473,7 +482,7 @@
 
 /// How this process and another of the node divide what the node may have, and who must hear when that changes.
 struct Divide {
-    parts: Parts,
+    parts: ResourceShareLocks,
     node_status: Arc<NodeStatus>,
     policy: Sender<PolicyMessage>,
     slots: usize,
@@ -483,15 +492,15 @@
 impl Divide {
     /// All is this process's, as nobody stands beside it.
     fn whole(&self) -> bool {
-        self.parts.held() == PARTS
+        self.parts.held() == TOTAL_SHARES
     }
     /// Looks who stands beside this process, with so many connections here.
-    fn look(&mut self, standing: &Standing, connections: usize) {
-        let taken = (connections * PARTS as usize).div_ceil(self.slots.max(1)) as u32;
+    fn look(&mut self, instance_lock: &InstanceLock, connections: usize) {
+        let taken = (connections * TOTAL_SHARES as usize).div_ceil(self.slots.max(1)) as u32;
         let used = self.node_status.used_shares().max(taken);
-        if let Some(held) = self.parts.look(
+        if let Some(held) = self.parts.update(
             self.node_status.process_state(),
-            standing.beside(),
+            instance_lock.sibling(),
             used,
             &self.log,
         ) {
@@ -530,14 +539,17 @@
             );
         }
         info!(self.log, "configuration read again"; "executor" => %config.executor, "database" => ?config.database,
-            "members" => %config.members);
+            "members" => %config.endpoint_list);
         // The actors take these at any time, so the sends end; one that is gone has ended the node already.
         if std::mem::replace(&mut self.executor.0, config.executor) != config.executor {
             let _ = self.executor.1.send(config.executor);
         }
         self.database.set(config.database);
-        if std::mem::replace(&mut self.list.0, config.members) != config.members {
-            let _ = self.list.1.send(membership::Report::To(config.members));
+        if std::mem::replace(&mut self.list.0, config.endpoint_list) != config.endpoint_list {
+            let _ = self
+                .list
+                .1
+                .send(membership::Report::To(config.endpoint_list));
         }
     }
 }
--- a/src/net/jsonrpc/server_loop.rs
+++ b/src/net/jsonrpc/server_loop.rs
@@ -6,7 +6,7 @@
 
 use client_listener::{ClientListener, ListenerCounters, ListenerSettings, LiveLimits, TimerMode};
 use crossbeam_channel::{unbounded, Sender};
-use lifecycle::share;
+use lifecycle::amount_for_shares;
 use slog::{warn, Logger};
 
 use super::answer::GOODBYE_LINE;
@@ -46,7 +46,7 @@
     }
 
     fn max_connections(&self) -> usize {
-        share(
+        amount_for_shares(
             self.max_node_connections,
             self.context.node_status.resource_shares(),
         )
