--- a/src/route.rs
+++ b/src/route.rs
@@ -8,7 +8,7 @@
 use protocol_gateway::net::spawn;
 use protocol_gateway::node::Limits;
 use router::{Config, RouterLoop};
-use routing::Rules;
+use routing::RoutingSettings;
 use slog::info;
 
 use crate::signals::Signals;
@@ -25,7 +25,7 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_nanos() as u64;
-    let router = RouterLoop::bind(config, Rules::default(), seed, &log)
+    let router = RouterLoop::bind(config, RoutingSettings::default(), seed, &log)
         .map_err(StartError::system("listen"))?;
     let handle = router.handle();
     info!(log, "listening"; "at" => %handle.address);
