--- /dev/null
+++ b/tests/golden_amqp.rs
@@ -0,0 +1,139 @@
+//! Golden properties of AMQP messages: what a node publishes for each outcome and what it hands back, as text, against
+//! the files of `tests/golden/wire/amqp`, which never change. Figures that differ from run to run stand as `#`.
+
+mod stand_ins;
+
+use std::path::Path;
+
+use amq_protocol::types::AMQPValue;
+use stand_ins::broker::{Broker, Message, POSTS, READS};
+use stand_ins::*;
+
+/// Headers whose figures differ from run to run.
+const VARIABLE: [&str; 2] = ["x-mothwinch-hint", "x-mothwinch-retry-after-ms"];
+
+fn start() -> (Broker, Node) {
+    let broker = Broker::start();
+    let node = Node::start_with(Some(&broker.inventory(8)), |config| {
+        config["settings"]["specifics"]["say"] = "off".into();
+    });
+    until("it consumes", || broker.with(|seen| seen.consumers) == 2);
+    (broker, node)
+}
+
+/// Ends the node and compares what is in the broker's hands then.
+fn check(broker: &Broker, node: &mut Node, name: &str) {
+    node.terminate();
+    assert_eq!(node.exit().code(), Some(0));
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/wire/amqp").join(name);
+    let want = std::fs::read_to_string(path).expect("a golden file");
+    let got = broker.with(|seen| {
+        assert_eq!(seen.violations, Vec::<String>::new());
+        let ready = |queue: &str| seen.ready.get(queue).into_iter().flatten().cloned().collect::<Vec<_>>();
+        let places = [
+            ("reply", seen.replies.clone()),
+            ("dead", seen.dead.clone()),
+            (READS, ready(READS)),
+            (POSTS, ready(POSTS)),
+        ];
+        let lines = places.iter().flat_map(|(place, messages)| {
+            messages.iter().map(move |message| format!("{place}: {}\n", text(message)))
+        });
+        let mut lines: Vec<String> = lines.collect();
+        lines.sort();
+        lines.concat() + &format!("acked: {}\n", seen.acked)
+    });
+    assert_eq!(got, want, "got:\n{got}");
+}
+
+/// A message on one line, its headers in the order of their names.
+fn text(message: &Message) -> String {
+    let properties = &message.properties;
+    let headers = properties.headers().iter().flat_map(|headers| headers.inner().iter());
+    let mut headers: Vec<String> = headers
+        .map(|(name, value)| match value {
+            AMQPValue::LongLongInt(_) | AMQPValue::Double(_) if VARIABLE.contains(&name.as_str()) => {
+                format!("{name}={:?}:#", value.get_type())
+            }
+            AMQPValue::LongString(text) => format!("{name}={text}"),
+            other => format!("{name}={other:?}"),
+        })
+        .collect();
+    headers.sort();
+    let field = |value: &Option<_>| value.as_ref().map_or(String::new(), ToString::to_string);
+    format!(
+        "{:.40} type={} correlation={:.40} message={:.40} reply-to={} [{}]",
+        message.body,
+        field(properties.kind()),
+        field(properties.correlation_id()),
+        field(properties.message_id()),
+        field(properties.reply_to()),
+        headers.join(" ")
+    )
+}
+
+#[test]
+fn answers_carry_their_status_reason_and_advice() {
+    let (broker, mut node) = start();
+    let answered = |count: usize| {
+        until("all are answered", || broker.with(|seen| seen.acked + seen.dead.len()) == count)
+    };
+    for (queue, name) in [(READS, "read"), (POSTS, "post")] {
+        broker.publish(queue, Message::new(&format!("serve:{name}")));
+        broker.publish(queue, Message::new(&format!("bad:{name}")));
+        broker.publish(queue, Message::new(&format!("fail:{name}")));
+    }
+    answered(6);
+    broker.publish(POSTS, Message::new("hang:given up"));
+    broker.publish(POSTS, Message::new("serve:delivered before").redelivered());
+    broker.publish(POSTS, Message::new("serve:post"));
+    answered(9);
+    check(&broker, &mut node, "answers.txt");
+}
+
+#[test]
+fn what_never_ran_is_refused_with_a_time_to_stay_away() {
+    let broker = Broker::start();
+    // A tenant of another cell is refused on whatever comes.
+    let cells = Scratch::new(
+        "cells.json5",
+        "{ version: 1, slack: 2, cells: { a: {}, b: {} }, tenants: { alpenergia: { cell: 'b' } },
+           nodes: { n3: { site: 'x', cell: 'a' }, n4: { site: 'y', cell: 'b' } } }",
+    );
+    let inventory = broker.inventory(8);
+    let mut node = Node::start_as(Some(&inventory), Some(&cells), |_| {});
+    let mut front = node.front();
+    until("there is a free value", || front.alive()["result"]["hint"].is_number());
+    broker.publish(READS, Message::new("serve:read"));
+    broker.publish(POSTS, Message::new("serve:post"));
+    until("both are answered", || broker.with(|seen| seen.acked) == 2);
+    check(&broker, &mut node, "refused.txt");
+}
+
+#[test]
+fn what_is_malformed_or_unheard_is_rejected_without_an_answer() {
+    let (broker, mut node) = start();
+    broker.publish(POSTS, Message { body: "serve:keyless".into(), ..Message::default() });
+    broker.publish(READS, Message { body: "x".repeat(9000), ..Message::new("serve:long") });
+    broker.publish(READS, Message::without_reply("fail"));
+    broker.publish(READS, Message::without_reply("serve"));
+    until("all are settled", || broker.with(|seen| seen.acked + seen.dead.len()) == 4);
+    check(&broker, &mut node, "rejected.txt");
+}
+
+#[test]
+fn what_comes_while_leaving_is_handed_back_with_its_marks() {
+    let (broker, mut node) = start();
+    broker.with(|seen| {
+        let mut again = Message::new("serve:again");
+        let mut headers = amq_protocol::types::FieldTable::default();
+        headers.insert("x-mothwinch-handed-back".into(), AMQPValue::LongLongInt(4));
+        headers.insert("x-mothwinch-copy".into(), AMQPValue::LongLongInt(9));
+        headers.insert("trace".into(), AMQPValue::LongLongInt(7));
+        again.properties = again.properties.with_headers(headers);
+        seen.push_on_cancel.push((POSTS.into(), Message::new("serve:post")));
+        seen.push_on_cancel.push((POSTS.into(), again));
+        seen.push_on_cancel.push((READS.into(), Message::new("serve:read")));
+    });
+    check(&broker, &mut node, "handed_back.txt");
+}
