--- /dev/null
+++ b/tests/golden_wire.rs
@@ -0,0 +1,363 @@
+//! Golden transcripts of the node's wires: the front ends' JSON-RPC, the executor's lines, the database's HTTP and the
+//! list's datagrams. Each file of `tests/golden/wire/node` is a script that is played against the program; the texts in
+//! it are compared byte for byte. The files never change. Steps of a script:
+//!
+//! - `set POINTER JSON`: changes a field of `config.json`; `cells FILE`: names the file of cells; `start`: starts the program.
+//! - `open PEER`: a front end connects, `send PEER TEXT`, `want PEER TEXT`: exactly this is the peer's next message.
+//! - `find PEER TEXT`: this is one of the peer's next messages. `poll PEER TEXT => TEXT`: asked again, until this is the answer.
+//! - `fill PEER TEXT`: sends the text 64 times, with numbers from 101 up for `$ID`.
+//! - `close PEER`, `closed PEER` (by the program), `signal NAME`, `exit CODE`.
+//! - `move executor`: to another address, by a new configuration. `takes MS`: the database needs so long for its call.
+//!
+//! The peers `executor`, `database` and `list` are sockets of the test's. `$NOW` is the time in Unix milliseconds, `$EARLIER` some time before. A figure
+//! that differs from run to run stands as `#`, `\r` and `\n` for themselves. Meters are answered as they are asked for.
+
+use std::collections::HashMap;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream, UdpSocket};
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::sync::mpsc::{channel, Receiver};
+use std::thread;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+use serde_json::{json, Value};
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_mothwinch");
+/// What the log says before the address that the program listens at.
+const LISTENING: &str = "listening, at: ";
+const PATIENCE: Duration = Duration::from_secs(30);
+/// How much earlier than `$NOW` is `$EARLIER`, in milliseconds.
+const EARLIER: u128 = 700;
+/// What stands before a figure that differs from run to run.
+const VARIABLE: [&str; 5] =
+    ["\"hint\":", "\"backoff\":", "\"echo\":\"", "Statement-Timeout-Ms: ", "Host: 127.0.0.1:"];
+
+fn data() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/wire")
+}
+
+/// The text with `#` for figures that differ from run to run, on one line.
+fn normalized(text: &str) -> String {
+    let mut text = text.replace('\r', "\\r").replace('\n', "\\n");
+    for marker in VARIABLE {
+        let mut from = 0;
+        while let Some(at) = text[from..].find(marker).map(|at| from + at + marker.len()) {
+            let is_figure = |c: char| c.is_ascii_digit() || ".e-".contains(c);
+            let length = text[at..].find(|c| !is_figure(c)).unwrap_or(text.len() - at);
+            if length > 0 {
+                text.replace_range(at..at + length, "#");
+            }
+            from = at;
+        }
+    }
+    text
+}
+
+fn sent(text: &str) -> Vec<u8> {
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis();
+    let text = text.replace("$NOW", &now.to_string()).replace("$EARLIER", &(now - EARLIER).to_string());
+    text.replace("\\r", "\r").replace("\\n", "\n").into_bytes()
+}
+
+/// The next line without its end; none at the end of the connection.
+fn line(from: &mut impl BufRead) -> Option<String> {
+    let mut line = String::new();
+    let read = from.read_line(&mut line).unwrap_or(0);
+    (read > 0).then(|| line.strip_suffix('\n').expect("a whole line").to_string())
+}
+
+/// A server on loopback, and the connections to it.
+fn listen() -> (SocketAddr, Receiver<TcpStream>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
+    let address = listener.local_addr().expect("loopback");
+    let (tell, streams) = channel();
+    thread::spawn(move || while listener.accept().is_ok_and(|(stream, _)| tell.send(stream).is_ok()) {});
+    (address, streams)
+}
+
+struct Peer {
+    stream: TcpStream,
+    messages: Receiver<String>,
+}
+
+impl Peer {
+    /// Reads messages by `read` until there is none.
+    fn new(
+        stream: TcpStream,
+        mut read: impl FnMut(&mut BufReader<TcpStream>) -> Option<String> + Send + 'static,
+    ) -> Peer {
+        let (tell, messages) = channel();
+        let mut from = BufReader::new(stream.try_clone().expect("a connection"));
+        thread::spawn(move || while read(&mut from).is_some_and(|message| tell.send(message).is_ok()) {});
+        Peer { stream, messages }
+    }
+    fn front(to: SocketAddr) -> Peer {
+        Peer::new(TcpStream::connect(to).expect("the program listens"), line)
+    }
+    fn executor(stream: TcpStream) -> Peer {
+        let mut meters = stream.try_clone().expect("a connection");
+        Peer::new(stream, move |from| {
+            let text = line(from)?;
+            let command: Value = serde_json::from_str(&text).expect("a command");
+            if is_meter(&text) {
+                let notice = json!({"action": "METERS", "echo": command["echo"], "meters": [0.1, 1, 0.1, 5]});
+                let _ = writeln!(meters, "{notice}");
+            }
+            Some(text)
+        })
+    }
+    /// A call at the database: its head and its body.
+    fn call(stream: TcpStream) -> Peer {
+        Peer::new(stream, |from| {
+            let (mut text, mut length) = (String::new(), 0);
+            while !text.ends_with("\r\n\r\n") {
+                let start = text.len();
+                from.read_line(&mut text).ok().filter(|read| *read > 0)?;
+                if let Some(figure) = text[start..].strip_prefix("Content-Length: ") {
+                    length = figure.trim().parse().expect("a length");
+                }
+            }
+            let mut body = vec![0; length];
+            from.read_exact(&mut body).ok()?;
+            Some(text + std::str::from_utf8(&body).expect("text"))
+        })
+    }
+    fn next(&self) -> Option<String> {
+        self.messages.recv_timeout(PATIENCE).ok().map(|message| normalized(&message))
+    }
+}
+
+fn is_meter(text: &str) -> bool {
+    text.starts_with("{\"action\":\"METER\"") && !text.contains("quiet")
+}
+
+struct Play {
+    config: Value,
+    cells: Option<PathBuf>,
+    executor: Receiver<TcpStream>,
+    database: Receiver<TcpStream>,
+    list: UdpSocket,
+    peers: HashMap<String, Peer>,
+    folder: PathBuf,
+    process: Option<Child>,
+    address: Option<SocketAddr>,
+    reported: String,
+}
+
+impl Play {
+    fn new(name: &str) -> Play {
+        let ((executor_at, executor), (database_at, database)) = (listen(), listen());
+        let list = UdpSocket::bind("127.0.0.1:0").expect("loopback");
+        list.set_read_timeout(Some(PATIENCE)).expect("an option");
+        let text = std::fs::read_to_string(data().join("config.json")).expect("a configuration");
+        let mut config: Value = serde_json::from_str(&text).expect("JSON");
+        config["executor"] = json!(executor_at);
+        config["db"] = json!(database_at);
+        config["members"] = json!(list.local_addr().expect("bound"));
+        let folder = std::env::temp_dir().join(format!("golden-wire-{}-{name}", std::process::id()));
+        std::fs::create_dir_all(&folder).expect("a folder");
+        let (peers, reported) = (HashMap::new(), String::new());
+        let (cells, process, address) = (None, None, None);
+        Play { config, cells, executor, database, list, peers, folder, process, address, reported }
+    }
+
+    fn start(&mut self) {
+        let file = self.folder.join("config.json");
+        std::fs::write(&file, self.config.to_string()).expect("a file");
+        let mut command = Command::new(PROGRAM);
+        command.env("TMPDIR", &self.folder).env("PROXY_CONFIG", file);
+        command.args(self.cells.iter().flat_map(|cells| ["--cells".as_ref(), cells.as_os_str()]));
+        let spawned = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).spawn();
+        let mut process = spawned.expect("the program starts");
+        let (tell, told) = channel();
+        let log = BufReader::new(process.stderr.take().expect("a log"));
+        thread::spawn(move || {
+            for line in log.lines().map_while(Result::ok) {
+                let address = line.split(LISTENING).nth(1).and_then(|rest| rest.split(',').next());
+                if let Some(Ok(address)) = address.map(|text| text.trim().parse::<SocketAddr>()) {
+                    let _ = tell.send(address);
+                }
+            }
+        });
+        self.process = Some(process);
+        self.address = Some(told.recv_timeout(PATIENCE).expect("the program listens"));
+    }
+
+    fn next(&mut self, peer: &str, want: &str) -> String {
+        if peer == "list" {
+            let mut datagram = [0; 256];
+            loop {
+                let length = self.list.recv(&mut datagram).expect("a report");
+                let report = String::from_utf8_lossy(&datagram[..length]).into_owned();
+                // The same is reported again and again.
+                if std::mem::replace(&mut self.reported, report.clone()) != report {
+                    return report;
+                }
+            }
+        }
+        if peer == "executor" && !self.peers.contains_key(peer) {
+            let stream = self.executor.recv_timeout(PATIENCE).expect("a link");
+            self.peers.insert(peer.into(), Peer::executor(stream));
+        }
+        if peer == "database" {
+            let stream = self.database.recv_timeout(PATIENCE).expect("a call");
+            self.peers.insert(peer.into(), Peer::call(stream));
+        }
+        loop {
+            let message = self.peers[peer].next().unwrap_or_else(|| panic!("{peer}: no message"));
+            if !(peer == "executor" && is_meter(&message)) || is_meter(want) {
+                return message;
+            }
+        }
+    }
+
+    fn send(&mut self, peer: &str, text: &str) {
+        let mut bytes = sent(text);
+        if peer != "database" {
+            bytes.push(b'\n');
+        }
+        (&self.peers[peer].stream).write_all(&bytes).expect("written");
+    }
+
+    fn signal(&self, name: &str) {
+        let pid = self.process.as_ref().expect("started").id();
+        let kill = Command::new("/bin/sh").args(["-c", &format!("kill -{name} {pid}")]).status();
+        assert!(kill.expect("a shell").success());
+    }
+
+    fn step(&mut self, verb: &str, peer: &str, text: &str) {
+        match verb {
+            "set" => {
+                let field = self.config.pointer_mut(peer).expect("a field");
+                *field = serde_json::from_str(text).expect("JSON");
+            }
+            "cells" => self.cells = Some(data().join(peer)),
+            "start" => self.start(),
+            "open" => {
+                let front = Peer::front(self.address.expect("started"));
+                self.peers.insert(peer.into(), front);
+            }
+            "send" => self.send(peer, text),
+            "fill" => (101..=164).for_each(|n| self.send(peer, &text.replace("$ID", &n.to_string()))),
+            "want" => assert_eq!(self.next(peer, text), text),
+            "find" => while self.next(peer, text) != text {},
+            "poll" => {
+                let (ask, want) = text.split_once(" => ").expect("an answer");
+                let end = Instant::now() + PATIENCE;
+                loop {
+                    self.send(peer, ask);
+                    let answer = self.next(peer, want);
+                    if answer == want {
+                        break;
+                    }
+                    assert!(Instant::now() < end, "{peer}: {answer}");
+                }
+            }
+            "close" => {
+                let peer = self.peers.remove(peer).expect("a peer");
+                peer.stream.shutdown(Shutdown::Both).expect("open");
+            }
+            "closed" => {
+                let peer = self.peers.remove(peer).expect("a peer");
+                while let Some(message) = peer.next() {
+                    assert!(is_meter(&message), "instead of the end: {message}");
+                }
+            }
+            "move" => {
+                let (address, links) = listen();
+                self.executor = links;
+                self.config["executor"] = json!(address);
+                std::fs::write(self.folder.join("config.json"), self.config.to_string()).expect("a file");
+                self.signal("HUP");
+            }
+            // What the database takes for a call, and not a wait for anything.
+            "takes" => thread::sleep(Duration::from_millis(peer.parse().expect("a number"))),
+            "signal" => self.signal(peer),
+            "exit" => {
+                let status = self.process.as_mut().expect("started").wait().expect("a child");
+                assert_eq!(status.code().map(|code| code.to_string()).as_deref(), Some(peer));
+            }
+            other => panic!("no such step: {other}"),
+        }
+    }
+}
+
+impl Drop for Play {
+    fn drop(&mut self) {
+        if let Some(process) = &mut self.process {
+            let _ = process.kill();
+            let _ = process.wait();
+        }
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+fn play(name: &str) {
+    let script = std::fs::read_to_string(data().join("node").join(name)).expect("a script");
+    let mut play = Play::new(name);
+    for (number, line) in script.lines().enumerate() {
+        if line.is_empty() || line.starts_with("# ") {
+            continue;
+        }
+        println!("{name}:{}: {line}", number + 1);
+        let mut words = line.splitn(3, ' ');
+        let mut word = || words.next().unwrap_or("");
+        play.step(word(), word(), word());
+    }
+}
+
+#[test]
+fn served_failed_and_refused_requests_have_their_lines() {
+    play("outcomes.txt");
+}
+
+#[test]
+fn malformed_lines_get_their_errors_and_a_close() {
+    play("malformed.txt");
+}
+
+#[test]
+fn keyed_requests_and_repeats_have_their_lines() {
+    play("keyed.txt");
+}
+
+#[test]
+fn the_free_value_goes_with_health_and_answers() {
+    play("hint.txt");
+}
+
+#[test]
+fn a_caller_that_waits_no_more_has_its_run_stopped() {
+    play("cancel.txt");
+}
+
+#[test]
+fn a_caller_that_must_tell_its_budget_and_a_connection_that_is_full() {
+    play("bounds.txt");
+}
+
+#[test]
+fn calls_and_replies_of_the_database_have_their_bytes() {
+    play("calls.txt");
+}
+
+#[test]
+fn a_link_that_breaks_is_joined_again_behind_the_last_notice() {
+    play("links.txt");
+}
+
+#[test]
+fn a_node_that_leaves_says_goodbye_and_is_reported_out() {
+    play("leaving.txt");
+}
+
+#[test]
+fn a_tenant_of_another_cell_is_refused_with_the_epoch() {
+    play("cells.txt");
+}
+
+#[test]
+fn a_call_that_would_come_too_late_is_bypassed() {
+    play("bypass.txt");
+}
