--- a/tests/golden_amqp.rs
+++ b/tests/golden_amqp.rs
@@ -25,11 +25,20 @@
 fn check(broker: &Broker, node: &mut Node, name: &str) {
     node.terminate();
     assert_eq!(node.exit().code(), Some(0));
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/wire/amqp").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden/wire/amqp")
+        .join(name);
     let want = std::fs::read_to_string(path).expect("a golden file");
     let got = broker.with(|seen| {
         assert_eq!(seen.violations, Vec::<String>::new());
-        let ready = |queue: &str| seen.ready.get(queue).into_iter().flatten().cloned().collect::<Vec<_>>();
+        let ready = |queue: &str| {
+            seen.ready
+                .get(queue)
+                .into_iter()
+                .flatten()
+                .cloned()
+                .collect::<Vec<_>>()
+        };
         let places = [
             ("reply", seen.replies.clone()),
             ("dead", seen.dead.clone()),
@@ -37,7 +46,9 @@
             (POSTS, ready(POSTS)),
         ];
         let lines = places.iter().flat_map(|(place, messages)| {
-            messages.iter().map(move |message| format!("{place}: {}\n", text(message)))
+            messages
+                .iter()
+                .map(move |message| format!("{place}: {}\n", text(message)))
         });
         let mut lines: Vec<String> = lines.collect();
         lines.sort();
@@ -49,10 +60,15 @@
 /// A message on one line, its headers in the order of their names.
 fn text(message: &Message) -> String {
     let properties = &message.properties;
-    let headers = properties.headers().iter().flat_map(|headers| headers.inner().iter());
+    let headers = properties
+        .headers()
+        .iter()
+        .flat_map(|headers| headers.inner().iter());
     let mut headers: Vec<String> = headers
         .map(|(name, value)| match value {
-            AMQPValue::LongLongInt(_) | AMQPValue::Double(_) if VARIABLE.contains(&name.as_str()) => {
+            AMQPValue::LongLongInt(_) | AMQPValue::Double(_)
+                if VARIABLE.contains(&name.as_str()) =>
+            {
                 format!("{name}={:?}:#", value.get_type())
             }
             AMQPValue::LongString(text) => format!("{name}={text}"),
@@ -76,7 +92,9 @@
 fn answers_carry_their_status_reason_and_advice() {
     let (broker, mut node) = start();
     let answered = |count: usize| {
-        until("all are answered", || broker.with(|seen| seen.acked + seen.dead.len()) == count)
+        until("all are answered", || {
+            broker.with(|seen| seen.acked + seen.dead.len()) == count
+        });
     };
     for (queue, name) in [(READS, "read"), (POSTS, "post")] {
         broker.publish(queue, Message::new(&format!("serve:{name}")));
@@ -103,7 +121,9 @@
     let inventory = broker.inventory(8);
     let mut node = Node::start_as(Some(&inventory), Some(&cells), |_| {});
     let mut front = node.front();
-    until("there is a free value", || front.alive()["result"]["hint"].is_number());
+    until("there is a free value", || {
+        front.alive()["result"]["hint"].is_number()
+    });
     broker.publish(READS, Message::new("serve:read"));
     broker.publish(POSTS, Message::new("serve:post"));
     until("both are answered", || broker.with(|seen| seen.acked) == 2);
@@ -113,11 +133,25 @@
 #[test]
 fn what_is_malformed_or_unheard_is_rejected_without_an_answer() {
     let (broker, mut node) = start();
-    broker.publish(POSTS, Message { body: "serve:keyless".into(), ..Message::default() });
-    broker.publish(READS, Message { body: "x".repeat(9000), ..Message::new("serve:long") });
+    broker.publish(
+        POSTS,
+        Message {
+            body: "serve:keyless".into(),
+            ..Message::default()
+        },
+    );
+    broker.publish(
+        READS,
+        Message {
+            body: "x".repeat(9000),
+            ..Message::new("serve:long")
+        },
+    );
     broker.publish(READS, Message::without_reply("fail"));
     broker.publish(READS, Message::without_reply("serve"));
-    until("all are settled", || broker.with(|seen| seen.acked + seen.dead.len()) == 4);
+    until("all are settled", || {
+        broker.with(|seen| seen.acked + seen.dead.len()) == 4
+    });
     check(&broker, &mut node, "rejected.txt");
 }
 
@@ -131,9 +165,11 @@
         headers.insert("x-mothwinch-copy".into(), AMQPValue::LongLongInt(9));
         headers.insert("trace".into(), AMQPValue::LongLongInt(7));
         again.properties = again.properties.with_headers(headers);
-        seen.push_on_cancel.push((POSTS.into(), Message::new("serve:post")));
+        seen.push_on_cancel
+            .push((POSTS.into(), Message::new("serve:post")));
         seen.push_on_cancel.push((POSTS.into(), again));
-        seen.push_on_cancel.push((READS.into(), Message::new("serve:read")));
+        seen.push_on_cancel
+            .push((READS.into(), Message::new("serve:read")));
     });
     check(&broker, &mut node, "handed_back.txt");
 }
--- a/tests/golden_simulator.rs
+++ b/tests/golden_simulator.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_mothwinch-adapter");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_simulator-adapter");
 
 /// Runs the session `name`; a session that is expected to write an error is expected to fail.
 fn replay(name: &str) {
@@ -16,17 +16,34 @@
             .with_extension(suffix)
     };
     let input = File::open(file("in")).expect("an input file");
-    let output = Command::new(PROGRAM).stdin(input).output().expect("the program starts");
+    let output = Command::new(PROGRAM)
+        .stdin(input)
+        .output()
+        .expect("the program starts");
     let read = |suffix| fs::read_to_string(file(suffix)).expect("an expected output");
     let (stdout, stderr) = (read("out"), read("err"));
-    for (number, (got, want)) in
-        String::from_utf8_lossy(&output.stdout).lines().zip(stdout.lines()).enumerate()
+    for (number, (got, want)) in String::from_utf8_lossy(&output.stdout)
+        .lines()
+        .zip(stdout.lines())
+        .enumerate()
     {
         assert_eq!(got, want, "{name}: reply to line {}", number + 1);
     }
-    assert_eq!(String::from_utf8_lossy(&output.stdout), stdout, "{name}: standard output");
-    assert_eq!(String::from_utf8_lossy(&output.stderr), stderr, "{name}: standard error");
-    assert_eq!(output.status.code(), Some(i32::from(!stderr.is_empty())), "{name}: exit code");
+    assert_eq!(
+        String::from_utf8_lossy(&output.stdout),
+        stdout,
+        "{name}: standard output"
+    );
+    assert_eq!(
+        String::from_utf8_lossy(&output.stderr),
+        stderr,
+        "{name}: standard error"
+    );
+    assert_eq!(
+        output.status.code(),
+        Some(i32::from(!stderr.is_empty())),
+        "{name}: exit code"
+    );
 }
 
 #[test]
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -23,15 +23,20 @@
 
 use serde_json::{json, Value};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_mothwinch");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_protocol-gateway");
 /// What the log says before the address that the program listens at.
 const LISTENING: &str = "listening, at: ";
 const PATIENCE: Duration = Duration::from_secs(30);
 /// How much earlier than `$NOW` is `$EARLIER`, in milliseconds.
 const EARLIER: u128 = 700;
 /// What stands before a figure that differs from run to run.
-const VARIABLE: [&str; 5] =
-    ["\"hint\":", "\"backoff\":", "\"echo\":\"", "Statement-Timeout-Ms: ", "Host: 127.0.0.1:"];
+const VARIABLE: [&str; 5] = [
+    "\"hint\":",
+    "\"backoff\":",
+    "\"echo\":\"",
+    "Statement-Timeout-Ms: ",
+    "Host: 127.0.0.1:",
+];
 
 fn data() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/wire")
@@ -44,7 +49,9 @@
         let mut from = 0;
         while let Some(at) = text[from..].find(marker).map(|at| from + at + marker.len()) {
             let is_figure = |c: char| c.is_ascii_digit() || ".e-".contains(c);
-            let length = text[at..].find(|c| !is_figure(c)).unwrap_or(text.len() - at);
+            let length = text[at..]
+                .find(|c| !is_figure(c))
+                .unwrap_or(text.len() - at);
             if length > 0 {
                 text.replace_range(at..at + length, "#");
             }
@@ -55,8 +62,13 @@
 }
 
 fn sent(text: &str) -> Vec<u8> {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis();
-    let text = text.replace("$NOW", &now.to_string()).replace("$EARLIER", &(now - EARLIER).to_string());
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("a clock")
+        .as_millis();
+    let text = text
+        .replace("$NOW", &now.to_string())
+        .replace("$EARLIER", &(now - EARLIER).to_string());
     text.replace("\\r", "\r").replace("\\n", "\n").into_bytes()
 }
 
@@ -72,7 +84,12 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
     let address = listener.local_addr().expect("loopback");
     let (tell, streams) = channel();
-    thread::spawn(move || while listener.accept().is_ok_and(|(stream, _)| tell.send(stream).is_ok()) {});
+    thread::spawn(move || {
+        while listener
+            .accept()
+            .is_ok_and(|(stream, _)| tell.send(stream).is_ok())
+        {}
+    });
     (address, streams)
 }
 
@@ -89,7 +106,9 @@
     ) -> Peer {
         let (tell, messages) = channel();
         let mut from = BufReader::new(stream.try_clone().expect("a connection"));
-        thread::spawn(move || while read(&mut from).is_some_and(|message| tell.send(message).is_ok()) {});
+        thread::spawn(
+            move || while read(&mut from).is_some_and(|message| tell.send(message).is_ok()) {},
+        );
         Peer { stream, messages }
     }
     fn front(to: SocketAddr) -> Peer {
@@ -124,7 +143,10 @@
         })
     }
     fn next(&self) -> Option<String> {
-        self.messages.recv_timeout(PATIENCE).ok().map(|message| normalized(&message))
+        self.messages
+            .recv_timeout(PATIENCE)
+            .ok()
+            .map(|message| normalized(&message))
     }
 }
 
@@ -155,26 +177,51 @@
         config["executor"] = json!(executor_at);
         config["db"] = json!(database_at);
         config["members"] = json!(list.local_addr().expect("bound"));
-        let folder = std::env::temp_dir().join(format!("golden-wire-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("golden-wire-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let (peers, reported) = (HashMap::new(), String::new());
         let (cells, process, address) = (None, None, None);
-        Play { config, cells, executor, database, list, peers, folder, process, address, reported }
+        Play {
+            config,
+            cells,
+            executor,
+            database,
+            list,
+            peers,
+            folder,
+            process,
+            address,
+            reported,
+        }
     }
 
     fn start(&mut self) {
         let file = self.folder.join("config.json");
         std::fs::write(&file, self.config.to_string()).expect("a file");
         let mut command = Command::new(PROGRAM);
-        command.env("TMPDIR", &self.folder).env("PROXY_CONFIG", file);
-        command.args(self.cells.iter().flat_map(|cells| ["--cells".as_ref(), cells.as_os_str()]));
-        let spawned = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).spawn();
+        command
+            .env("TMPDIR", &self.folder)
+            .env("PROXY_CONFIG", file);
+        command.args(
+            self.cells
+                .iter()
+                .flat_map(|cells| ["--cells".as_ref(), cells.as_os_str()]),
+        );
+        let spawned = command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn();
         let mut process = spawned.expect("the program starts");
         let (tell, told) = channel();
         let log = BufReader::new(process.stderr.take().expect("a log"));
         thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
-                let address = line.split(LISTENING).nth(1).and_then(|rest| rest.split(',').next());
+                let address = line
+                    .split(LISTENING)
+                    .nth(1)
+                    .and_then(|rest| rest.split(',').next());
                 if let Some(Ok(address)) = address.map(|text| text.trim().parse::<SocketAddr>()) {
                     let _ = tell.send(address);
                 }
@@ -205,7 +252,9 @@
             self.peers.insert(peer.into(), Peer::call(stream));
         }
         loop {
-            let message = self.peers[peer].next().unwrap_or_else(|| panic!("{peer}: no message"));
+            let message = self.peers[peer]
+                .next()
+                .unwrap_or_else(|| panic!("{peer}: no message"));
             if !(peer == "executor" && is_meter(&message)) || is_meter(want) {
                 return message;
             }
@@ -217,12 +266,16 @@
         if peer != "database" {
             bytes.push(b'\n');
         }
-        (&self.peers[peer].stream).write_all(&bytes).expect("written");
+        (&self.peers[peer].stream)
+            .write_all(&bytes)
+            .expect("written");
     }
 
     fn signal(&self, name: &str) {
         let pid = self.process.as_ref().expect("started").id();
-        let kill = Command::new("/bin/sh").args(["-c", &format!("kill -{name} {pid}")]).status();
+        let kill = Command::new("/bin/sh")
+            .args(["-c", &format!("kill -{name} {pid}")])
+            .status();
         assert!(kill.expect("a shell").success());
     }
 
@@ -239,7 +292,9 @@
                 self.peers.insert(peer.into(), front);
             }
             "send" => self.send(peer, text),
-            "fill" => (101..=164).for_each(|n| self.send(peer, &text.replace("$ID", &n.to_string()))),
+            "fill" => {
+                (101..=164).for_each(|n| self.send(peer, &text.replace("$ID", &n.to_string())));
+            }
             "want" => assert_eq!(self.next(peer, text), text),
             "find" => while self.next(peer, text) != text {},
             "poll" => {
@@ -268,15 +323,24 @@
                 let (address, links) = listen();
                 self.executor = links;
                 self.config["executor"] = json!(address);
-                std::fs::write(self.folder.join("config.json"), self.config.to_string()).expect("a file");
+                std::fs::write(self.folder.join("config.json"), self.config.to_string())
+                    .expect("a file");
                 self.signal("HUP");
             }
             // What the database takes for a call, and not a wait for anything.
             "takes" => thread::sleep(Duration::from_millis(peer.parse().expect("a number"))),
             "signal" => self.signal(peer),
             "exit" => {
-                let status = self.process.as_mut().expect("started").wait().expect("a child");
-                assert_eq!(status.code().map(|code| code.to_string()).as_deref(), Some(peer));
+                let status = self
+                    .process
+                    .as_mut()
+                    .expect("started")
+                    .wait()
+                    .expect("a child");
+                assert_eq!(
+                    status.code().map(|code| code.to_string()).as_deref(),
+                    Some(peer)
+                );
             }
             other => panic!("no such step: {other}"),
         }
