--- a/crates/shared-state/tests/golden.rs
+++ b/crates/shared-state/tests/golden.rs
@@ -276,3 +276,18 @@
         .collect();
     assert_eq!(written, include_str!("golden/cells.txt"));
 }
+
+/// The tools print snapshots as JSON: names, order and shapes of the fields may not change.
+#[test]
+fn snapshot_json_is_stable() {
+    let mut written = String::new();
+    for (name, message) in cases() {
+        if let Message::SnapshotReply(_, snapshot) = message {
+            let json = serde_json::to_string(&snapshot).expect("JSON");
+            let read: SharedStateSnapshot = serde_json::from_str(&json).expect("a snapshot");
+            assert_eq!(read, snapshot, "{name}");
+            written += &format!("{name} {json}\n");
+        }
+    }
+    assert_eq!(written, include_str!("golden/snapshots.txt"));
+}
