--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -169,6 +169,13 @@
         self.check_figures()
     }
 
+    /// The part of the fleet's traffic that the allowance of the tenant with this index makes up; 1 for a
+    /// tenant that is not listed.
+    pub(crate) fn allowance_fraction(&self, tenant_index: usize) -> f64 {
+        let total = self.tenants.iter().map(|tenant| tenant.allowance_per_s).sum::<f64>().max(1e-9);
+        self.tenants.get(tenant_index).map_or(1.0, |tenant| tenant.allowance_per_s / total)
+    }
+
     fn check_durations(&self) -> Result<(), SettingsError> {
         let durations = [
             ("round", self.decision_interval),
--- /dev/null
+++ b/crates/policy/src/request.rs
@@ -0,0 +1,149 @@
+//! The state of a request from its arrival until nothing of it is left, and every change of that state.
+
+use crate::statistics::{tenant_key, CoreTime};
+use crate::{Action, Idempotency, Policy, Preemption, RequestId, RunOutcome, TenantId, Time};
+
+/// Only a queued request can be rejected or run, and both take it out of this phase.
+#[derive(Clone, Copy, PartialEq, Debug, Default)]
+pub(crate) enum Phase {
+    #[default]
+    Queued,
+    /// Waits for the result of the run that it duplicates.
+    Joined,
+    OnCore,
+    /// Waits for permission to call the dependency, which it does not get before the time given.
+    WaitingToCall(Time),
+    Calling,
+}
+
+impl Phase {
+    fn is_running(self) -> bool {
+        !matches!(self, Phase::Queued | Phase::Joined)
+    }
+}
+
+#[derive(Default)]
+pub(crate) struct RequestState {
+    pub(crate) class: usize,
+    pub(crate) tenant: Option<TenantId>,
+    pub(crate) phase: Phase,
+    /// It has no answer yet. An abandoned run, which has one, only occupies capacity.
+    pub(crate) is_unanswered: bool,
+    pub(crate) queued_kb: f64,
+    pub(crate) arrived_at: Time,
+    /// When its first attempt is assumed to have begun.
+    pub(crate) first_attempt_at: Time,
+    pub(crate) objective_at: Time,
+    pub(crate) deadline: Time,
+    /// Work that its hint announces, in units of the class's initial estimate, or 1.
+    pub(crate) size: f64,
+    pub(crate) core_time: CoreTime,
+    pub(crate) calls_made: f64,
+    /// When its last call began, and how many calls had succeeded by then.
+    pub(crate) called_at: Time,
+    pub(crate) successes_before_call: u64,
+    pub(crate) is_call_overdue: bool,
+    pub(crate) had_slot: bool,
+}
+
+impl Policy {
+    /// The only place where a request changes its phase: counts, memory and core time follow.
+    pub(crate) fn set_phase(&mut self, id: RequestId, phase: Phase) {
+        let clock_ms = self.observed.cores.clock_ms();
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if request.phase == Phase::OnCore {
+            request.core_time.stop(clock_ms);
+            self.observed.on_core -= 1;
+        }
+        self.calls.in_progress -= usize::from(request.phase == Phase::Calling);
+        self.calls.overdue -= usize::from(std::mem::take(&mut request.is_call_overdue));
+        if phase == Phase::OnCore {
+            request.core_time.start(clock_ms);
+            self.observed.on_core += 1;
+        }
+        self.calls.in_progress += usize::from(phase == Phase::Calling);
+        let starts = i32::from(phase.is_running()) - i32::from(request.phase.is_running());
+        let run_kb = request.queued_kb * (self.settings.run_memory_factor - 1.0);
+        self.observed.memory_kb += run_kb * f64::from(starts);
+        self.observed.is_schedule_stale = true;
+        request.phase = phase;
+    }
+
+    /// Marks a request as answered and no longer in flight for its tenant; false if it was before.
+    fn mark_answered(&mut self, id: RequestId) -> bool {
+        let Some(request) = self.requests.get_mut(&id) else { return false };
+        let was_unanswered = std::mem::take(&mut request.is_unanswered);
+        if was_unanswered {
+            self.in_flight_by_tenant.add(tenant_key(request.tenant), -1);
+        }
+        was_unanswered
+    }
+
+    pub(crate) fn remove_request(&mut self, id: RequestId) -> Option<RequestState> {
+        self.set_phase(id, Phase::Queued);
+        self.mark_answered(id);
+        let request = self.requests.remove(&id)?;
+        self.observed.memory_kb -= request.queued_kb;
+        Some(request)
+    }
+
+    /// Forgets the key of a request that never ran, as there is no effect to guard.
+    pub(crate) fn forget_key(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        if self.observed.keys.remove(&id).is_some() {
+            out.push(Action::ForgetKey(id));
+        }
+    }
+
+    /// Answers a request that may have run and is waited for no longer.
+    pub(crate) fn fail_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let retry_after = self.retry_after();
+        if !self.mark_answered(id) {
+            return;
+        }
+        // Where it may run again, the answer can say more: no server serves it in time any more.
+        let request = &self.requests[&id];
+        let class = &self.settings.classes[request.class];
+        let is_worthless = request.objective_at <= self.now && class.late_weight_fraction == 0.0;
+        if is_worthless && class.idempotency == Idempotency::Idempotent {
+            out.push(Action::Reject { id, retry_after, give_up: true });
+        } else {
+            out.push(Action::Fail(id));
+        }
+        self.abandon_request(id, out);
+    }
+
+    pub(crate) fn cancel_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        if self.mark_answered(id) {
+            self.abandon_request(id, out);
+        }
+    }
+
+    /// Removes a request that nobody waits for if it has not run, and stops its run where that is possible.
+    fn abandon_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        let phase = self.requests[&id].phase;
+        if !phase.is_running() {
+            self.remove_request(id);
+            self.forget_key(id, out);
+        } else if phase == Phase::OnCore && self.settings.preemption != Preemption::Unsupported {
+            out.push(Action::Stop(id));
+        }
+    }
+
+    /// Removes a request whose run ended, and learns from it.
+    pub(crate) fn end_run(&mut self, id: RequestId, outcome: RunOutcome) {
+        let phase = self.requests.get(&id).map(|request| request.phase);
+        if phase == Some(Phase::Calling) {
+            self.calls.abandon(self.now + self.settings.abandoned_call_linger);
+        }
+        let Some(request) = self.remove_request(id) else { return };
+        if outcome == RunOutcome::NeverStarted {
+            // It used no core time after all, which must not count as slowness.
+            self.observed.cores.refund(request.core_time.used_ms());
+        }
+        if outcome == RunOutcome::Served && phase == Some(Phase::OnCore) {
+            let runs = &mut self.estimates[request.class].runs;
+            let work_ms = runs.record(request.size, request.core_time.used_ms(), request.calls_made);
+            self.observed.cores.record_done(work_ms);
+        }
+    }
+}
