--- a/crates/fleet-runtime/tests/config.rs
+++ b/crates/fleet-runtime/tests/config.rs
@@ -1,27 +1,27 @@
-//! The fleet's file: what can't be used is told with its place.
+//! Parsing of the fleet file: defaults, and errors with file, line and field.
 
 use std::time::Duration;
 
 use fleet_runtime::Config;
 
-const GOOD: &str = r#"{
+const VALID: &str = r#"{
   version: 1,
-  fleet: "padana", // a remark
+  fleet: "padana", // a comment
   site: "bergamo-est",
   listen: "127.0.0.1:7946",
   seeds: ["127.0.0.1:7947"],
 }"#;
 
 #[test]
-fn a_file_is_read_with_what_it_leaves_out() {
-    let config = Config::parse("f", GOOD).expect("it can be used");
+fn missing_fields_have_their_defaults() {
+    let config = Config::parse("f", VALID).expect("a valid file");
     assert_eq!(
         (&*config.fleet, &*config.site, config.seeds.len()),
         ("padana", "bergamo-est", 1)
     );
     assert_eq!(config.settings, membership::Settings::default());
-    let slow = GOOD.replace("version: 1,", "version: 1, period_ms: 2000,");
-    let slow = Config::parse("f", &slow).expect("it can be used").settings;
+    let slow = VALID.replace("version: 1,", "version: 1, period_ms: 2000,");
+    let slow = Config::parse("f", &slow).expect("a valid file").settings;
     assert_eq!(
         (slow.period, slow.answer),
         (Duration::from_secs(2), Duration::from_millis(480))
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_can_not_be_used_names_file_line_and_field() {
+fn invalid_values_are_reported_with_file_line_and_field() {
     let cases = [
         (
             "version: 1",
@@ -62,11 +62,11 @@
             "fleet.json5:3: answer_ms: is more than a quarter of the period",
         ),
     ];
-    for (from, to, says) in cases {
-        let error = Config::parse("fleet.json5", &GOOD.replace(from, to)).expect_err(to);
-        assert_eq!(error.to_string(), says);
+    for (from, to, expected) in cases {
+        let error = Config::parse("fleet.json5", &VALID.replace(from, to)).expect_err(to);
+        assert_eq!(error.to_string(), expected);
     }
-    let error = Config::parse("fleet.json5", &GOOD.replace("site:", "sight:"))
+    let error = Config::parse("fleet.json5", &VALID.replace("site:", "sight:"))
         .expect_err("unknown")
         .to_string();
     assert!(
@@ -74,7 +74,7 @@
         "{error}"
     );
     assert!(
-        Config::parse("fleet.json5", &GOOD[..GOOD.len() - 20]).is_err(),
+        Config::parse("fleet.json5", &VALID[..VALID.len() - 20]).is_err(),
         "cut short"
     );
 }
--- a/crates/fleet-runtime/tests/golden.rs
+++ b/crates/fleet-runtime/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of the questions that tools ask a member, and of the answers: tools and members may be of different
+//! Golden bytes of the queries that tools send to a member, and of the answers: tools and members may be of different
 //! versions. The files under `golden/` never change.
 
 use std::net::{SocketAddr, UdpSocket};
@@ -14,7 +14,7 @@
     SharedStateSnapshot,
 };
 
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
@@ -54,7 +54,7 @@
     };
     answer(Body::Answer { seq, more, summary }, vec![record(member, 9)])
 }
-fn held() -> SharedStateSnapshot {
+fn shared_state() -> SharedStateSnapshot {
     let budget = BudgetSnapshot {
         name: "calls".into(),
         total: 1,
@@ -83,19 +83,19 @@
         aggregate: None,
     }
 }
-fn member() -> UdpSocket {
+fn member_socket() -> UdpSocket {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    socket.set_read_timeout(Some(LONG)).expect("a time");
+    socket.set_read_timeout(Some(TIMEOUT)).expect("a time");
     socket
 }
 
-/// Pages are asked for by the last name of the one before. A question may be asked again under a later number, so only the
-/// first is compared as bytes, and each is answered.
+/// A page is requested by the last name of the page before. A query may be repeated under a later number, so only the first
+/// is compared as bytes, and each is answered.
 #[test]
-fn question_about_members_is_stable() {
-    let socket = member();
+fn member_query_is_stable() {
+    let socket = member_socket();
     let at = socket.local_addr().expect("an address");
-    let tool = thread::spawn(move || query_members(at, "billing", LONG));
+    let tool = thread::spawn(move || query_members(at, "billing", TIMEOUT));
     let mut bytes = [0; 1400];
     let mut first = None;
     socket
@@ -106,38 +106,41 @@
             continue;
         };
         first.get_or_insert_with(|| hex(&bytes[..n]));
-        let asked = Packet::decode(&bytes[..n], "billing").expect("a datagram");
-        let Body::Query { seq, after } = asked.body else {
-            panic!("no question")
+        let query = Packet::decode(&bytes[..n], "billing").expect("a datagram");
+        let Body::Query { seq, after } = query.body else {
+            panic!("not a query")
         };
         let more = after.is_empty();
-        let told = page(seq, more, if more { "n1" } else { "n2" });
-        socket.send_to(&told.encode(), from).expect("sent");
+        let answer = page(seq, more, if more { "n1" } else { "n2" });
+        socket.send_to(&answer.encode(), from).expect("sent");
     }
     assert_eq!(
         first.as_deref(),
         Some(include_str!("golden/query.txt").trim())
     );
-    let told = tool.join().expect("the tool").expect("an answer");
-    assert_eq!(told.members, [record("n1", 9), record("n2", 9)]);
-    assert_eq!(told.responder, record("me", 2));
+    let reply = tool.join().expect("the tool").expect("an answer");
+    assert_eq!(reply.members, [record("n1", 9), record("n2", 9)]);
+    assert_eq!(reply.responder, record("me", 2));
 }
 
 #[test]
-fn question_about_budgets_is_stable() {
-    let socket = member();
+fn shared_state_query_is_stable() {
+    let socket = member_socket();
     let at = socket.local_addr().expect("an address");
-    let tool = thread::spawn(move || query_shared_state(at, "billing", LONG));
+    let tool = thread::spawn(move || query_shared_state(at, "billing", TIMEOUT));
     let mut bytes = [0; 1400];
-    let (n, from) = socket.recv_from(&mut bytes).expect("a question");
+    let (n, from) = socket.recv_from(&mut bytes).expect("a query");
     assert_eq!(hex(&bytes[..n]), include_str!("golden/look.txt").trim());
-    let told = answer(
-        Body::Carried(Message::SnapshotReply(1, held()).encode()),
+    let reply_bytes = answer(
+        Body::Carried(Message::SnapshotReply(1, shared_state()).encode()),
         vec![],
     )
     .encode();
-    assert_eq!(hex(&told), include_str!("golden/looked.txt").trim());
-    socket.send_to(&told, from).expect("sent");
-    let told = tool.join().expect("the tool").expect("an answer");
-    assert_eq!((told.responder, told.state), (record("me", 2), held()));
+    assert_eq!(hex(&reply_bytes), include_str!("golden/looked.txt").trim());
+    socket.send_to(&reply_bytes, from).expect("sent");
+    let reply = tool.join().expect("the tool").expect("an answer");
+    assert_eq!(
+        (reply.responder, reply.state),
+        (record("me", 2), shared_state())
+    );
 }
