--- a/crates/fleet-cli/src/comparison.rs
+++ b/crates/fleet-cli/src/comparison.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fleet_runtime::{query_members, QueryError};
-use membership::Record;
+use membership::MemberRecord;
 
 use crate::report::{FleetReport, MemberReport, ViewReport};
 
@@ -26,10 +26,10 @@
     timeout: Duration,
 ) -> Result<FleetReport, QueryError> {
     let reply = query_members(address, fleet, timeout)?;
-    let present: Vec<&Record> = reply
+    let present: Vec<&MemberRecord> = reply
         .members
         .iter()
-        .filter(|record| record.word.present())
+        .filter(|record| record.state.is_present())
         .collect();
     let mut views = query_views(&present, fleet, timeout);
     views
@@ -38,7 +38,7 @@
     Ok(compare_views(views))
 }
 
-fn query_views(members: &[&Record], fleet: &str, timeout: Duration) -> Views {
+fn query_views(members: &[&MemberRecord], fleet: &str, timeout: Duration) -> Views {
     let query_view = |address| {
         let reply = query_members(address, fleet, timeout).ok()?;
         Some(ViewReport::from(&reply))
@@ -47,7 +47,7 @@
         let queries: Vec<_> = members
             .iter()
             .map(|record| {
-                let address = record.at;
+                let address = record.address;
                 let query = scope.spawn(move || query_view(address));
                 (record.name.to_string(), query)
             })
--- a/crates/fleet-runtime/src/actor/aggregation.rs
+++ b/crates/fleet-runtime/src/actor/aggregation.rs
@@ -1,6 +1,6 @@
 //! Running the aggregation of counters and health observations, and concluding the health of the ledger.
 
-use membership::{Name, Said};
+use membership::{AdvertisedStatus, Name};
 use rand::RngExt;
 use shared_state::{
     evaluate_health, AggregationMessage, CallCounts, DependencyHealth, HealthState, Message,
@@ -107,12 +107,13 @@
     /// Has a node that alone can't reach the ledger advertised as quiesced, so that routers pass it over, as long as more
     /// than half of the serving nodes accept requests. Otherwise nodes that fail serve the fleet better than none.
     fn set_withdrawn(&mut self, is_wanted: bool) {
-        let own_name = &self.membership.me().name;
+        let own_name = &self.membership.own_record().name;
         let mut serving = 0;
         let mut accepting_elsewhere = 0;
         for record in self.membership.members().filter(|r| serves_clients(r)) {
             serving += 1;
-            accepting_elsewhere += usize::from(record.takes_requests() && record.name != *own_name);
+            accepting_elsewhere +=
+                usize::from(record.accepts_requests() && record.name != *own_name);
         }
         self.is_withdrawn = is_wanted && accepting_elsewhere * 2 > serving;
         self.advertise_status();
@@ -120,13 +121,13 @@
 
     /// Advertises the status of the process to the other members.
     pub(super) fn advertise_status(&mut self) {
-        let status = if self.is_withdrawn && self.process_status == Said::Up {
-            Said::Quiesced
+        let status = if self.is_withdrawn && self.process_status == AdvertisedStatus::Up {
+            AdvertisedStatus::Quiesced
         } else {
             self.process_status
         };
         let now = self.now();
-        self.membership.say(status, now);
+        self.membership.advertise_status(status, now);
         self.schedule_publication();
     }
 
--- a/crates/fleet-runtime/src/actor/budgets.rs
+++ b/crates/fleet-runtime/src/actor/budgets.rs
@@ -23,7 +23,7 @@
         if budgets.next_timeout() <= now {
             let mut messages = Vec::new();
             let draw = self.rng.random::<f64>();
-            budgets.handle_timeout(now, draw, self.membership.there(), &mut messages);
+            budgets.handle_timeout(now, draw, self.membership.present_names(), &mut messages);
             self.send_shared_state(messages);
         }
         self.publish_budgets(&budgets);
--- a/crates/fleet-runtime/src/actor/datagrams.rs
+++ b/crates/fleet-runtime/src/actor/datagrams.rs
@@ -3,8 +3,8 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-use membership::packet::LONGEST;
-use membership::{Body, Malformed, Name, Out, Packet};
+use membership::packet::MAX_DATAGRAM_LEN;
+use membership::{Body, DecodeError, Effect, Name, Packet};
 use shared_state::{Message, Outgoing};
 use slog::info;
 
@@ -16,7 +16,7 @@
 impl FleetActor {
     /// Reads a bounded number of datagrams; whether there may be more.
     pub(super) fn receive_datagrams(&mut self) -> bool {
-        let mut buffer = [0; LONGEST + 1];
+        let mut buffer = [0; MAX_DATAGRAM_LEN + 1];
         for _ in 0..MAX_DATAGRAMS_AT_ONCE {
             match self.socket.receive(&mut buffer) {
                 Ok((length, source)) => self.handle_datagram(&buffer[..length], source),
@@ -34,15 +34,15 @@
             Err(reason) => return self.socket.record_drop(source, &reason),
         };
         let shared_state_message = match &mut packet.body {
-            Body::Carried(bytes) => Some(std::mem::take(bytes)),
+            Body::ApplicationMessage(bytes) => Some(std::mem::take(bytes)),
             _ => None,
         };
-        let sender = packet.from.as_ref().map(|record| record.name.clone());
+        let sender = packet.sender.as_ref().map(|record| record.name.clone());
         let now = self.now();
         let mut effects = Vec::new();
         let mut draw = random_index(&mut self.rng);
         self.membership
-            .hear(packet, source, now, &mut draw, &mut effects);
+            .handle_packet(packet, source, now, &mut draw, &mut effects);
         drop(draw);
         self.apply_effects(effects);
         if let Some(bytes) = shared_state_message {
@@ -57,7 +57,7 @@
         source: SocketAddr,
     ) {
         let Some(message) = Message::decode(bytes) else {
-            return self.socket.record_drop(source, &Malformed::Bounds);
+            return self.socket.record_drop(source, &DecodeError::OutOfBounds);
         };
         match (message, sender) {
             (Message::SnapshotRequest(seq), None) => self.answer_shared_state_query(seq, source),
@@ -73,28 +73,32 @@
         let state = self.shared_state_snapshot();
         let answer = Packet {
             fleet: self.config.fleet.clone(),
-            from: Some(self.membership.me().clone()),
-            body: Body::Carried(Message::SnapshotReply(seq, state).encode()),
-            news: Vec::new(),
+            sender: Some(self.membership.own_record().clone()),
+            body: Body::ApplicationMessage(Message::SnapshotReply(seq, state).encode()),
+            updates: Vec::new(),
         };
-        self.apply_effects(vec![Out::Send(source, answer)]);
+        self.apply_effects(vec![Effect::Send {
+            to: source,
+            packet: answer,
+        }]);
     }
 
     /// Sends messages on shared state. One to a member that is not present is dropped: that member asks again.
     pub(super) fn send_shared_state(&mut self, messages: Vec<Outgoing>) {
         let mut effects = Vec::new();
         for Outgoing { to, message } in messages {
-            self.membership.carry(&to, message.encode(), &mut effects);
+            self.membership
+                .send_application_message(&to, message.encode(), &mut effects);
         }
         self.apply_effects(effects);
     }
 
     /// Carries out what the membership protocol decided.
-    pub(super) fn apply_effects(&mut self, effects: Vec<Out>) {
+    pub(super) fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Out::Send(to, packet) => self.socket.send(to, packet),
-                Out::Changed(record) => {
+                Effect::Send { to, packet } => self.socket.send(to, packet),
+                Effect::MemberChanged(record) => {
                     self.log_member_change(&record);
                     self.schedule_publication();
                 }
@@ -111,7 +115,7 @@
         }
         let now = self.now();
         self.membership
-            .move_to(self.config.advertised_address(), now);
+            .set_address(self.config.advertised_address(), now);
         info!(self.log, "fleet"; "at" => %self.config.listen);
         self.schedule_publication();
     }
--- a/crates/fleet-runtime/src/config/checks.rs
+++ b/crates/fleet-runtime/src/config/checks.rs
@@ -5,7 +5,7 @@
 use std::ops::RangeInclusive;
 
 use json5_errors::{line_starting_with, ConfigFileError};
-use membership::packet::NAME;
+use membership::packet::MAX_NAME_LEN;
 use membership::Settings;
 
 use super::file::{BudgetSection, FleetFile};
@@ -51,7 +51,7 @@
 
     /// A direct probe, its repetition and an indirect one have to fit in a period.
     pub(super) fn check_timing(&self, settings: &Settings) -> CheckResult {
-        if settings.answer * 4 > settings.period {
+        if settings.probe_timeout * 4 > settings.probe_interval {
             return Err(self.error("answer_ms", "is more than a quarter of the period".into()));
         }
         Ok(())
@@ -76,7 +76,7 @@
 
     fn check_name(&self, field: &str, name: Option<&String>) -> CheckResult {
         if name.is_some_and(|name| !is_valid_name(name)) {
-            return Err(self.error(field, format!("is not of 1 to {NAME} bytes")));
+            return Err(self.error(field, format!("is not of 1 to {MAX_NAME_LEN} bytes")));
         }
         Ok(())
     }
@@ -155,7 +155,7 @@
 }
 
 fn is_valid_name(name: &str) -> bool {
-    !name.is_empty() && name.len() <= NAME
+    !name.is_empty() && name.len() <= MAX_NAME_LEN
 }
 
 /// The sum of the guaranteed quotas; `None` where it overflows.
--- a/crates/fleet-runtime/src/handle.rs
+++ b/crates/fleet-runtime/src/handle.rs
@@ -6,7 +6,7 @@
 
 use arc_swap::ArcSwap;
 use crossbeam_channel::{bounded, Sender};
-use membership::{Name, Said};
+use membership::{AdvertisedStatus, Name};
 use mio::Waker;
 
 use crate::config::Config;
@@ -19,7 +19,7 @@
 /// A command to the fleet actor.
 pub(crate) enum ActorCommand {
     /// Advertise this status of the process.
-    SetStatus(Said),
+    SetStatus(AdvertisedStatus),
     /// Advertise where clients connect.
     SetClientAddress(SocketAddr),
     /// Use this configuration from now on.
@@ -61,7 +61,7 @@
     }
 
     /// Advertises a new status of the process.
-    pub fn set_status(&self, status: Said) {
+    pub fn set_status(&self, status: AdvertisedStatus) {
         self.send(ActorCommand::SetStatus(status));
     }
 
--- a/crates/fleet-runtime/src/query.rs
+++ b/crates/fleet-runtime/src/query.rs
@@ -4,8 +4,8 @@
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-use membership::packet::{Summary, LONGEST};
-use membership::{Body, Name, Packet, Record};
+use membership::packet::{ViewSummary, MAX_DATAGRAM_LEN};
+use membership::{Body, MemberRecord, Name, Packet};
 use shared_state::{Message, SharedStateSnapshot};
 
 /// How long a query waits for its answer before it is sent again.
@@ -15,18 +15,18 @@
 #[derive(Clone, Debug)]
 pub struct QueryReply {
     /// The member that answered.
-    pub responder: Record,
+    pub responder: MemberRecord,
     /// The summary of its view.
-    pub summary: Summary,
+    pub summary: ViewSummary,
     /// All members that it knows, by name.
-    pub members: Vec<Record>,
+    pub members: Vec<MemberRecord>,
 }
 
 /// What a member knows of the fleet's shared state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SharedStateReply {
     /// The member that answered.
-    pub responder: Record,
+    pub responder: MemberRecord,
     /// Its budgets, counts and health observations.
     pub state: SharedStateSnapshot,
 }
@@ -52,7 +52,7 @@
     timeout: Duration,
 ) -> Result<QueryReply, QueryError> {
     let mut client = QueryClient::open(address, fleet, timeout)?;
-    let mut members: Vec<Record> = Vec::new();
+    let mut members: Vec<MemberRecord> = Vec::new();
     let mut after: Name = "".into();
     let mut seq = 0;
     loop {
@@ -88,7 +88,9 @@
     let mut client = QueryClient::open(address, fleet, timeout)?;
     client.socket.set_read_timeout(Some(RETRY_INTERVAL))?;
     for seq in 1.. {
-        client.send(Body::Carried(Message::SnapshotRequest(seq).encode()))?;
+        client.send(Body::ApplicationMessage(
+            Message::SnapshotRequest(seq).encode(),
+        ))?;
         if client.has_expired() {
             break;
         }
@@ -100,8 +102,8 @@
 }
 
 fn shared_state_reply(packet: Packet) -> Option<SharedStateReply> {
-    let responder = packet.from?;
-    let Body::Carried(bytes) = packet.body else {
+    let responder = packet.sender?;
+    let Body::ApplicationMessage(bytes) = packet.body else {
         return None;
     };
     match Message::decode(&bytes)? {
@@ -112,9 +114,9 @@
 
 /// One page of a member's view.
 struct MemberPage {
-    responder: Record,
-    summary: Summary,
-    members: Vec<Record>,
+    responder: MemberRecord,
+    summary: ViewSummary,
+    members: Vec<MemberRecord>,
     has_more: bool,
 }
 
@@ -124,7 +126,7 @@
     address: SocketAddr,
     fleet: &'a str,
     expires_at: Instant,
-    buffer: [u8; LONGEST + 1],
+    buffer: [u8; MAX_DATAGRAM_LEN + 1],
 }
 
 impl<'a> QueryClient<'a> {
@@ -135,7 +137,7 @@
             address,
             fleet,
             expires_at: Instant::now() + timeout,
-            buffer: [0; LONGEST + 1],
+            buffer: [0; MAX_DATAGRAM_LEN + 1],
         })
     }
 
@@ -146,9 +148,9 @@
     fn send(&self, body: Body) -> io::Result<()> {
         let query = Packet {
             fleet: self.fleet.into(),
-            from: None,
+            sender: None,
             body,
-            news: Vec::new(),
+            updates: Vec::new(),
         };
         self.socket.send_to(&query.encode(), self.address)?;
         Ok(())
@@ -181,13 +183,17 @@
 }
 
 fn member_page(packet: Packet, expected_seq: u32) -> Option<MemberPage> {
-    let responder = packet.from?;
+    let responder = packet.sender?;
     match packet.body {
-        Body::Answer { seq, more, summary } if seq == expected_seq => Some(MemberPage {
+        Body::QueryReply {
+            seq,
+            has_more,
+            summary,
+        } if seq == expected_seq => Some(MemberPage {
             responder,
             summary,
-            members: packet.news,
-            has_more: more,
+            members: packet.updates,
+            has_more,
         }),
         _ => None,
     }
--- a/crates/fleet-runtime/tests/config.rs
+++ b/crates/fleet-runtime/tests/config.rs
@@ -23,7 +23,7 @@
     let slow = VALID.replace("version: 1,", "version: 1, period_ms: 2000,");
     let slow = Config::parse("f", &slow).expect("a valid file").settings;
     assert_eq!(
-        (slow.period, slow.answer),
+        (slow.probe_interval, slow.probe_timeout),
         (Duration::from_secs(2), Duration::from_millis(480))
     );
 }
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -15,7 +15,7 @@
     TimerAction,
 };
 use fleet_runtime as fleet;
-use membership::Said;
+use membership::AdvertisedStatus;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
 use routing::{After, End, Presence, Refusal, Request, Route, Router, Rules, Ticket};
@@ -187,7 +187,7 @@
         let log = self.log.new(o!("actor" => "fleet"));
         let view = fleet::start(config, me, FLEET_STACK, changed, &log)?;
         info!(log, "fleet"; "at" => %view.address);
-        view.set_status(Said::Up);
+        view.set_status(AdvertisedStatus::Up);
         self.nodes.join(view);
         Ok(())
     }
--- a/src/fleet_membership.rs
+++ b/src/fleet_membership.rs
@@ -9,7 +9,7 @@
     spawn_fleet_actor, Config, FleetHandle, LocalMember, SharedCounters, LEDGER_BUDGET,
 };
 use lifecycle::ProcessState;
-use membership::Said;
+use membership::AdvertisedStatus;
 use slog::{info, o, warn, Logger};
 
 use crate::net::database::Guard;
@@ -122,10 +122,10 @@
     /// Advertises the state of the process to the other members.
     pub fn advertise_state(&self, state: ProcessState) {
         let status = match state {
-            ProcessState::Starting { .. } => Said::Joining,
-            ProcessState::Serving => Said::Up,
-            ProcessState::Quiesced => Said::Quiesced,
-            ProcessState::ShuttingDown { .. } => Said::Leaving,
+            ProcessState::Starting { .. } => AdvertisedStatus::Joining,
+            ProcessState::Serving => AdvertisedStatus::Up,
+            ProcessState::Quiesced => AdvertisedStatus::Quiesced,
+            ProcessState::ShuttingDown { .. } => AdvertisedStatus::Leaving,
         };
         if let Some(handle) = &self.handle {
             handle.set_status(status);
