--- a/crates/fleet-runtime/tests/golden.rs
+++ b/crates/fleet-runtime/tests/golden.rs
@@ -1,85 +1,107 @@
-//! Golden bytes of the questions that tools ask a member, and of the answers: tools and members may be of different
+//! Golden bytes of the queries that tools send to a member, and of the answers: tools and members may be of different
 //! versions. The files under `golden/` never change.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::thread;
 use std::time::Duration;
 
-use fleet_runtime::{ask, look};
-use membership::packet::Summary;
-use membership::word::Word;
-use membership::{Body, Packet, Record, Said, Standing};
-use shared_state::{BudgetLook, Look, Message};
+use fleet_runtime::{query_members, query_shared_state};
+use membership::packet::ViewSummary;
+use membership::{AdvertisedStatus, Body, Liveness, MemberRecord, MemberState, Packet};
+use shared_state::{
+    BudgetSnapshot, GuaranteedSnapshot, HolderSnapshot, LeaseSnapshot, Message, QuotaUsage,
+    SharedStateSnapshot,
+};
 
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
-fn record(name: &str, life: u64) -> Record {
-    Record {
+fn record(name: &str, life: u64) -> MemberRecord {
+    MemberRecord {
         name: name.into(),
         site: "north".into(),
-        at: SocketAddr::from(([192, 0, 2, 17], 7946)),
-        serves: None,
-        word: Word {
-            life,
-            incarnation: 3,
-            said: Said::Up,
-            standing: Standing::Present,
+        address: SocketAddr::from(([192, 0, 2, 17], 7946)),
+        client_address: None,
+        state: MemberState {
+            incarnation: life,
+            version: 3,
+            status: AdvertisedStatus::Up,
+            liveness: Liveness::Alive,
         },
-        by: 0,
+        suspected_by: 0,
     }
 }
-fn answer(body: Body, news: Vec<Record>) -> Packet {
+fn answer(body: Body, news: Vec<MemberRecord>) -> Packet {
     Packet {
         fleet: "billing".into(),
-        from: Some(record("me", 2)),
+        sender: Some(record("me", 2)),
         body,
-        news,
+        updates: news,
     }
 }
 fn page(seq: u32, more: bool, member: &str) -> Packet {
-    let summary = Summary {
-        conclusion: "whole".into(),
-        for_ms: 1,
+    let summary = ViewSummary {
+        partition_status: "whole".into(),
+        status_age_ms: 1,
         digest: 2,
         present: 3,
         lost: 4,
-        health: 5,
+        local_health: 5,
         dropped: 6,
     };
-    answer(Body::Answer { seq, more, summary }, vec![record(member, 9)])
+    answer(
+        Body::QueryReply {
+            seq,
+            has_more: more,
+            summary,
+        },
+        vec![record(member, 9)],
+    )
 }
-fn held() -> Look {
-    let budget = BudgetLook {
+fn shared_state() -> SharedStateSnapshot {
+    let budget = BudgetSnapshot {
         name: "calls".into(),
         total: 1,
-        floor: (2, true),
-        leased: (3, 4),
-        in_use: (5, 6),
-        holders: vec![("h".into(), 7, 8)],
-        counted: 9,
+        guaranteed: GuaranteedSnapshot {
+            units: 2,
+            is_available: true,
+        },
+        leased: LeaseSnapshot {
+            units: 3,
+            remaining_ms: 4,
+        },
+        usage: QuotaUsage {
+            in_use: 5,
+            demand: 6,
+        },
+        holders: vec![HolderSnapshot {
+            name: "h".into(),
+            reserved: 7,
+            demand: 8,
+        }],
+        reserved: 9,
     };
-    Look {
-        granter: Some("g".into()),
+    SharedStateSnapshot {
+        leader: Some("g".into()),
         budgets: vec![budget],
-        gathered: None,
+        aggregate: None,
     }
 }
-fn member() -> UdpSocket {
+fn member_socket() -> UdpSocket {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    socket.set_read_timeout(Some(LONG)).expect("a time");
+    socket.set_read_timeout(Some(TIMEOUT)).expect("a time");
     socket
 }
 
-/// Pages are asked for by the last name of the one before. A question may be asked again under a later number, so only the
-/// first is compared as bytes, and each is answered.
+/// A page is requested by the last name of the page before. A query may be repeated under a later number, so only the first
+/// is compared as bytes, and each is answered.
 #[test]
-fn question_about_members_is_stable() {
-    let socket = member();
+fn member_query_is_stable() {
+    let socket = member_socket();
     let at = socket.local_addr().expect("an address");
-    let tool = thread::spawn(move || ask(at, "billing", LONG));
+    let tool = thread::spawn(move || query_members(at, "billing", TIMEOUT));
     let mut bytes = [0; 1400];
     let mut first = None;
     socket
@@ -90,36 +112,41 @@
             continue;
         };
         first.get_or_insert_with(|| hex(&bytes[..n]));
-        let asked = Packet::decode(&bytes[..n], "billing").expect("a datagram");
-        let Body::Query { seq, after } = asked.body else {
-            panic!("no question")
+        let query = Packet::decode(&bytes[..n], "billing").expect("a datagram");
+        let Body::Query { seq, after } = query.body else {
+            panic!("not a query")
         };
         let more = after.is_empty();
-        let told = page(seq, more, if more { "n1" } else { "n2" });
-        socket.send_to(&told.encode(), from).expect("sent");
+        let answer = page(seq, more, if more { "n1" } else { "n2" });
+        socket.send_to(&answer.encode(), from).expect("sent");
     }
     assert_eq!(
         first.as_deref(),
         Some(include_str!("golden/query.txt").trim())
     );
-    let told = tool.join().expect("the tool").expect("an answer");
-    assert_eq!(told.members, [record("n1", 9), record("n2", 9)]);
-    assert_eq!(told.me, record("me", 2));
+    let reply = tool.join().expect("the tool").expect("an answer");
+    assert_eq!(reply.members, [record("n1", 9), record("n2", 9)]);
+    assert_eq!(reply.responder, record("me", 2));
 }
 
 #[test]
-fn question_about_budgets_is_stable() {
-    let socket = member();
+fn shared_state_query_is_stable() {
+    let socket = member_socket();
     let at = socket.local_addr().expect("an address");
-    let tool = thread::spawn(move || look(at, "billing", LONG));
+    let tool = thread::spawn(move || query_shared_state(at, "billing", TIMEOUT));
     let mut bytes = [0; 1400];
-    let (n, from) = socket.recv_from(&mut bytes).expect("a question");
+    let (n, from) = socket.recv_from(&mut bytes).expect("a query");
     assert_eq!(hex(&bytes[..n]), include_str!("golden/look.txt").trim());
-    let told = answer(Body::Carried(Message::Looked(1, held()).encode()), vec![]).encode();
-    assert_eq!(hex(&told), include_str!("golden/looked.txt").trim());
-    socket.send_to(&told, from).expect("sent");
+    let reply_bytes = answer(
+        Body::ApplicationMessage(Message::SnapshotReply(1, shared_state()).encode()),
+        vec![],
+    )
+    .encode();
+    assert_eq!(hex(&reply_bytes), include_str!("golden/looked.txt").trim());
+    socket.send_to(&reply_bytes, from).expect("sent");
+    let reply = tool.join().expect("the tool").expect("an answer");
     assert_eq!(
-        tool.join().expect("the tool").expect("an answer"),
-        (record("me", 2), held())
+        (reply.responder, reply.state),
+        (record("me", 2), shared_state())
     );
 }
--- a/crates/router/src/nodes.rs
+++ b/crates/router/src/nodes.rs
@@ -8,8 +8,8 @@
 
 use cells::map::{CellMap, Name};
 use fleet_runtime::{Handle, Seen};
-use membership::{Conclusion, Standing};
-use routing::{Checks, Presence};
+use membership::{Liveness, PartitionStatus};
+use routing::{Availability, HealthChecks};
 
 /// Between two health checks of a node.
 pub(crate) const BEAT: Duration = Duration::from_millis(200);
@@ -17,18 +17,18 @@
 const HOLDS: Duration = Duration::from_secs(1);
 
 pub(crate) struct Nodes {
-    checks: Checks,
+    checks: HealthChecks,
     view: Option<(Handle, Arc<Seen>)>,
     /// Where they are by the file of cells, and where they are now.
     by_file: HashMap<Name, SocketAddr>,
     pub addresses: HashMap<Name, SocketAddr>,
-    logged: BTreeMap<Name, Presence>,
+    logged: BTreeMap<Name, Availability>,
 }
 
 impl Nodes {
     pub(crate) fn new() -> Nodes {
         Nodes {
-            checks: Checks::new(HOLDS),
+            checks: HealthChecks::new(HOLDS),
             view: None,
             by_file: HashMap::new(),
             addresses: HashMap::new(),
@@ -36,7 +36,7 @@
         }
     }
     pub(crate) fn join(&mut self, handle: Handle) {
-        let seen = handle.seen();
+        let seen = handle.snapshot();
         self.view = Some((handle, seen));
     }
     pub(crate) fn view(&self) -> Option<&Handle> {
@@ -56,8 +56,8 @@
         let seen = self.view.as_ref().map(|(_, seen)| seen);
         let says = |name: &Name| {
             seen.and_then(|s| s.member(name))
-                .filter(|r| r.word.present())?
-                .serves
+                .filter(|r| r.state.is_present())?
+                .client_address
         };
         self.addresses = self
             .by_file
@@ -70,19 +70,19 @@
         let Some((handle, before)) = &mut self.view else {
             return;
         };
-        let seen = handle.seen();
+        let seen = handle.snapshot();
         if Arc::ptr_eq(before, &seen) {
             return;
         }
         let was = std::mem::replace(before, seen);
-        if self.by_view().is_none() && was.conclusion != Conclusion::Alone {
+        if self.by_view().is_none() && was.partition_status != PartitionStatus::Isolated {
             // It hears nobody from now on. Who was there before goes on until a check says otherwise.
             for name in self.by_file.keys() {
                 if was
                     .member(name)
-                    .is_some_and(membership::Record::takes_requests)
+                    .is_some_and(membership::MemberRecord::accepts_requests)
                 {
-                    self.checks.heard(name, true, now);
+                    self.checks.record(name, true, now);
                 }
             }
         }
@@ -92,7 +92,7 @@
         self.view
             .as_ref()
             .map(|(_, seen)| &**seen)
-            .filter(|seen| seen.conclusion != Conclusion::Alone)
+            .filter(|seen| seen.partition_status != PartitionStatus::Isolated)
     }
     /// Whether nodes have to be asked one by one.
     pub(crate) fn asks(&self) -> bool {
@@ -100,23 +100,23 @@
     }
     /// A health check was answered.
     pub(crate) fn checked(&mut self, node: &Name, ready: bool, now: Duration) {
-        self.checks.heard(node, ready, now);
+        self.checks.record(node, ready, now);
     }
     /// How a node stands.
-    pub(crate) fn presence(&self, node: &str, now: Duration) -> Presence {
+    pub(crate) fn presence(&self, node: &str, now: Duration) -> Availability {
         let Some(seen) = self.by_view() else {
-            return self.checks.presence(node, now);
+            return self.checks.availability(node, now);
         };
-        match seen.member(node).filter(|r| r.takes_requests()) {
-            Some(r) if r.word.standing == Standing::Suspected => Presence::Doubtful,
-            Some(_) => Presence::There,
-            None => Presence::Away,
+        match seen.member(node).filter(|r| r.accepts_requests()) {
+            Some(r) if r.state.liveness == Liveness::Suspect => Availability::Suspect,
+            Some(_) => Availability::Available,
+            None => Availability::Unavailable,
         }
     }
     /// Nodes that stand otherwise than when this was last asked.
-    pub(crate) fn changed(&mut self, now: Duration) -> Vec<(Name, Presence)> {
+    pub(crate) fn changed(&mut self, now: Duration) -> Vec<(Name, Availability)> {
         let names: Vec<Name> = self.by_file.keys().cloned().collect();
-        let is: Vec<(Name, Presence)> = names
+        let is: Vec<(Name, Availability)> = names
             .into_iter()
             .map(|n| (n.clone(), self.presence(&n, now)))
             .collect();
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,23 +7,25 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use cells_cli::Cells;
+use cells_cli::CellsCommand;
 use clap::{Parser, Subcommand};
 use crossbeam_channel::{after, bounded, never, select, Receiver, Sender};
 use fleet_cli::Fleet;
 use fleet_runtime as fleet;
-use lifecycle::{Beside, State, Step, PARTS};
+use lifecycle::{ProcessState, SiblingProcess, Transition, TOTAL_SHARES};
 use protocol_gateway::amqp::Amqp;
+use protocol_gateway::fleet_membership::{FleetMembership, FleetMembershipOptions};
+use protocol_gateway::instance_lock::{InstanceLock, ResourceShareLocks};
 use protocol_gateway::inventory::{self, InventoryError};
-use protocol_gateway::member::Member;
 use protocol_gateway::net::jsonrpc::Front;
 use protocol_gateway::net::{database, door, executor, membership, spawn, take_address, Address};
+use protocol_gateway::node::cell_guard::CellGuardError;
 use protocol_gateway::node::config::{Config, ConfigError};
-use protocol_gateway::node::confinement::CellsError;
-use protocol_gateway::node::{Board, Confinement, Fleet as Counting, Limits, Module, Msg, Peers};
-use protocol_gateway::seat::{Parts, Standing};
+use protocol_gateway::node::{
+    CellGuard, FleetCounters, Limits, NodeStatus, Peers, PolicyActor, PolicyConfig, PolicyMessage,
+};
 use router::{Config as Router, ConfigError as RouterError, RouterLoop};
-use routing::Rules;
+use routing::RoutingSettings;
 use slog::{info, o, warn, Drain, Logger};
 use socket2::Socket;
 
@@ -52,7 +54,7 @@
 enum Command {
     /// Check, show and plan cells: which nodes serve which tenants.
     #[command(subcommand)]
-    Cells(Cells),
+    Cells(CellsCommand),
     /// Show what members of a fleet see of each other.
     #[command(subcommand)]
     Fleet(Fleet),
@@ -121,12 +123,12 @@
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default()
         .as_nanos() as u64;
-    let router =
-        RouterLoop::bind(config, Rules::default(), seed, &log).map_err(system("listen"))?;
+    let router = RouterLoop::bind(config, RoutingSettings::default(), seed, &log)
+        .map_err(system("listen"))?;
     let handle = router.handle();
     info!(log, "listening"; "at" => %handle.address);
     let (tell, ended) = bounded(1);
-    spawn("route", limits.module_stack, move || {
+    spawn("route", limits.policy.stack_bytes, move || {
         let _ = tell.send(router.run());
     })
     .map_err(system("threads"))?;
@@ -147,7 +149,7 @@
 enum StartError {
     Config(ConfigError),
     Inventory(InventoryError),
-    Cells(CellsError),
+    Cells(CellGuardError),
     Fleet(fleet::ConfigError),
     Router(RouterError),
     System(&'static str, io::Error),
@@ -183,30 +185,30 @@
         .map(fleet::Config::read)
         .transpose()
         .map_err(StartError::Fleet)?;
-    let mut limits = Limits::new(config.sockets).within(config.memory_mb);
+    let mut limits = Limits::new(config.descriptors).with_memory(config.memory_mb);
     let env = |name: &str| std::env::var(name).ok();
     let queues = inventory.map_or(Ok(Vec::new()), |file| {
         inventory::read(file, &config.site, &limits, env)
     });
     let queues = queues.map_err(StartError::Inventory)?;
     let cells = cells
-        .map(|file| Confinement::read(file, &config.name))
+        .map(|file| CellGuard::read(file, &config.name))
         .transpose()
         .map_err(StartError::Cells)?;
     limits.front.max_connections = limits.front.max_connections.saturating_sub(queues.len());
     let system = |what| move |e| StartError::System(what, e);
     let log = logger(&config.name);
     let signals = signals(&limits).map_err(system("signals"))?;
-    let clients = take_address(config.listen, config.door.is_some()).map_err(system("listen"))?;
+    let clients = take_address(config.listen, config.admin.is_some()).map_err(system("listen"))?;
     let door = config
-        .door
+        .admin
         .map(TcpListener::bind)
         .transpose()
         .map_err(system("door"))?;
 
-    let board = Arc::new(Board::default());
-    let (module, inbox) = bounded(limits.module_mailbox);
-    let (to_executor, executor_inbox) = bounded(limits.executor_mailbox);
+    let node_status = Arc::new(NodeStatus::default());
+    let (policy, inbox) = bounded(limits.policy.mailbox);
+    let (to_executor, executor_inbox) = bounded(limits.executor.mailbox);
     let (to_list, list_inbox) = bounded(1);
     let (to_moves, moves) = bounded(1);
 
@@ -219,41 +221,52 @@
         .is_some_and(|f| f.budgets.iter().any(|b| *b.name == *fleet::LEDGER));
     let shares = in_fleet
         .as_ref()
-        .filter(|f| f.counts || f.judgements)
+        .filter(|f| f.shares_counts || f.shares_ledger_health)
         .map(|_| fleet::Shares::default());
     let judged = in_fleet
         .as_ref()
-        .filter(|f| f.judgements)
+        .filter(|f| f.shares_ledger_health)
         .and(shares.clone());
     let guard = (budgeted || judged.is_some())
         .then(|| database::Guard::new(database::Budget::new(budgeted, judged)));
-    let calls = database::start(&database, guard.clone(), &limits, &module, &database_log)
+    let calls = database::start(&database, guard.clone(), &limits, &policy, &database_log)
         .map_err(system("threads"))?;
     let waiting = guard
         .clone()
         .map(|budget| Box::new(move |requests| budget.waits(requests)) as Box<_>);
-    let counts = in_fleet.as_ref().filter(|f| f.counts).and(shares.clone());
-    let counts = counts.map(|s| Counting {
-        live: s.live(),
-        others: Box::new(move |keys| s.others(keys)),
+    let counts = in_fleet
+        .as_ref()
+        .filter(|f| f.shares_counts)
+        .and(shares.clone());
+    let counts = counts.map(|s| FleetCounters {
+        own: s.in_flight(),
+        read_others: Box::new(move |keys| {
+            s.in_flight_elsewhere(keys)
+                .map(|others| (others.node_count, others.requests))
+        }),
     });
     let peers = Peers {
         executor: to_executor,
         database: Box::new(move |call| calls.make(call)),
-        waiting,
+        report_waiting: waiting,
         fleet: counts,
     };
-    let told = (site.clone(), config.seed, config.stop);
-    let actor = Module::new(
-        told,
-        limits.clone(),
+    let policy_config = PolicyConfig {
+        site: site.clone(),
+        seed: config.seed,
+        shutdown_timeout: config.shutdown_timeout,
+        limits: limits.clone(),
+        cells: cells.clone(),
+    };
+    let actor = PolicyActor::new(
+        policy_config,
         peers,
-        (board.clone(), cells.clone()),
-        log.new(o!("actor" => "module")),
+        node_status.clone(),
+        log.new(o!("actor" => "policy")),
     );
     // Dropped when the module's thread ends, however it ends: without it the node is of no use.
     let (alive, ended) = bounded::<()>(0);
-    spawn("module", limits.module_stack, move || {
+    spawn("policy", limits.policy.stack_bytes, move || {
         let _alive = alive;
         actor.run(&inbox);
     })
@@ -267,20 +280,20 @@
     let mailboxes = executor::Mailboxes {
         commands: executor_inbox,
         moves,
-        module: module.clone(),
+        policy: policy.clone(),
     };
-    spawn("executor", limits.stack, move || {
+    spawn("executor", limits.stack_bytes, move || {
         executor::run(at, &own, &mailboxes, &own_log);
     })
     .map_err(system("threads"))?;
     let (at, own, own_log, own_board) = (
-        config.members,
+        config.endpoint_list,
         limits.clone(),
         log.new(o!("actor" => "list")),
-        board.clone(),
+        node_status.clone(),
     );
     let name = config.name.clone();
-    spawn("list", limits.stack, move || {
+    spawn("list", limits.stack_bytes, move || {
         membership::run(at, &name, &own, &own_board, &list_inbox, &own_log);
     })
     .map_err(system("threads"))?;
@@ -290,22 +303,22 @@
         queues,
         (site.clone(), config.seed),
         &limits,
-        &board,
-        &module,
+        &node_status,
+        &policy,
         &amqp_log,
     )
     .map_err(system("threads"))?;
-    let front = Front::start(site.clone(), &limits, &board, &module, &front_log)
+    let front = Front::start(site.clone(), &limits, &node_status, &policy, &front_log)
         .map_err(system("threads"))?;
     let (to_main, changed) = bounded(1);
     if let Some(listener) = door {
         let door_log = log.new(o!("actor" => "door"));
-        let at = door::start(listener, &board, to_main.clone(), &limits, &door_log)
+        let at = door::start(listener, &node_status, to_main.clone(), &limits, &door_log)
             .map_err(system("door"))?;
-        info!(log, "door"; "at" => %at);
+        info!(log, "admin"; "at" => %at);
     }
     let listen = |clients: Socket| -> io::Result<SocketAddr> {
-        clients.listen(limits.backlog)?;
+        clients.listen(limits.listener.backlog)?;
         let listener = TcpListener::from(clients);
         let at = listener.local_addr()?;
         info!(log, "listening"; "at" => %at);
@@ -315,44 +328,47 @@
     // Where another process may serve at this address, clients must not come here before they can be served.
     let mut clients = Some(clients);
     let mut serves = None;
-    if config.door.is_none() {
+    if config.admin.is_none() {
         if let Some(clients) = clients.take() {
             serves = Some(listen(clients).map_err(system("listen"))?);
         }
     }
 
     // Where there is a door another process may stand beside this one.
-    let mut standing = config.door.map_or(Standing::Alone, |_| {
-        Standing::new(&std::env::temp_dir(), &config.name)
+    let mut instance_lock = config.admin.map_or(InstanceLock::Unavailable, |_| {
+        InstanceLock::new(&std::env::temp_dir(), &config.name)
     });
-    standing.look(board.state(), &log);
+    instance_lock.try_acquire(node_status.process_state(), &log);
     let mut divide = Divide {
-        parts: Parts::new(&std::env::temp_dir(), &config.name, &standing),
-        board: board.clone(),
-        module: module.clone(),
+        parts: ResourceShareLocks::new(&std::env::temp_dir(), &config.name, &instance_lock),
+        node_status: node_status.clone(),
+        policy: policy.clone(),
         slots: limits.front.max_connections,
         log: log.clone(),
     };
-    divide.look(&standing, front.connections());
-    let mut member = Member::new(
-        in_fleet,
-        cli.fleet.as_deref(),
-        &config.name,
-        &limits,
-        (guard, shares),
-        &log,
-    );
+    divide.look(&instance_lock, front.connections());
+    let fleet_options = FleetMembershipOptions {
+        config: in_fleet,
+        config_file: cli.fleet.clone(),
+        node_name: config.name.clone(),
+        stack_size: limits.stack_bytes,
+        ledger_guard: guard,
+        shared_counters: shares,
+    };
+    let mut member = FleetMembership::new(fleet_options, &log);
     // One that is to replace another stays out of the fleet until it takes clients: the name is the other's so long.
-    let another = |standing: &Standing| !standing.may_take() || standing.beside() != Beside::Nobody;
-    member.beside(another(&standing));
-    if standing.beside() != Beside::Taking {
+    let another = |instance_lock: &InstanceLock| {
+        !instance_lock.may_accept_clients() || instance_lock.sibling() != SiblingProcess::Absent
+    };
+    member.set_sibling_running(another(&instance_lock));
+    if instance_lock.sibling() != SiblingProcess::AcceptingClients {
         member
-            .join(board.state(), serves)
+            .join(node_status.process_state(), serves)
             .map_err(system("fleet"))?;
     }
-    let pace = |divide: &Divide| match config.door {
-        Some(_) if divide.whole() => after(limits.seat_look_alone),
-        Some(_) => after(limits.seat_look),
+    let pace = |divide: &Divide| match config.admin {
+        Some(_) if divide.whole() => after(limits.replacement.poll_interval_alone),
+        Some(_) => after(limits.replacement.poll_interval),
         None => never(),
     };
     let began = Instant::now();
@@ -362,7 +378,7 @@
         cells,
         executor: (config.executor, to_moves),
         database,
-        list: (config.members, to_list.clone()),
+        list: (config.endpoint_list, to_list.clone()),
         log: log.clone(),
     };
     loop {
@@ -370,61 +386,62 @@
             recv(signals.leave) -> _ => break,
             recv(signals.reload) -> _ => {
                 peers.reload(&config.name, config.listen);
-                member.reload();
+                member.reload_config();
             }
-            recv(board.up()) -> _ => up = true,
+            recv(node_status.executor_ready()) -> _ => up = true,
             recv(look) -> _ => {
-                standing.look(board.state(), &log);
+                instance_lock.try_acquire(node_status.process_state(), &log);
                 // Of two processes the later one leaves to the earlier what is the name's own.
-                if member.is_beside() {
-                    member.beside(another(&standing));
+                if member.is_sibling_running() {
+                    member.set_sibling_running(another(&instance_lock));
                 }
-                divide.look(&standing, front.connections());
+                divide.look(&instance_lock, front.connections());
                 look = pace(&divide);
             }
             recv(changed) -> _ => {
                 let _ = to_list.try_send(membership::Report::Changed);
-                member.say(board.state());
+                member.advertise_state(node_status.process_state());
             }
             recv(ended) -> _ => return Ok(ExitCode::FAILURE),
         }
         // Without a part it could only refuse what comes.
-        let has_part = divide.parts.held() > 0 || began.elapsed() >= limits.first_part;
-        if up && standing.may_take() && has_part {
+        let has_part =
+            divide.parts.held() > 0 || began.elapsed() >= limits.replacement.first_share_timeout;
+        if up && instance_lock.may_accept_clients() && has_part {
             up = false;
             if let Some(clients) = clients.take() {
                 serves = Some(listen(clients).map_err(system("listen"))?);
             }
             // Said before the door says so: the platform ends the other process on the door's word.
-            standing.say(State::Serving);
-            let _ = board.step(Step::Taking);
+            instance_lock.publish(ProcessState::Serving);
+            let _ = node_status.apply_transition(Transition::AcceptClients);
             member
-                .join(board.state(), serves)
+                .join(node_status.process_state(), serves)
                 .map_err(system("fleet"))?;
             let _ = to_list.try_send(membership::Report::Changed);
         }
     }
     let told = Instant::now();
-    let beside = standing.beside();
-    let _ = board.step(beside.leave());
-    let replaced = beside == Beside::Taking;
-    standing.say(board.state());
+    let beside = instance_lock.sibling();
+    let _ = node_status.apply_transition(beside.shutdown_transition());
+    let replaced = beside == SiblingProcess::AcceptingClients;
+    instance_lock.publish(node_status.process_state());
     let stop = if replaced {
-        limits.replaced(&site)
+        limits.replaced_lifetime(&site)
     } else {
-        config.stop
+        config.shutdown_timeout
     };
     if replaced {
-        info!(log, "replaced"; "left_ms" => stop.as_millis() as u64, "owed" => board.owed());
+        info!(log, "replaced"; "time_left_ms" => stop.as_millis() as u64, "unanswered" => node_status.unanswered());
     }
     // Of a node that goes on under a successor nothing is said.
     if !replaced {
-        member.say(board.state());
+        member.advertise_state(node_status.process_state());
     }
-    let _ = module.send(if replaced {
-        Msg::Replaced(stop)
+    let _ = policy.send(if replaced {
+        PolicyMessage::Replaced(stop)
     } else {
-        Msg::Drain
+        PolicyMessage::ShutDown
     });
     let _ = to_list.try_send(membership::Report::Changed);
     let mut closed = replaced;
@@ -436,7 +453,7 @@
     amqp.leave();
     let stop = stop.saturating_sub(limits.stop_margin / 4);
     loop {
-        let quiet = front.open() == 0 && board.owed() == 0 && amqp.has_left();
+        let quiet = front.open() == 0 && node_status.unanswered() == 0 && amqp.has_left();
         // Who has not heard of the notice yet still comes; those that are early enough are served.
         if !closed && quiet && told.elapsed() > grace {
             closed = true;
@@ -446,15 +463,15 @@
         // Until the front has closed its listener, some may wait there whom it has not seen.
         let gone = closed && !front.listening() && quiet && front.connections() == 0;
         if gone || told.elapsed() >= stop {
-            info!(log, "left"; "owed" => board.owed(), "unwritten" => front.open(),
+            info!(log, "shut down"; "unanswered" => node_status.unanswered(), "unwritten" => front.open(),
                 "unsettled" => amqp.unsettled(), "ms" => told.elapsed().as_millis() as u64);
-            member.end(replaced);
+            member.leave(replaced);
             return Ok(ExitCode::SUCCESS);
         }
         select! {
-            recv(after(limits.drain_tick)) -> _ => {}
+            recv(after(limits.drain_poll_interval)) -> _ => {}
             recv(look) -> _ => {
-                divide.look(&standing, front.connections());
+                divide.look(&instance_lock, front.connections());
                 look = pace(&divide);
             }
             recv(signals.reload) -> _ => peers.reload(&config.name, config.listen),
@@ -465,9 +482,9 @@
 
 /// How this process and another of the node divide what the node may have, and who must hear when that changes.
 struct Divide {
-    parts: Parts,
-    board: Arc<Board>,
-    module: Sender<Msg>,
+    parts: ResourceShareLocks,
+    node_status: Arc<NodeStatus>,
+    policy: Sender<PolicyMessage>,
     slots: usize,
     log: Logger,
 }
@@ -475,26 +492,28 @@
 impl Divide {
     /// All is this process's, as nobody stands beside it.
     fn whole(&self) -> bool {
-        self.parts.held() == PARTS
+        self.parts.held() == TOTAL_SHARES
     }
     /// Looks who stands beside this process, with so many connections here.
-    fn look(&mut self, standing: &Standing, connections: usize) {
-        let taken = (connections * PARTS as usize).div_ceil(self.slots.max(1)) as u32;
-        let used = self.board.used().max(taken);
-        if let Some(held) = self
-            .parts
-            .look(self.board.state(), standing.beside(), used, &self.log)
-        {
-            self.board.set_parts(held);
+    fn look(&mut self, instance_lock: &InstanceLock, connections: usize) {
+        let taken = (connections * TOTAL_SHARES as usize).div_ceil(self.slots.max(1)) as u32;
+        let used = self.node_status.used_shares().max(taken);
+        if let Some(held) = self.parts.update(
+            self.node_status.process_state(),
+            instance_lock.sibling(),
+            used,
+            &self.log,
+        ) {
+            self.node_status.set_resource_shares(held);
             // It reads these at once; one that has ended ends the process.
-            let _ = self.module.send(Msg::Parts(held));
+            let _ = self.policy.send(PolicyMessage::ResourceSharesChanged(held));
         }
     }
 }
 
 /// Where the peers are, and who must hear when they move.
 struct Moves {
-    cells: Option<Confinement>,
+    cells: Option<CellGuard>,
     executor: (SocketAddr, Sender<SocketAddr>),
     database: Arc<Address>,
     list: (SocketAddr, Sender<membership::Report>),
@@ -504,7 +523,7 @@
 impl Moves {
     /// Reads the configuration again and hands new addresses on. One that can't be used changes nothing.
     fn reload(&mut self, name: &str, listen: SocketAddr) {
-        match self.cells.as_ref().map(Confinement::reload) {
+        match self.cells.as_ref().map(CellGuard::reload) {
             Some(Ok(epoch)) => info!(self.log, "cells read again"; "epoch" => epoch),
             Some(Err(e)) => warn!(self.log, "the new cells are not used"; "error" => %e),
             None => {}
@@ -520,14 +539,17 @@
             );
         }
         info!(self.log, "configuration read again"; "executor" => %config.executor, "database" => ?config.database,
-            "members" => %config.members);
+            "members" => %config.endpoint_list);
         // The actors take these at any time, so the sends end; one that is gone has ended the node already.
         if std::mem::replace(&mut self.executor.0, config.executor) != config.executor {
             let _ = self.executor.1.send(config.executor);
         }
         self.database.set(config.database);
-        if std::mem::replace(&mut self.list.0, config.members) != config.members {
-            let _ = self.list.1.send(membership::Report::To(config.members));
+        if std::mem::replace(&mut self.list.0, config.endpoint_list) != config.endpoint_list {
+            let _ = self
+                .list
+                .1
+                .send(membership::Report::To(config.endpoint_list));
         }
     }
 }
@@ -544,7 +566,7 @@
     use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
     let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let ((tell_leave, leave), (tell_reload, reload)) = (bounded(1), bounded(1));
-    spawn("signals", limits.stack, move || {
+    spawn("signals", limits.stack_bytes, move || {
         for signal in signals.forever() {
             let tell = if signal == SIGHUP {
                 &tell_reload
--- a/src/net/door.rs
+++ b/src/net/door.rs
@@ -1,6 +1,6 @@
 //! The operators' door: a line in, a line out, on an address of its own. One thread serves all callers by readiness and
 //! asks nobody anything, so that it answers whatever the fronts, the module and the peers are busy with. Its table is
-//! bounded, and its descriptors are set aside: see [`Limits::door_callers`].
+//! bounded, and its descriptors are set aside: see [`AdminLimits::max_clients`](crate::node::limits::AdminLimits::max_clients).
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -9,20 +9,20 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::Sender;
-use lifecycle::{Answer, Call, Line, Unheard};
+use lifecycle::{AdminCommand, AdminRequestError, AdminResponse, LineBuffer};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 use slog::{info, warn, Logger};
 
 use super::spawn;
-use crate::node::{Board, Limits, Seldom};
+use crate::node::{Limits, NodeStatus, RateLimitedLog};
 
 const LISTENER: Token = Token(0);
 
 /// One caller. Those that came first have the lowest numbers.
 struct Caller {
     stream: TcpStream,
-    line: Line,
+    line: LineBuffer,
     /// It has its answer, and is only waited for to read it: closed on bytes that nobody read, the machine would reset
     /// the connection and the answer with it.
     answered: bool,
@@ -36,18 +36,18 @@
     listener: TcpListener,
     callers: BTreeMap<usize, Caller>,
     next: usize,
-    board: Arc<Board>,
+    node_status: Arc<NodeStatus>,
     /// Told after each change of state.
     changed: Sender<()>,
     limits: Limits,
-    crowded: Seldom,
+    crowded: RateLimitedLog,
     log: Logger,
 }
 
 /// Opens the door; `changed` hears of each change of state that a call brings. Returns where it listens.
 pub fn start(
     listener: std::net::TcpListener,
-    board: &Arc<Board>,
+    node_status: &Arc<NodeStatus>,
     changed: Sender<()>,
     limits: &Limits,
     log: &Logger,
@@ -63,19 +63,19 @@
         listener,
         callers: BTreeMap::new(),
         next: LISTENER.0 + 1,
-        board: board.clone(),
+        node_status: node_status.clone(),
         changed,
         limits: limits.clone(),
-        crowded: Seldom::new(limits.log_seldom),
+        crowded: RateLimitedLog::new(limits.repeated_log_interval),
         log: log.clone(),
     };
-    spawn("door", limits.stack, move || door.run())?;
+    spawn("door", limits.stack_bytes, move || door.run())?;
     Ok(address)
 }
 
 impl Door {
     fn run(mut self) {
-        let mut events = Events::with_capacity(self.limits.door_callers * 2);
+        let mut events = Events::with_capacity(self.limits.admin.max_clients * 2);
         let mut acceptable = false;
         loop {
             let now = Instant::now();
@@ -89,7 +89,7 @@
                 Err(e) if e.kind() != ErrorKind::Interrupted => {
                     // Nothing that a caller does leads here.
                     warn!(self.log, "door: poll"; "error" => %e);
-                    std::thread::sleep(self.limits.reconnect);
+                    std::thread::sleep(self.limits.reconnect_backoff);
                 }
                 _ => {}
             }
@@ -125,7 +125,7 @@
     }
 
     fn make_room(&mut self) {
-        if self.callers.len() < self.limits.door_callers {
+        if self.callers.len() < self.limits.admin.max_clients {
             return;
         }
         // One that has its answer first, then the one that has held its place the longest.
@@ -141,7 +141,10 @@
         if self.callers.get(&number).is_some_and(|c| !c.answered) {
             self.crowded
                 .log(|more| warn!(self.log, "door: too many callers"; "more" => more));
-            self.answer(number, Answer::Unheard(Unheard::Crowded));
+            self.answer(
+                number,
+                AdminResponse::InvalidRequest(AdminRequestError::TooManyClients),
+            );
         }
         self.callers.remove(&number);
     }
@@ -157,8 +160,8 @@
         {
             return;
         }
-        let line = Line::new(self.limits.door_line);
-        let until = Instant::now() + self.limits.door_wait;
+        let line = LineBuffer::new(self.limits.admin.line_bytes);
+        let until = Instant::now() + self.limits.admin.request_timeout;
         self.callers.insert(
             number,
             Caller {
@@ -185,9 +188,9 @@
                     self.callers.remove(&number);
                     return;
                 }
-                Ok(0) => Some(Err(Unheard::Cut)),
+                Ok(0) => Some(Err(AdminRequestError::Truncated)),
                 Ok(_) if caller.answered => None,
-                Ok(n) => caller.line.feed(&chunk[..n]),
+                Ok(n) => caller.line.push(&chunk[..n]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => None,
                 Err(_) => {
@@ -200,16 +203,16 @@
                     let answer = self.carry_out(call);
                     self.answer(number, answer);
                 }
-                Some(Err(why)) => self.answer(number, Answer::Unheard(why)),
+                Some(Err(why)) => self.answer(number, AdminResponse::InvalidRequest(why)),
                 None => {}
             }
         }
     }
 
-    fn carry_out(&self, call: Call) -> Answer {
-        let (before, answer, after) = self.board.with_state(|state| {
+    fn carry_out(&self, call: AdminCommand) -> AdminResponse {
+        let (before, answer, after) = self.node_status.update_state(|state| {
             let before = *state;
-            let answer = call.carry_out(state);
+            let answer = call.execute(state);
             (before, answer, *state)
         });
         if before != after {
@@ -220,7 +223,7 @@
         answer
     }
 
-    fn answer(&mut self, number: usize, answer: Answer) {
+    fn answer(&mut self, number: usize, answer: AdminResponse) {
         let Some(caller) = self.callers.get_mut(&number) else {
             return;
         };
@@ -228,7 +231,7 @@
         let _ = caller.stream.write_all(format!("{answer}\n").as_bytes());
         let _ = caller.stream.shutdown(Shutdown::Write);
         caller.answered = true;
-        caller.until = Instant::now() + self.limits.door_linger;
+        caller.until = Instant::now() + self.limits.admin.response_timeout;
     }
 
     fn part_with_the_late(&mut self) {
@@ -243,7 +246,10 @@
             if self.callers.get(&number).is_some_and(|c| c.answered) {
                 self.callers.remove(&number);
             } else {
-                self.answer(number, Answer::Unheard(Unheard::Late));
+                self.answer(
+                    number,
+                    AdminResponse::InvalidRequest(AdminRequestError::TimedOut),
+                );
             }
         }
     }
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -9,13 +9,12 @@
 use std::time::Duration;
 
 use fault_testbed::{Plan, Rig};
-use fleet_cli::{state, All, Shown, Status};
+use fleet_cli::{state_name, FleetReport, MemberReport, ViewReport};
 use golden::{data, run, shape, Folder};
-use lifecycle::{Answer, Call, State, Unheard};
-use membership::word::Word;
-use membership::{Conclusion, Record, Said, Standing};
+use lifecycle::{AdminCommand, AdminRequestError, AdminResponse, ProcessState};
+use membership::{AdvertisedStatus, Liveness, MemberRecord, MemberState, PartitionStatus};
 use serde_json::{json, Value};
-use shared_state::{Judgement, Look};
+use shared_state::{DependencyHealth, SharedStateSnapshot};
 use test_doubles::Node;
 
 /// The names in a help text by section, with their defaults, and its line of usage; descriptions are left out.
@@ -117,17 +116,17 @@
 /// What a settled fleet doesn't show: a member without an answer, one that serves nothing, and views that differ.
 #[test]
 fn missing_answers_and_differences_have_their_place_in_the_json() {
-    let member = Shown {
+    let member = MemberReport {
         state: "up",
         site: "milano".into(),
-        life: 7,
-        incarnation: 2,
-        at: SocketAddr::from(([127, 0, 0, 1], 7946)),
-        serves: None,
+        incarnation: 7,
+        version: 2,
+        address: SocketAddr::from(([127, 0, 0, 1], 7946)),
+        client_address: None,
     };
-    let status = Status {
-        seen_by: "n0".into(),
-        conclusion: "part".into(),
+    let status = ViewReport {
+        observer: "n0".into(),
+        partition_status: "part".into(),
         for_ms: 5,
         digest: "00ff".into(),
         present: 1,
@@ -138,12 +137,12 @@
     };
     let holders = BTreeMap::from([("gone".to_string(), vec!["n0".to_string()])]);
     let found = json!({
-        "status": All {
+        "status": FleetReport {
             views: BTreeMap::from([("n0".into(), Some(status)), ("n1".into(), None)]),
-            same: false,
-            differ: BTreeMap::from([("n1".into(), holders)]),
+            is_consistent: false,
+            differences: BTreeMap::from([("n1".into(), holders)]),
         },
-        "state": Look::default(),
+        "state": SharedStateSnapshot::default(),
     });
     assert_eq!(
         found,
@@ -155,42 +154,45 @@
 #[test]
 fn states_and_conclusions_have_their_names_in_the_json() {
     let state = |said, standing| {
-        let word = Word {
-            life: 1,
-            incarnation: 0,
-            said,
-            standing,
+        let member_state = MemberState {
+            incarnation: 1,
+            version: 0,
+            status: said,
+            liveness: standing,
         };
         let at = SocketAddr::from(([127, 0, 0, 1], 7946));
-        state(&Record {
+        state_name(&MemberRecord {
             name: "n0".into(),
             site: "milano".into(),
-            at,
-            serves: None,
-            word,
-            by: 0,
+            address: at,
+            client_address: None,
+            state: member_state,
+            suspected_by: 0,
         })
     };
     let mut states = Vec::new();
     for said in [
-        Said::Joining,
-        Said::Up,
-        Said::Quiesced,
-        Said::Leaving,
-        Said::Left,
+        AdvertisedStatus::Joining,
+        AdvertisedStatus::Up,
+        AdvertisedStatus::Quiesced,
+        AdvertisedStatus::Leaving,
+        AdvertisedStatus::Left,
     ] {
-        states
-            .push([Standing::Present, Standing::Suspected, Standing::Gone].map(|s| state(said, s)));
+        states.push([Liveness::Alive, Liveness::Suspect, Liveness::Dead].map(|s| state(said, s)));
     }
-    let conclusions =
-        [Conclusion::Whole, Conclusion::Part, Conclusion::Alone].map(Conclusion::name);
+    let conclusions = [
+        PartitionStatus::Majority,
+        PartitionStatus::Minority,
+        PartitionStatus::Isolated,
+    ]
+    .map(PartitionStatus::as_str);
     let dependency = [
-        Judgement::Unknown,
-        Judgement::Sound,
-        Judgement::Slow,
-        Judgement::Unsure,
-        Judgement::OnlyHere,
-        Judgement::Down,
+        DependencyHealth::Unknown,
+        DependencyHealth::Sound,
+        DependencyHealth::Slow,
+        DependencyHealth::Unsure,
+        DependencyHealth::OnlyHere,
+        DependencyHealth::Down,
     ];
     let found = json!({"states": states, "conclusions": conclusions, "dependency": dependency});
     assert_eq!(found, data::<Value>("fleet_names.json"), "found {found}");
@@ -224,34 +226,37 @@
 #[test]
 fn each_admin_command_has_its_answer_in_each_state() {
     let states = [
-        ("starting", State::Starting { quiesced: false }),
-        ("starting, quiesced", State::Starting { quiesced: true }),
-        ("serving", State::Serving),
-        ("quiesced", State::Quiesced),
+        ("starting", ProcessState::Starting { quiesced: false }),
+        (
+            "starting, quiesced",
+            ProcessState::Starting { quiesced: true },
+        ),
+        ("serving", ProcessState::Serving),
+        ("quiesced", ProcessState::Quiesced),
         (
             "leaving",
-            State::Leaving {
+            ProcessState::ShuttingDown {
                 replaced: false,
                 quiesced: false,
             },
         ),
         (
             "leaving, quiesced",
-            State::Leaving {
+            ProcessState::ShuttingDown {
                 replaced: false,
                 quiesced: true,
             },
         ),
         (
             "replaced",
-            State::Leaving {
+            ProcessState::ShuttingDown {
                 replaced: true,
                 quiesced: false,
             },
         ),
         (
             "replaced, quiesced",
-            State::Leaving {
+            ProcessState::ShuttingDown {
                 replaced: true,
                 quiesced: true,
             },
@@ -261,9 +266,9 @@
     for (name, before) in states {
         for line in ["health", "quiesce", "resume"] {
             let mut state = before;
-            let answer = Call::parse(line.as_bytes())
+            let answer = AdminCommand::parse(line.as_bytes())
                 .expect("a command")
-                .carry_out(&mut state);
+                .execute(&mut state);
             found
                 .entry(name)
                 .or_default()
@@ -276,7 +281,14 @@
 
 #[test]
 fn each_reason_for_which_a_line_is_no_admin_command_has_its_answer() {
-    use Unheard::{Crowded, Cut, Late, TooLong, Unknown};
-    let found = [Unknown, TooLong, Cut, Late, Crowded].map(|why| Answer::Unheard(why).to_string());
+    use AdminRequestError::{LineTooLong, TimedOut, TooManyClients, Truncated, UnknownCommand};
+    let found = [
+        UnknownCommand,
+        LineTooLong,
+        Truncated,
+        TimedOut,
+        TooManyClients,
+    ]
+    .map(|error| AdminResponse::InvalidRequest(error).to_string());
     assert_eq!(found.to_vec(), data::<Vec<String>>("admin_errors.json"));
 }
