--- a/crates/shared-state/tests/golden.rs
+++ b/crates/shared-state/tests/golden.rs
@@ -6,8 +6,8 @@
 use shared_state::{
     counter_indices, AggregateSnapshot, AggregationMessage, BudgetSnapshot, CallCounts,
     CounterChange, CoverageSnapshot, DependencyHealth, GuaranteedSnapshot, HealthState,
-    HolderSnapshot, LeaseSnapshot, Message, ObservedHealth, QuotaUsage, ServiceObservation,
-    SharedStateSnapshot, SumVersion, Tally, Term, Vote, LEDGER,
+    HolderRequest, HolderSnapshot, LeaseSnapshot, Message, ObservedHealth, QuotaUsage,
+    ServiceObservation, SharedStateSnapshot, SumVersion, Tally, Term, Vote, LEDGER,
 };
 
 fn hex(bytes: &[u8]) -> String {
@@ -117,13 +117,13 @@
     vec![
         (
             "ask",
-            Message::LeaseRequest {
+            Message::LeaseRequest(HolderRequest {
                 term,
                 incarnation: 301,
                 seq: 402,
                 applied_seq: 503,
                 usage: vec![usage(604, 705), usage(806, 907)],
-            },
+            }),
         ),
         (
             "grant",
@@ -276,3 +276,18 @@
         .collect();
     assert_eq!(written, include_str!("golden/cells.txt"));
 }
+
+/// The tools print snapshots as JSON: names, order and shapes of the fields may not change.
+#[test]
+fn snapshot_json_is_stable() {
+    let mut written = String::new();
+    for (name, message) in cases() {
+        if let Message::SnapshotReply(_, snapshot) = message {
+            let json = serde_json::to_string(&snapshot).expect("JSON");
+            let read: SharedStateSnapshot = serde_json::from_str(&json).expect("a snapshot");
+            assert_eq!(read, snapshot, "{name}");
+            written += &format!("{name} {json}\n");
+        }
+    }
+    assert_eq!(written, include_str!("golden/snapshots.txt"));
+}
