--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -21,3 +21,5 @@
 
 /// The name of a node, cell, site or tenant.
 pub type Name = Arc<str>;
+/// The version number of a cell map; it rises with each change.
+pub type Epoch = u64;
--- a/crates/cells/src/map/mod.rs
+++ b/crates/cells/src/map/mod.rs
@@ -19,6 +19,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::layout::{Layout, LayoutError};
+use crate::Epoch;
 pub use crate::Name;
 pub use published::PublishedMap;
 use rendezvous::{HashPurpose, RendezvousKey};
@@ -95,7 +96,7 @@
     pub cells: AssignedCells,
     /// The epoch since which they serve the tenant: routers send it with requests, and nodes that know a newer one
     /// reject them.
-    pub since: u64,
+    pub since: Epoch,
     /// Whether an operator migrated the tenant here by hand: it stays unless the file pins it elsewhere.
     pub is_manual: bool,
 }
@@ -114,7 +115,7 @@
 /// One epoch of the map.
 #[derive(Clone, Debug)]
 pub struct CellMap {
-    epoch: u64,
+    epoch: Epoch,
     /// The number of a cell's nodes that serve one tenant; 0 for all of them.
     shard_size: usize,
     /// Whether tenants that no file declares are served, by the cell that their hash selects.
@@ -144,7 +145,7 @@
     }
 
     /// The number of this state of the map; it rises with each change.
-    pub fn epoch(&self) -> u64 {
+    pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
@@ -334,7 +335,7 @@
         &self,
         tenant: &str,
         cells: AssignedCells,
-        since: Option<u64>,
+        since: Option<Epoch>,
         is_manual: bool,
     ) -> Result<CellMap, LayoutError> {
         if let Some(unknown) = self.first_unknown_cell(&cells) {
--- a/crates/cells/src/migration/mod.rs
+++ b/crates/cells/src/migration/mod.rs
@@ -25,6 +25,7 @@
 
 use serde::{Deserialize, Serialize};
 
+pub use crate::Epoch;
 pub use command::{CommandKind, MigrationCommand, MigrationReport};
 pub use fence::{Fence, FenceDecision, Ownership};
 pub use phase::MigrationPhase;
@@ -34,8 +35,6 @@
 pub type NodeId = u32;
 /// The hash of a settlement's idempotency key.
 pub type KeyHash = u64;
-/// The version number of a cell map.
-pub type Epoch = u64;
 /// The unique number of a migration, whichever coordinator made it; 0 is none.
 pub type MigrationId = u64;
 /// Counts the runs of a node's process from 1; 0 where it is not known.
--- a/crates/migration-coordinator/tests/migrations.rs
+++ b/crates/migration-coordinator/tests/migrations.rs
@@ -6,7 +6,8 @@
 
 use cells::{AssignedCells, MigrationPhase, Name};
 use migration_coordinator::{Effect, Journal, JournalError, StartError};
-use simulated_fleet::{ScratchFile, SimulatedFleet, CELLS, NODES_PER_CELL, TENANTS};
+use simulated_fleet::{SimulatedFleet, CELLS, NODES_PER_CELL, TENANTS};
+use tempfile::NamedTempFile;
 
 /// Starts a random migration; false where it is impossible now.
 fn start_random_migration(fleet: &mut SimulatedFleet) -> bool {
@@ -48,7 +49,7 @@
 /// writing and sending. No settlement runs twice, and none is acknowledged without having run.
 #[test]
 fn two_hundred_migrations_with_a_kill_each_lose_and_duplicate_nothing() {
-    let mut fleet = SimulatedFleet::new(0x6d6f_7468, "migrations.redb");
+    let mut fleet = SimulatedFleet::new(0x6d6f_7468);
     let mut started = 0;
     while started < 200 {
         for _ in 0..400 {
@@ -98,15 +99,15 @@
 /// Only one coordinator at a time opens a journal, and what was written is there after any end.
 #[test]
 fn journal_has_one_coordinator_and_keeps_what_was_written() {
-    let fleet = SimulatedFleet::new(1, "one.redb");
+    let fleet = SimulatedFleet::new(1);
     assert!(matches!(
-        Journal::open(&fleet.file.0),
+        Journal::open(fleet.journal_file.path()),
         Err(JournalError::InUse)
     ));
     let SimulatedFleet {
         coordinator,
         journal,
-        file,
+        journal_file,
         ..
     } = fleet;
     let mut coordinator = coordinator.expect("running");
@@ -126,7 +127,7 @@
     journal.write(records).expect("written");
     assert_eq!(journal.assignment_count().expect("read"), 0);
     drop(journal);
-    let (_journal, recovered) = Journal::open(&file.0).expect("a journal");
+    let (_journal, recovered) = Journal::open(journal_file.path()).expect("a journal");
     assert_eq!(recovered.migrations.len(), 1);
     assert_eq!(
         recovered.migrations[0].migration.phase,
@@ -139,13 +140,16 @@
 /// A file that something else has written is rejected, and not taken for an empty journal.
 #[test]
 fn file_that_is_no_journal_is_rejected() {
-    let file = ScratchFile::new("bad.redb");
+    let file = NamedTempFile::new().expect("a file");
     std::fs::write(
-        &file.0,
+        file.path(),
         b"no journal at all, but long enough to look at".repeat(200),
     )
     .expect("a file");
-    let error = Journal::open(&file.0).err().expect("rejected").to_string();
+    let error = Journal::open(file.path())
+        .err()
+        .expect("rejected")
+        .to_string();
     assert!(
         error.starts_with("the journal: ") && !error.contains('\n'),
         "{error}"
@@ -155,7 +159,7 @@
 /// An operator learns at once that a migration is impossible.
 #[test]
 fn impossible_migrations_are_rejected_at_once() {
-    let mut fleet = SimulatedFleet::new(2, "rejected.redb");
+    let mut fleet = SimulatedFleet::new(2);
     let coordinator = fleet.coordinator.as_mut().expect("running");
     let current = &coordinator.map().assignment("t0").expect("assigned").cells;
     let current = current.to_string();
--- a/crates/migration-coordinator/tests/simulated_fleet/mod.rs
+++ b/crates/migration-coordinator/tests/simulated_fleet/mod.rs
@@ -4,12 +4,12 @@
 mod client;
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::path::PathBuf;
 use std::time::Duration;
 
 use cells::migration::{Incarnation, MigrationCommand, MigrationReport, Ownership};
 use cells::{CellMap, CellSpec, Fence, Layout, Name, NodeSpec, Placement, TenantSpec};
 use migration_coordinator::{Coordinator, Effect, Journal, Timeouts};
+use tempfile::NamedTempFile;
 
 pub(crate) use client::Settlement;
 
@@ -17,24 +17,6 @@
 pub(crate) const NODES_PER_CELL: usize = 3;
 pub(crate) const TENANTS: usize = 8;
 
-/// A file that is removed with the value.
-pub(crate) struct ScratchFile(pub(crate) PathBuf);
-
-impl ScratchFile {
-    pub(crate) fn new(name: &str) -> ScratchFile {
-        let path =
-            std::env::temp_dir().join(format!("protocol-gateway-{}-{name}", std::process::id()));
-        let _ = std::fs::remove_file(&path);
-        ScratchFile(path)
-    }
-}
-
-impl Drop for ScratchFile {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_file(&self.0);
-    }
-}
-
 /// Random numbers from a seed (splitmix64).
 pub(crate) struct Random(u64);
 
@@ -101,7 +83,7 @@
     pub(crate) random: Random,
     pub(crate) now: Duration,
     pub(crate) journal: Option<Journal>,
-    pub(crate) file: ScratchFile,
+    pub(crate) journal_file: NamedTempFile,
     pub(crate) coordinator: Option<Coordinator>,
     coordinator_starts: u32,
     first_map: CellMap,
@@ -120,7 +102,7 @@
 }
 
 impl SimulatedFleet {
-    pub(crate) fn new(seed: u64, journal_name: &str) -> SimulatedFleet {
+    pub(crate) fn new(seed: u64) -> SimulatedFleet {
         let first_map = CellMap::from_layout(&layout()).expect("a map");
         let mut fences = BTreeMap::new();
         let mut incarnations = BTreeMap::new();
@@ -139,7 +121,7 @@
             random: Random(seed),
             now: Duration::ZERO,
             journal: None,
-            file: ScratchFile::new(journal_name),
+            journal_file: NamedTempFile::new().expect("a file"),
             coordinator: None,
             coordinator_starts: 0,
             maps: vec![first_map.clone()],
@@ -168,7 +150,7 @@
     }
 
     pub(crate) fn start_coordinator(&mut self) {
-        let (journal, recovered) = Journal::open(&self.file.0).expect("a journal");
+        let (journal, recovered) = Journal::open(self.journal_file.path()).expect("a journal");
         self.coordinator_starts += 1;
         let timeouts = Timeouts {
             max_concurrent: 2,
--- a/src/node/cell_guard.rs
+++ b/src/node/cell_guard.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use cells::{CellMap, Layout, LayoutError, Name, PublishedMap};
+use cells::{CellMap, Epoch, Layout, LayoutError, Name, PublishedMap};
 use json5_errors::ConfigFileError;
 
 /// Why a file of cells can't be put in force.
@@ -61,7 +61,7 @@
     }
 
     /// Reads the file again and returns the epoch in force afterwards. A file that can't be used changes nothing.
-    pub fn reload(&self) -> Result<u64, CellGuardError> {
+    pub fn reload(&self) -> Result<Epoch, CellGuardError> {
         let text =
             std::fs::read_to_string(&self.file).map_err(|source| CellGuardError::Unreadable {
                 path: self.file.clone(),
@@ -88,7 +88,7 @@
 
     /// Checks whether this node's cell serves the tenant's requests on this subject. If not, returns the epoch as of
     /// which another cell does, or none at all.
-    pub fn wrong_cell_epoch(&self, tenant: &str, subject: Option<&str>) -> Option<u64> {
+    pub fn wrong_cell_epoch(&self, tenant: &str, subject: Option<&str>) -> Option<Epoch> {
         let map: Arc<CellMap> = self.map.load();
         let is_own_cell = map
             .cell_for(tenant, subject)
