--- /dev/null
+++ b/crates/router/src/config/file.rs
@@ -0,0 +1,137 @@
+//! The router's own file: its fields, their ranges and defaults.
+
+use std::collections::BTreeMap;
+use std::fmt::Display;
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use json5_errors::ConfigFileError;
+use serde::Deserialize;
+
+use super::{ConfigError, RequestClass};
+
+/// The version of the file's format.
+const VERSION: u32 = 1;
+const CLIENTS_RANGE: RangeInclusive<usize> = 8..=100_000;
+const DEFAULT_CLIENTS: usize = 400;
+const PER_NODE_RANGE: RangeInclusive<usize> = 1..=64;
+const DEFAULT_PER_NODE: usize = 8;
+const DEADLINE_MS_RANGE: RangeInclusive<u64> = 1..=3_600_000;
+
+/// The fields as they stand in the file.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct ConfigFile {
+    version: u32,
+    pub(super) listen: SocketAddr,
+    pub(super) cells: PathBuf,
+    pub(super) fleet: Option<PathBuf>,
+    classes: BTreeMap<String, ClassFields>,
+    #[serde(default = "default_clients")]
+    pub(super) clients: usize,
+    #[serde(default = "default_per_node")]
+    pub(super) per_node: usize,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct ClassFields {
+    once: bool,
+    deadline_ms: u64,
+}
+
+fn default_clients() -> usize {
+    DEFAULT_CLIENTS
+}
+
+fn default_per_node() -> usize {
+    DEFAULT_PER_NODE
+}
+
+impl ConfigFile {
+    /// Reads the file and checks the ranges of its fields.
+    pub(super) fn read(path: &Path) -> Result<ConfigFile, ConfigError> {
+        let text = read_text(path)?;
+        let name = path.display().to_string();
+        let file: ConfigFile = json5::from_str(&text)
+            .map_err(|e| ConfigError::File(ConfigFileError::from_json5(&name, &e)))?;
+        file.check()
+            .map_err(|invalid| ConfigError::File(invalid.in_file(name)))?;
+        Ok(file)
+    }
+
+    fn check(&self) -> Result<(), InvalidField> {
+        if self.version != VERSION {
+            let message = format!("{} is not known here: {VERSION} is", self.version);
+            return Err(InvalidField::new("version", message));
+        }
+        check_range("clients", &self.clients, &CLIENTS_RANGE)?;
+        check_range("per_node", &self.per_node, &PER_NODE_RANGE)?;
+        for (class, fields) in &self.classes {
+            let field = format!("classes.{class}.deadline_ms");
+            check_range(&field, &fields.deadline_ms, &DEADLINE_MS_RANGE)?;
+        }
+        Ok(())
+    }
+
+    /// The classes of the file.
+    pub(super) fn into_classes(self) -> BTreeMap<String, RequestClass> {
+        self.classes
+            .into_iter()
+            .map(|(name, fields)| (name, fields.to_class()))
+            .collect()
+    }
+}
+
+impl ClassFields {
+    fn to_class(&self) -> RequestClass {
+        RequestClass {
+            is_non_idempotent: self.once,
+            deadline: Duration::from_millis(self.deadline_ms),
+        }
+    }
+}
+
+/// A field whose value can't be used.
+struct InvalidField {
+    field: String,
+    message: String,
+}
+
+impl InvalidField {
+    fn new(field: &str, message: String) -> InvalidField {
+        let field = field.to_string();
+        InvalidField { field, message }
+    }
+
+    fn in_file(self, file: String) -> ConfigFileError {
+        ConfigFileError {
+            file,
+            line: None,
+            field: self.field,
+            message: self.message,
+        }
+    }
+}
+
+fn check_range<T: PartialOrd + Display>(
+    field: &str,
+    value: &T,
+    range: &RangeInclusive<T>,
+) -> Result<(), InvalidField> {
+    if range.contains(value) {
+        return Ok(());
+    }
+    let message = format!("is not from {} to {}", range.start(), range.end());
+    Err(InvalidField::new(field, message))
+}
+
+/// Reads a file as text.
+pub(super) fn read_text(path: &Path) -> Result<String, ConfigError> {
+    std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
+        path: path.to_path_buf(),
+        source,
+    })
+}
--- /dev/null
+++ b/crates/router/src/config/mod.rs
@@ -0,0 +1,101 @@
+//! The router's configuration: its own file in JSON5, and the cells file and fleet file that it names.
+
+mod error;
+mod file;
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use cells::Layout;
+use fleet_runtime as fleet;
+
+pub use error::ConfigError;
+use file::ConfigFile;
+
+/// A class of requests.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RequestClass {
+    /// Its requests have an effect that must not happen twice.
+    pub is_non_idempotent: bool,
+    /// How long after its arrival at the machine a request may be answered.
+    pub deadline: Duration,
+}
+
+/// The configuration of a router.
+#[derive(Clone, Debug)]
+pub struct Config {
+    /// Where clients connect.
+    pub listen_address: SocketAddr,
+    /// The classes, by their methods.
+    pub classes: BTreeMap<String, RequestClass>,
+    /// Client connections at the same time.
+    pub max_clients: usize,
+    /// Connections to one node at the same time.
+    pub max_connections_per_node: usize,
+    /// The cells.
+    pub layout: Layout,
+    /// The cells file, which is read again on a reload.
+    pub layout_path: PathBuf,
+    /// The fleet whose members tell which nodes are available; without it the router checks each node.
+    pub fleet: Option<fleet::Config>,
+    /// The fleet file, which is read again on a reload.
+    pub fleet_path: Option<PathBuf>,
+}
+
+impl Config {
+    /// Reads a router's file, and the files that it names, relative to its folder.
+    ///
+    /// # Errors
+    /// The first thing that can't be used in any of them.
+    pub fn read(path: &Path) -> Result<Config, ConfigError> {
+        let file = ConfigFile::read(path)?;
+        let folder = path.parent().unwrap_or(Path::new(""));
+        let layout_path = folder.join(&file.cells);
+        let fleet_path = file.fleet.as_ref().map(|fleet| folder.join(fleet));
+        let fleet = fleet_path.as_deref().map(Config::read_fleet).transpose()?;
+        let layout = Config::read_layout(&layout_path)?;
+        Ok(Config {
+            listen_address: file.listen,
+            max_clients: file.clients,
+            max_connections_per_node: file.per_node,
+            classes: file.into_classes(),
+            layout,
+            layout_path,
+            fleet,
+            fleet_path,
+        })
+    }
+
+    /// Reads a fleet file that names the router.
+    ///
+    /// # Errors
+    /// The file can't be used, or has no name for the router.
+    pub fn read_fleet(path: &Path) -> Result<fleet::Config, ConfigError> {
+        let fleet = fleet::Config::read(path).map_err(ConfigError::Fleet)?;
+        if fleet.name.is_none() {
+            let path = path.to_path_buf();
+            return Err(ConfigError::MissingName { path });
+        }
+        Ok(fleet)
+    }
+
+    /// Reads a cells file in which every node has an address.
+    ///
+    /// # Errors
+    /// The file can't be used, or a node has no address.
+    pub fn read_layout(path: &Path) -> Result<Layout, ConfigError> {
+        let text = file::read_text(path)?;
+        let layout =
+            Layout::parse(&path.display().to_string(), &text).map_err(ConfigError::File)?;
+        let without_address = layout.nodes.iter().find(|(_, node)| node.address.is_none());
+        if let Some((node, _)) = without_address {
+            return Err(ConfigError::MissingAddress {
+                path: path.to_path_buf(),
+                node: node.to_string(),
+            });
+        }
+        Ok(layout)
+    }
+}
--- /dev/null
+++ b/crates/router/src/request_router/attempts.rs
@@ -0,0 +1,173 @@
+//! Attempts of requests: sending them to nodes, and what follows from how they end.
+
+use std::sync::atomic::Ordering::SeqCst;
+use std::time::{Duration, Instant};
+
+use cells::Name;
+use routing::{After, End, Refusal, Route, Ticket};
+
+use super::{Clients, RequestRouter};
+use crate::error_line::{error_line, rejection_line, FAILED};
+use crate::upstream_state::UpstreamRequest;
+
+/// How an attempt ended, and what the node said with it.
+pub(super) struct AttemptResult {
+    pub(super) end: End,
+    pub(super) capacity_hint: Option<f64>,
+    /// The node's answer as a line for the client.
+    pub(super) answer_line: Option<String>,
+}
+
+impl AttemptResult {
+    /// An attempt that ended without an answer.
+    pub(super) fn without_answer(end: End) -> AttemptResult {
+        AttemptResult {
+            end,
+            capacity_hint: None,
+            answer_line: None,
+        }
+    }
+}
+
+impl RequestRouter {
+    /// Does what was decided for a request.
+    pub(super) fn apply_route(
+        &mut self,
+        clients: &mut Clients,
+        ticket: Ticket,
+        route: Route,
+        now: Instant,
+    ) {
+        match route {
+            Route::Send(node) => self.send(clients, ticket, &node, now),
+            Route::Wait => {}
+            Route::Refuse(reason) => {
+                let (message, retry_after) = match reason {
+                    Refusal::NoCell => ("refused: no cell serves this tenant", None),
+                    Refusal::NoNode(pause) => {
+                        ("refused: no node of its cell is there", Some(pause))
+                    }
+                    Refusal::Full(pause) => ("refused: too many wait for its cell", Some(pause)),
+                    Refusal::TooLate => ("refused: its time is over", None),
+                };
+                self.reject(clients, ticket, message, retry_after, now);
+            }
+        }
+    }
+
+    /// Answers a request with a rejection.
+    fn reject(
+        &mut self,
+        clients: &mut Clients,
+        ticket: Ticket,
+        message: &str,
+        retry_after: Option<Duration>,
+        now: Instant,
+    ) {
+        self.counters.rejected.fetch_add(1, SeqCst);
+        if let Some(open) = self.open_requests.get(&ticket) {
+            let line = rejection_line(open.client.id, message, retry_after);
+            self.answer(clients, ticket, &line, now);
+        }
+    }
+
+    /// Answers a request with a failure.
+    pub(super) fn fail(
+        &mut self,
+        clients: &mut Clients,
+        ticket: Ticket,
+        message: &str,
+        now: Instant,
+    ) {
+        if let Some(open) = self.open_requests.get(&ticket) {
+            let line = error_line(Some(open.client.id), FAILED, message);
+            self.answer(clients, ticket, &line, now);
+        }
+    }
+
+    /// Writes the one answer to a request.
+    fn answer(&mut self, clients: &mut Clients, ticket: Ticket, line: &str, now: Instant) {
+        let Some(open) = self.open_requests.remove(&ticket) else {
+            return;
+        };
+        self.counters.open.store(self.open_requests.len(), SeqCst);
+        if clients.close_request(open.client, now) {
+            clients.enqueue_line(open.client.connection, line, now);
+            clients.flush_answers(&[open.client.connection], now);
+        }
+    }
+
+    /// Sends a request to a node.
+    fn send(&mut self, clients: &mut Clients, ticket: Ticket, node: &Name, now: Instant) {
+        let address = self.nodes.address(node);
+        let upstream = self
+            .upstreams
+            .connection_for_request(clients, node, address);
+        let Some(token) = upstream else {
+            let result = AttemptResult::without_answer(End::NotSent);
+            return self.finish_attempt(clients, ticket, result, now);
+        };
+        let Some(open) = self.open_requests.get_mut(&ticket) else {
+            return;
+        };
+        open.upstream = Some(token);
+        let Some(connection) = self.upstreams.get_mut(token) else {
+            return;
+        };
+        let id = connection.state.next_id();
+        let method = serde_json::to_string(&open.method).unwrap_or_default();
+        let line = format!(
+            "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":{method},\"params\":{}}}\n",
+            open.params
+        );
+        connection
+            .state
+            .enqueue_request(id, UpstreamRequest::Attempt(ticket), &line);
+        self.flush_upstream(clients, token, now);
+    }
+
+    /// An attempt has ended: the request is tried again or answered. Without an open request, which was answered at its
+    /// deadline, only its place at the node is free now.
+    pub(super) fn finish_attempt(
+        &mut self,
+        clients: &mut Clients,
+        ticket: Ticket,
+        result: AttemptResult,
+        now: Instant,
+    ) {
+        let elapsed = self.elapsed(now);
+        let nodes = &self.nodes;
+        let decision = self.router.ended(
+            ticket,
+            result.end,
+            result.capacity_hint,
+            &self.map,
+            |node| nodes.availability(node, elapsed),
+            elapsed,
+        );
+        if !self.open_requests.contains_key(&ticket) {
+            return;
+        }
+        match decision {
+            After::Again(node) => {
+                self.counters.retried.fetch_add(1, SeqCst);
+                self.send(clients, ticket, &node, now);
+            }
+            After::Answer => {
+                self.counters.answered.fetch_add(1, SeqCst);
+                match result.answer_line {
+                    Some(line) => self.answer(clients, ticket, &line, now),
+                    None => self.fail(clients, ticket, "failed", now),
+                }
+            }
+            After::MayHaveRun => {
+                self.counters.may_have_run.fetch_add(1, SeqCst);
+                self.fail(clients, ticket, "may have run", now);
+            }
+            After::NeverRan(pause) => {
+                let message = "refused: no node could be reached";
+                self.reject(clients, ticket, message, Some(pause), now);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/src/request_router/deadlines.rs
@@ -0,0 +1,49 @@
+//! Requests past their deadline, and requests that wait for a place at a node.
+
+use std::cmp::Reverse;
+use std::time::Instant;
+
+use routing::{Refusal, Route};
+
+use super::{Clients, RequestRouter};
+
+impl RequestRouter {
+    /// Answers requests past their deadline. A node's later answer frees their place there and goes to nobody.
+    pub(super) fn expire_requests(&mut self, clients: &mut Clients, now: Instant) {
+        while let Some(Reverse((deadline, ticket))) = self.deadlines.peek().copied() {
+            if deadline > now {
+                return;
+            }
+            self.deadlines.pop();
+            let Some(open) = self.open_requests.get(&ticket) else {
+                continue;
+            };
+            let was_sent = open.upstream.is_some();
+            let message = if open.is_non_idempotent {
+                "may have run"
+            } else {
+                "no answer in time"
+            };
+            // A waiting request was never sent, and those before it in the queue may have later deadlines.
+            if self.router.give_up(ticket) {
+                let route = Route::Refuse(Refusal::TooLate);
+                self.apply_route(clients, ticket, route, now);
+            } else if was_sent {
+                self.fail(clients, ticket, message, now);
+            }
+        }
+    }
+
+    /// Sends waiting requests, as far as there are places at nodes, or rejects them.
+    pub(super) fn route_waiting_requests(&mut self, clients: &mut Clients, now: Instant) {
+        let elapsed = self.elapsed(now);
+        loop {
+            let nodes = &self.nodes;
+            let availability = |node: &str| nodes.availability(node, elapsed);
+            let Some((ticket, route)) = self.router.next(&self.map, availability, elapsed) else {
+                return;
+            };
+            self.apply_route(clients, ticket, route, now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/src/request_router/heartbeat.rs
@@ -0,0 +1,100 @@
+//! Work at regular intervals: the quota of retries, health checks, connections that are no longer needed, and the timers
+//! of client connections.
+
+use std::time::{Duration, Instant};
+
+use cells::Name;
+use fleet_runtime as fleet;
+use slog::info;
+
+use super::{Clients, RequestRouter};
+use crate::upstream_state::UpstreamRequest;
+
+/// The time between two heartbeats, and so between two health checks of a node.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+/// Health checks of a node that may be unanswered at the same time.
+const MAX_OPEN_HEALTH_CHECKS: usize = 4;
+
+impl RequestRouter {
+    /// Does the regular work, if it is time.
+    pub(super) fn run_heartbeat(&mut self, clients: &mut Clients, now: Instant) {
+        if now < self.next_heartbeat {
+            return;
+        }
+        self.next_heartbeat = now + HEARTBEAT_INTERVAL;
+        self.update_retry_quota(now);
+        if self.nodes.needs_health_checks() {
+            self.run_health_checks(clients, now);
+        }
+        for change in self.nodes.take_changes(self.elapsed(now)) {
+            info!(self.log, "node"; "node" => &*change.node, "is" => ?change.availability);
+        }
+        self.drop_unneeded_upstreams(clients, now);
+        clients.check_all_timers(self, now);
+    }
+
+    /// Where the fleet has a budget of retries: reports how many were made and wanted, and takes over how many may be made
+    /// from now on.
+    fn update_retry_quota(&mut self, now: Instant) {
+        let Some(fleet) = self.nodes.fleet() else {
+            return;
+        };
+        let Some(quota) = fleet.allowance(fleet::TRIES) else {
+            return;
+        };
+        let (made, wanted) = self.router.budgets().take_counts();
+        // What was wanted a moment ago may be wanted again before a quota that was given up could come back.
+        self.wanted_retry_rate = (per_second(wanted) + 1).max(self.wanted_retry_rate / 2);
+        let limit = quota.limit();
+        quota.uses(per_second(made).min(limit), self.wanted_retry_rate);
+        let elapsed = self.elapsed(now);
+        self.router.budgets().set_part(Some(limit), elapsed);
+    }
+
+    /// Sends a health check to each node, on a connection of its own.
+    fn run_health_checks(&mut self, clients: &mut Clients, now: Instant) {
+        let nodes: Vec<Name> = self.nodes.nodes().cloned().collect();
+        for node in nodes {
+            self.send_health_check(clients, &node, now);
+        }
+    }
+
+    fn send_health_check(&mut self, clients: &mut Clients, node: &Name, now: Instant) {
+        let address = self.nodes.address(node);
+        let upstream = self
+            .upstreams
+            .connection_for_health_checks(clients, node, address);
+        let Some(token) = upstream else {
+            return;
+        };
+        let Some(connection) = self.upstreams.get_mut(token) else {
+            return;
+        };
+        if connection.state.has_goodbye {
+            self.upstreams.remove(token);
+        } else if connection.state.open_request_count() < MAX_OPEN_HEALTH_CHECKS {
+            let id = connection.state.next_id();
+            let line = format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"alive\"}}\n");
+            connection
+                .state
+                .enqueue_request(id, UpstreamRequest::HealthCheck, &line);
+            self.flush_upstream(clients, token, now);
+        }
+    }
+
+    fn drop_unneeded_upstreams(&mut self, clients: &mut Clients, now: Instant) {
+        let nodes = &self.nodes;
+        let is_known = |node: &Name| nodes.address(node).is_some();
+        let unneeded = self
+            .upstreams
+            .unneeded(is_known, nodes.needs_health_checks());
+        for token in unneeded {
+            self.drop_upstream(clients, token, now);
+        }
+    }
+}
+
+/// The rate of events of which so many happened between two heartbeats.
+fn per_second(count: u64) -> u64 {
+    count * 1000 / HEARTBEAT_INTERVAL.as_millis() as u64
+}
--- /dev/null
+++ b/crates/router/src/router_loop.rs
@@ -0,0 +1,182 @@
+//! The thread of the router: binding, the fleet, reloads and the end.
+
+use std::io;
+use std::sync::atomic::Ordering::SeqCst;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use client_listener::{ClientListener, ListenerSettings, LiveLimits, TimerMode};
+use connections::ConnectionLimits;
+use fleet_runtime as fleet;
+use membership::Said;
+use mio::net::TcpListener;
+use routing::Rules;
+use slog::{info, o, warn, Logger};
+
+use crate::config::Config;
+use crate::handle::RouterHandle;
+use crate::request_router::{Clients, RequestRouter};
+
+/// Stack of the thread that takes part in the fleet.
+const FLEET_STACK_BYTES: usize = 160 * 1024;
+/// How long a client connection that was used may be idle.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Readiness events handled in one step.
+const MAX_EVENTS: usize = 512;
+/// Bytes read from a client at once.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Clients accepted in one step.
+const ACCEPTS_PER_STEP: usize = 16;
+/// The notification after which a client sends no new requests on a connection.
+const GOODBYE_LINE: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n";
+
+/// A router that is not yet running.
+pub struct RouterLoop {
+    config: Config,
+    log: Logger,
+    clients: Clients,
+    router: RequestRouter,
+    handle: RouterHandle,
+}
+
+/// The limits of the client side, which do not change.
+struct FixedLimits {
+    max_connections: usize,
+}
+
+impl LiveLimits for FixedLimits {
+    fn idle_timeout(&self) -> Duration {
+        IDLE_TIMEOUT
+    }
+
+    fn max_connections(&self) -> usize {
+        self.max_connections
+    }
+}
+
+impl RouterLoop {
+    /// Binds the socket and joins the fleet, if the configuration names one.
+    ///
+    /// # Errors
+    /// An error of the system, or a layout of cells that can't be used.
+    pub fn bind(config: Config, rules: Rules, seed: u64, log: &Logger) -> io::Result<RouterLoop> {
+        let limits = ConnectionLimits::new(config.max_clients);
+        let max_line_bytes = limits.max_line_bytes;
+        let max_connections = limits.max_connections;
+        let live_limits = Box::new(FixedLimits { max_connections });
+        let mut clients = ClientListener::new(listener_settings(limits), live_limits, log)?;
+        let socket = TcpListener::bind(config.listen_address)?;
+        let address = socket.local_addr()?;
+        clients.listen(socket, Instant::now())?;
+        let mut router = RequestRouter::new(&config, rules, seed, max_line_bytes, log);
+        router
+            .set_layout(&config.layout)
+            .map_err(|e| io::Error::other(e.to_string()))?;
+        let handle = RouterHandle {
+            address,
+            counters: router.counters(),
+            should_stop: Arc::default(),
+            should_reload: Arc::default(),
+            waker: Arc::new(clients.waker()?),
+        };
+        let mut router_loop = RouterLoop {
+            config,
+            log: log.clone(),
+            clients,
+            router,
+            handle,
+        };
+        router_loop.join_fleet()?;
+        Ok(router_loop)
+    }
+
+    /// Becomes a member of the configured fleet, one that serves no requests.
+    fn join_fleet(&mut self) -> io::Result<()> {
+        let Some(config) = self.config.fleet.clone() else {
+            return Ok(());
+        };
+        let local_member = fleet::Me {
+            name: config.name.clone().unwrap_or_default(),
+            serves: None,
+            shares: None,
+        };
+        let waker = self.handle.waker.clone();
+        let on_change = Box::new(move || drop(waker.wake()));
+        let log = self.log.new(o!("actor" => "fleet"));
+        let fleet = fleet::start(config, local_member, FLEET_STACK_BYTES, on_change, &log)?;
+        info!(log, "fleet"; "at" => %fleet.at);
+        fleet.say(Said::Up);
+        self.router.nodes.use_fleet(fleet);
+        Ok(())
+    }
+
+    /// A handle for other threads.
+    pub fn handle(&self) -> RouterHandle {
+        self.handle.clone()
+    }
+
+    /// Runs until it is told to stop and everything is answered.
+    ///
+    /// # Errors
+    /// An error of the system's poll.
+    pub fn run(mut self) -> io::Result<()> {
+        loop {
+            if self.handle.should_stop.load(SeqCst) {
+                self.clients.close_socket();
+                if !self.router.has_open_requests() && !self.clients.has_unsent_bytes() {
+                    self.leave_fleet();
+                    return Ok(());
+                }
+            }
+            if self.handle.should_reload.swap(false, SeqCst) {
+                self.reload();
+            }
+            self.clients.step(&mut self.router, None)?;
+        }
+    }
+
+    fn leave_fleet(&self) {
+        if let Some(fleet) = self.router.nodes.fleet() {
+            fleet.end(false);
+        }
+    }
+
+    /// Reads the cells file and the fleet file again. One that can't be used changes nothing.
+    fn reload(&mut self) {
+        match self.reload_layout() {
+            Ok(()) => info!(self.log, "cells read again"; "epoch" => self.router.map_epoch()),
+            Err(e) => warn!(self.log, "the new cells are not used"; "error" => e),
+        }
+        let Some(fleet) = self.router.nodes.fleet() else {
+            return;
+        };
+        let Some(path) = &self.config.fleet_path else {
+            return;
+        };
+        match Config::read_fleet(path) {
+            Ok(config) => fleet.reload(config),
+            Err(e) => warn!(self.log, "the new fleet's file is not used"; "error" => %e),
+        }
+    }
+
+    fn reload_layout(&mut self) -> Result<(), String> {
+        let layout = Config::read_layout(&self.config.layout_path).map_err(|e| e.to_string())?;
+        self.router.set_layout(&layout).map_err(|e| e.to_string())
+    }
+}
+
+fn listener_settings(limits: ConnectionLimits) -> ListenerSettings {
+    ListenerSettings {
+        limits,
+        max_events: MAX_EVENTS,
+        read_buffer_bytes: READ_BUFFER_BYTES,
+        accepts_per_step: ACCEPTS_PER_STEP,
+        final_accept_rounds: 0,
+        accept_retry_pause: None,
+        max_total_unsent_bytes: usize::MAX,
+        goodbye_line: GOODBYE_LINE,
+        is_goodbye_limited: false,
+        writes_on_every_event: true,
+        timer_mode: TimerMode::OnRequest,
+    }
+}
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use router::{Config, ConfigError, Handle, RouterLoop};
+use router::{Config, ConfigError, RouterHandle, RouterLoop};
 use routing::Rules;
 use serde_json::{json, Value};
 use slog::{o, Discard, Logger};
@@ -84,7 +84,7 @@
 
 struct Fleet {
     nodes: BTreeMap<String, Node>,
-    router: Handle,
+    router: RouterHandle,
     running: Option<thread::JoinHandle<std::io::Result<()>>>,
     dir: PathBuf,
 }
@@ -345,7 +345,10 @@
     for tenant in ["alpenergia", "solpiana"] {
         assert!(front.ask(tenant, "statement-read", "serve")["result"].is_object());
     }
-    assert!(matches!(Config::layout(&cells), Err(ConfigError::File(_))));
+    assert!(matches!(
+        Config::read_layout(&cells),
+        Err(ConfigError::File(_))
+    ));
     std::fs::write(
         &cells,
         good.replace(
