--- a/crates/router/src/node_directory.rs
+++ b/crates/router/src/node_directory.rs
@@ -8,8 +8,8 @@
 
 use cells::map::CellMap;
 use cells::Name;
-use fleet_runtime::{Handle, Seen};
-use membership::{Conclusion, Standing};
+use fleet_runtime::{FleetHandle, MembershipSnapshot};
+use membership::{Liveness, PartitionStatus};
 use routing::{Checks, Presence};
 
 /// How long a good answer to a health check counts.
@@ -17,8 +17,8 @@
 
 /// The router's place in the fleet, and the latest membership it has taken over.
 struct FleetMembership {
-    handle: Handle,
-    snapshot: Arc<Seen>,
+    handle: FleetHandle,
+    snapshot: Arc<MembershipSnapshot>,
 }
 
 /// A node whose availability has changed.
@@ -51,13 +51,13 @@
     }
 
     /// Uses the membership of a fleet that the router has joined.
-    pub(crate) fn use_fleet(&mut self, handle: Handle) {
-        let snapshot = handle.seen();
+    pub(crate) fn use_fleet(&mut self, handle: FleetHandle) {
+        let snapshot = handle.snapshot();
         self.fleet = Some(FleetMembership { handle, snapshot });
     }
 
     /// The router's place in the fleet, if it is a member.
-    pub(crate) fn fleet(&self) -> Option<&Handle> {
+    pub(crate) fn fleet(&self) -> Option<&FleetHandle> {
         self.fleet.as_ref().map(|fleet| &fleet.handle)
     }
 
@@ -85,7 +85,7 @@
 
     fn advertised_address(&self, name: &Name) -> Option<SocketAddr> {
         let record = self.fleet.as_ref()?.snapshot.member(name)?;
-        record.serves.filter(|_| record.word.present())
+        record.client_address.filter(|_| record.state.is_present())
     }
 
     /// Takes over the fleet's current membership.
@@ -93,13 +93,13 @@
         let Some(fleet) = &mut self.fleet else {
             return;
         };
-        let snapshot = fleet.handle.seen();
+        let snapshot = fleet.handle.snapshot();
         if Arc::ptr_eq(&fleet.snapshot, &snapshot) {
             return;
         }
         let previous = std::mem::replace(&mut fleet.snapshot, snapshot);
-        let became_isolated =
-            self.usable_membership().is_none() && previous.conclusion != Conclusion::Alone;
+        let became_isolated = self.usable_membership().is_none()
+            && previous.partition_status != PartitionStatus::Isolated;
         if became_isolated {
             self.assume_healthy(&previous, now);
         }
@@ -108,21 +108,21 @@
 
     /// The router is isolated from now on: nodes that took requests before count as healthy until a health check says
     /// otherwise.
-    fn assume_healthy(&mut self, previous: &Seen, now: Duration) {
+    fn assume_healthy(&mut self, previous: &MembershipSnapshot, now: Duration) {
         for name in self.configured_addresses.keys() {
             let record = previous.member(name);
-            if record.is_some_and(membership::Record::takes_requests) {
+            if record.is_some_and(membership::MemberRecord::accepts_requests) {
                 self.health_checks.heard(name, true, now);
             }
         }
     }
 
     /// The fleet's membership, unless the router is isolated in it.
-    fn usable_membership(&self) -> Option<&Seen> {
+    fn usable_membership(&self) -> Option<&MembershipSnapshot> {
         self.fleet
             .as_ref()
             .map(|fleet| &*fleet.snapshot)
-            .filter(|snapshot| snapshot.conclusion != Conclusion::Alone)
+            .filter(|snapshot| snapshot.partition_status != PartitionStatus::Isolated)
     }
 
     /// Whether the nodes have to be checked one by one.
@@ -150,8 +150,8 @@
         let Some(membership) = self.usable_membership() else {
             return self.health_checks.presence(node, now);
         };
-        match membership.member(node).filter(|r| r.takes_requests()) {
-            Some(record) if record.word.standing == Standing::Suspected => Presence::Doubtful,
+        match membership.member(node).filter(|r| r.accepts_requests()) {
+            Some(record) if record.state.liveness == Liveness::Suspect => Presence::Doubtful,
             Some(_) => Presence::There,
             None => Presence::Away,
         }
--- a/crates/router/src/request_router/heartbeat.rs
+++ b/crates/router/src/request_router/heartbeat.rs
@@ -39,14 +39,14 @@
         let Some(fleet) = self.nodes.fleet() else {
             return;
         };
-        let Some(quota) = fleet.allowance(fleet::TRIES) else {
+        let Some(quota) = fleet.quota(fleet::RETRY_BUDGET) else {
             return;
         };
         let (made, wanted) = self.router.budgets().take_counts();
         // What was wanted a moment ago may be wanted again before a quota that was given up could come back.
         self.wanted_retry_rate = (per_second(wanted) + 1).max(self.wanted_retry_rate / 2);
         let limit = quota.limit();
-        quota.uses(per_second(made).min(limit), self.wanted_retry_rate);
+        quota.report_usage(per_second(made).min(limit), self.wanted_retry_rate);
         let elapsed = self.elapsed(now);
         self.router.budgets().set_part(Some(limit), elapsed);
     }
--- a/crates/router/src/router_loop.rs
+++ b/crates/router/src/router_loop.rs
@@ -8,7 +8,7 @@
 use client_listener::{ClientListener, ListenerSettings, LiveLimits, TimerMode};
 use connections::ConnectionLimits;
 use fleet_runtime as fleet;
-use membership::Said;
+use membership::AdvertisedStatus;
 use mio::net::TcpListener;
 use routing::Rules;
 use slog::{info, o, warn, Logger};
@@ -95,17 +95,18 @@
         let Some(config) = self.config.fleet.clone() else {
             return Ok(());
         };
-        let local_member = fleet::Me {
+        let local_member = fleet::LocalMember {
             name: config.name.clone().unwrap_or_default(),
-            serves: None,
-            shares: None,
+            client_address: None,
+            shared_counters: None,
         };
         let waker = self.handle.waker.clone();
         let on_change = Box::new(move || drop(waker.wake()));
         let log = self.log.new(o!("actor" => "fleet"));
-        let fleet = fleet::start(config, local_member, FLEET_STACK_BYTES, on_change, &log)?;
-        info!(log, "fleet"; "at" => %fleet.at);
-        fleet.say(Said::Up);
+        let fleet =
+            fleet::spawn_fleet_actor(config, local_member, FLEET_STACK_BYTES, on_change, &log)?;
+        info!(log, "fleet"; "at" => %fleet.address);
+        fleet.set_status(AdvertisedStatus::Up);
         self.router.nodes.use_fleet(fleet);
         Ok(())
     }
@@ -137,7 +138,7 @@
 
     fn leave_fleet(&self) {
         if let Some(fleet) = self.router.nodes.fleet() {
-            fleet.end(false);
+            fleet.leave();
         }
     }
 
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -432,9 +432,9 @@
             })
         })
         .collect();
-    clients
-        .into_iter()
-        .for_each(|client| client.join().expect("a client"));
+    for client in clients {
+        client.join().expect("a client");
+    }
     let each = begun.elapsed().as_secs_f64();
     println!(
         "{:.0} requests a second over eight connections, stand-ins and clients beside it",
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,9 +9,9 @@
 //! [`amqp`] the queues', which an [`inventory`] names.
 
 pub mod amqp;
+pub mod fleet_membership;
 pub mod instance_lock;
 pub mod inventory;
-pub mod member;
 pub mod net;
 pub mod node;
 pub mod wire;
--- a/src/main.rs
+++ b/src/main.rs
@@ -14,9 +14,9 @@
 use fleet_runtime as fleet;
 use lifecycle::{ProcessState, SiblingProcess, Transition, TOTAL_SHARES};
 use protocol_gateway::amqp::Amqp;
+use protocol_gateway::fleet_membership::{FleetMembership, FleetMembershipOptions};
 use protocol_gateway::instance_lock::{InstanceLock, ResourceShareLocks};
 use protocol_gateway::inventory::{self, InventoryError};
-use protocol_gateway::member::Member;
 use protocol_gateway::net::jsonrpc::Front;
 use protocol_gateway::net::{database, door, executor, membership, spawn, take_address, Address};
 use protocol_gateway::node::cell_guard::CellGuardError;
@@ -185,7 +185,7 @@
         .map(fleet::Config::read)
         .transpose()
         .map_err(StartError::Fleet)?;
-    let mut limits = Limits::new(config.sockets).with_memory(config.memory_mb);
+    let mut limits = Limits::new(config.descriptors).with_memory(config.memory_mb);
     let env = |name: &str| std::env::var(name).ok();
     let queues = inventory.map_or(Ok(Vec::new()), |file| {
         inventory::read(file, &config.site, &limits, env)
@@ -199,9 +199,9 @@
     let system = |what| move |e| StartError::System(what, e);
     let log = logger(&config.name);
     let signals = signals(&limits).map_err(system("signals"))?;
-    let clients = take_address(config.listen, config.door.is_some()).map_err(system("listen"))?;
+    let clients = take_address(config.listen, config.admin.is_some()).map_err(system("listen"))?;
     let door = config
-        .door
+        .admin
         .map(TcpListener::bind)
         .transpose()
         .map_err(system("door"))?;
@@ -221,11 +221,11 @@
         .is_some_and(|f| f.budgets.iter().any(|b| *b.name == *fleet::LEDGER));
     let shares = in_fleet
         .as_ref()
-        .filter(|f| f.counts || f.judgements)
+        .filter(|f| f.shares_counts || f.shares_ledger_health)
         .map(|_| fleet::Shares::default());
     let judged = in_fleet
         .as_ref()
-        .filter(|f| f.judgements)
+        .filter(|f| f.shares_ledger_health)
         .and(shares.clone());
     let guard = (budgeted || judged.is_some())
         .then(|| database::Guard::new(database::Budget::new(budgeted, judged)));
@@ -234,10 +234,16 @@
     let waiting = guard
         .clone()
         .map(|budget| Box::new(move |requests| budget.waits(requests)) as Box<_>);
-    let counts = in_fleet.as_ref().filter(|f| f.counts).and(shares.clone());
+    let counts = in_fleet
+        .as_ref()
+        .filter(|f| f.shares_counts)
+        .and(shares.clone());
     let counts = counts.map(|s| FleetCounters {
-        own: s.live(),
-        read_others: Box::new(move |keys| s.others(keys)),
+        own: s.in_flight(),
+        read_others: Box::new(move |keys| {
+            s.in_flight_elsewhere(keys)
+                .map(|others| (others.node_count, others.requests))
+        }),
     });
     let peers = Peers {
         executor: to_executor,
@@ -248,7 +254,7 @@
     let policy_config = PolicyConfig {
         site: site.clone(),
         seed: config.seed,
-        shutdown_timeout: config.stop,
+        shutdown_timeout: config.shutdown_timeout,
         limits: limits.clone(),
         cells: cells.clone(),
     };
@@ -281,7 +287,7 @@
     })
     .map_err(system("threads"))?;
     let (at, own, own_log, own_board) = (
-        config.members,
+        config.endpoint_list,
         limits.clone(),
         log.new(o!("actor" => "list")),
         node_status.clone(),
@@ -322,14 +328,14 @@
     // Where another process may serve at this address, clients must not come here before they can be served.
     let mut clients = Some(clients);
     let mut serves = None;
-    if config.door.is_none() {
+    if config.admin.is_none() {
         if let Some(clients) = clients.take() {
             serves = Some(listen(clients).map_err(system("listen"))?);
         }
     }
 
     // Where there is a door another process may stand beside this one.
-    let mut instance_lock = config.door.map_or(InstanceLock::Unavailable, |_| {
+    let mut instance_lock = config.admin.map_or(InstanceLock::Unavailable, |_| {
         InstanceLock::new(&std::env::temp_dir(), &config.name)
     });
     instance_lock.try_acquire(node_status.process_state(), &log);
@@ -341,25 +347,26 @@
         log: log.clone(),
     };
     divide.look(&instance_lock, front.connections());
-    let mut member = Member::new(
-        in_fleet,
-        cli.fleet.as_deref(),
-        &config.name,
-        &limits,
-        (guard, shares),
-        &log,
-    );
+    let fleet_options = FleetMembershipOptions {
+        config: in_fleet,
+        config_file: cli.fleet.clone(),
+        node_name: config.name.clone(),
+        stack_size: limits.stack_bytes,
+        ledger_guard: guard,
+        shared_counters: shares,
+    };
+    let mut member = FleetMembership::new(fleet_options, &log);
     // One that is to replace another stays out of the fleet until it takes clients: the name is the other's so long.
     let another = |instance_lock: &InstanceLock| {
         !instance_lock.may_accept_clients() || instance_lock.sibling() != SiblingProcess::Absent
     };
-    member.beside(another(&instance_lock));
+    member.set_sibling_running(another(&instance_lock));
     if instance_lock.sibling() != SiblingProcess::AcceptingClients {
         member
             .join(node_status.process_state(), serves)
             .map_err(system("fleet"))?;
     }
-    let pace = |divide: &Divide| match config.door {
+    let pace = |divide: &Divide| match config.admin {
         Some(_) if divide.whole() => after(limits.replacement.poll_interval_alone),
         Some(_) => after(limits.replacement.poll_interval),
         None => never(),
@@ -371,7 +378,7 @@
         cells,
         executor: (config.executor, to_moves),
         database,
-        list: (config.members, to_list.clone()),
+        list: (config.endpoint_list, to_list.clone()),
         log: log.clone(),
     };
     loop {
@@ -379,21 +386,21 @@
             recv(signals.leave) -> _ => break,
             recv(signals.reload) -> _ => {
                 peers.reload(&config.name, config.listen);
-                member.reload();
+                member.reload_config();
             }
             recv(node_status.executor_ready()) -> _ => up = true,
             recv(look) -> _ => {
                 instance_lock.try_acquire(node_status.process_state(), &log);
                 // Of two processes the later one leaves to the earlier what is the name's own.
-                if member.is_beside() {
-                    member.beside(another(&instance_lock));
+                if member.is_sibling_running() {
+                    member.set_sibling_running(another(&instance_lock));
                 }
                 divide.look(&instance_lock, front.connections());
                 look = pace(&divide);
             }
             recv(changed) -> _ => {
                 let _ = to_list.try_send(membership::Report::Changed);
-                member.say(node_status.process_state());
+                member.advertise_state(node_status.process_state());
             }
             recv(ended) -> _ => return Ok(ExitCode::FAILURE),
         }
@@ -422,14 +429,14 @@
     let stop = if replaced {
         limits.replaced_lifetime(&site)
     } else {
-        config.stop
+        config.shutdown_timeout
     };
     if replaced {
         info!(log, "replaced"; "time_left_ms" => stop.as_millis() as u64, "unanswered" => node_status.unanswered());
     }
     // Of a node that goes on under a successor nothing is said.
     if !replaced {
-        member.say(node_status.process_state());
+        member.advertise_state(node_status.process_state());
     }
     let _ = policy.send(if replaced {
         PolicyMessage::Replaced(stop)
@@ -458,7 +465,7 @@
         if gone || told.elapsed() >= stop {
             info!(log, "shut down"; "unanswered" => node_status.unanswered(), "unwritten" => front.open(),
                 "unsettled" => amqp.unsettled(), "ms" => told.elapsed().as_millis() as u64);
-            member.end(replaced);
+            member.leave(replaced);
             return Ok(ExitCode::SUCCESS);
         }
         select! {
@@ -532,14 +539,17 @@
             );
         }
         info!(self.log, "configuration read again"; "executor" => %config.executor, "database" => ?config.database,
-            "members" => %config.members);
+            "members" => %config.endpoint_list);
         // The actors take these at any time, so the sends end; one that is gone has ended the node already.
         if std::mem::replace(&mut self.executor.0, config.executor) != config.executor {
             let _ = self.executor.1.send(config.executor);
         }
         self.database.set(config.database);
-        if std::mem::replace(&mut self.list.0, config.members) != config.members {
-            let _ = self.list.1.send(membership::Report::To(config.members));
+        if std::mem::replace(&mut self.list.0, config.endpoint_list) != config.endpoint_list {
+            let _ = self
+                .list
+                .1
+                .send(membership::Report::To(config.endpoint_list));
         }
     }
 }
