--- a/crates/router/src/config/file.rs
+++ b/crates/router/src/config/file.rs
@@ -88,7 +88,7 @@
 impl ClassFields {
     fn to_class(&self) -> RequestClass {
         RequestClass {
-            is_non_idempotent: self.once,
+            is_idempotent: !self.once,
             deadline: Duration::from_millis(self.deadline_ms),
         }
     }
--- a/crates/router/src/config/mod.rs
+++ b/crates/router/src/config/mod.rs
@@ -17,8 +17,8 @@
 /// A class of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Its requests have an effect that must not happen twice.
-    pub is_non_idempotent: bool,
+    /// Its requests may run more than once without a further effect.
+    pub is_idempotent: bool,
     /// How long after its arrival at the machine a request may be answered.
     pub deadline: Duration,
 }
--- a/crates/router/src/node_directory.rs
+++ b/crates/router/src/node_directory.rs
@@ -10,7 +10,7 @@
 use cells::Name;
 use fleet_runtime::{FleetHandle, MembershipSnapshot};
 use membership::{Liveness, PartitionStatus};
-use routing::{Checks, Presence};
+use routing::{Availability, HealthChecks};
 
 /// How long a good answer to a health check counts.
 const HEALTH_CHECK_VALIDITY: Duration = Duration::from_secs(1);
@@ -24,25 +24,25 @@
 /// A node whose availability has changed.
 pub(crate) struct AvailabilityChange {
     pub(crate) node: Name,
-    pub(crate) availability: Presence,
+    pub(crate) availability: Availability,
 }
 
 /// The nodes of the cell map with their addresses and availability.
 pub(crate) struct NodeDirectory {
-    health_checks: Checks,
+    health_checks: HealthChecks,
     fleet: Option<FleetMembership>,
     /// Addresses in the cells file.
     configured_addresses: HashMap<Name, SocketAddr>,
     /// Addresses in use: those that members advertise come before those of the file.
     addresses: HashMap<Name, SocketAddr>,
     /// The availability that was reported last.
-    reported: BTreeMap<Name, Presence>,
+    reported: BTreeMap<Name, Availability>,
 }
 
 impl NodeDirectory {
     pub(crate) fn new() -> NodeDirectory {
         NodeDirectory {
-            health_checks: Checks::new(HEALTH_CHECK_VALIDITY),
+            health_checks: HealthChecks::new(HEALTH_CHECK_VALIDITY),
             fleet: None,
             configured_addresses: HashMap::new(),
             addresses: HashMap::new(),
@@ -112,7 +112,7 @@
         for name in self.configured_addresses.keys() {
             let record = previous.member(name);
             if record.is_some_and(membership::MemberRecord::accepts_requests) {
-                self.health_checks.heard(name, true, now);
+                self.health_checks.record(name, true, now);
             }
         }
     }
@@ -132,7 +132,7 @@
 
     /// Records the answer to a health check.
     pub(crate) fn record_health_check(&mut self, node: &Name, is_ready: bool, now: Duration) {
-        self.health_checks.heard(node, is_ready, now);
+        self.health_checks.record(node, is_ready, now);
     }
 
     /// The address of a node, if the map has it.
@@ -146,21 +146,21 @@
     }
 
     /// The availability of a node.
-    pub(crate) fn availability(&self, node: &str, now: Duration) -> Presence {
+    pub(crate) fn availability(&self, node: &str, now: Duration) -> Availability {
         let Some(membership) = self.usable_membership() else {
-            return self.health_checks.presence(node, now);
+            return self.health_checks.availability(node, now);
         };
         match membership.member(node).filter(|r| r.accepts_requests()) {
-            Some(record) if record.state.liveness == Liveness::Suspect => Presence::Doubtful,
-            Some(_) => Presence::There,
-            None => Presence::Away,
+            Some(record) if record.state.liveness == Liveness::Suspect => Availability::Suspect,
+            Some(_) => Availability::Available,
+            None => Availability::Unavailable,
         }
     }
 
     /// Whether any node is available.
     pub(crate) fn has_available_node(&self, now: Duration) -> bool {
         self.nodes()
-            .any(|node| self.availability(node, now) != Presence::Away)
+            .any(|node| self.availability(node, now) != Availability::Unavailable)
     }
 
     /// Nodes whose availability has changed since this was last called.
--- a/crates/router/src/request_router/attempts.rs
+++ b/crates/router/src/request_router/attempts.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use cells::Name;
-use routing::{After, End, Refusal, Route, Ticket};
+use routing::{AttemptOutcome, Rejection, RetryDecision, RouteDecision, Ticket};
 
 use super::{Clients, RequestRouter};
 use crate::error_line::{error_line, rejection_line, FAILED};
@@ -12,7 +12,7 @@
 
 /// How an attempt ended, and what the node said with it.
 pub(super) struct AttemptResult {
-    pub(super) end: End,
+    pub(super) outcome: AttemptOutcome,
     pub(super) capacity_hint: Option<f64>,
     /// The node's answer as a line for the client.
     pub(super) answer_line: Option<String>,
@@ -20,9 +20,9 @@
 
 impl AttemptResult {
     /// An attempt that ended without an answer.
-    pub(super) fn without_answer(end: End) -> AttemptResult {
+    pub(super) fn without_answer(outcome: AttemptOutcome) -> AttemptResult {
         AttemptResult {
-            end,
+            outcome,
             capacity_hint: None,
             answer_line: None,
         }
@@ -35,20 +35,22 @@
         &mut self,
         clients: &mut Clients,
         ticket: Ticket,
-        route: Route,
+        route: RouteDecision,
         now: Instant,
     ) {
         match route {
-            Route::Send(node) => self.send(clients, ticket, &node, now),
-            Route::Wait => {}
-            Route::Refuse(reason) => {
+            RouteDecision::Forward(node) => self.send(clients, ticket, &node, now),
+            RouteDecision::Queue => {}
+            RouteDecision::Reject(reason) => {
                 let (message, retry_after) = match reason {
-                    Refusal::NoCell => ("refused: no cell serves this tenant", None),
-                    Refusal::NoNode(pause) => {
-                        ("refused: no node of its cell is there", Some(pause))
+                    Rejection::NoCell => ("refused: no cell serves this tenant", None),
+                    Rejection::NoNode { retry_after } => {
+                        ("refused: no node of its cell is there", Some(retry_after))
                     }
-                    Refusal::Full(pause) => ("refused: too many wait for its cell", Some(pause)),
-                    Refusal::TooLate => ("refused: its time is over", None),
+                    Rejection::QueueFull { retry_after } => {
+                        ("refused: too many wait for its cell", Some(retry_after))
+                    }
+                    Rejection::DeadlinePassed => ("refused: its time is over", None),
                 };
                 self.reject(clients, ticket, message, retry_after, now);
             }
@@ -104,7 +106,7 @@
             .upstreams
             .connection_for_request(clients, node, address);
         let Some(token) = upstream else {
-            let result = AttemptResult::without_answer(End::NotSent);
+            let result = AttemptResult::without_answer(AttemptOutcome::NotSent);
             return self.finish_attempt(clients, ticket, result, now);
         };
         let Some(open) = self.open_requests.get_mut(&ticket) else {
@@ -137,9 +139,9 @@
     ) {
         let elapsed = self.elapsed(now);
         let nodes = &self.nodes;
-        let decision = self.router.ended(
+        let decision = self.router.finish_attempt(
             ticket,
-            result.end,
+            result.outcome,
             result.capacity_hint,
             &self.map,
             |node| nodes.availability(node, elapsed),
@@ -149,24 +151,24 @@
             return;
         }
         match decision {
-            After::Again(node) => {
+            RetryDecision::Retry(node) => {
                 self.counters.retried.fetch_add(1, SeqCst);
                 self.send(clients, ticket, &node, now);
             }
-            After::Answer => {
+            RetryDecision::ReturnAnswer => {
                 self.counters.answered.fetch_add(1, SeqCst);
                 match result.answer_line {
                     Some(line) => self.answer(clients, ticket, &line, now),
                     None => self.fail(clients, ticket, "failed", now),
                 }
             }
-            After::MayHaveRun => {
+            RetryDecision::MayHaveRun => {
                 self.counters.may_have_run.fetch_add(1, SeqCst);
                 self.fail(clients, ticket, "may have run", now);
             }
-            After::NeverRan(pause) => {
+            RetryDecision::NeverRan { retry_after } => {
                 let message = "refused: no node could be reached";
-                self.reject(clients, ticket, message, Some(pause), now);
+                self.reject(clients, ticket, message, Some(retry_after), now);
             }
         }
     }
--- a/crates/router/src/request_router/client_handler.rs
+++ b/crates/router/src/request_router/client_handler.rs
@@ -52,20 +52,22 @@
         let routed = Request {
             tenant: request.tenant,
             subject: request.subject,
-            once: request.class.is_non_idempotent,
+            is_idempotent: request.class.is_idempotent,
             deadline: elapsed + time_left,
         };
         let open = OpenRequest {
             client: handle,
             method: request.method,
             params: request.params,
-            is_non_idempotent: request.class.is_non_idempotent,
+            is_idempotent: request.class.is_idempotent,
             deadline: now + time_left,
             upstream: None,
         };
         let nodes = &self.nodes;
         let availability = |node: &str| nodes.availability(node, elapsed);
-        let (ticket, route) = self.router.arrive(routed, &self.map, availability, elapsed);
+        let (ticket, route) = self
+            .router
+            .route_request(routed, &self.map, availability, elapsed);
         self.deadlines.push(Reverse((open.deadline, ticket)));
         self.open_requests.insert(ticket, open);
         self.counters.open.store(self.open_requests.len(), SeqCst);
--- a/crates/router/src/request_router/deadlines.rs
+++ b/crates/router/src/request_router/deadlines.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::time::Instant;
 
-use routing::{Refusal, Route};
+use routing::{Rejection, RouteDecision};
 
 use super::{Clients, RequestRouter};
 
@@ -19,14 +19,14 @@
                 continue;
             };
             let was_sent = open.upstream.is_some();
-            let message = if open.is_non_idempotent {
-                "may have run"
-            } else {
+            let message = if open.is_idempotent {
                 "no answer in time"
+            } else {
+                "may have run"
             };
             // A waiting request was never sent, and those before it in the queue may have later deadlines.
-            if self.router.give_up(ticket) {
-                let route = Route::Refuse(Refusal::TooLate);
+            if self.router.remove_queued(ticket) {
+                let route = RouteDecision::Reject(Rejection::DeadlinePassed);
                 self.apply_route(clients, ticket, route, now);
             } else if was_sent {
                 self.fail(clients, ticket, message, now);
@@ -40,7 +40,10 @@
         loop {
             let nodes = &self.nodes;
             let availability = |node: &str| nodes.availability(node, elapsed);
-            let Some((ticket, route)) = self.router.next(&self.map, availability, elapsed) else {
+            let Some((ticket, route)) =
+                self.router
+                    .route_next_queued(&self.map, availability, elapsed)
+            else {
                 return;
             };
             self.apply_route(clients, ticket, route, now);
--- a/crates/router/src/request_router/heartbeat.rs
+++ b/crates/router/src/request_router/heartbeat.rs
@@ -42,13 +42,13 @@
         let Some(quota) = fleet.quota(fleet::RETRY_BUDGET) else {
             return;
         };
-        let (made, wanted) = self.router.budgets().take_counts();
+        let usage = self.router.retry_budgets().take_usage();
         // What was wanted a moment ago may be wanted again before a quota that was given up could come back.
-        self.wanted_retry_rate = (per_second(wanted) + 1).max(self.wanted_retry_rate / 2);
+        self.wanted_retry_rate = (per_second(usage.requested) + 1).max(self.wanted_retry_rate / 2);
         let limit = quota.limit();
-        quota.report_usage(per_second(made).min(limit), self.wanted_retry_rate);
+        quota.report_usage(per_second(usage.sent).min(limit), self.wanted_retry_rate);
         let elapsed = self.elapsed(now);
-        self.router.budgets().set_part(Some(limit), elapsed);
+        self.router.retry_budgets().set_quota(Some(limit), elapsed);
     }
 
     /// Sends a health check to each node, on a connection of its own.
--- a/crates/router/src/request_router/mod.rs
+++ b/crates/router/src/request_router/mod.rs
@@ -15,7 +15,7 @@
 use cells::{Layout, LayoutError};
 use client_listener::{ClientListener, RequestHandle};
 use mio::Token;
-use routing::{Router, Rules, Ticket};
+use routing::{Router, RoutingSettings, Ticket};
 use slog::{warn, Logger};
 
 use crate::config::{Config, RequestClass};
@@ -32,7 +32,7 @@
     method: String,
     /// Its parameters as they arrived, in JSON.
     params: String,
-    is_non_idempotent: bool,
+    is_idempotent: bool,
     deadline: Instant,
     /// The connection of its latest attempt.
     upstream: Option<Token>,
@@ -60,7 +60,7 @@
     /// A router without nodes.
     pub(crate) fn new(
         config: &Config,
-        rules: Rules,
+        settings: RoutingSettings,
         seed: u64,
         max_line_bytes: usize,
         log: &Logger,
@@ -73,7 +73,7 @@
             started_at: now,
             map: CellMap::default(),
             nodes: NodeDirectory::new(),
-            router: Router::new(rules, seed),
+            router: Router::new(settings, seed),
             upstreams: UpstreamPool::new(config.max_connections_per_node, max_line_bytes),
             open_requests: HashMap::new(),
             deadlines: BinaryHeap::new(),
--- a/crates/router/src/request_router/upstream_events.rs
+++ b/crates/router/src/request_router/upstream_events.rs
@@ -4,7 +4,7 @@
 
 use mio::event::Event;
 use mio::Token;
-use routing::{End, Ticket};
+use routing::{AttemptOutcome, Ticket};
 use slog::debug;
 
 use super::attempts::AttemptResult;
@@ -103,7 +103,7 @@
         let open = self.open_requests.get(&ticket);
         let is_open = open.is_some();
         let result = AttemptResult {
-            end: attempt_end(&content),
+            outcome: attempt_outcome(&content),
             capacity_hint: content.data.capacity_hint,
             answer_line: open.map(|open| reply.line_with_id(open.client.id)),
         };
@@ -131,12 +131,12 @@
         };
         for interrupted in connection.state.interrupt_requests() {
             if let UpstreamRequest::Attempt(ticket) = interrupted.request {
-                let end = if interrupted.may_have_arrived {
-                    End::Lost
+                let outcome = if interrupted.may_have_arrived {
+                    AttemptOutcome::Lost
                 } else {
-                    End::NotSent
+                    AttemptOutcome::NotSent
                 };
-                let result = AttemptResult::without_answer(end);
+                let result = AttemptResult::without_answer(outcome);
                 self.finish_attempt(clients, ticket, result, now);
             }
         }
@@ -144,12 +144,12 @@
 }
 
 /// How an attempt ended, by the node's answer.
-fn attempt_end(content: &ReplyContent) -> End {
+fn attempt_outcome(content: &ReplyContent) -> AttemptOutcome {
     match content.error_code {
-        None => End::Served,
-        Some(REJECTED) => End::Refused {
-            last: content.data.is_final(),
+        None => AttemptOutcome::Served,
+        Some(REJECTED) => AttemptOutcome::Rejected {
+            is_final: content.data.is_final(),
         },
-        Some(_) => End::Failed,
+        Some(_) => AttemptOutcome::Failed,
     }
 }
--- a/crates/router/src/router_loop.rs
+++ b/crates/router/src/router_loop.rs
@@ -10,7 +10,7 @@
 use fleet_runtime as fleet;
 use membership::AdvertisedStatus;
 use mio::net::TcpListener;
-use routing::Rules;
+use routing::RoutingSettings;
 use slog::{info, o, warn, Logger};
 
 use crate::config::Config;
@@ -59,7 +59,12 @@
     ///
     /// # Errors
     /// An error of the system, or a layout of cells that can't be used.
-    pub fn bind(config: Config, rules: Rules, seed: u64, log: &Logger) -> io::Result<RouterLoop> {
+    pub fn bind(
+        config: Config,
+        settings: RoutingSettings,
+        seed: u64,
+        log: &Logger,
+    ) -> io::Result<RouterLoop> {
         let limits = ConnectionLimits::new(config.max_clients);
         let max_line_bytes = limits.max_line_bytes;
         let max_connections = limits.max_connections;
@@ -68,7 +73,7 @@
         let socket = TcpListener::bind(config.listen_address)?;
         let address = socket.local_addr()?;
         clients.listen(socket, Instant::now())?;
-        let mut router = RequestRouter::new(&config, rules, seed, max_line_bytes, log);
+        let mut router = RequestRouter::new(&config, settings, seed, max_line_bytes, log);
         router
             .set_layout(&config.layout)
             .map_err(|e| io::Error::other(e.to_string()))?;
