--- a/crates/lifecycle/src/process_state.rs
+++ b/crates/lifecycle/src/process_state.rs
@@ -14,7 +14,7 @@
     Serving,
     /// It serves what arrives, but health checks tell clients to send nothing more.
     Quiesced,
-    /// It was told to end.
+    /// It ends, after the platform's signal.
     ShuttingDown {
         /// A successor serves: the node goes on, only this process ends.
         replaced: bool,
--- a/crates/lifecycle/src/resource_shares.rs
+++ b/crates/lifecycle/src/resource_shares.rs
@@ -12,7 +12,7 @@
 /// free. `in_use` is how many its work in flight needs.
 ///
 /// While both processes live, the earlier one only gives up shares: down to three quarters when the other starts, to half when
-/// that accepts clients, to those in use when it is told to end. The later one acquires what that leaves.
+/// that accepts clients, to those in use when it shuts down. The later one acquires what that leaves.
 pub fn target_shares(held: u32, in_use: u32, own: ProcessState, sibling: SiblingProcess) -> u32 {
     let reduce_to = |shares: u32| held.min(shares.max(in_use).min(TOTAL_SHARES));
     let approach = |shares: u32| reduce_to(shares).max(shares);
--- a/crates/lifecycle/src/sibling_process.rs
+++ b/crates/lifecycle/src/sibling_process.rs
@@ -28,7 +28,7 @@
     Idle,
     /// One that accepts clients.
     AcceptingClients,
-    /// One that was told to end.
+    /// One that is shutting down.
     ShuttingDown,
 }
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// How a process shuts down beside this sibling. Only one that accepts clients is a successor: beside any other the node
+    /// How a process shuts down while this sibling runs. Only one that accepts clients is a successor: with any other the node
     /// ends with this process.
     pub fn shutdown_transition(self) -> Transition {
         Transition::ShutDown {
--- a/crates/shared-state-model/src/lib.rs
+++ b/crates/shared-state-model/src/lib.rs
@@ -48,7 +48,7 @@
 /// Steps that a call lasts with [`InjectedBug::CallsOverMaxDuration`].
 const TOO_LONG_CALL_STEPS: u64 = 4;
 
-/// The time of a step, or the duration of so many steps.
+/// The time of a step, or the duration of a number of steps.
 fn time(steps: u64) -> Duration {
     Duration::from_millis(steps)
 }
--- a/crates/shared-state/src/aggregation/aggregator.rs
+++ b/crates/shared-state/src/aggregation/aggregator.rs
@@ -19,8 +19,8 @@
     seq: u32,
     site: Name,
     counters: SketchCounters,
-    /// The report was made no earlier than this. If that is not known, its counts are in the sum, but the sum's age says
-    /// nothing of them.
+    /// The report was made no earlier than this. If that is not known, its counts are in the sum, but the sum's age does
+    /// not include them.
     made_at: Option<Duration>,
     received_at: Duration,
     observations: Vec<ServiceObservation>,
--- a/crates/shared-state/src/aggregation/node.rs
+++ b/crates/shared-state/src/aggregation/node.rs
@@ -19,7 +19,7 @@
 /// The shortest time between two reports, as a fraction of the interval, and the random part on top of it.
 const MIN_INTERVAL_FRACTION: f64 = 0.8;
 const RANDOM_INTERVAL_FRACTION: f64 = 0.2;
-/// Estimate of the memory for one reporter beside its counters, in bytes.
+/// Estimate of the memory for one reporter without its counters, in bytes.
 const REPORTER_OVERHEAD_BYTES: usize = 160;
 
 /// One node's part in aggregation: a state machine of messages and times, without I/O.
--- a/crates/shared-state/src/health/attempts.rs
+++ b/crates/shared-state/src/health/attempts.rs
@@ -15,7 +15,7 @@
 const SLOW_FACTOR: f64 = 4.0;
 /// How far the best latency moves towards that of a slower attempt.
 const BEST_LATENCY_DECAY: f64 = 1.0 / 4096.0;
-/// Shortest latency that is told apart from none, in seconds.
+/// Shorter latencies count as this one, in seconds.
 const MIN_LATENCY: f64 = 1e-6;
 
 /// What a node's own attempts show of a dependency.
--- a/crates/shared-state/src/lease_table.rs
+++ b/crates/shared-state/src/lease_table.rs
@@ -47,7 +47,7 @@
             .fold(in_use, Units::max)
     }
 
-    /// Takes in what a request says; its units in use are released by `release_at`.
+    /// Records a request; the units that it reports as in use are released by `release_at`.
     fn record_request(&mut self, request: LeaseRequest, release_at: Duration, now: Duration) {
         // Grants before the one in force at the holder will never take effect.
         self.grants
