--- a/src/node/policy_actor/actions.rs
+++ b/src/node/policy_actor/actions.rs
@@ -3,6 +3,7 @@
 use std::cmp::Reverse;
 use std::time::Instant;
 
+use idempotency::Micros;
 use policy::{Action, Event, Idempotency, RequestId, RunOutcome, Span};
 use slog::info;
 
@@ -25,7 +26,9 @@
             Action::SkipCall(id) => self.skip_call(id),
             Action::Join(id) => self.join_repeated(id),
             Action::RememberKey(id, window) => {
-                self.requests.keys.keep(id.0, (unix_now() + window).0);
+                self.requests
+                    .keys
+                    .extend_window(id.0, Micros((unix_now() + window).0));
             }
             // The key of a request that never ran is removed with it, in the same batch.
             Action::ForgetKey(_) => {}
@@ -57,7 +60,7 @@
             .is_ok()
         {
             entry.stage = RequestStage::Running;
-            self.requests.keys.ran(id.0);
+            self.requests.keys.mark_running(id.0);
         } else {
             let retry_after = self.site.settings.max_retry_after;
             self.answer_early(id, Outcome::rejected(retry_after));
--- a/src/node/policy_actor/answers.rs
+++ b/src/node/policy_actor/answers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use idempotency::Joined;
+use idempotency::JoinOutcome;
 use policy::{Event, RequestId, RunOutcome};
 use slog::info;
 
@@ -106,10 +106,10 @@
         };
         entry.stage = RequestStage::Joined;
         let outcome = match self.requests.keys.join(id.0, original.0) {
-            Joined::Waits => return,
-            Joined::Over(RunResult::Served(payload)) => Outcome::Served(payload),
-            Joined::Over(RunResult::Failed) => Outcome::Failed(Failure::MayHaveRun),
-            Joined::NeverRan => Outcome::rejected(self.site.settings.max_retry_after),
+            JoinOutcome::Waiting => return,
+            JoinOutcome::Finished(RunResult::Served(payload)) => Outcome::Served(payload),
+            JoinOutcome::Finished(RunResult::Failed) => Outcome::Failed(Failure::MayHaveRun),
+            JoinOutcome::NeverRan => Outcome::rejected(self.site.settings.max_retry_after),
         };
         self.finish_joined(id, outcome);
     }
--- a/src/node/policy_actor/arrivals.rs
+++ b/src/node/policy_actor/arrivals.rs
@@ -1,6 +1,6 @@
 //! Requests that arrive: which are answered at once, and which are queued for the policy.
 
-use idempotency::{Found, NEVER};
+use idempotency::{Lookup, Micros};
 use policy::{Idempotency, Request, RequestId, Span, TenantId};
 use slog::warn;
 
@@ -15,8 +15,10 @@
         let class = self.site.settings.classes.get(arrival.class.0);
         let idempotency = class.map_or(Idempotency::AtMostOnce, |c| c.idempotency);
         let claim = self.key_claim(&arrival, idempotency);
-        let lookup = claim.map_or(Found::Free, |c| {
-            self.requests.keys.find(c.key, c.payload, c.arrived_at.0)
+        let lookup = claim.map_or(Lookup::Unknown, |c| {
+            self.requests
+                .keys
+                .lookup(c.key, c.payload, Micros(c.arrived_at.0))
         });
         match self.screen(&arrival, idempotency, lookup) {
             Ok(repeats) => self.enqueue(arrival, idempotency, claim, repeats),
@@ -44,13 +46,13 @@
         &self,
         arrival: &Arrival,
         idempotency: Idempotency,
-        lookup: Found,
+        lookup: Lookup,
     ) -> Result<Option<RequestId>, Outcome> {
         let repeats = match lookup {
-            Found::Repeat(owner) => Some(RequestId(owner)),
-            Found::Ran => return Err(Outcome::Failed(Failure::MayHaveRun)),
-            Found::OtherBody => return Err(Outcome::Failed(Failure::PayloadMismatch)),
-            Found::Free | Found::Full => None,
+            Lookup::DuplicateOf(owner) => Some(RequestId(owner)),
+            Lookup::AlreadyRan => return Err(Outcome::Failed(Failure::MayHaveRun)),
+            Lookup::BodyMismatch => return Err(Outcome::Failed(Failure::PayloadMismatch)),
+            Lookup::Unknown | Lookup::TableFull => None,
         };
         // An earlier attempt may have run, in an earlier process or elsewhere, and running it could be the second time.
         // Where its key is known here, that knowledge is the better one.
@@ -63,7 +65,7 @@
         if repeats.is_none() {
             self.check_cell(arrival)?;
         }
-        if self.policy.is_none() || lookup == Found::Full || arrival.is_handed_back {
+        if self.policy.is_none() || lookup == Lookup::TableFull || arrival.is_handed_back {
             return Err(Outcome::rejected(self.site.settings.max_retry_after));
         }
         if self.has_expired(arrival) {
@@ -133,7 +135,7 @@
         };
         let id = self.requests.insert(entry, claim);
         if idempotency == Idempotency::AtMostOnce {
-            self.requests.keys.keep(id.0, NEVER);
+            self.requests.keys.extend_window(id.0, Micros::NEVER);
         }
         self.status.add_unanswered();
         let request = Request {
--- a/src/node/policy_actor/mod.rs
+++ b/src/node/policy_actor/mod.rs
@@ -19,7 +19,7 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::{at, never, select, tick, Receiver};
-use idempotency::Table;
+use idempotency::{KeyTable, Micros};
 use lifecycle::TOTAL_SHARES;
 use policy::{Action, Event, Idempotency, Policy, RequestId, Span};
 use slog::{info, Logger};
@@ -111,10 +111,10 @@
             limits,
             cells,
         } = config;
-        let keys = Table::new(
+        let keys = KeyTable::new(
             limits.keys.table_bytes,
             limits.keys.result_bytes,
-            max_queue_time(&site).0,
+            Micros(max_queue_time(&site).0),
         );
         let rate_limited = RateLimitedLogs {
             duplicate_uid: RateLimitedLog::new(limits.repeated_log_interval),
--- a/src/node/policy_actor/runs.rs
+++ b/src/node/policy_actor/runs.rs
@@ -132,7 +132,7 @@
     /// Keeps the result of a run under its request's key and returns the requests that have joined it.
     fn record_result(&mut self, id: RequestId, result: Option<RunResult>) -> Vec<RequestId> {
         let Some(result) = result else {
-            let joined = self.requests.keys.never_ran(id.0);
+            let joined = self.requests.keys.release_unrun(id.0);
             return joined.into_iter().map(RequestId).collect();
         };
         let result = match result {
@@ -146,7 +146,7 @@
             RunResult::Served(payload) => payload.as_base64().len(),
             RunResult::Failed => 0,
         };
-        let joined = self.requests.keys.end(id.0, result, size);
+        let joined = self.requests.keys.finish(id.0, result, size);
         joined.into_iter().map(RequestId).collect()
     }
 }
--- a/src/node/policy_actor/sweep.rs
+++ b/src/node/policy_actor/sweep.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+use idempotency::Micros;
 use policy::{ClassId, Idempotency, Policy, RunOutcome};
 use slog::{info, warn};
 
@@ -15,7 +16,7 @@
         self.refresh_other_counts();
         self.report_waiting_calls();
         self.stop_abandoned_runs();
-        self.requests.keys.expire(unix_now().0);
+        self.requests.keys.remove_expired(Micros(unix_now().0));
         let booked_kb = self
             .requests
             .booked_kb(self.site.settings.run_memory_factor);
--- a/src/node/request_table.rs
+++ b/src/node/request_table.rs
@@ -5,7 +5,7 @@
 use std::hash::{BuildHasher, Hash};
 use std::time::Instant;
 
-use idempotency::Table;
+use idempotency::{KeyTable, Micros};
 use policy::{ClassId, RequestId, Time};
 
 use super::messages::ExecutorCommand;
@@ -97,7 +97,7 @@
 }
 
 /// The result of a run, as the table of keys keeps it.
-pub(super) type RunResult = idempotency::End<Payload>;
+pub(super) type RunResult = idempotency::RunResult<Payload>;
 
 /// The claim of a request to be the first of its idempotency key.
 #[derive(Clone, Copy)]
@@ -142,11 +142,11 @@
     by_uid: HashMap<RequestUid, RequestId>,
     next_id: u64,
     pub(super) digests: Digests,
-    pub(super) keys: Table<Payload>,
+    pub(super) keys: KeyTable<Payload>,
 }
 
 impl RequestTable {
-    pub(super) fn new(keys: Table<Payload>) -> RequestTable {
+    pub(super) fn new(keys: KeyTable<Payload>) -> RequestTable {
         RequestTable {
             entries: HashMap::new(),
             by_uid: HashMap::new(),
@@ -162,7 +162,7 @@
         self.next_id += 1;
         if let Some(claim) = claim {
             self.keys
-                .enter(claim.key, claim.payload, id.0, claim.arrived_at.0);
+                .reserve(claim.key, claim.payload, id.0, Micros(claim.arrived_at.0));
         }
         self.by_uid.insert(entry.uid, id);
         self.entries.insert(id, entry);
@@ -177,12 +177,12 @@
         };
         self.by_uid.remove(&entry.uid);
         if entry.repeats.is_some() {
-            self.keys.leave(id.0);
+            self.keys.cancel_wait(id.0);
         }
         if !entry.owns_key || entry.was_sent() {
             return Vec::new();
         }
-        let joined = self.keys.never_ran(id.0);
+        let joined = self.keys.release_unrun(id.0);
         joined.into_iter().map(RequestId).collect()
     }
 
