--- a/src/main.rs
+++ b/src/main.rs
@@ -117,7 +117,7 @@
     let system = |what| move |e| StartError::System(what, e);
     let log = logger("router");
     // The wait for a signal is that of any node's.
-    let limits = Limits::new(config.clients);
+    let limits = Limits::new(config.max_clients);
     let signals = signals(&limits).map_err(system("signals"))?;
     let seed = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
