--- a/src/route.rs
+++ b/src/route.rs
@@ -19,7 +19,7 @@
     let config = Config::read(file)?;
     let log = logger("router");
     // Waiting for signals takes the same stack as in any node.
-    let limits = Limits::new(config.clients);
+    let limits = Limits::new(config.max_clients);
     let signals = Signals::listen(limits.stack_bytes).map_err(StartError::system("signals"))?;
     let seed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
