--- a/crates/fleet-runtime/src/actor/aggregation.rs
+++ b/crates/fleet-runtime/src/actor/aggregation.rs
@@ -1,18 +1,78 @@
 //! Running the aggregation of counters and health observations, and concluding the health of the ledger.
 
+use std::time::Duration;
+
 use membership::{AdvertisedStatus, Name};
 use rand::RngExt;
 use shared_state::{
-    evaluate_health, AggregationMessage, CallCounts, DependencyHealth, HealthState, Message,
-    Outgoing, ServiceObservation, SharedStateSnapshot, LEDGER,
+    evaluate_health, AggregateSnapshot, AggregationMessage, AggregationNode, CallCounts,
+    DependencyHealth, HealthEvaluator, HealthState, Message, Outgoing, ReportingSettings,
+    ServiceObservation, SharedStateSnapshot, LEDGER,
 };
 use slog::info;
 
-use crate::shared_counters::FleetCounters;
+use crate::config::Config;
+use crate::shared_counters::{FleetCounters, SharedCounters};
 
 use super::publishing::serves_clients;
+use super::spawn::Identity;
 use super::FleetActor;
 
+/// The aggregation of counters over the fleet, this node's own counters, and the health of the ledger that follows.
+pub(super) struct Aggregation {
+    pub(super) node: AggregationNode,
+    counters: SharedCounters,
+    ledger_health: HealthEvaluator,
+}
+
+impl Aggregation {
+    pub(super) fn new(
+        config: &Config,
+        identity: &Identity,
+        counters: SharedCounters,
+    ) -> Aggregation {
+        let node = AggregationNode::new(
+            ReportingSettings::default(),
+            identity.name.clone(),
+            config.site.clone(),
+            identity.incarnation,
+            Duration::ZERO,
+        );
+        Aggregation {
+            node,
+            counters,
+            ledger_health: HealthEvaluator::default(),
+        }
+    }
+
+    /// What this node observes of the ledger, for its report.
+    fn ledger_observations(&self) -> Vec<ServiceObservation> {
+        let observed = self.counters.observe_ledger().health;
+        observed
+            .map(|health| ServiceObservation {
+                service: LEDGER,
+                health,
+            })
+            .into_iter()
+            .collect()
+    }
+
+    fn snapshot(&self, now: Duration) -> AggregateSnapshot {
+        let health = HealthState {
+            health: self.ledger_health.health(),
+            for_ms: now
+                .saturating_sub(self.ledger_health.changed_at())
+                .as_millis() as u64,
+        };
+        let calls = self.counters.observe_ledger().calls;
+        let calls = CallCounts {
+            total: calls.total as u32,
+            failed: calls.failed as u32,
+        };
+        self.node.snapshot(now, health, calls)
+    }
+}
+
 impl FleetActor {
     /// Reports this node's counters if that is due, and publishes what is known.
     pub(super) fn update_aggregation(&mut self) {
@@ -26,15 +86,11 @@
         if aggregation.node.next_timeout() > now {
             return;
         }
-        let observed = aggregation.counters.observe_ledger().health;
-        let observations: Vec<_> = observed
-            .filter(|_| self.config.shares_ledger_health)
-            .map(|health| ServiceObservation {
-                service: LEDGER,
-                health,
-            })
-            .into_iter()
-            .collect();
+        let observations = if self.config.shares_ledger_health {
+            aggregation.ledger_observations()
+        } else {
+            Vec::new()
+        };
         let counts = aggregation.counters.in_flight().load();
         let draw = self.rng.random::<f64>();
         let mut messages = Vec::new();
@@ -76,19 +132,21 @@
     /// Publishes the aggregate and the health of the ledger that follows from it.
     fn publish_aggregate(&mut self) {
         let now = self.now();
-        let Some(aggregation) = &self.aggregation else {
+        let Some(aggregation) = &mut self.aggregation else {
             return;
         };
         let aggregate = aggregation.node.aggregate().clone();
         let observation = aggregation.counters.observe_ledger();
         let others = aggregate.tally(LEDGER, now);
-        let previous_health = self.ledger_health.health();
+        let previous_health = aggregation.ledger_health.health();
         if self.config.shares_ledger_health {
             let site_count = self.membership.sites().len();
             let health = evaluate_health(observation.health, &others, site_count);
-            self.ledger_health.update(now, health, aggregate.as_of);
+            aggregation
+                .ledger_health
+                .update(now, health, aggregate.as_of);
         }
-        let ledger_health = self.ledger_health.health();
+        let ledger_health = aggregation.ledger_health.health();
         let expires_at = self.started_at + aggregate.expires_at;
         aggregation.counters.publish(FleetCounters {
             aggregate,
@@ -99,7 +157,7 @@
             info!(self.log, "ledger"; "health" => ledger_health.name(),
                 "previous" => previous_health.name(), "calls" => observation.calls.total,
                 "failed" => observation.calls.failed, "others" => ?others);
-            (self.on_change)();
+            self.publisher.notify();
             self.set_withdrawn(ledger_health == DependencyHealth::OnlyHere);
         }
     }
@@ -135,21 +193,8 @@
     pub(super) fn shared_state_snapshot(&self) -> SharedStateSnapshot {
         let now = self.now();
         let budgets = self.budgets.as_ref().map(|budgets| budgets.snapshot(now));
-        let aggregate = self.aggregation.as_ref().map(|aggregation| {
-            let changed_at = self.ledger_health.changed_at();
-            let health = HealthState {
-                health: self.ledger_health.health(),
-                for_ms: now.saturating_sub(changed_at).as_millis() as u64,
-            };
-            let calls = aggregation.counters.observe_ledger().calls;
-            let calls = CallCounts {
-                total: calls.total as u32,
-                failed: calls.failed as u32,
-            };
-            aggregation.node.snapshot(now, health, calls)
-        });
         SharedStateSnapshot {
-            aggregate,
+            aggregate: self.aggregation.as_ref().map(|a| a.snapshot(now)),
             ..budgets.unwrap_or_default()
         }
     }
--- a/crates/fleet-runtime/src/actor/commands.rs
+++ b/crates/fleet-runtime/src/actor/commands.rs
@@ -2,7 +2,6 @@
 
 use std::ops::ControlFlow;
 
-use shared_state::QuotaConfig;
 use slog::warn;
 
 use crate::config::Config;
@@ -24,7 +23,11 @@
                 self.membership.set_client_address(Some(address), now);
             }
             ActorCommand::ReloadConfig(config) => self.reload_config(*config),
-            ActorCommand::SetSiblingRunning(is_running) => self.set_sibling_running(is_running),
+            ActorCommand::SetSiblingRunning(is_running) => {
+                if let Some(budgets) = &mut self.budgets {
+                    budgets.set_sibling_running(is_running, now);
+                }
+            }
             ActorCommand::Stop { announces, done } => {
                 self.end_membership(announces);
                 // A caller that no longer waits needs no reply.
@@ -47,13 +50,7 @@
         self.membership.set_seeds(config.seeds.clone());
         self.membership.set_settings(config.settings.clone());
         if let Some(budgets) = &mut self.budgets {
-            let totals: Vec<_> = self
-                .config
-                .budgets
-                .iter()
-                .map(|budget| reloaded_total(budget, &config))
-                .collect();
-            budgets.set_totals(&totals);
+            budgets.reload_totals(&self.config, &config);
         }
         // If observations of the ledger were switched off here, its health would stay at the last conclusion for good.
         self.config = Config {
@@ -63,19 +60,6 @@
         };
     }
 
-    /// While two processes have the name, the guaranteed quota is not spent by both.
-    fn set_sibling_running(&mut self, is_running: bool) {
-        let now = self.now();
-        let Some(budgets) = &mut self.budgets else {
-            return;
-        };
-        if is_running {
-            budgets.yield_to_sibling();
-        } else {
-            budgets.resume_after_sibling(now);
-        }
-    }
-
     fn end_membership(&mut self, announces: bool) {
         let now = self.now();
         let mut effects = Vec::new();
@@ -88,12 +72,3 @@
         self.apply_effects(effects);
     }
 }
-
-/// The total of a budget in a new configuration, or the present one where it is missing there.
-fn reloaded_total(budget: &QuotaConfig, config: &Config) -> u64 {
-    config
-        .budgets
-        .iter()
-        .find(|reloaded| reloaded.name == budget.name)
-        .map_or(budget.total, |reloaded| reloaded.total)
-}
--- a/crates/fleet-runtime/src/actor/mod.rs
+++ b/crates/fleet-runtime/src/actor/mod.rs
@@ -13,24 +13,21 @@
 
 use std::io::ErrorKind;
 use std::ops::ControlFlow;
-use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use arc_swap::ArcSwap;
 use crossbeam_channel::Receiver;
-use membership::{AdvertisedStatus, MembershipView, Name, PartitionStatus};
+use membership::{AdvertisedStatus, MembershipView, PartitionStatus};
 use mio::{Events, Poll, Token};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
-use shared_state::{AggregationNode, Budgets, HealthEvaluator};
 use slog::{warn, Logger};
 
 use crate::config::Config;
 use crate::handle::ActorCommand;
-use crate::quota_handle::QuotaHandle;
-use crate::shared_counters::SharedCounters;
-use crate::snapshot::MembershipSnapshot;
 
+use aggregation::Aggregation;
+use budgets::BudgetSharing;
+use publishing::Publisher;
 use socket::{FleetSocket, REBIND_INTERVAL};
 
 pub use spawn::{spawn_fleet_actor, LocalMember};
@@ -54,21 +51,14 @@
     rng: ChaCha8Rng,
     commands: Receiver<ActorCommand>,
     /// `None` where the fleet file has no budgets.
-    budgets: Option<Budgets>,
-    quotas: Vec<(Name, QuotaHandle)>,
-    /// The leader that grants budgets when it was last logged.
-    budget_leader: Option<Name>,
+    budgets: Option<BudgetSharing>,
     /// `None` where nodes share neither counts nor health observations.
     aggregation: Option<Aggregation>,
-    ledger_health: HealthEvaluator,
     /// The status that the process set.
     process_status: AdvertisedStatus,
     /// Whether the process is advertised as quiesced because only this node can't reach the ledger.
     is_withdrawn: bool,
-    snapshot: Arc<ArcSwap<MembershipSnapshot>>,
-    on_change: Box<dyn Fn() + Send>,
-    /// When the next snapshot is due; `None` while nothing has changed.
-    publish_at: Option<Instant>,
+    publisher: Publisher,
     /// The partition status when it was last logged.
     partition_status: PartitionStatus,
     /// Whether another process had this member's name when that was last logged.
@@ -76,12 +66,6 @@
     log: Logger,
 }
 
-/// The aggregation of counters over the fleet, and this node's own counters.
-struct Aggregation {
-    node: AggregationNode,
-    counters: SharedCounters,
-}
-
 impl FleetActor {
     fn run(mut self) {
         let mut events = Events::with_capacity(EVENT_CAPACITY);
@@ -138,7 +122,7 @@
         } else {
             REBIND_INTERVAL
         };
-        [self.publish_at, self.socket.rebind_at()]
+        [self.publisher.publish_at(), self.socket.rebind_at()]
             .into_iter()
             .flatten()
             .map(|due_at| due_at.saturating_duration_since(now))
@@ -146,7 +130,7 @@
     }
 
     fn time_to_next_protocol_timer(&self) -> Duration {
-        let budgets = self.budgets.as_ref().map(Budgets::next_timeout);
+        let budgets = self.budgets.as_ref().map(BudgetSharing::next_timeout);
         let aggregation = self.aggregation.as_ref().map(|a| a.node.next_timeout());
         let now = self.now();
         [Some(self.membership.next_deadline()), budgets, aggregation]
--- a/crates/fleet-runtime/src/actor/publishing.rs
+++ b/crates/fleet-runtime/src/actor/publishing.rs
@@ -4,6 +4,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
+use arc_swap::ArcSwap;
 use membership::{AdvertisedStatus, Liveness, MemberRecord, Name};
 use slog::{debug, info};
 
@@ -11,22 +12,70 @@
 
 use super::FleetActor;
 
+/// Where the actor publishes snapshots of the membership.
+pub(super) struct Publisher {
+    snapshot: Arc<ArcSwap<MembershipSnapshot>>,
+    on_change: Box<dyn Fn() + Send>,
+    /// When the next snapshot is due; `None` while nothing has changed.
+    publish_at: Option<Instant>,
+}
+
+impl Publisher {
+    pub(super) fn new(first: MembershipSnapshot, on_change: Box<dyn Fn() + Send>) -> Publisher {
+        Publisher {
+            snapshot: Arc::new(ArcSwap::from_pointee(first)),
+            on_change,
+            publish_at: None,
+        }
+    }
+
+    /// The place where readers find the last snapshot.
+    pub(super) fn snapshot(&self) -> &Arc<ArcSwap<MembershipSnapshot>> {
+        &self.snapshot
+    }
+
+    pub(super) fn publish_at(&self) -> Option<Instant> {
+        self.publish_at
+    }
+
+    /// Notifies the process that something it reads has changed.
+    pub(super) fn notify(&self) {
+        (self.on_change)();
+    }
+
+    fn schedule(&mut self) {
+        self.publish_at.get_or_insert_with(Instant::now);
+    }
+
+    /// Whether a snapshot is due; if so, it no longer is.
+    fn start_if_due(&mut self) -> bool {
+        let now = Instant::now();
+        let is_due = self.publish_at.is_some_and(|publish_at| publish_at <= now);
+        if is_due {
+            self.publish_at = None;
+        }
+        is_due
+    }
+
+    fn store(&self, snapshot: MembershipSnapshot) {
+        self.snapshot.store(Arc::new(snapshot));
+    }
+}
+
 impl FleetActor {
     /// Has a snapshot published at the end of this turn of the loop.
     pub(super) fn schedule_publication(&mut self) {
-        self.publish_at.get_or_insert_with(Instant::now);
+        self.publisher.schedule();
     }
 
     pub(super) fn publish_if_due(&mut self) {
-        let now = Instant::now();
-        if self.publish_at.is_none_or(|publish_at| publish_at > now) {
+        if !self.publisher.start_if_due() {
             return;
         }
-        self.publish_at = None;
-        let snapshot = MembershipSnapshot::capture(&self.membership);
-        self.snapshot.store(Arc::new(snapshot));
+        self.publisher
+            .store(MembershipSnapshot::capture(&self.membership));
         self.update_reporting_members();
-        (self.on_change)();
+        self.publisher.notify();
     }
 
     /// Has the aggregation choose among the members that report now.
@@ -44,7 +93,7 @@
 
     /// Logs a change of a member's status, unless it is the state that was last published.
     pub(super) fn log_member_change(&self, record: &MemberRecord) {
-        let published = self.snapshot.load();
+        let published = self.publisher.snapshot().load();
         let previous = published.member(&record.name).map(LoggedState::from);
         let current = LoggedState::from(record);
         if previous == Some(current) {
--- a/crates/fleet-runtime/src/actor/spawn.rs
+++ b/crates/fleet-runtime/src/actor/spawn.rs
@@ -7,7 +7,6 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use arc_swap::ArcSwap;
 use crossbeam_channel::bounded;
 use membership::{
     member_state, AdvertisedStatus, Liveness, MemberRecord, MemberState, MembershipView, Name,
@@ -15,17 +14,18 @@
 use mio::{Poll, Waker};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use shared_state::{AggregationNode, Budgets, HealthEvaluator, LeaseTimings, ReportingSettings};
 use slog::Logger;
 
 use crate::config::Config;
 use crate::handle::FleetHandle;
-use crate::quota_handle::QuotaHandle;
 use crate::shared_counters::SharedCounters;
 use crate::snapshot::MembershipSnapshot;
 
+use super::aggregation::Aggregation;
+use super::budgets::BudgetSharing;
+use super::publishing::Publisher;
 use super::socket::FleetSocket;
-use super::{Aggregation, FleetActor, WAKER};
+use super::{FleetActor, WAKER};
 
 /// Commands that may wait for the actor; a sender of more waits itself.
 const COMMAND_CAPACITY: usize = 16;
@@ -57,40 +57,21 @@
     let socket = FleetSocket::bind(&config, &poll, log)?;
     let address = socket.local_address()?.unwrap_or(config.listen);
     let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
-    // The standard library seeds its hash tables from the system's randomness.
-    let seed = RandomState::new().hash_one(&member.name);
+    let seed = random_seed(&member.name);
     let identity = Identity {
         name: member.name,
         incarnation: member_state::new_incarnation(unix_time_ms(), seed),
     };
     let started_at = Instant::now();
-    let quotas: Vec<(Name, QuotaHandle)> = config
-        .budgets
-        .iter()
-        .map(|budget| {
-            (
-                budget.name.clone(),
-                QuotaHandle::new(started_at, waker.clone()),
-            )
-        })
-        .collect();
     let membership = new_membership(&config, &identity, address, member.client_address);
     let (command_sender, commands) = bounded(COMMAND_CAPACITY);
-    let handle = FleetHandle {
-        address,
-        snapshot: Arc::new(ArcSwap::from_pointee(MembershipSnapshot::capture(
-            &membership,
-        ))),
-        commands: command_sender,
-        waker,
-        quotas,
-    };
     let actor = FleetActor {
         partition_status: membership.partition_status(),
-        budgets: new_budgets(&config, &identity),
+        budgets: BudgetSharing::new(&config, &identity, started_at, &waker),
         aggregation: member
             .shared_counters
-            .map(|counters| new_aggregation(&config, &identity, counters)),
+            .map(|counters| Aggregation::new(&config, &identity, counters)),
+        publisher: Publisher::new(MembershipSnapshot::capture(&membership), on_change),
         config,
         membership,
         poll,
@@ -98,17 +79,21 @@
         started_at,
         rng: ChaCha8Rng::seed_from_u64(seed),
         commands,
-        quotas: handle.quotas.clone(),
-        budget_leader: None,
-        ledger_health: HealthEvaluator::default(),
         process_status: AdvertisedStatus::Joining,
         is_withdrawn: false,
-        snapshot: handle.snapshot.clone(),
-        on_change,
-        publish_at: None,
         is_superseded: false,
         log: log.clone(),
     };
+    let handle = FleetHandle {
+        address,
+        snapshot: actor.publisher.snapshot().clone(),
+        commands: command_sender,
+        waker,
+        quotas: actor
+            .budgets
+            .as_ref()
+            .map_or_else(Vec::new, |budgets| budgets.quotas().to_vec()),
+    };
     thread::Builder::new()
         .name("fleet".into())
         .stack_size(stack_size)
@@ -117,10 +102,15 @@
 }
 
 /// Which run of which member this process is.
-struct Identity {
-    name: Name,
+pub(super) struct Identity {
+    pub(super) name: Name,
     /// Higher with each start of the process.
-    incarnation: u64,
+    pub(super) incarnation: u64,
+}
+
+/// A seed from the system's randomness, from which the standard library seeds its hash tables.
+fn random_seed(name: &Name) -> u64 {
+    RandomState::new().hash_one(name)
 }
 
 fn unix_time_ms() -> u64 {
@@ -157,28 +147,3 @@
         Duration::ZERO,
     )
 }
-
-fn new_budgets(config: &Config, identity: &Identity) -> Option<Budgets> {
-    if config.budgets.is_empty() {
-        return None;
-    }
-    Some(Budgets::new(
-        LeaseTimings::default(),
-        identity.name.clone(),
-        identity.incarnation,
-        config.voters.clone(),
-        config.budgets.clone(),
-        Duration::ZERO,
-    ))
-}
-
-fn new_aggregation(config: &Config, identity: &Identity, counters: SharedCounters) -> Aggregation {
-    let node = AggregationNode::new(
-        ReportingSettings::default(),
-        identity.name.clone(),
-        config.site.clone(),
-        identity.incarnation,
-        Duration::ZERO,
-    );
-    Aggregation { node, counters }
-}
