--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -14,7 +14,6 @@
 use std::sync::Arc;
 
 pub use health::CellHealth;
-pub use json5_errors::ConfigFileError as FileError; // ALIAS until users follow
 pub use layout::{CellSpec, Layout, LayoutError, NodeSpec, Placement, TenantSpec};
 pub use map::{AssignedCells, Assignment, Cell, CellMap, Node, PendingMigration, PublishedMap};
 pub use migration::{Fence, Migration, MigrationPhase};
--- a/crates/fault-testbed/src/script.rs
+++ b/crates/fault-testbed/src/script.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use cells::FileError;
+use json5_errors::ConfigFileError;
 use serde::Deserialize;
 use serde_json::json;
 
@@ -102,7 +102,7 @@
     /// It can't be read.
     Unreadable(PathBuf, std::io::Error),
     /// It says something that can't be used.
-    File(FileError),
+    File(ConfigFileError),
     /// The machine refused something.
     System(std::io::Error),
     /// What was awaited at this step did not come.
@@ -136,8 +136,8 @@
         Script::parse(&path.display().to_string(), &text).map_err(ScriptError::File)
     }
     /// The same for a text, named so in errors.
-    pub fn parse(name: &str, text: &str) -> Result<Script, FileError> {
-        let bad = |line, field: &str, what: String| FileError {
+    pub fn parse(name: &str, text: &str) -> Result<Script, ConfigFileError> {
+        let bad = |line, field: &str, what: String| ConfigFileError {
             file: name.into(),
             line,
             field: field.into(),
