--- a/src/actors.rs
+++ b/src/actors.rs
@@ -62,8 +62,9 @@
         let (endpoint_list_reports, endpoint_list_inbox) = bounded(1);
         let (state_change_sender, state_changes) = bounded(1);
         let database = Arc::new(Address::new(context.config.database));
-        let calls = context.start_database(&database, &fleet)?;
-        let policy_ended = context.start_policy(executor_commands, calls, &fleet, cells)?;
+        let database_calls = context.start_database(&database, &fleet)?;
+        let policy_ended =
+            context.start_policy(executor_commands, database_calls, &fleet, cells)?;
         context.start_executor(executor_inbox, executor_move_inbox)?;
         context.start_endpoint_list(endpoint_list_inbox)?;
         let amqp = context.start_amqp(queues)?;
@@ -104,7 +105,10 @@
                 shares_tenant_counts: false,
             };
         };
-        let has_call_quota = config.budgets.iter().any(|b| *b.name == *fleet::LEDGER);
+        let has_call_quota = config
+            .budgets
+            .iter()
+            .any(|b| *b.name == *fleet::LEDGER_BUDGET);
         let counters = (config.shares_counts || config.shares_ledger_health)
             .then(fleet::SharedCounters::default);
         let judged = counters.clone().filter(|_| config.shares_ledger_health);
@@ -170,7 +174,7 @@
     fn start_policy(
         &self,
         executor: Sender<ExecutorCommand>,
-        calls: database::Calls,
+        database_calls: database::Calls,
         fleet: &FleetLinks,
         cells: Option<CellGuard>,
     ) -> Result<Receiver<()>, StartError> {
@@ -180,7 +184,7 @@
             .map(|guard| Box::new(move |requests| guard.waits(requests)) as Box<_>);
         let peers = Peers {
             executor,
-            database: Box::new(move |call| calls.make(call)),
+            database: Box::new(move |call| database_calls.make(call)),
             report_waiting,
             fleet: fleet.tenant_counters(),
         };
--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,4 +1,5 @@
-//! Hosts instances of the module on the simulator's wire: standard input to standard output.
+//! Runs instances of the policy for the simulator, which sends events on standard input and reads actions from
+//! standard output.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -6,7 +7,7 @@
 use protocol_gateway::wire::Host;
 
 fn main() -> ExitCode {
-    // The wire carries a panic's message; the backtrace would only repeat it.
+    // The reply carries a panic's message; the backtrace would only repeat it.
     std::panic::set_hook(Box::new(|_| {}));
     let mut host = Host::default();
     let mut out = io::stdout().lock();
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -4,9 +4,9 @@
 
 use cells_cli::CellsCommand;
 use clap::{Parser, Subcommand};
-use fleet_cli::Fleet;
+use fleet_cli::FleetCommand;
 
-/// A billing node; with a command, what stands around one. `PROXY_CONFIG` names the node's configuration.
+/// A billing node, or with a command one of its tools. `PROXY_CONFIG` names the node's configuration.
 #[derive(Parser)]
 #[command(
     name = "protocol-gateway",
@@ -17,10 +17,10 @@
     /// The broker queues to consume from, in .yaml, .yml or .csv.
     #[arg(long, value_name = "FILE")]
     pub(crate) inventory: Option<PathBuf>,
-    /// The file of cells, in JSON5: the node refuses tenants of other cells. SIGHUP reads it again.
+    /// The file of cells, in JSON5: the node rejects tenants of other cells. SIGHUP reloads it.
     #[arg(long, value_name = "FILE")]
     pub(crate) cells: Option<PathBuf>,
-    /// The fleet's file, in JSON5: the node keeps a view of the other nodes. SIGHUP reads it again.
+    /// The fleet's file, in JSON5: the node joins the other nodes. SIGHUP reloads it.
     #[arg(long, value_name = "FILE")]
     pub(crate) fleet: Option<PathBuf>,
     #[command(subcommand)]
@@ -32,18 +32,18 @@
     /// Check, show and plan cells: which nodes serve which tenants.
     #[command(subcommand)]
     Cells(CellsCommand),
-    /// Show what members of a fleet see of each other.
+    /// Show how the members of a fleet see each other.
     #[command(subcommand)]
-    Fleet(Fleet),
-    /// Start nodes with stand-ins on loopback, put faults between them, and tell what happens as lines of JSON.
+    Fleet(FleetCommand),
+    /// Run nodes with test doubles on loopback, inject faults between them, and print what happens as lines of JSON.
     Faults {
-        /// The play, in JSON5.
+        /// The scenario, in JSON5.
         #[arg(value_name = "FILE")]
         file: PathBuf,
     },
-    /// Show the program at work: a router and a few nodes with stand-ins on loopback, and what they see of each other.
+    /// Run a router and a few nodes with test doubles on loopback, and print how they see each other.
     Demo(fault_testbed::demo::Demo),
-    /// Carry requests to the nodes of each tenant's cell. SIGHUP reads the file of cells again.
+    /// Forward requests to the nodes of each tenant's cell. SIGHUP reloads the file of cells.
     Route {
         /// The router's file, in JSON5.
         #[arg(value_name = "FILE", default_value = "deploy/router.json5")]
--- a/src/node/policy_actor/batch.rs
+++ b/src/node/policy_actor/batch.rs
@@ -108,8 +108,8 @@
         let mut events = Vec::with_capacity(self.pending.len());
         for pending in self.pending.drain(..) {
             events.push(match pending {
-                PendingEvent::Read(request, arrived_at) => {
-                    let request = with_age(request, arrived_at, now);
+                PendingEvent::Read(mut request, arrived_at) => {
+                    update_age(&mut request, arrived_at, now);
                     self.peaks.age = request.age.max(self.peaks.age);
                     Event::RequestRead(request)
                 }
@@ -132,15 +132,11 @@
     }
 }
 
-/// The request as the policy reads it now: its age, and how much of its caller's timeout is left.
-fn with_age(request: Request, arrived_at: Time, now: Time) -> Request {
+/// Sets the request's age, and how much of its caller's timeout is left, as of now.
+fn update_age(request: &mut Request, arrived_at: Time, now: Time) {
     let age = Span((now - arrived_at).0.max(0));
-    let remaining_wait = request
+    request.age = age;
+    request.remaining_wait = request
         .remaining_wait
         .map(|wait| Span((wait.0 - age.0).max(0)));
-    Request {
-        age,
-        remaining_wait,
-        ..request
-    }
 }
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -127,17 +127,7 @@
     if config.admin.is_none() {
         clients.open(&actors.json_rpc)?;
     }
-    let reloader = ConfigReloader {
-        name: config.name.clone(),
-        listen: config.listen,
-        cells,
-        executor: config.executor,
-        executor_moves: actors.executor_moves.clone(),
-        database: actors.database.clone(),
-        endpoint_list: config.endpoint_list,
-        endpoint_list_reports: actors.endpoint_list_reports.clone(),
-        log: log.clone(),
-    };
+    let reloader = config_reloader(&context, &actors, cells);
     let (instance_lock, divider) = divide_resources(&context, &actors);
     let membership_options = FleetMembershipOptions {
         config: fleet,
@@ -168,6 +158,25 @@
     Ok(node)
 }
 
+/// Prepares reloads of the configuration that the node starts with.
+fn config_reloader(
+    context: &ActorContext<'_>,
+    actors: &Actors,
+    cells: Option<CellGuard>,
+) -> ConfigReloader {
+    ConfigReloader {
+        name: context.config.name.clone(),
+        listen: context.config.listen,
+        cells,
+        executor: context.config.executor,
+        executor_moves: actors.executor_moves.clone(),
+        database: actors.database.clone(),
+        endpoint_list: context.config.endpoint_list,
+        endpoint_list_reports: actors.endpoint_list_reports.clone(),
+        log: context.log.clone(),
+    }
+}
+
 /// Acquires the instance lock and this process's resource shares. Another process of the node can exist only where there
 /// is an admin listener.
 fn divide_resources(
