--- a/crates/fault-testbed/src/demo.rs
+++ b/crates/fault-testbed/src/demo.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use clap::Args;
-use fleet_cli::state;
-use fleet_runtime::Told;
+use fleet_cli::state_name;
+use fleet_runtime::QueryReply;
 use test_doubles::Front;
 
 use crate::rig::{Plan, Rig};
@@ -203,7 +203,7 @@
         let _ = write!(text, " {name:<9}");
     }
     for name in all {
-        let told: Option<Told> = rig.runs(name).then(|| rig.told(name)).flatten();
+        let told: Option<QueryReply> = rig.runs(name).then(|| rig.told(name)).flatten();
         let served = if nodes.contains(name) {
             let now = rig.executor(name).all_runs();
             let before = runs.insert(name.clone(), now).unwrap_or(0);
@@ -221,7 +221,7 @@
             let seen = told
                 .as_ref()
                 .and_then(|t| t.members.iter().find(|r| *r.name == **other))
-                .map(state);
+                .map(state_name);
             let _ = write!(text, " {:<9}", seen.unwrap_or("-"));
         }
     }
--- a/crates/fault-testbed/src/rig.rs
+++ b/crates/fault-testbed/src/rig.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use fleet_runtime::{ask, look, Told};
+use fleet_runtime::{query_members, query_shared_state, QueryReply};
 use serde_json::{json, Value};
 use shared_state::SharedStateSnapshot;
 use test_doubles::{command, config, lock, until, Database, Executor, Front, List, Node, Scratch};
@@ -489,13 +489,13 @@
     // ---- what is seen ----
 
     /// What a process sees, asked past the switch.
-    pub fn told(&self, name: &str) -> Option<Told> {
+    pub fn told(&self, name: &str) -> Option<QueryReply> {
         let at = self.node(name).logged("fleet")?;
-        ask(at, FLEET, ASK).ok()
+        query_members(at, FLEET, ASK).ok()
     }
     /// What a process holds of the budgets, asked past the switch.
     pub fn look(&self, name: &str) -> Option<SharedStateSnapshot> {
-        look(self.node(name).logged("fleet")?, FLEET, ASK)
+        query_shared_state(self.node(name).logged("fleet")?, FLEET, ASK)
             .ok()
             .map(|reply| reply.state)
     }
--- a/crates/fault-testbed/src/script.rs
+++ b/crates/fault-testbed/src/script.rs
@@ -299,7 +299,7 @@
                     told.is_some_and(|t| {
                         t.members
                             .iter()
-                            .any(|r| *r.name == **whom && fleet_cli::state(r) == state)
+                            .any(|r| *r.name == **whom && fleet_cli::state_name(r) == state)
                     })
                 };
                 rig.wait(&what, Duration::from_millis(*ms), sees)
--- a/crates/fleet-cli/src/lib.rs
+++ b/crates/fleet-cli/src/lib.rs
@@ -86,7 +86,3 @@
         .map(|text| text + "\n")
         .unwrap_or_default()
 }
-
-// ALIAS until users follow.
-pub use args::FleetCommand as Fleet;
-pub use report::state_name as state;
--- a/crates/fleet-runtime/src/lib.rs
+++ b/crates/fleet-runtime/src/lib.rs
@@ -20,12 +20,3 @@
 pub use quota_handle::QuotaHandle;
 pub use shared_counters::{InFlightElsewhere, SharedCounters};
 pub use snapshot::MembershipSnapshot;
-
-// ALIAS until users follow.
-pub use actor::{spawn_fleet_actor as start, LocalMember as Me};
-pub use config::{LEDGER_BUDGET as LEDGER, RETRY_BUDGET as TRIES};
-pub use handle::FleetHandle as Handle;
-pub use query::{query_members as ask, query_shared_state as look, QueryReply as Told};
-pub use quota_handle::QuotaHandle as Allowance;
-pub use shared_counters::SharedCounters as Shares;
-pub use snapshot::MembershipSnapshot as Seen;
--- a/src/main.rs
+++ b/src/main.rs
@@ -10,7 +10,7 @@
 use cells_cli::CellsCommand;
 use clap::{Parser, Subcommand};
 use crossbeam_channel::{after, bounded, never, select, Receiver, Sender};
-use fleet_cli::Fleet;
+use fleet_cli::FleetCommand;
 use fleet_runtime as fleet;
 use lifecycle::{ProcessState, SiblingProcess, Transition, TOTAL_SHARES};
 use protocol_gateway::amqp::Amqp;
@@ -57,7 +57,7 @@
     Cells(CellsCommand),
     /// Show what members of a fleet see of each other.
     #[command(subcommand)]
-    Fleet(Fleet),
+    Fleet(FleetCommand),
     /// Start nodes with stand-ins on loopback, put faults between them, and tell what happens as lines of JSON.
     Faults {
         /// The play, in JSON5.
@@ -218,11 +218,11 @@
     let database = Arc::new(Address::new(config.database));
     let budgeted = in_fleet
         .as_ref()
-        .is_some_and(|f| f.budgets.iter().any(|b| *b.name == *fleet::LEDGER));
+        .is_some_and(|f| f.budgets.iter().any(|b| *b.name == *fleet::LEDGER_BUDGET));
     let shares = in_fleet
         .as_ref()
         .filter(|f| f.shares_counts || f.shares_ledger_health)
-        .map(|_| fleet::Shares::default());
+        .map(|_| fleet::SharedCounters::default());
     let judged = in_fleet
         .as_ref()
         .filter(|f| f.shares_ledger_health)
--- a/src/net/database.rs
+++ b/src/net/database.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::{bounded, Receiver, Sender, TryRecvError};
-use fleet_runtime::{Allowance, Shares};
+use fleet_runtime::{QuotaHandle, SharedCounters};
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token, Waker};
 use slog::{debug, warn, Logger};
@@ -50,8 +50,8 @@
     /// There is a budget of calls at once. Until this node is a member it may make none.
     budgeted: bool,
     /// What is made of the ledger together.
-    shares: Option<Shares>,
-    allowance: OnceLock<Allowance>,
+    shares: Option<SharedCounters>,
+    allowance: OnceLock<QuotaHandle>,
     /// Requests that wait for leave to call, as the module last told.
     waiting: AtomicUsize,
     waker: OnceLock<Arc<Waker>>,
@@ -61,7 +61,7 @@
 
 impl Budget {
     /// Whether there is a budget, and what is told of calls.
-    pub fn new(budgeted: bool, shares: Option<Shares>) -> Budget {
+    pub fn new(budgeted: bool, shares: Option<SharedCounters>) -> Budget {
         Budget {
             budgeted,
             shares,
@@ -71,7 +71,7 @@
     /// Calls in hand that the fleet's budget allows; no bound where there is none.
     fn places(&self) -> Option<usize> {
         self.budgeted
-            .then(|| self.allowance.get().map_or(0, Allowance::limit) as usize)
+            .then(|| self.allowance.get().map_or(0, QuotaHandle::limit) as usize)
     }
     /// Whether the ledger is judged to be down, or out of this node's reach: then one call at a time shows when it serves
     /// again.
@@ -81,7 +81,7 @@
             .is_some_and(|s| s.ledger_health().should_limit_calls())
     }
     /// The node is a member from now on. It becomes one once.
-    pub fn joined(&self, allowance: Allowance) {
+    pub fn joined(&self, allowance: QuotaHandle) {
         let _ = self.allowance.set(allowance);
     }
     /// So many requests wait for leave to call.
@@ -335,7 +335,7 @@
             .guard
             .as_ref()
             .and_then(|b| b.allowance.get())
-            .map(Allowance::max_use_duration);
+            .map(QuotaHandle::max_use_duration);
         longest.map_or(call.timeout, |longest| call.timeout.min(longest))
     }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -690,13 +690,13 @@
         );
         wire::Config::parse("f", &text).expect("it can be used")
     };
-    let me = |name: usize| wire::Me {
+    let me = |name: usize| wire::LocalMember {
         name: format!("v{name}").into(),
         client_address: None,
         shared_counters: None,
     };
     let start = |name, seed| {
-        let view = wire::start(
+        let view = wire::spawn_fleet_actor(
             config(name, seed),
             me(name),
             160 * 1024,
@@ -708,7 +708,7 @@
         view
     };
     let first = start(0, ([127, 0, 0, 1], 9).into());
-    let views: Vec<wire::Handle> = (1..255).map(|n| start(n, first.address)).collect();
+    let views: Vec<wire::FleetHandle> = (1..255).map(|n| start(n, first.address)).collect();
     let file = Scratch::new(
         "own.json5",
         &format!(
--- a/tests/gathered.rs
+++ b/tests/gathered.rs
@@ -46,7 +46,7 @@
     told.members
         .iter()
         .find(|r| *r.name == *of)
-        .map(fleet_cli::state)
+        .map(fleet_cli::state_name)
 }
 
 /// Clients at one node that send the same as fast as it is answered, until the value goes.
