--- a/crates/connections/tests/idle_connections.rs
+++ b/crates/connections/tests/idle_connections.rs
@@ -9,72 +9,68 @@
     Eviction::SayGoodbye(ConnectionId(connection))
 }
 
+/// Idle connections and the time at which evictions are chosen, in milliseconds from a start.
+struct Table {
+    limits: ConnectionLimits,
+    start: Instant,
+    idle_connections: IdleConnections,
+}
+
+impl Table {
+    fn new() -> Table {
+        Table {
+            limits: ConnectionLimits {
+                reserved_slots: 2,
+                max_idle_connections: 2,
+                ..ConnectionLimits::new(8)
+            },
+            start: Instant::now(),
+            idle_connections: IdleConnections::default(),
+        }
+    }
+    fn at(&self, ms: u64) -> Instant {
+        self.start + Duration::from_millis(ms)
+    }
+    fn set(&mut self, connection: usize, kind: IdleKind, ms: u64) {
+        let since = self.at(ms);
+        self.idle_connections
+            .update(ConnectionId(connection), Some(Idleness { kind, since }));
+    }
+    fn unset(&mut self, connection: usize) {
+        self.idle_connections.update(ConnectionId(connection), None);
+    }
+    fn evictions(&self, open_connections: usize, ms: u64) -> Vec<Eviction> {
+        self.idle_connections
+            .choose_evictions(open_connections, &self.limits, self.at(ms))
+    }
+}
+
 /// Closing connections are evicted before silent ones, silent ones before used ones, of the used ones the longest idle, and
 /// none with an open request.
 #[test]
 fn evicts_those_least_likely_to_be_used_again_first() {
-    let limits = ConnectionLimits {
-        reserved_slots: 2,
-        max_idle_connections: 2,
-        ..ConnectionLimits::new(8)
-    };
-    let start = Instant::now();
-    let at = |ms| start + Duration::from_millis(ms);
-    let mut idle_connections = IdleConnections::default();
-    let set = |idle_connections: &mut IdleConnections, connection, kind, ms| {
-        let since = at(ms);
-        idle_connections.update(ConnectionId(connection), Some(Idleness { kind, since }));
-    };
-    let unset = |idle_connections: &mut IdleConnections, connection| {
-        idle_connections.update(ConnectionId(connection), None);
-    };
-    for (connection, kind, ms) in [
-        (1, IdleKind::Idle, 5),
-        (2, IdleKind::Idle, 3),
-        (3, IdleKind::Silent, 10),
-        (4, IdleKind::Silent, 900),
-    ] {
-        set(&mut idle_connections, connection, kind, ms);
-    }
+    let mut table = Table::new();
+    table.set(1, IdleKind::Idle, 5);
+    table.set(2, IdleKind::Idle, 3);
+    table.set(3, IdleKind::Silent, 10);
+    table.set(4, IdleKind::Silent, 900);
     // Two too many; one has been silent for so long that it is no client, one has only just connected.
-    assert_eq!(
-        idle_connections.choose_evictions(4, &limits, at(1000)),
-        [close(3), say_goodbye(4)]
-    );
-    set(&mut idle_connections, 4, IdleKind::Closing, 1000);
-    assert_eq!(
-        idle_connections.choose_evictions(4, &limits, at(1000)),
-        [close(3)]
-    );
+    assert_eq!(table.evictions(4, 1000), [close(3), say_goodbye(4)]);
+    table.set(4, IdleKind::Closing, 1000);
+    assert_eq!(table.evictions(4, 1000), [close(3)]);
     // Slots run short: the closing one is the first.
-    assert_eq!(
-        idle_connections.choose_evictions(6, &limits, at(1000)),
-        [close(4), close(3)]
-    );
-    for connection in [3, 4] {
-        unset(&mut idle_connections, connection);
-    }
-    assert_eq!(
-        idle_connections.choose_evictions(6, &limits, at(1000)),
-        [close(2)]
-    );
+    assert_eq!(table.evictions(6, 1000), [close(4), close(3)]);
+    table.unset(3);
+    table.unset(4);
+    assert_eq!(table.evictions(6, 1000), [close(2)]);
     // A fresh connection is not evicted before one that has been idle for longer.
-    set(&mut idle_connections, 5, IdleKind::Silent, 900);
-    assert_eq!(
-        idle_connections.choose_evictions(6, &limits, at(1000)),
-        [close(2), say_goodbye(5)]
-    );
-    assert_eq!(
-        idle_connections.choose_evictions(6, &limits, at(1300)),
-        [close(5)]
-    );
-    unset(&mut idle_connections, 5);
+    table.set(5, IdleKind::Silent, 900);
+    assert_eq!(table.evictions(6, 1000), [close(2), say_goodbye(5)]);
+    assert_eq!(table.evictions(6, 1300), [close(5)]);
+    table.unset(5);
     // A connection with an open request stays.
-    unset(&mut idle_connections, 2);
-    assert_eq!(
-        idle_connections.choose_evictions(6, &limits, at(1000)),
-        [close(1)]
-    );
-    unset(&mut idle_connections, 1);
-    assert_eq!(idle_connections.choose_evictions(6, &limits, at(1000)), []);
+    table.unset(2);
+    assert_eq!(table.evictions(6, 1000), [close(1)]);
+    table.unset(1);
+    assert_eq!(table.evictions(6, 1000), []);
 }
--- a/crates/router/src/request_router/heartbeat.rs
+++ b/crates/router/src/request_router/heartbeat.rs
@@ -27,7 +27,7 @@
             self.run_health_checks(clients, now);
         }
         for change in self.nodes.take_changes(self.elapsed(now)) {
-            info!(self.log, "node"; "node" => &*change.node, "is" => ?change.availability);
+            info!(self.log, "node availability changed"; "node" => &*change.node, "availability" => ?change.availability);
         }
         self.drop_unneeded_upstreams(clients, now);
         clients.check_all_timers(self, now);
