--- a/crates/fleet-simulation/src/aggregation/mod.rs
+++ b/crates/fleet-simulation/src/aggregation/mod.rs
@@ -57,7 +57,7 @@
     pub estimates: u64,
     /// How often there was no current estimate.
     pub missing: u64,
-    /// How many estimates were lower than what the nodes counted in them had at the least since the stated time.
+    /// How many estimates were lower than what the nodes counted in them had at least since the stated time.
     pub too_low: u64,
     /// By how much estimates were too high, in all, where they covered all nodes.
     pub excess: u64,
--- a/crates/fleet-simulation/src/aggregation/simulation.rs
+++ b/crates/fleet-simulation/src/aggregation/simulation.rs
@@ -25,11 +25,11 @@
 pub(super) const TENANT_COUNT: u64 = 40;
 /// How long membership views lag behind.
 const VIEW_LAG: Duration = Duration::from_secs(4);
-/// How many sites the nodes stand at.
+/// How many sites the fleet has.
 pub(super) const SITE_COUNT: usize = 3;
 /// How long earlier counts are kept for checks.
 const HISTORY: Duration = Duration::from_secs(20);
-/// By which fraction the rates of clocks differ from the simulated time at the most.
+/// By which fraction the rates of clocks differ from the simulated time, at most.
 const MAX_DRIFT: f64 = 0.005;
 /// How long a successful call takes.
 const CALL_DURATION: Duration = Duration::from_millis(8);
--- a/crates/fleet-simulation/src/budgets/calls.rs
+++ b/crates/fleet-simulation/src/budgets/calls.rs
@@ -8,7 +8,7 @@
 use super::simulation::{BudgetSimulation, Event};
 use super::SharingStrategy;
 
-/// How often a node tells the others what it has in flight, where they go by estimates.
+/// How often a node tells the others what it has in flight, where estimates are used.
 const ESTIMATE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl BudgetSimulation {
--- a/crates/fleet-simulation/src/budgets/mod.rs
+++ b/crates/fleet-simulation/src/budgets/mod.rs
@@ -18,7 +18,7 @@
     Leases,
     /// Each node has an equal quota that never changes.
     Static,
-    /// Each node begins a call while the sum of what it last heard of the others is below the total.
+    /// Each node begins a call while the sum of what the others last reported is below the total.
     Estimates,
 }
 
@@ -43,7 +43,7 @@
     pub total_halved_at: Option<Duration>,
     /// The timings that the nodes use.
     pub timings: LeaseTimings,
-    /// By which fraction the rates of the nodes' clocks really differ at the most.
+    /// By which fraction the rates of the nodes' clocks really differ, at most.
     pub max_drift: f64,
 }
 
--- a/crates/fleet-simulation/src/budgets/simulation.rs
+++ b/crates/fleet-simulation/src/budgets/simulation.rs
@@ -72,7 +72,7 @@
     pub partition: usize,
     /// Calls in flight of this run of its process.
     pub in_flight: u64,
-    /// What it last heard that the others have in flight, for estimates.
+    /// What the others last reported to have in flight, for estimates.
     pub others_in_flight: BTreeMap<usize, u64>,
     pub next_estimate_at: Duration,
 }
--- a/crates/fleet-simulation/src/fleet/settlement.rs
+++ b/crates/fleet-simulation/src/fleet/settlement.rs
@@ -44,7 +44,7 @@
         Some(partitions)
     }
 
-    /// Whether the view of a partition holds exactly its members. Its members agree, so that one stands for all.
+    /// Whether the view of a partition holds exactly its members. Its members agree, so that one of them is enough to test.
     fn is_view_complete(&self, partition: u8, view: &PartitionView) -> bool {
         let Some(peer) = self.peer(view.sample) else {
             return false;
--- a/crates/fleet-simulation/src/lib.rs
+++ b/crates/fleet-simulation/src/lib.rs
@@ -1,5 +1,5 @@
 //! Simulation of a fleet: many nodes in one process over a simulated network and clock, the same for the same seed. The
-//! nodes run the shipped decisions; beside them stand baselines to measure against.
+//! nodes run the shipped decisions; baselines to measure against run beside them.
 //!
 //! - [`FleetSimulation`], [`scenarios`], [`measurements`]: membership under faults, and how it scales.
 //! - [`budgets`]: the sharing of a budget under faults.
--- a/crates/fleet-simulation/src/view_peer.rs
+++ b/crates/fleet-simulation/src/view_peer.rs
@@ -57,7 +57,7 @@
             suspected_by: 0,
         };
         let seeds = start.other_seeds().map(address).collect();
-        let mut view = MembershipView::new(settings, "drawn".into(), own, seeds, start.now);
+        let mut view = MembershipView::new(settings, "fleet".into(), own, seeds, start.now);
         view.advertise_status(AdvertisedStatus::Up, start.now);
         ViewPeer {
             view,
--- a/crates/fleet-simulation/tests/aggregation.rs
+++ b/crates/fleet-simulation/tests/aggregation.rs
@@ -22,8 +22,8 @@
 }
 
 /// Guards the stated age: under kills with restarts, partitions, loss, duplicates, messages up to a second late and clocks
-/// that drift, no estimate is lower than what the nodes in it had in flight at the least since then. Without faults it is
-/// hardly ever missing, and half a second old at the most.
+/// that drift, no estimate is lower than what the nodes in it had in flight at least since then. Without faults it is
+/// hardly ever missing, and half a second old at most.
 #[test]
 fn estimates_are_never_lower_than_what_was_in_flight_since_their_age() {
     for seed in 1..=8 {
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -29,7 +29,7 @@
     /// When its status or liveness last changed.
     pub changed_at: Duration,
     /// When it last sent a datagram.
-    pub heard_at: Option<Duration>,
+    pub last_contact_at: Option<Duration>,
     /// Its place in the queue of updates; none once it has been sent often enough.
     queued: Option<UpdatePriority>,
 }
@@ -197,7 +197,7 @@
                 record,
                 suspicion: None,
                 changed_at: now,
-                heard_at: None,
+                last_contact_at: None,
                 queued: None,
             };
             self.members.insert(name.clone(), entry);
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -41,7 +41,7 @@
     pub requester: SocketAddr,
     /// The requester's own sequence number.
     pub requester_seq: u32,
-    /// When the requester is told that there is no answer yet.
+    /// When the requester is notified that there is no answer yet.
     pub nack_at: Duration,
     pub is_nacked: bool,
     /// When the probe is abandoned.
--- a/crates/membership/src/view/dissemination.rs
+++ b/crates/membership/src/view/dissemination.rs
@@ -145,7 +145,7 @@
         picked
     }
 
-    /// Merges a received record of another member. `is_page` tells that it came with a page of anti-entropy.
+    /// Merges a received record of another member. `is_page` means that it came with a page of anti-entropy.
     pub(super) fn merge_record(
         &mut self,
         record: &MemberRecord,
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Replaces a member's record, with what follows for suspicion and probing. `is_update` tells whether to spread it.
+    /// Replaces a member's record, with what follows for suspicion and probing. `is_update` means that it is spread as an update.
     pub(super) fn apply_record(
         &mut self,
         record: MemberRecord,
--- a/crates/membership/src/view/mod.rs
+++ b/crates/membership/src/view/mod.rs
@@ -49,8 +49,8 @@
     fleet: Name,
     /// This member's own record: equal to the one in the table, unless another process uses the name.
     own: MemberRecord,
-    /// When the process that uses the name now was last heard, if there is one.
-    successor_heard_at: Option<Duration>,
+    /// When the process that uses the name now last sent anything, if there is one.
+    successor_last_contact: Option<Duration>,
     is_muted: bool,
     seeds: Vec<SocketAddr>,
     members: MemberTable,
@@ -72,8 +72,8 @@
     partition_status_since: Duration,
     /// Whether any other member has ever been known.
     has_met_others: bool,
-    /// When any other member was last heard.
-    last_heard_at: Duration,
+    /// When any other member last sent anything.
+    last_contact_at: Duration,
     /// Whether a record has changed since this node last began a comparison.
     has_learned_since_comparison: bool,
 }
@@ -97,7 +97,7 @@
             settings,
             fleet,
             own,
-            successor_heard_at: None,
+            successor_last_contact: None,
             is_muted: false,
             seeds: Vec::new(),
             members: MemberTable::new(),
@@ -116,7 +116,7 @@
             partition_status: PartitionStatus::Majority,
             partition_status_since: now,
             has_met_others: false,
-            last_heard_at: now,
+            last_contact_at: now,
             has_learned_since_comparison: false,
         };
         view.set_seeds(seeds);
@@ -170,7 +170,7 @@
 
     /// Whether another process uses this member's name, so that this one is silent.
     pub fn is_superseded(&self) -> bool {
-        self.successor_heard_at.is_some()
+        self.successor_last_contact.is_some()
     }
 
     /// How much of the fleet this node can see.
--- a/crates/membership/src/view/packets.rs
+++ b/crates/membership/src/view/packets.rs
@@ -79,14 +79,14 @@
             return true;
         }
         self.merge_record(sender, false, now, effects);
-        self.last_heard_at = now;
+        self.last_contact_at = now;
         let Some(entry) = self.members.get_mut(&sender.name) else {
             return true;
         };
         let known = entry.record.state;
         let is_same_incarnation = known.incarnation == sender.state.incarnation;
         if is_same_incarnation {
-            entry.heard_at = Some(now);
+            entry.last_contact_at = Some(now);
         }
         if known.precedence() > sender.state.precedence() {
             // The sender does not know what is claimed of it, or that its name has a later incarnation.
--- a/crates/membership/src/view/partition.rs
+++ b/crates/membership/src/view/partition.rs
@@ -27,16 +27,16 @@
 }
 
 impl MembershipView {
-    /// How long a node may hear nobody before it is isolated. Each member is probed by another about once an interval.
+    /// How long a node may receive nothing from others before it is isolated. Each member is probed by another about once an interval.
     fn isolation_timeout(&self) -> Duration {
         self.settings.min_suspicion_timeout(self.present_count()) + self.settings.probe_interval * 2
     }
 
-    /// When the node becomes isolated if it hears nobody until then; none where that would change nothing.
+    /// When the node becomes isolated if it receives nothing until then; none where that would change nothing.
     pub(super) fn isolation_deadline(&self) -> Option<Duration> {
         let can_become_isolated =
             self.present_count() > 1 && self.partition_status != PartitionStatus::Isolated;
-        can_become_isolated.then(|| self.last_heard_at + self.isolation_timeout())
+        can_become_isolated.then(|| self.last_contact_at + self.isolation_timeout())
     }
 
     pub(super) fn update_partition_status(&mut self, now: Duration) {
@@ -51,8 +51,8 @@
         let present = self.present_count();
         let lost = self.lost_count();
         if present > 1 {
-            // A node that hears nobody knows it long before it has declared each of the others dead.
-            if now >= self.last_heard_at + self.isolation_timeout() {
+            // A node that receives nothing knows it long before it has declared each of the others dead.
+            if now >= self.last_contact_at + self.isolation_timeout() {
                 return PartitionStatus::Isolated;
             }
         } else {
--- a/crates/membership/src/view/probing.rs
+++ b/crates/membership/src/view/probing.rs
@@ -172,8 +172,8 @@
         };
         // A target that has sent anything since is alive. Then the path to it is at fault, which others will find.
         let was_heard_since = entry
-            .heard_at
-            .is_some_and(|heard_at| heard_at >= probe.started_at);
+            .last_contact_at
+            .is_some_and(|last_contact_at| last_contact_at >= probe.started_at);
         if probe.is_answered || was_heard_since {
             return;
         }
@@ -189,6 +189,7 @@
         }
     }
 
+    /// Processes the acknowledgement of a ping: by this member's successor, for an indirect probe, or for the own probe.
     pub(super) fn handle_ack(
         &mut self,
         origin: &PacketOrigin,
@@ -198,9 +199,11 @@
         random: RandomIndex,
         effects: &mut Vec<Effect>,
     ) {
-        if let (Some(heard_at), Some(sender)) = (&mut self.successor_heard_at, &origin.sender) {
+        if let (Some(last_contact_at), Some(sender)) =
+            (&mut self.successor_last_contact, &origin.sender)
+        {
             if *sender == self.own.name {
-                *heard_at = now;
+                *last_contact_at = now;
             }
             return;
         }
@@ -220,15 +223,27 @@
         probe.escalates_at = Duration::MAX;
         let target = probe.target.clone();
         self.local_health = self.local_health.saturating_sub(1);
+        self.compare_digest(&target, digest, now, random, effects);
+    }
+
+    /// Begins a comparison with a member whose digest keeps differing. Views differ for a moment while updates spread; where
+    /// they stay different, an update was lost.
+    fn compare_digest(
+        &mut self,
+        target: &Name,
+        digest: u64,
+        now: Duration,
+        random: RandomIndex,
+        effects: &mut Vec<Effect>,
+    ) {
         if digest == self.digest() {
             self.digest_mismatches = 0;
             return;
         }
-        // Views differ for a moment while updates spread; where they stay different, an update was lost.
         self.digest_mismatches += 1;
-        if self.digest_mismatches >= MISMATCHES_BEFORE_COMPARISON && now >= self.next_comparison_at
-        {
-            if let Some(address) = self.member(&target).map(|record| record.address) {
+        let is_lasting = self.digest_mismatches >= MISMATCHES_BEFORE_COMPARISON;
+        if is_lasting && now >= self.next_comparison_at {
+            if let Some(address) = self.member(target).map(|record| record.address) {
                 self.begin_comparison(address, now, random, effects);
             }
         }
@@ -276,7 +291,7 @@
         self.indirect_probes.remove(index)
     }
 
-    /// Abandons indirect probes that took too long, and tells requesters where there is no answer yet.
+    /// Abandons indirect probes that took too long, and notifies requesters where there is no answer yet.
     pub(super) fn expire_indirect_probes(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         self.indirect_probes.retain(|probe| probe.expires_at > now);
         let mut nacks = Vec::new();
--- a/crates/membership/src/view/self_defence.rs
+++ b/crates/membership/src/view/self_defence.rs
@@ -11,7 +11,7 @@
 use crate::packet::Body;
 use crate::RandomIndex;
 
-/// A goodbye goes to this many times the gossip fanout, as there is no later datagram to make up for a loss.
+/// A goodbye is sent to this many times the gossip fanout, as there is no later datagram to make up for a loss.
 const GOODBYE_FANOUT_FACTOR: usize = 2;
 
 impl MembershipView {
@@ -56,7 +56,7 @@
         self.is_muted = true;
     }
 
-    /// Sends nothing from now on, not even a goodbye: the name goes on with another process.
+    /// Sends nothing from now on, not even a goodbye: another process continues under the name.
     pub fn mute(&mut self) {
         self.is_muted = true;
     }
@@ -73,7 +73,7 @@
             SelfClaim::Refute(state) => self.refute(claim.state, state, now, effects),
             SelfClaim::Superseded => {
                 if !self.is_superseded() {
-                    self.successor_heard_at = Some(now);
+                    self.successor_last_contact = Some(now);
                     self.probe = None;
                 }
                 self.apply_record(claim.clone(), true, now, effects);
@@ -90,12 +90,12 @@
     ) {
         let is_same_incarnation = claimed.incarnation == self.own.state.incarnation;
         if is_same_incarnation && claimed.liveness != Liveness::Alive {
-            // Others did not hear this member in time: a sign that it is slow.
+            // Others did not receive its datagrams in time: a sign that it is slow.
             self.degrade_local_health();
         }
         self.own.state = own;
-        if self.successor_heard_at.take().is_some() {
-            // Nothing was heard of the others while the name was another process's.
+        if self.successor_last_contact.take().is_some() {
+            // Nothing was received from the others while another process used the name.
             self.compensate_for_pause(Duration::ZERO, now);
             self.restart_suspicions(now);
         }
@@ -111,7 +111,7 @@
     /// back.
     pub(super) fn watch_successor(
         &mut self,
-        heard_at: Duration,
+        last_contact_at: Duration,
         now: Duration,
         effects: &mut Vec<Effect>,
     ) {
@@ -125,7 +125,7 @@
             return;
         };
         let timeout = self.settings.min_suspicion_timeout(self.present_count());
-        if now.saturating_sub(heard_at) >= timeout {
+        if now.saturating_sub(last_contact_at) >= timeout {
             let dead = MemberRecord {
                 state: successor.state.with_liveness(Liveness::Dead),
                 ..successor
--- a/crates/membership/src/view/timers.rs
+++ b/crates/membership/src/view/timers.rs
@@ -38,8 +38,8 @@
         if delay > self.settings.probe_timeout {
             self.compensate_for_pause(delay, now);
         }
-        if let Some(heard_at) = self.successor_heard_at {
-            self.watch_successor(heard_at, now, effects);
+        if let Some(last_contact_at) = self.successor_last_contact {
+            self.watch_successor(last_contact_at, now, effects);
             return;
         }
         self.expire_indirect_probes(now, effects);
@@ -56,7 +56,7 @@
     pub(super) fn compensate_for_pause(&mut self, pause: Duration, now: Duration) {
         self.probe = None;
         self.next_probe_at = self.next_probe_at.max(now);
-        self.last_heard_at += pause;
+        self.last_contact_at += pause;
         self.indirect_probes.clear();
         self.extend_suspicions(pause);
         self.degrade_local_health();
--- a/crates/membership/tests/packet.rs
+++ b/crates/membership/tests/packet.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn foreign_and_damaged_datagrams_are_told_apart() {
+fn each_kind_of_invalid_datagram_has_its_error() {
     let bytes = ping().encode();
     let decode = |bytes: &[u8]| Packet::decode(bytes, "few");
     assert_eq!(decode(&bytes), Ok(ping()));
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Numbers that look random and are the same in each run.
+/// Pseudo-random numbers that are the same in each run.
 struct Indices(usize);
 
 impl Indices {
@@ -43,7 +43,7 @@
     true
 }
 
-/// A few views, and a network that loses what the test says.
+/// A few views, and a network that loses what the test chooses.
 struct SmallFleet {
     views: Vec<Option<MembershipView>>,
     now: Duration,
