--- a/src/node/policy_actor/calls.rs
+++ b/src/node/policy_actor/calls.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Has the call made that a run waits for; one that finds no room counts as never made.
+    /// Has the call made that a run waits for; a call that the database's mailbox has no space for counts as never made.
     pub(super) fn start_call(&mut self, id: RequestId, timeout: Span) {
         let Some(entry) = self.requests.get(id) else {
             return;
@@ -73,7 +73,7 @@
                 let uid = entry.uid;
                 let command = ExecutorCommand::ReturnReply { uid, payload };
                 if self.peers.executor.try_send(command).is_err() {
-                    warn!(self.log, "no room for a reply to the executor"; "uid" => %uid);
+                    warn!(self.log, "the executor's mailbox is full: a reply is lost"; "uid" => %uid);
                 }
                 CallOutcome::Succeeded
             }
