--- a/crates/client-listener/tests/listener.rs
+++ b/crates/client-listener/tests/listener.rs
@@ -1,5 +1,5 @@
 //! The loop with a server that echoes lines: `ask TEXT` is a request that is answered in the same step, `bad` a protocol
-//! violation. The crossings of closes are tested through the node's server in `tests/crossings.rs`.
+//! violation. The crossings of closes are tested through the node's server in `tests/connection_races.rs`.
 use client_listener::{
     ClientHandler, ClientListener, ClientMessage, ListenerSettings, LiveLimits, RequestHandle,
     TimerMode,
--- a/tests/service.rs
+++ b/tests/admin_commands.rs
@@ -1,13 +1,13 @@
 //! Day-to-day service on real sockets: the operators' door, emptying a node, and replacing its process.
 
-mod stand_ins;
+mod doubles;
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
+use doubles::*;
 use serde_json::json;
-use stand_ins::*;
 
 const READ: &str = "statement-read";
 const REFUSED: i64 = -32002;
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -1,10 +1,10 @@
 //! The AMQP front against a stand-in broker: runs per key, settlements, and nothing unacknowledged at stop.
 
-mod stand_ins;
+mod doubles;
 
 use amq_protocol::types::{AMQPValue, FieldTable};
-use stand_ins::broker::{Broker, Message, POSTS, READS};
-use stand_ins::*;
+use doubles::broker::{Broker, Message, POSTS, READS};
+use doubles::*;
 
 const STATUS: &str = "x-mothwinch-status";
 const REASON: &str = "x-mothwinch-reason";
--- a/tests/crowd.rs
+++ b/tests/connection_load.rs
@@ -1,7 +1,7 @@
 //! The front under crowds: connections that say nothing, and those that send more than anyone can take. The last test
 //! measures and runs only when asked.
 
-mod stand_ins;
+mod doubles;
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Write};
@@ -9,8 +9,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use doubles::{base64, unix_ms, until, Front, Node, Usage};
 use serde_json::{json, Value};
-use stand_ins::{base64, unix_ms, until, Front, Node, Usage};
 
 const READ: &str = "statement-read";
 
--- a/tests/peers.rs
+++ b/tests/database_calls.rs
@@ -1,12 +1,13 @@
 //! The database's lanes and the request table's promises, in this process and with limits of the test's own.
 
-mod stand_ins;
+mod doubles;
 
 use std::net::TcpListener;
 use std::sync::{mpsc, Arc};
 use std::time::Duration;
 
 use crossbeam_channel::{bounded, Receiver};
+use doubles::{unix_ms, until, Database};
 use protocol_gateway::net::{database, Address, Lines};
 use protocol_gateway::node::{
     Answer, CallResult, DatabaseCall, Failure, Limits, Outcome, Payload, PolicyMessage, RequestUid,
@@ -14,7 +15,6 @@
 };
 use protocol_gateway::RequestId;
 use slog::{o, Discard, Logger};
-use stand_ins::{unix_ms, until, Database};
 
 struct Pool {
     calls: database::Calls,
--- /dev/null
+++ b/tests/doubles/mod.rs
@@ -0,0 +1,6 @@
+//! The test doubles of `crates/test-doubles`, and a fake AMQP broker, which needs this crate's own codec.
+#![allow(dead_code, unused_imports)]
+
+pub(crate) mod broker;
+
+pub(crate) use test_doubles::*;
--- a/tests/fleet.rs
+++ b/tests/fleet_membership.rs
@@ -1,5 +1,5 @@
 //! The fleet's view with processes of the program and faults between them. A small set runs always; the hard cases at 24
-//! nodes and at the usual pace by `cargo test --release --test fleet -- --ignored --nocapture --test-threads 1`.
+//! nodes and at the usual pace by `cargo test --release --test fleet_membership -- --ignored --nocapture --test-threads 1`.
 
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
--- a/tests/golden_amqp.rs
+++ b/tests/golden_amqp.rs
@@ -1,13 +1,13 @@
 //! Golden properties of AMQP messages: what a node publishes for each outcome and what it hands back, as text, against
 //! the files of `tests/golden/wire/amqp`, which never change. Figures that differ from run to run stand as `#`.
 
-mod stand_ins;
+mod doubles;
 
 use std::path::Path;
 
 use amq_protocol::types::AMQPValue;
-use stand_ins::broker::{Broker, Message, POSTS, READS};
-use stand_ins::*;
+use doubles::broker::{Broker, Message, POSTS, READS};
+use doubles::*;
 
 /// Headers whose figures differ from run to run.
 const VARIABLE: [&str; 2] = ["x-mothwinch-hint", "x-mothwinch-retry-after-ms"];
--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -1,14 +1,14 @@
 //! Inventories as configuration tools keep them: what is read, and what stops the start.
 
-mod stand_ins;
+mod doubles;
 
 use std::path::Path;
 use std::process::Command;
 
+use doubles::{command, config, settings, Scratch};
 use protocol_gateway::inventory::{read, InventoryError, Queue};
 use protocol_gateway::node::Limits;
 use protocol_gateway::wire::Site;
-use stand_ins::{command, config, settings, Scratch};
 
 fn env(name: &str) -> Option<String> {
     (name == "PW").then(|| "secret".into())
--- a/tests/node.rs
+++ b/tests/node_requests.rs
@@ -1,9 +1,9 @@
 //! The program on real sockets, among stand-ins: what a front end sees, and what the peers are asked.
 
-mod stand_ins;
+mod doubles;
 
+use doubles::*;
 use serde_json::{json, Value};
-use stand_ins::*;
 
 fn code(answer: &Value) -> i64 {
     answer["error"]["code"].as_i64().unwrap_or(0)
--- a/tests/shared.rs
+++ b/tests/shared_quotas.rs
@@ -223,7 +223,7 @@
     drop(second);
 }
 
-/// The hard cases with processes, one after the other, printed as rows: `cargo test --release --test shared -- --ignored
+/// The hard cases with processes, one after the other, printed as rows: `cargo test --release --test shared_quotas -- --ignored
 /// --nocapture hard_cases`. The total is exceeded in none.
 #[test]
 #[ignore = "takes three minutes"]
