--- a/crates/client-listener/src/accepting.rs
+++ b/crates/client-listener/src/accepting.rs
@@ -33,7 +33,7 @@
     /// between.
     pub fn stop_listening(&mut self, handler: &mut H, now: Instant) {
         self.acceptable_at = Some(now);
-        // Bounded, as clients that connect faster than they are accepted must not hold the loop.
+        // Bounded, as clients that connect faster than they are accepted must not block the loop.
         for _ in 0..self.settings.final_accept_rounds {
             if self.acceptable_at.is_none_or(|at| at > now) {
                 break;
--- a/crates/client-listener/src/listener.rs
+++ b/crates/client-listener/src/listener.rs
@@ -38,7 +38,7 @@
 /// The event loop of a server, which runs on the thread that calls [`ClientListener::step`].
 pub struct ClientListener<H: ClientHandler> {
     pub(crate) settings: ListenerSettings,
-    /// The limits of the settings, with the number of connections that holds now.
+    /// The limits of the settings, with the number of connections that is allowed now.
     pub(crate) limits: ConnectionLimits,
     pub(crate) live_limits: Box<dyn LiveLimits + Send>,
     pub(crate) log: Logger,
--- a/crates/router/src/config/error.rs
+++ b/crates/router/src/config/error.rs
@@ -14,7 +14,7 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the system.
         source: io::Error,
     },
     /// The router's file or the cells file has something that can't be used.
--- a/crates/router/src/node_reply.rs
+++ b/crates/router/src/node_reply.rs
@@ -36,7 +36,7 @@
 }
 
 impl ReplyData {
-    /// Whether the node says that it is ready.
+    /// Whether the node reports that it is ready.
     pub(crate) fn is_ready(&self) -> bool {
         self.ready == Some(true)
     }
--- a/crates/router/src/request_router/attempts.rs
+++ b/crates/router/src/request_router/attempts.rs
@@ -10,7 +10,7 @@
 use crate::error_line::{error_line, rejection_line, FAILED};
 use crate::upstream_state::UpstreamRequest;
 
-/// How an attempt ended, and what the node said with it.
+/// How an attempt ended, and what the node replied.
 pub(super) struct AttemptResult {
     pub(super) outcome: AttemptOutcome,
     pub(super) capacity_hint: Option<f64>,
--- a/crates/router/src/request_router/deadlines.rs
+++ b/crates/router/src/request_router/deadlines.rs
@@ -8,7 +8,7 @@
 use super::{Clients, RequestRouter};
 
 impl RequestRouter {
-    /// Answers requests past their deadline. A node's later answer frees their place there and goes to nobody.
+    /// Answers requests past their deadline. A node's later answer frees their place there and is discarded.
     pub(super) fn expire_requests(&mut self, clients: &mut Clients, now: Instant) {
         while let Some(Reverse((deadline, ticket))) = self.deadlines.peek().copied() {
             if deadline > now {
--- a/crates/router/src/request_router/mod.rs
+++ b/crates/router/src/request_router/mod.rs
@@ -91,7 +91,7 @@
     pub(crate) fn set_layout(&mut self, layout: &Layout) -> Result<(), LayoutError> {
         let (map, migrations) = self.map.apply_layout(layout)?;
         if !migrations.is_empty() {
-            warn!(self.log, "tenants stay where they live until they are moved"; "tenants" => migrations.len());
+            warn!(self.log, "tenants stay in their cell until they are migrated"; "tenants" => migrations.len());
         }
         self.nodes.set_map(&map);
         self.map = map;
--- a/crates/router/src/router_loop.rs
+++ b/crates/router/src/router_loop.rs
@@ -121,7 +121,7 @@
         self.handle.clone()
     }
 
-    /// Runs until it is told to stop and everything is answered.
+    /// Runs until [`RouterHandle::stop`] is called and every request is answered.
     ///
     /// # Errors
     /// An error of the system's poll.
--- a/src/net/jsonrpc/mailbox.rs
+++ b/src/net/jsonrpc/mailbox.rs
@@ -41,7 +41,7 @@
 
     /// Sends a command and wakes the thread.
     pub(super) fn send(&self, command: ServerCommand) {
-        // Without the thread there is nobody left to answer, and the node ends.
+        // Without the thread no client is left to answer, and the node ends.
         if self.sender.send(command).is_ok() && !self.is_woken.swap(true, SeqCst) {
             let _ = self.waker.wake();
         }
--- a/src/net/jsonrpc/mod.rs
+++ b/src/net/jsonrpc/mod.rs
@@ -3,8 +3,8 @@
 //! in the crate `connections`. `docs/front.md` has the figures for one thread against two for each connection.
 //!
 //! Slots are for connections that use them. A connection on which nothing valid arrives is closed soon, one that breaks
-//! the protocol at once, and when slots run short the one goes that has been silent or idle the longest. None goes while a
-//! request of a peer that keeps to the protocol is open on it.
+//! the protocol at once, and when slots run short the one that has been silent or idle the longest is evicted. None is
+//! closed while a request of a peer that keeps to the protocol is open on it.
 
 mod answer;
 mod handler;
@@ -27,7 +27,6 @@
 use crate::wire::Site;
 use mailbox::{Mailbox, ServerCommand};
 pub use server_loop::{NodeContext, ServerLoop};
-pub use JsonRpcServer as Front; // ALIAS until users follow
 
 /// The JSON-RPC server, as the node's main thread controls it.
 pub struct JsonRpcServer {
@@ -36,7 +35,7 @@
 }
 
 impl JsonRpcServer {
-    /// Starts the server's thread, which accepts nobody before [`JsonRpcServer::listen`].
+    /// Starts the server's thread, which accepts no connection before [`JsonRpcServer::listen`].
     ///
     /// # Errors
     /// An error of the system: no poll or no thread.
@@ -92,27 +91,3 @@
         self.mailbox.send(ServerCommand::StopListening);
     }
 }
-
-/// ALIAS: earlier names, until `src/main.rs` follows.
-impl JsonRpcServer {
-    #[doc(hidden)]
-    pub fn open(&self) -> usize {
-        self.unfinished_count()
-    }
-    #[doc(hidden)]
-    pub fn listening(&self) -> bool {
-        self.is_listening()
-    }
-    #[doc(hidden)]
-    pub fn connections(&self) -> usize {
-        self.connection_count()
-    }
-    #[doc(hidden)]
-    pub fn farewell(&self) {
-        self.say_goodbye();
-    }
-    #[doc(hidden)]
-    pub fn close(&self) {
-        self.stop_listening();
-    }
-}
