--- a/crates/policy/src/dependency_calls.rs
+++ b/crates/policy/src/dependency_calls.rs
@@ -48,12 +48,12 @@
 
     pub(crate) fn make_calls(&mut self, out: &mut Vec<Action>) {
         self.exclude_overdue_calls();
-        let slowness = self.slowness();
+        let slowdown = self.slowdown();
         for id in self.requests_waiting_to_call() {
             if self.concurrency() >= self.max_concurrency() {
                 break;
             }
-            self.make_or_skip_call(id, slowness, out);
+            self.make_or_skip_call(id, slowdown, out);
         }
     }
 
@@ -93,10 +93,10 @@
         waiting.into_iter().map(|(_, _, id)| id).collect()
     }
 
-    fn make_or_skip_call(&mut self, id: RequestId, slowness: f64, out: &mut Vec<Action>) {
+    fn make_or_skip_call(&mut self, id: RequestId, slowdown: f64, out: &mut Vec<Action>) {
         let request = &self.requests[&id];
         let class = &self.settings.classes[request.class];
-        let work_ms = self.estimates[request.class].runs.work_ms(request.size) * slowness;
+        let work_ms = self.estimates[request.class].runs.work_ms(request.size) * slowdown;
         let slack_ms = (request.objective_at - self.now).ms() - (work_ms / 3.0).max(1.0);
         let may_skip = class.skipped_call_weight_fraction > class.late_weight_fraction && slack_ms > 0.0;
         if may_skip && slack_ms <= self.calls.durations.mean_ms() {
--- a/crates/policy/src/estimates.rs
+++ b/crates/policy/src/estimates.rs
@@ -71,12 +71,12 @@
 impl Policy {
     /// How much longer work takes here now than estimated: a hang, a slow or overloaded machine and a cold
     /// start all show as core time spent with too little work done.
-    pub(crate) fn slowness(&self) -> f64 {
-        self.observed.cores.slowness(self.observed.traffic.mean_work_ms.max(1.0))
+    pub(crate) fn slowdown(&self) -> f64 {
+        self.observed.cores.slowdown(self.observed.traffic.mean_work_ms.max(1.0))
     }
 
     pub(crate) fn mean_run_ms(&self) -> f64 {
-        self.observed.traffic.mean_work_ms * self.slowness()
+        self.observed.traffic.mean_work_ms * self.slowdown()
     }
 
     /// Weight of a tenant's request as a fraction of its class's. What is past the tenant's share counts less
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -137,7 +137,7 @@
         }
         let Some(request) = self.remove_request(id) else { return };
         if outcome == RunOutcome::NeverStarted {
-            // It used no core time after all, which must not count as slowness.
+            // It used no core time after all, which must not count as slowdown.
             self.observed.cores.refund(request.core_time.used_ms());
         }
         if outcome == RunOutcome::Served && phase == Some(Phase::OnCore) {
--- a/crates/policy/src/scheduling.rs
+++ b/crates/policy/src/scheduling.rs
@@ -74,11 +74,11 @@
     }
 
     fn survey_backlog(&self) -> Backlog {
-        let (slowness, clock_ms) = (self.slowness(), self.observed.cores.clock_ms());
+        let (slowdown, clock_ms) = (self.slowdown(), self.observed.cores.clock_ms());
         let mut backlog = Backlog { calls: self.calls.in_flight(), ..Backlog::default() };
         for (id, request) in &self.requests {
             let runs = &self.estimates[request.class].runs;
-            let work_ms = runs.work_ms(request.size) * slowness;
+            let work_ms = runs.work_ms(request.size) * slowdown;
             let remaining_ms = request.core_time.remaining_ms(work_ms, clock_ms).max(work_ms / 3.0);
             match request.phase {
                 Phase::OnCore => {
--- a/crates/policy/src/signals.rs
+++ b/crates/policy/src/signals.rs
@@ -14,7 +14,7 @@
 /// ... or when its mean run takes this fraction of it; at 0.6, servers that are merely slow were taken out.
 const CONGESTED_RUN: f64 = 1.2;
 /// The congestion is the server's own where its work takes this much longer than its mean.
-const OWN_SLOWNESS: f64 = 1.5;
+const OWN_SLOWDOWN: f64 = 1.5;
 /// Change of the run limit with each reading of the gauges that shows idle cores while requests are queued.
 const RUN_LIMIT_STEP: f64 = 1.25;
 
@@ -124,7 +124,7 @@
         let was_congested = self.observed.is_congested;
         let period = self.settings.concurrency_window.0;
         let since_change = self.observed.health_changed_at.map_or(i64::MAX, |at| (self.now - at).0);
-        let is_own = self.speed_fraction() < 1.0 || self.slowness() > OWN_SLOWNESS;
+        let is_own = self.speed_fraction() < 1.0 || self.slowdown() > OWN_SLOWDOWN;
         let has_turn = if was_congested { since_change < period } else { since_change > 4 * period };
         let read_limit = if was_congested { COMFORTABLE_WAIT } else { CONGESTED_READ_DELAY };
         let run_limit = if was_congested { CONGESTED_RUN / 2.0 } else { CONGESTED_RUN };
--- a/crates/policy/src/statistics/cores.rs
+++ b/crates/policy/src/statistics/cores.rs
@@ -40,7 +40,7 @@
     }
 
     /// Core time spent for each ms of work done, as if `prior_ms` had been done at an even rate before.
-    pub fn slowness(&self, prior_ms: f64) -> f64 {
+    pub fn slowdown(&self, prior_ms: f64) -> f64 {
         ((self.spent_ms + prior_ms) / (self.done_ms + prior_ms)).max(0.1)
     }
 }
--- a/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Settings and short-hands shared by the tests.
-#![allow(dead_code)]
+//! Settings, requests and helpers that the tests share.
+#![allow(dead_code)] // Each test program uses a part.
 
-use protocol_gateway::*;
+use policy::*;
 
 pub(crate) fn class(idempotency: Idempotency) -> Class {
     Class {
@@ -17,7 +17,7 @@
     }
 }
 
-/// Three classes, one of each effect: 0 repeatable, 1 by key, 2 once. Two tenants.
+/// Three classes: 0 is idempotent, 1 by its key, 2 not at all. Two tenants.
 pub(crate) fn settings() -> Settings {
     Settings {
         cores: 2,
@@ -29,14 +29,7 @@
             class(Idempotency::ByKey),
             class(Idempotency::AtMostOnce),
         ],
-        tenants: vec![
-            Tenant {
-                allowance_per_s: 8.0,
-            },
-            Tenant {
-                allowance_per_s: 8.0,
-            },
-        ],
+        tenants: vec![Tenant { allowance_per_s: 8.0 }, Tenant { allowance_per_s: 8.0 }],
         over_share_weight_fraction: 0.1,
         weight_per_work: false,
         memory_kb: 2000.0,
@@ -88,71 +81,50 @@
 
 impl Server {
     pub(crate) fn new(settings: Settings) -> Server {
-        Server {
-            policy: Policy::new(settings, 7).expect("settings are sound"),
-            now: 1000.0,
-        }
+        Server { policy: Policy::new(settings, 7).expect("settings are sound"), now: 1000.0 }
     }
-    pub(crate) fn at(&mut self, ms: f64, events: &[Event]) -> Vec<Action> {
+    pub(crate) fn handle_at(&mut self, ms: f64, events: &[Event]) -> Vec<Action> {
         self.now = ms;
         let mut out = Vec::new();
-        self.policy
-            .handle(Time((ms * 1e3) as i64), events, &mut out);
+        self.policy.handle(Time((ms * 1e3) as i64), events, &mut out);
         out
     }
-    pub(crate) fn read(&mut self, ids: std::ops::Range<u64>, class: usize) -> Vec<Action> {
-        let events: Vec<Event> = ids
-            .map(|id| Event::RequestRead(request(id, class)))
-            .collect();
-        self.at(self.now, &events)
+    pub(crate) fn read_requests(&mut self, ids: std::ops::Range<u64>, class: usize) -> Vec<Action> {
+        let events: Vec<Event> = ids.map(|id| Event::RequestRead(request(id, class))).collect();
+        self.handle_at(self.now, &events)
     }
 }
 
-pub(crate) fn runs(actions: &[Action]) -> Vec<u64> {
-    actions
-        .iter()
-        .filter_map(|a| {
-            if let Action::Run(id) = a {
-                Some(id.0)
-            } else {
-                None
-            }
-        })
-        .collect()
+pub(crate) fn started(actions: &[Action]) -> Vec<u64> {
+    actions.iter().filter_map(|a| if let Action::Run(id) = a { Some(id.0) } else { None }).collect()
 }
-pub(crate) fn refused(actions: &[Action]) -> Vec<u64> {
-    actions
-        .iter()
-        .filter_map(|a| {
-            if let Action::Reject { id, .. } = a {
-                Some(id.0)
-            } else {
-                None
-            }
-        })
-        .collect()
+pub(crate) fn rejected(actions: &[Action]) -> Vec<u64> {
+    actions.iter().filter_map(|a| if let Action::Reject { id, .. } = a { Some(id.0) } else { None }).collect()
 }
 pub(crate) fn failed(actions: &[Action]) -> Vec<u64> {
-    actions
-        .iter()
-        .filter_map(|a| {
-            if let Action::Fail(id) = a {
-                Some(id.0)
-            } else {
-                None
-            }
-        })
-        .collect()
+    actions.iter().filter_map(|a| if let Action::Fail(id) = a { Some(id.0) } else { None }).collect()
+}
+pub(crate) fn called(actions: &[Action]) -> Vec<u64> {
+    actions.iter().filter_map(|a| if let Action::Call(id, _) = a { Some(id.0) } else { None }).collect()
+}
+
+/// Sends requests of this age, retries or not, one every 50 ms, and ends the run of each at once.
+pub(crate) fn serve_stream(
+    s: &mut Server,
+    ids: std::ops::Range<u64>,
+    age: f64,
+    is_retry: bool,
+) -> Vec<Action> {
+    let mut out = Vec::new();
+    for id in ids {
+        let now = s.now + 50.0;
+        let read = Request { age: Span::from_ms(age), is_retry, ..request(id, 0) };
+        out.extend(s.handle_at(now, &[Event::RequestRead(read)]));
+        out.extend(s.handle_at(now + 10.0, &[Event::RunEnded(RequestId(id), RunOutcome::Served)]));
+    }
+    out
 }
-pub(crate) fn calls(actions: &[Action]) -> Vec<u64> {
-    actions
-        .iter()
-        .filter_map(|a| {
-            if let Action::Call(id, _) = a {
-                Some(id.0)
-            } else {
-                None
-            }
-        })
-        .collect()
+
+pub(crate) fn health_changes(actions: &[Action]) -> Vec<bool> {
+    actions.iter().filter_map(|a| if let Action::SetHealth(good) = a { Some(*good) } else { None }).collect()
 }
--- /dev/null
+++ b/crates/policy/tests/scheduling.rs
@@ -0,0 +1,189 @@
+//! Which queued requests run, in which order, and how many at once.
+
+mod common;
+
+use common::*;
+use policy::*;
+
+#[test]
+fn runs_one_request_per_core_and_queues_the_rest() {
+    let mut s = Server::new(settings());
+    assert_eq!(started(&s.read_requests(1..6, 0)).len(), 2);
+    let next = s.handle_at(1100.0, &[Event::RunEnded(RequestId(1), RunOutcome::Served)]);
+    assert_eq!(started(&next).len(), 1);
+}
+
+#[test]
+fn tenants_within_their_share_run_before_one_far_beyond_it() {
+    let mut s = Server::new(settings());
+    let mut events: Vec<Event> = Vec::new();
+    for id in 1..20 {
+        events.push(Event::RequestRead(Request { tenant: Some(TenantId(0)), ..request(id, 0) }));
+    }
+    events.push(Event::RequestRead(Request { tenant: Some(TenantId(1)), ..request(50, 0) }));
+    let out = s.handle_at(1000.0, &events);
+    assert!(started(&out).contains(&50), "{out:?}");
+}
+
+#[test]
+fn a_cold_server_allows_less_concurrency_than_a_warm_one() {
+    let concurrency = |is_cold: bool| {
+        let mut set = settings();
+        (set.starts_cold, set.memory_kb, set.dependency) = (is_cold, 1e6, Dependency::Tier);
+        let mut s = Server::new(set);
+        let mut out = s.read_requests(1..60, 0);
+        let mut at = 0;
+        while at < started(&out).len() {
+            let more = s.handle_at(1000.0, &[Event::CallRequested(RequestId(started(&out)[at]))]);
+            out.extend(more);
+            at += 1;
+        }
+        called(&out).len()
+    };
+    // 0.9 x 2 cores x (1 + 4 x 0.2) and x (1 + 4): what may be on the cores if all calls end at once.
+    assert_eq!((concurrency(true), concurrency(false)), (3, 9));
+}
+
+#[test]
+fn in_a_hang_new_requests_are_rejected_at_once() {
+    let mut s = Server::new(settings());
+    let mut now = 1000.0;
+    for id in 1..40 {
+        s.handle_at(now, &[Event::RequestRead(request(id, 0))]);
+        now += 100.0;
+        s.handle_at(now, &[Event::RunEnded(RequestId(id), RunOutcome::Served)]);
+    }
+    s.handle_at(now, &[Event::RequestRead(request(100, 0)), Event::RequestRead(request(101, 0))]);
+    now += 4000.0;
+    // A new request that would have had ample time is rejected at once, so that another server can run it.
+    let out = s.handle_at(now, &[Event::RequestRead(request(102, 0))]);
+    assert!(rejected(&out).contains(&102) && started(&out).is_empty());
+}
+
+#[test]
+fn half_the_cores_are_left_to_reading_once_it_falls_behind() {
+    let mut s = Server::new(settings());
+    let aged = |id, ms| Event::RequestRead(Request { age: Span::from_ms(ms), ..request(id, 0) });
+    assert_eq!(started(&s.handle_at(1000.0, &[aged(1, 1.0), aged(2, 1.0)])).len(), 2);
+    let old: Vec<Event> = (10..30).map(|id| aged(id, 700.0)).collect();
+    assert!(started(&s.handle_at(1010.0, &old)).is_empty());
+    let end = |id| Event::RunEnded(RequestId(id), RunOutcome::Served);
+    assert!(started(&s.handle_at(1100.0, &[end(1)])).is_empty());
+    assert_eq!(started(&s.handle_at(1110.0, &[end(2)])).len(), 1);
+}
+
+#[test]
+fn a_long_request_is_rejected_to_protect_others_only_while_all_cores_are_taken() {
+    // Runs take 60 or 340 ms, so what would have to wait needs a wide margin, if rejecting it saves anything.
+    let last = |busy: bool| {
+        let mut s = Server::new(settings());
+        for k in 0..40 {
+            let ids = if busy { vec![10 + 2 * k, 11 + 2 * k] } else { vec![10 + 2 * k] };
+            s.handle_at(
+                s.now + 10.0,
+                &ids.iter().map(|id| Event::RequestRead(request(*id, 0))).collect::<Vec<_>>(),
+            );
+            let ends: Vec<Event> =
+                ids.iter().map(|id| Event::RunEnded(RequestId(*id), RunOutcome::Served)).collect();
+            s.handle_at(s.now + if k % 2 == 0 { 60.0 } else { 340.0 }, &ends);
+        }
+        let long =
+            |id| Event::RequestRead(Request { work_hint: Some(Span::from_ms(600.0)), ..request(id, 0) });
+        rejected(&s.handle_at(s.now + 10.0, &[long(1), long(2), long(3)]))
+    };
+    assert_eq!((last(false).len(), last(true).len()), (0, 1));
+}
+
+#[test]
+fn inaccurate_hints_do_not_inflate_the_work_estimate() {
+    // Every run takes 300 ms, whatever its hint said.
+    let hint = |id, ms| Event::RequestRead(Request { work_hint: Some(Span::from_ms(ms)), ..request(id, 0) });
+    let mut s = Server::new(settings());
+    for id in 1..60 {
+        s.handle_at(s.now + 10.0, &[hint(id, if id % 2 == 0 { 50.0 } else { 1000.0 })]);
+        s.handle_at(s.now + 300.0, &[Event::RunEnded(RequestId(id), RunOutcome::Served)]);
+    }
+    // By the mean of the ratios the long one would take over three seconds, past the objective of two.
+    let out = s.handle_at(s.now + 10.0, &[hint(100, 1000.0), hint(101, 1000.0), hint(102, 50.0)]);
+    assert!(rejected(&out).is_empty(), "{out:?}");
+    // Where hints are good they are followed: a request whose hint is beyond the objective is rejected.
+    let mut s = Server::new(settings());
+    for id in 1..60 {
+        let ms = if id % 2 == 0 { 50.0 } else { 1000.0 };
+        s.handle_at(s.now + 10.0, &[hint(id, ms)]);
+        s.handle_at(s.now + ms, &[Event::RunEnded(RequestId(id), RunOutcome::Served)]);
+    }
+    assert_eq!(rejected(&s.handle_at(s.now + 10.0, &[hint(100, 1000.0), hint(101, 3000.0)])), [101]);
+}
+
+#[test]
+fn requests_of_high_weight_run_first_even_beyond_their_tenants_share() {
+    // Class 1 has ten times the weight; one tenant sends all of it, far beyond its share.
+    let mut set = settings();
+    set.classes[1] = Class { priority_weight: 10.0, ..class(Idempotency::Idempotent) };
+    set.tenants[0].allowance_per_s = 1.0;
+    let mut s = Server::new(set);
+    let read = |id, class, tenant| {
+        Event::RequestRead(Request { tenant: Some(TenantId(tenant)), ..request(id, class) })
+    };
+    for k in 0..40 {
+        let ids = [10 + 2 * k, 11 + 2 * k];
+        s.handle_at(s.now + 10.0, &[read(ids[0], usize::from(k % 4 == 0), 0), read(ids[1], 0, 1)]);
+        let ends: Vec<Event> =
+            ids.iter().map(|id| Event::RunEnded(RequestId(*id), RunOutcome::Served)).collect();
+        s.handle_at(s.now + if k % 2 == 0 { 200.0 } else { 1200.0 }, &ends);
+    }
+    // Two run; the one of high weight goes before another that came earlier.
+    let mut out = s.handle_at(s.now + 10.0, &[read(1, 0, 1), read(2, 0, 1)]);
+    out.extend(s.handle_at(s.now + 1.0, &[read(3, 0, 1), read(4, 1, 0)]));
+    assert_eq!(started(&out), [1, 2]);
+    let out = s.handle_at(s.now + 300.0, &[Event::RunEnded(RequestId(1), RunOutcome::Served)]);
+    assert_eq!(started(&out), [4]);
+}
+
+#[test]
+fn retries_do_not_count_against_a_tenants_share() {
+    // Tenant 0 sends two a second of its three; other servers reject each, so that it is retried here four
+    // times.
+    let mut set = settings();
+    set.tenants[0].allowance_per_s = 12.0;
+    let mut s = Server::new(set);
+    for k in 0..60_u64 {
+        let ids: Vec<u64> = (0..5).map(|n| 10 + 5 * k + n).collect();
+        let read = |id: &u64| Request {
+            tenant: Some(TenantId(0)),
+            is_retry: !id.is_multiple_of(5),
+            ..request(*id, 0)
+        };
+        s.handle_at(s.now + 490.0, &ids.iter().map(|id| Event::RequestRead(read(id))).collect::<Vec<_>>());
+        let ends: Vec<Event> =
+            ids.iter().map(|id| Event::RunEnded(RequestId(*id), RunOutcome::Served)).collect();
+        s.handle_at(s.now + 10.0, &ends);
+    }
+    // It has no lower rank: requests of both tenants run in order of arrival.
+    let read = |id, tenant| Event::RequestRead(Request { tenant: Some(TenantId(tenant)), ..request(id, 0) });
+    assert_eq!(
+        started(&s.handle_at(s.now + 10.0, &[read(1, 0), read(2, 0), read(3, 1), read(4, 1)])),
+        [1, 2]
+    );
+}
+
+#[test]
+fn a_cold_server_never_exceeds_the_concurrency_that_it_survives() {
+    // 2 cores at a fifth of the speed survive 2 x (1 + 4 x 0.2) = 3.6; four would be one too many.
+    let mut set = settings();
+    (set.starts_cold, set.warm_up, set.dependency) = (true, Span::from_ms(1e7), Dependency::Tier);
+    let mut s = Server::new(set);
+    let mut out = s.read_requests(1..40, 0);
+    for k in 0..60 {
+        // Requests leave the cores for calls, so that others may run meanwhile; cores look idle.
+        let on = started(&out);
+        if let Some(id) = on.get(k) {
+            out.extend(s.handle_at(s.now + 1.0, &[Event::CallRequested(RequestId(*id))]));
+        }
+        out.extend(
+            s.handle_at(s.now + 1.0, &[Event::Wake(Gauges { runnable: Some(0.0), ..Gauges::default() })]),
+        );
+    }
+    assert_eq!(started(&out).len().min(called(&out).len()), 3);
+}
--- a/tests/sketch.rs
+++ b/crates/policy/tests/sketch.rs
@@ -1,21 +1,15 @@
 //! Properties of the sketch, on fixed seeds.
 use std::collections::BTreeMap;
 
+use policy::Sketch;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use protocol_gateway::Sketch;
 
 fn check(cases: u32, test: impl Fn(u64, Vec<u64>) -> Result<(), TestCaseError>) {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
-    let config = Config {
-        cases,
-        failure_persistence: None,
-        ..Config::default()
-    };
+    let config = Config { cases, failure_persistence: None, ..Config::default() };
     let input = (any::<u64>(), prop::collection::vec(0..3000_u64, 1..2000));
-    TestRunner::new_with_rng(config, rng)
-        .run(&input, |(seed, keys)| test(seed, keys))
-        .expect("holds");
+    TestRunner::new_with_rng(config, rng).run(&input, |(seed, keys)| test(seed, keys)).expect("holds");
 }
 
 #[test]
