--- a/src/node/policy_actor/mod.rs
+++ b/src/node/policy_actor/mod.rs
@@ -1,8 +1,8 @@
 //! The actor that drives the policy: it alone owns the [`Policy`], the request table, the idempotency keys, the
 //! wake-ups and the outstanding answers.
 //!
-//! It never waits for a peer. What it sends goes into mailboxes that have room for all that the protocol allows to be
-//! open, and a command that finds its mailbox full counts as never sent.
+//! It never waits for a peer. What it sends goes into mailboxes that are large enough for all that the protocol
+//! allows to be open, and a command that finds its mailbox full counts as never sent.
 
 mod actions;
 mod answers;
@@ -19,7 +19,7 @@
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::{at, never, select, tick, Receiver};
-use idempotency::Table;
+use idempotency::{KeyTable, Micros};
 use lifecycle::TOTAL_SHARES;
 use policy::{Action, Event, Idempotency, Policy, RequestId, Span};
 use slog::{info, Logger};
@@ -111,10 +111,10 @@
             limits,
             cells,
         } = config;
-        let keys = Table::new(
+        let keys = KeyTable::new(
             limits.keys.table_bytes,
             limits.keys.result_bytes,
-            max_queue_time(&site).0,
+            Micros(max_queue_time(&site).0),
         );
         let rate_limited = RateLimitedLogs {
             duplicate_uid: RateLimitedLog::new(limits.repeated_log_interval),
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -113,7 +113,7 @@
     }
 
     pub(super) fn notify_executor_ready(&self) {
-        // A notification that is already waiting says the same.
+        // If one is already waiting, a second adds nothing.
         let _ = self.executor_ready.0.try_send(());
     }
 
