--- a/src/node/policy_actor/runs.rs
+++ b/src/node/policy_actor/runs.rs
@@ -48,7 +48,7 @@
         };
         let mut policy = match Policy::new(settings, self.seed) {
             Ok(policy) => policy,
-            Err(e) => return warn!(self.log, "settings"; "error" => %e),
+            Err(e) => return warn!(self.log, "the settings are not used"; "error" => %e),
         };
         let age = to_span(age);
         let mut actions = Vec::new();
