--- a/tests/admin_commands.rs
+++ b/tests/admin_commands.rs
@@ -1,82 +1,58 @@
-//! Day-to-day service on real sockets: the operators' door, emptying a node, and replacing its process.
+//! The admin server on real sockets: `health`, `quiesce` and `resume`, and what they change for front ends.
 
-mod doubles;
+#[path = "common/admin.rs"]
+mod admin;
+#[path = "common/answers.rs"]
+mod answers;
 
-use std::io::{BufRead, BufReader, Write};
-use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::io::Write;
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use doubles::*;
+use admin::{read_reply, send_command, start_node_with_admin};
+use answers::{result_body, REJECTED};
 use serde_json::json;
+use test_doubles::*;
 
 const READ: &str = "statement-read";
-const REFUSED: i64 = -32002;
-
-fn with_door() -> Node {
-    Node::start_with(None, |config| config["admin"] = json!("127.0.0.1:0"))
-}
-
-/// One call at a door.
-fn call(door: SocketAddr, line: &[u8]) -> String {
-    let mut stream = TcpStream::connect(door).expect("a door");
-    stream.write_all(line).expect("written");
-    answer(stream)
-}
-fn answer(stream: TcpStream) -> String {
-    stream
-        .set_read_timeout(Some(Duration::from_secs(15)))
-        .expect("a timeout");
-    let mut text = String::new();
-    BufReader::new(stream)
-        .read_line(&mut text)
-        .expect("an answer");
-    assert!(text.ends_with('\n'), "a whole line: {text:?}");
-    text.trim_end().to_string()
-}
-
-fn result(answer: &serde_json::Value) -> String {
-    unbase64(
-        answer["result"]["body"]
-            .as_str()
-            .unwrap_or_else(|| panic!("not served: {answer}")),
-    )
-}
 
 #[test]
-fn a_quiesced_node_serves_what_comes_and_a_word_brings_it_back() {
-    let node = with_door();
-    let door = node.door();
+fn quiesced_node_serves_requests_and_resumes_on_command() {
+    let node = start_node_with_admin();
+    let admin = node.door();
     let mut front = node.front();
-    assert_eq!(call(door, b"health\n"), "ok serving");
+    assert_eq!(send_command(admin, b"health\n"), "ok serving");
     assert_eq!(front.alive()["result"]["ready"], true);
-    // The answer is true when it is given: not one health check after it is good, old connection or new.
-    assert_eq!(call(door, b"quiesce\n"), "ok quiesced");
+    // Once the command is answered no health check succeeds, on an old connection or a new one.
+    assert_eq!(send_command(admin, b"quiesce\n"), "ok quiesced");
     assert_eq!(front.alive()["result"]["ready"], false);
     assert_eq!(node.front().alive()["result"]["ready"], false);
-    until("the list hears of it", || node.list.heard("HB n3 OUT"));
-    // It is not the notice to leave: what comes after the grace of 500 ms is served all the same.
+    until("the endpoint list has the report", || {
+        node.list.heard("HB n3 OUT")
+    });
+    // Quiesce is no shutdown: a request after the drain grace of 500 ms is still served.
     std::thread::sleep(Duration::from_millis(700));
     assert_eq!(
-        result(&front.ask(READ, "serve:quiesced")),
+        result_body(&front.ask(READ, "serve:quiesced")),
         "done serve:quiesced"
     );
-    assert_eq!(call(door, b"health\n"), "ok quiesced");
-    assert_eq!(call(door, b" quiesce \r\n"), "ok quiesced");
-    assert_eq!(call(door, b"resume\n"), "ok serving");
+    assert_eq!(send_command(admin, b"health\n"), "ok quiesced");
+    assert_eq!(send_command(admin, b" quiesce \r\n"), "ok quiesced");
+    assert_eq!(send_command(admin, b"resume\n"), "ok serving");
     assert_eq!(front.alive()["result"]["ready"], true);
-    assert_eq!(call(door, b"resume\n"), "ok serving");
+    assert_eq!(send_command(admin, b"resume\n"), "ok serving");
 }
 
-/// SIGHUP changes nothing of it; SIGTERM ends it, and then nothing brings the node back.
+/// SIGHUP does not undo quiesce. After SIGTERM no command brings the node back.
 #[test]
-fn a_quiesced_node_stays_so_over_a_reload_and_leaves_when_told_to() {
+fn quiesced_node_stays_quiesced_over_a_reload_and_shuts_down_on_sigterm() {
     let mut node = Node::start_with(None, |config| {
         config["admin"] = json!("127.0.0.1:0");
         config["stop_ms"] = json!(4000);
     });
-    let door = node.door();
+    let admin = node.door();
     let mut front = node.front();
-    assert_eq!(call(door, b"quiesce\n"), "ok quiesced");
+    assert_eq!(send_command(admin, b"quiesce\n"), "ok quiesced");
     node.reload(
         &config(
             node.executor.address,
@@ -85,64 +61,71 @@
         )
         .to_string(),
     );
-    until("it is read again", || {
+    until("the file is read again", || {
         node.log().contains("configuration read again")
     });
     assert_eq!(front.alive()["result"]["ready"], false);
-    // What hangs keeps the process until all has been asked.
+    // A run that hangs keeps the process alive until all commands are sent.
     front.send("settlement-post", "hang");
     until("it runs", || node.executor.runs("hang") == 1);
     node.terminate();
     assert_eq!(front.next()["method"], "farewell");
-    assert_eq!(call(door, b"resume\n"), "fail leaving");
-    assert_eq!(call(door, b"health\n"), "fail leaving");
-    assert_eq!(call(door, b"quiesce\n"), "ok leaving");
+    assert_eq!(send_command(admin, b"resume\n"), "fail leaving");
+    assert_eq!(send_command(admin, b"health\n"), "fail leaving");
+    assert_eq!(send_command(admin, b"quiesce\n"), "ok leaving");
     assert_eq!(node.front().alive()["result"]["ready"], false);
     assert!(front.next()["error"]["code"]
         .as_i64()
-        .is_some_and(|code| code != REFUSED));
+        .is_some_and(|code| code != REJECTED));
     drop(front);
     assert_eq!(node.exit().code(), Some(0));
 }
 
-/// Before its executor is up a process takes no clients where another may serve at its address; a word said meanwhile
-/// holds from the first moment on.
+/// Before its executor is up a process accepts no clients, since another process may serve at its address. A quiesce
+/// command in that time is in effect from the first client on.
 #[test]
-fn a_process_that_is_not_up_takes_no_clients_and_keeps_what_it_was_told() {
-    let executor = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let at = executor.local_addr().expect("bound");
+fn starting_process_accepts_no_clients_and_keeps_a_quiesce_command() {
+    let executor = TcpListener::bind("127.0.0.1:0").expect("loopback");
+    let executor_address = executor.local_addr().expect("bound");
     let node = Node::spawn(|config| {
         config["admin"] = json!("127.0.0.1:0");
-        config["executor"] = json!(at);
+        config["executor"] = json!(executor_address);
     });
     let (mut link, _) = executor.accept().expect("a link");
-    until("there is a door", || node.logged("admin").is_some());
-    let door = node.door();
-    assert_eq!(call(door, b"health\n"), "fail starting");
-    assert_eq!(call(door, b"quiesce\n"), "ok starting, to be quiesced");
+    until("the admin server listens", || {
+        node.logged("admin").is_some()
+    });
+    let admin = node.door();
+    assert_eq!(send_command(admin, b"health\n"), "fail starting");
+    assert_eq!(
+        send_command(admin, b"quiesce\n"),
+        "ok starting, to be quiesced"
+    );
     assert!(
         node.logged("listening").is_none(),
-        "it takes no clients yet"
+        "it accepts no clients yet"
     );
     link.write_all(b"{\"action\":\"WELCOME\",\"code\":\"WARM\",\"wall_ms\":5}\n")
         .expect("written");
-    until("it is up", || call(door, b"health\n") == "ok quiesced");
-    // Its log is read by a thread of the test's, which may be behind the door's answer.
-    until("the log tells where it listens", || {
+    until("it is up", || {
+        send_command(admin, b"health\n") == "ok quiesced"
+    });
+    // A thread of the test reads the log and may lag behind the admin server's reply.
+    until("the log names the address", || {
         node.logged("listening").is_some()
     });
     let address = node.logged("listening").expect("it listens");
     assert_eq!(Front::connect(address).alive()["result"]["ready"], false);
-    assert_eq!(call(door, b"resume\n"), "ok serving");
-    until("the module has begun", || {
+    assert_eq!(send_command(admin, b"resume\n"), "ok serving");
+    until("the policy has started", || {
         Front::connect(address).alive()["result"]["ready"] == true
     });
 }
 
 #[test]
-fn what_is_no_call_fails_and_changes_nothing() {
-    let node = with_door();
-    let door = node.door();
+fn unknown_long_and_truncated_commands_fail() {
+    let node = start_node_with_admin();
+    let admin = node.door();
     for line in [
         &b"drain\n"[..],
         b"\n",
@@ -152,68 +135,72 @@
         b"quiesce\0\n",
     ] {
         assert!(
-            call(door, line).starts_with("fail unknown call"),
+            send_command(admin, line).starts_with("fail unknown call"),
             "{line:?}"
         );
     }
-    assert_eq!(call(door, &[b'q'; 4096]), "fail the line is too long");
-    // A line that was cut short is no call, however much it looks like one.
-    let mut cut = TcpStream::connect(door).expect("a door");
+    assert_eq!(
+        send_command(admin, &[b'q'; 4096]),
+        "fail the line is too long"
+    );
+    // A command without its line end is not carried out, even if its text is complete.
+    let mut cut = TcpStream::connect(admin).expect("the admin server accepts");
     cut.write_all(b"quiesce").expect("written");
     cut.shutdown(Shutdown::Write).expect("ended");
-    assert_eq!(answer(cut), "fail the line was cut short");
+    assert_eq!(read_reply(cut), "fail the line was cut short");
 }
 
-/// Guards the second that the door has: a hundred callers that hold a connection without a line, while the front is
-/// flooded.
+/// A hundred admin clients hold connections without completing a command, while front ends flood the node.
 #[test]
-fn the_door_answers_within_its_second_whatever_the_others_do() {
-    let node = with_door();
-    let door = node.door();
+fn admin_server_answers_within_a_second_under_load() {
+    let node = start_node_with_admin();
+    let admin = node.door();
     let end = Instant::now() + Duration::from_secs(2);
-    let worst = std::thread::scope(|scope| {
+    let slowest = std::thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| {
                 let mut front = node.front();
                 while Instant::now() < end {
                     let sent: Vec<u64> = (0..16).map(|_| front.send(READ, "serve")).collect();
-                    sent.iter().for_each(|_| drop(front.next()));
+                    for _ in sent {
+                        front.next();
+                    }
                 }
             });
         }
-        let held: Vec<TcpStream> = (0..100)
+        let idle_clients: Vec<TcpStream> = (0..100)
             .map(|n| {
-                let mut stream = TcpStream::connect(door).expect("a door");
+                let mut stream = TcpStream::connect(admin).expect("the admin server accepts");
                 stream
                     .write_all(if n % 2 == 0 { b"heal" } else { b"" })
                     .expect("written");
                 stream
             })
             .collect();
-        let mut worst = Duration::ZERO;
+        let mut slowest = Duration::ZERO;
         while Instant::now() < end {
-            let begun = Instant::now();
-            assert_eq!(call(door, b"health\n"), "ok serving");
-            worst = worst.max(begun.elapsed());
+            let started_at = Instant::now();
+            assert_eq!(send_command(admin, b"health\n"), "ok serving");
+            slowest = slowest.max(started_at.elapsed());
         }
-        drop(held);
-        worst
+        drop(idle_clients);
+        slowest
     });
     assert!(
-        worst > Duration::ZERO && worst < Duration::from_secs(1),
-        "the worst after {worst:?}"
+        slowest > Duration::ZERO && slowest < Duration::from_secs(1),
+        "the slowest reply took {slowest:?}"
     );
 }
 
 #[test]
-fn a_door_that_can_not_be_had_is_one_line_and_no_start() {
+fn unusable_admin_address_prints_one_line_and_exits() {
     let unused: SocketAddr = "127.0.0.1:9".parse().expect("an address");
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let taken = json!(taken.local_addr().expect("bound"));
-    for (admin, variable, says) in [
+    let address_in_use = TcpListener::bind("127.0.0.1:0").expect("loopback");
+    let address_in_use = json!(address_in_use.local_addr().expect("bound"));
+    for (admin, variable, expected_error) in [
         (json!("nowhere"), None, "configuration: "),
         (json!(7), None, "configuration: "),
-        (taken, None, "door: "),
+        (address_in_use, None, "door: "),
         (
             json!(null),
             Some("here"),
@@ -222,124 +209,36 @@
     ] {
         let mut config = config(unused, unused, unused);
         config["admin"] = admin;
-        let file = Scratch::new("door.json", &config.to_string());
+        let file = Scratch::new("admin.json", &config.to_string());
         let output = command(&file)
-            .envs(variable.map(|at| ("PROXY_ADMIN", at)))
+            .envs(variable.map(|value| ("PROXY_ADMIN", value)))
             .output()
             .expect("it starts");
-        let said = String::from_utf8_lossy(&output.stderr);
+        let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(
-            !output.status.success() && said.contains(says) && said.lines().count() == 1,
-            "{said}"
-        );
-    }
-}
-
-fn taking(node: &Node) {
-    until("there is a door", || node.logged("admin").is_some());
-    until("it takes clients", || {
-        call(node.door(), b"health\n").starts_with("ok")
-    });
-}
-
-/// A steady load on new and old connections: each request is answered once, whatever process it comes to. Gives the bodies
-/// that were served; a request on a connection that ends with nothing read is sent again, as front ends do.
-fn load(
-    address: SocketAddr,
-    name: &str,
-    stop: &std::sync::atomic::AtomicBool,
-) -> (Vec<String>, usize) {
-    let (mut served, mut unheard, mut n) = (Vec::new(), 0, 0);
-    let mut kept: Option<Front> = None;
-    while !stop.load(std::sync::atomic::Ordering::SeqCst) {
-        n += 1;
-        let body = format!("serve:{name}-{n}");
-        let mut front = kept.take().unwrap_or_else(|| Front::connect(address));
-        let id = front.send("settlement-post", &body);
-        let (mut farewell, mut answer) = (false, front.next());
-        while answer["method"] == "farewell" {
-            farewell = true;
-            answer = front.next();
-        }
-        if answer.is_null() {
-            unheard += 1;
-            continue;
-        }
-        assert_eq!(answer["id"], id);
-        assert_eq!(result(&answer), format!("done {body}"));
-        served.push(body);
-        // Every other connection is kept, unless its node has said farewell.
-        kept = Some(front).filter(|_| !farewell && n % 2 == 0);
-    }
-    (served, unheard)
-}
-
-/// Replacement under a steady load, twice in a row: every request is answered once, each runs once, none is sent back
-/// unheard, health never turns bad, and the list never hears that the node is out.
-#[test]
-fn a_process_is_replaced_under_load_and_nobody_notices() {
-    let stop = std::sync::atomic::AtomicBool::new(false);
-    let mut node = with_door();
-    let address = node.address;
-    let mut executors = vec![node.executor.clone()];
-    let (served, unheard) = std::thread::scope(|scope| {
-        let loads: Vec<_> = (0..4)
-            .map(|k| {
-                let stop = &stop;
-                scope.spawn(move || load(address, &format!("client{k}"), stop))
-            })
-            .collect();
-        for _ in 0..2 {
-            let next = node.successor();
-            taking(&next);
-            executors.push(next.executor.clone());
-            let mut watcher = node.front();
-            node.terminate();
-            until("the old process is told", || {
-                node.log().contains("replaced")
-            });
-            let health = watcher.alive();
-            assert!(
-                health["method"] == "farewell" || health["result"]["ready"] == true,
-                "{health}"
-            );
-            drop(watcher);
-            assert_eq!(node.exit().code(), Some(0));
-            assert!(!node.list.heard("HB n3 OUT"));
-            node = next;
-        }
-        stop.store(true, std::sync::atomic::Ordering::SeqCst);
-        let ended = loads.into_iter().map(|load| load.join().expect("a client"));
-        ended
-            .reduce(|all, more| ([all.0, more.0].concat(), all.1 + more.1))
-            .expect("clients")
-    });
-    assert!(served.len() > 20, "{} served", served.len());
-    assert_eq!(unheard, 0, "sent back unheard");
-    for body in &served {
-        assert_eq!(
-            executors.iter().map(|e| e.runs(body)).sum::<usize>(),
-            1,
-            "{body}"
+            !output.status.success()
+                && stderr.contains(expected_error)
+                && stderr.lines().count() == 1,
+            "{stderr}"
         );
     }
 }
 
-/// Requests written just before and just behind the word, on connections that are open: all are answered, and no health
-/// check behind it is good.
+/// Requests written just before and just after the quiesce command, on open connections: all are answered, and no health
+/// check after it succeeds.
 #[test]
-fn requests_in_the_instant_of_quiesce_are_all_answered() {
-    let node = with_door();
+fn requests_sent_around_quiesce_are_all_answered() {
+    let node = start_node_with_admin();
     for round in 0..10 {
         let mut fronts: Vec<Front> = (0..4).map(|_| node.front()).collect();
-        let mut word = TcpStream::connect(node.door()).expect("a door");
+        let mut command = TcpStream::connect(node.door()).expect("the admin server accepts");
         let before: Vec<u64> = fronts
             .iter_mut()
             .map(|f| f.send("settlement-post", "serve"))
             .collect();
-        word.write_all(b"quiesce\n").expect("written");
-        let behind: Vec<u64> = fronts.iter_mut().map(|f| f.send(READ, "serve")).collect();
-        for ((front, first), second) in fronts.iter_mut().zip(before).zip(behind) {
+        command.write_all(b"quiesce\n").expect("written");
+        let after: Vec<u64> = fronts.iter_mut().map(|f| f.send(READ, "serve")).collect();
+        for ((front, first), second) in fronts.iter_mut().zip(before).zip(after) {
             let mut answers = [front.answer(), front.answer()];
             answers.sort_unstable_by_key(|answer| answer["id"].as_u64());
             assert_eq!(
@@ -347,173 +246,13 @@
                 [Some(first), Some(second)]
             );
             assert_eq!(
-                answers.each_ref().map(result),
+                answers.each_ref().map(result_body),
                 ["done serve", "done serve"],
                 "round {round}"
             );
         }
-        assert_eq!(answer(word), "ok quiesced");
+        assert_eq!(read_reply(command), "ok quiesced");
         assert_eq!(node.front().alive()["result"]["ready"], false);
-        assert_eq!(call(node.door(), b"resume\n"), "ok serving");
+        assert_eq!(send_command(node.door(), b"resume\n"), "ok serving");
     }
 }
-
-/// SIGHUP to both processes in mid-replacement: each moves to its own executor's new place, what runs in either carries on, and
-/// the replacement goes on as ever.
-#[test]
-fn a_new_configuration_for_both_processes() {
-    let mut first = with_door();
-    let mut runs = first.front();
-    let run = runs.send("settlement-post", "hang:first");
-    until("it runs", || first.executor.runs("hang:first") == 1);
-    let second = first.successor();
-    taking(&second);
-    let moved = |node: &Node| {
-        let mut moved = config(
-            node.executor.elsewhere(),
-            node.database.address,
-            node.list.address,
-        );
-        moved["listen"] = json!(first.address);
-        moved.to_string()
-    };
-    let (one, two) = (moved(&first), moved(&second));
-    first.reload(&one);
-    second.reload(&two);
-    until("both have moved", || {
-        [&first, &second]
-            .iter()
-            .all(|n| n.executor.joins().len() == 2)
-    });
-    first.terminate();
-    until("the old process is told", || {
-        first.log().contains("replaced")
-    });
-    // One more while the old one leaves.
-    first.reload(&one);
-    second.reload(&two);
-    first.executor.finish("hang:first");
-    let answer = runs.answer();
-    assert_eq!(
-        (answer["id"].as_u64(), result(&answer).as_str()),
-        (Some(run), "late result")
-    );
-    drop(runs);
-    assert_eq!(first.exit().code(), Some(0));
-    assert_eq!(
-        result(&second.front().ask(READ, "serve:after")),
-        "done serve:after"
-    );
-    assert_eq!(
-        (
-            first.executor.runs("hang:first"),
-            second.executor.runs("hang:first")
-        ),
-        (1, 0)
-    );
-    assert!(!second.list.heard("HB n3 OUT"));
-}
-
-/// Guards the one node's limits: two processes divide what it may have, the earlier one's part falls as the later one starts and
-/// serves, and a kill -9 of either gives back at once what it held.
-#[test]
-fn two_processes_divide_what_the_node_may_have() {
-    let said = |node: &Node, held: u32| node.log().contains(&format!("held: {held}"));
-    let mut first = with_door();
-    until("the first has all", || said(&first, 8));
-    let mut second = first.successor();
-    taking(&second);
-    until("each has a half", || said(&first, 4) && said(&second, 4));
-    assert!(!said(&second, 8));
-    second.kill();
-    until("the first has all again", || {
-        first.log().matches("held: 8").count() == 2
-    });
-    let third = first.successor();
-    taking(&third);
-    until("each has a half again", || said(&third, 4));
-    first.kill();
-    until("the one left has all", || said(&third, 8));
-    let mut front = third.front();
-    assert_eq!(result(&front.ask(READ, "serve:whole")), "done serve:whole");
-}
-
-/// A kill of either in mid-replacement leaves nothing wrong: the other goes on, and the next one finds a seat.
-#[test]
-fn a_kill_of_either_process_leaves_the_other_whole() {
-    let mut first = with_door();
-    // One that dies before it is ready was nobody's successor: the first is asked to leave as any node is.
-    let mut second = first.successor();
-    taking(&second);
-    second.kill();
-    assert_eq!(first.front().alive()["result"]["ready"], true);
-    let mut third = first.successor();
-    taking(&third);
-    // Two live: another one waits until there is room, and takes clients then.
-    let fourth = first.successor();
-    until("its executor is up, and there is a door", || {
-        fourth.log().contains("executor connected") && fourth.logged("admin").is_some()
-    });
-    assert_eq!(call(fourth.door(), b"health\n"), "fail starting");
-    first.kill();
-    taking(&fourth);
-    third.terminate();
-    assert_eq!(third.exit().code(), Some(0));
-    assert!(third.log().contains("replaced") && !third.list.heard("HB n3 OUT"));
-    assert_eq!(
-        result(&Front::connect(first.address).ask(READ, "serve:after")),
-        "done serve:after"
-    );
-}
-
-/// What was left in the scratch folder, or lies there from someone else, is not believed: alone, the node leaves as ever.
-#[test]
-fn what_lies_in_the_scratch_folder_is_not_believed() {
-    let stale = [0, 1].map(|n| Scratch::new(&format!("mothwinch-n3.seat{n}"), "taking clients \n"));
-    let mut node = with_door();
-    node.terminate();
-    until("it is told", || node.log().contains("shutting down"));
-    assert!(!node.log().contains("replaced"));
-    until("the list hears of it", || node.list.heard("HB n3 OUT"));
-    assert_eq!(node.exit().code(), Some(0));
-    drop(stale);
-}
-
-/// Guards those that take 2 s to write a request, among a thousand that say nothing and hold what slots there are: they
-/// used to be closed 2 s after they came, with their request half read.
-#[test]
-fn a_request_in_pieces_is_served_among_a_thousand_silent_ones() {
-    let node = Node::start_with(None, |config| {
-        config["limits"]["sockets"] = json!(192);
-        // The time that it took to write counts into its age here.
-        config["settings"]["lanes"][0]["promise"] = json!(9000);
-        config["settings"]["lanes"][0]["deadline"] = json!(12000);
-    });
-    let address = node.address;
-    std::thread::scope(|scope| {
-        let slow: Vec<_> = (0..8)
-            .map(|n| {
-                scope.spawn(move || {
-                    let mut front = Front::connect(address);
-                    let params = json!({"rid": format!("{n:016x}"), "t0": unix_ms(), "peer": 4, "acct": "alpenergia",
-                                        "mem": 24.5, "prio": 0.5, "body": base64(&format!("serve:slow{n}"))});
-                    let line = json!({"jsonrpc": "2.0", "id": 1, "method": READ, "params": params}).to_string() + "\n";
-                    for piece in line.as_bytes().chunks(line.len().div_ceil(11)) {
-                        front.stream.write_all(piece).expect("it is let write");
-                        std::thread::sleep(Duration::from_millis(200));
-                    }
-                    front.answer()
-                })
-            })
-            .collect();
-        let silent = (0..1000).map(|_| {
-            std::thread::sleep(Duration::from_millis(2));
-            TcpStream::connect(address).expect("it listens")
-        });
-        let _silent: Vec<TcpStream> = silent.collect();
-        for (n, slow) in slow.into_iter().enumerate() {
-            let answer = slow.join().expect("an answer");
-            assert_eq!(result(&answer), format!("done serve:slow{n}"));
-        }
-    });
-}
--- /dev/null
+++ b/tests/common/answers.rs
@@ -0,0 +1,21 @@
+//! Reads what a node answered to a JSON-RPC request.
+#![allow(dead_code)]
+
+use serde_json::Value;
+use test_doubles::unbase64;
+
+/// The error code of a request that was rejected before it ran.
+pub(crate) const REJECTED: i64 = -32002;
+
+/// The error code of an answer, 0 for a result.
+pub(crate) fn error_code(answer: &Value) -> i64 {
+    answer["error"]["code"].as_i64().unwrap_or(0)
+}
+
+/// The decoded body of a result; fails the test on an error.
+pub(crate) fn result_body(answer: &Value) -> String {
+    let body = answer["result"]["body"]
+        .as_str()
+        .unwrap_or_else(|| panic!("no result: {answer}"));
+    unbase64(body)
+}
--- a/tests/connection_load.rs
+++ b/tests/connection_load.rs
@@ -1,7 +1,8 @@
-//! The front under crowds: connections that say nothing, and those that send more than anyone can take. The last test
-//! measures and runs only when asked.
+//! The listener under load: many silent connections, slow writers, and clients that send more than the node can handle.
+//! The last test is a measurement and is ignored by default.
 
-mod doubles;
+#[path = "common/answers.rs"]
+mod answers;
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader, Write};
@@ -9,73 +10,80 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use doubles::{base64, unix_ms, until, Front, Node, Usage};
+use answers::{error_code, result_body, REJECTED};
 use serde_json::{json, Value};
+use test_doubles::{base64, unix_ms, until, Front, Node, Usage};
 
 const READ: &str = "statement-read";
 
-/// A node under the limits of the day on which two threads a connection used up its share of a core.
-fn small_node() -> Node {
+/// Starts a node with a fifth of a core, on which two threads per connection once used up all processor time.
+fn start_small_node() -> Node {
     Node::start_with(None, |config| {
         config["limits"] = json!({"cores": 0.2, "memory_mb": 48, "sockets": 512});
     })
 }
 
-/// A client that sends so many requests at once, and again what is turned away, for a while. Tells after how many
-/// milliseconds it first heard anything, be it the end.
-fn flood(node: &Node, number: u64, requests: u64) -> thread::JoinHandle<u128> {
-    let begun = Instant::now();
-    let mut to = TcpStream::connect(node.address).expect("room");
-    to.set_read_timeout(Some(Duration::from_secs(20)))
+/// Starts a client that sends `requests` at once and one more for each answer, for 1.5 s. Returns the milliseconds to the
+/// first answer, or to the end of the connection.
+fn spawn_flooding_client(node: &Node, number: u64, requests: u64) -> thread::JoinHandle<u128> {
+    let started_at = Instant::now();
+    let mut stream = TcpStream::connect(node.address).expect("room");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("an option");
-    let line = move |id: u64| {
+    let request_line = move |id: u64| {
         let rid = format!("{number:08x}{id:08x}");
         let params = json!({"rid": rid, "t0": unix_ms(), "peer": 9, "acct": "alpenergia", "mem": 24.5, "prio": 0.5,
                             "body": base64("bad")});
         json!({"jsonrpc": "2.0", "id": id, "method": READ, "params": params}).to_string() + "\n"
     };
     thread::spawn(move || {
-        let mut from = BufReader::new(to.try_clone().expect("a connection"));
-        let all: String = (1..=requests).map(&line).collect();
-        // What the node closes meanwhile has been answered by that.
-        let _ = to.write_all(all.as_bytes());
-        let (mut heard, mut next) = (None, requests);
+        let mut lines = BufReader::new(stream.try_clone().expect("a connection"));
+        let all: String = (1..=requests).map(&request_line).collect();
+        // The node may close the connection meanwhile; that counts as an answer.
+        let _ = stream.write_all(all.as_bytes());
+        let mut first_answer_ms = None;
+        let mut next = requests;
         let mut answer = String::new();
-        while from.read_line(&mut answer).is_ok_and(|n| n > 0) {
-            heard.get_or_insert(begun.elapsed().as_millis());
-            if begun.elapsed() > Duration::from_millis(1500) {
+        while lines.read_line(&mut answer).is_ok_and(|n| n > 0) {
+            first_answer_ms.get_or_insert(started_at.elapsed().as_millis());
+            if started_at.elapsed() > Duration::from_millis(1500) {
                 break;
             }
             next += 1;
-            let _ = to.write_all(line(next).as_bytes());
+            let _ = stream.write_all(request_line(next).as_bytes());
             answer.clear();
         }
-        heard.unwrap_or(begun.elapsed().as_millis())
+        first_answer_ms.unwrap_or(started_at.elapsed().as_millis())
     })
 }
 
-/// Guards a front end that keeps the protocol against 400 connections that say nothing and 100 that send hundreds of
-/// requests at once and more as soon as they are turned away: with two threads a connection the node had 900 threads,
-/// and on a part of a core did nothing but switch between them.
+/// A front end that keeps the protocol, beside 400 silent connections and 100 clients that send hundreds of requests at once
+/// and more as soon as they are rejected. Guards against two threads per connection: the node had 900 threads and spent
+/// its part of a core on switching between them.
 #[test]
-fn the_silent_and_the_flooding_cost_a_front_end_nothing() {
-    let node = small_node();
+fn silent_and_flooding_clients_do_not_delay_a_front_end() {
+    let node = start_small_node();
     let mut front = node.front();
     assert!(front.ask(READ, "serve")["result"].is_object());
     let silent: Vec<TcpStream> = (0..400)
         .map(|_| TcpStream::connect(node.address).expect("room"))
         .collect();
-    let floods: Vec<_> = (0..100).map(|n| flood(&node, n, 200)).collect();
-    let (mut asked, mut worst, mut peak) = (0, 0, node.usage());
+    let floods: Vec<_> = (0..100)
+        .map(|n| spawn_flooding_client(&node, n, 200))
+        .collect();
+    let mut asked = 0;
+    let mut slowest_pair_ms = 0;
+    let mut peak = node.usage();
     let mut answers: VecDeque<Value> = VecDeque::new();
-    while !floods.iter().all(std::thread::JoinHandle::is_finished) || asked < 50 {
-        let begun = unix_ms();
-        // The one it had, and a new one, as front ends open them.
+    while !floods.iter().all(thread::JoinHandle::is_finished) || asked < 50 {
+        let started_at = unix_ms();
+        // One request on the open connection and one on a new connection, as front ends do.
         for front in [&mut front, &mut node.front()] {
             answers.push_back(front.ask(READ, "serve"));
             asked += 1;
         }
-        worst = worst.max(unix_ms() - begun);
+        slowest_pair_ms = slowest_pair_ms.max(unix_ms() - started_at);
         let now = node.usage();
         peak = Usage {
             threads: peak.threads.max(now.threads),
@@ -83,20 +91,23 @@
             ..now
         };
     }
-    // Served, or refused and truly so: the flood may fill the hold, but nobody is left without an answer or a place.
+    // Served or rejected: the flood may fill the queue, but each request is answered and each connection accepted.
     for answer in &answers {
         assert!(
-            answer["result"].is_object() || answer["error"]["code"] == -32002,
+            answer["result"].is_object() || error_code(answer) == REJECTED,
             "{answer}"
         );
     }
-    // One that is older than its deadline by then is no answer in time.
-    assert!(worst < 2 * 1600, "two requests took {worst} ms");
+    // Each has to be answered within its deadline.
+    assert!(
+        slowest_pair_ms < 2 * 1600,
+        "two requests took {slowest_pair_ms} ms"
+    );
     for flood in floods {
-        let heard = flood.join().expect("a client");
+        let first_answer_ms = flood.join().expect("a client");
         assert!(
-            heard < 3000,
-            "a flooding client heard nothing for {heard} ms"
+            first_answer_ms < 3000,
+            "a flooding client had no answer for {first_answer_ms} ms"
         );
     }
     assert!(peak.threads < 80, "{peak:?}");
@@ -104,80 +115,135 @@
     until("the flood is over", || {
         front.ask(READ, "serve")["result"].is_object()
     });
-    // The silent are told to go, and gone.
+    // The silent connections get at most a goodbye and are closed.
     for mut stream in silent {
         stream
             .set_read_timeout(Some(Duration::from_secs(20)))
             .expect("an option");
-        let mut said = String::new();
-        let _ = std::io::Read::read_to_string(&mut stream, &mut said);
-        assert!(said.is_empty() || said.contains("farewell"), "{said}");
+        let mut received = String::new();
+        let _ = std::io::Read::read_to_string(&mut stream, &mut received);
+        assert!(
+            received.is_empty() || received.contains("farewell"),
+            "{received}"
+        );
     }
-    until("all slots are free", || node.usage().descriptors < 100);
+    until("all descriptors are free", || {
+        node.usage().descriptors < 100
+    });
 }
 
-/// Guards a front end's time: what one connection sends without end is read by turns, so another's request is answered
-/// long before all of it is read.
+/// The listener reads connections in turns: while one sends 200,000 lines without a pause, health checks on another are
+/// answered.
 #[test]
-fn one_that_floods_does_not_hold_up_another() {
-    let node = small_node();
+fn flooding_connection_does_not_delay_another() {
+    let node = start_small_node();
     let mut front = node.front();
-    // Health checks cost the module nothing, so that only the reading is in question.
+    // Health checks cost the policy nothing, so only the reading is measured.
     let line = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"alive\"}\n";
     let mut flood = TcpStream::connect(node.address).expect("room");
     let all = line.repeat(200_000);
     let reader = BufReader::new(flood.try_clone().expect("a connection"));
     let writing = thread::spawn(move || flood.write_all(all.as_bytes()).map(|()| flood));
     let reading = thread::spawn(move || reader.lines().map_while(Result::ok).take(200_000).count());
-    let mut between = 0;
+    let mut answered = 0;
     while !reading.is_finished() {
         assert!(front.alive()["result"]["ready"] == true);
-        between += 1;
+        answered += 1;
     }
     assert_eq!(reading.join().expect("a reader"), 200_000);
-    writing.join().expect("a writer").expect("all was taken");
-    assert!(between > 20, "{between} answers while another flooded");
+    writing.join().expect("a writer").expect("all was read");
+    assert!(answered > 20, "{answered} answers while another flooded");
+}
+
+/// Writes a request in eleven pieces, 200 ms apart.
+fn write_in_pieces(front: &mut Front, number: u64) {
+    let params = json!({"rid": format!("{number:016x}"), "t0": unix_ms(), "peer": 4, "acct": "alpenergia",
+                        "mem": 24.5, "prio": 0.5, "body": base64(&format!("serve:slow{number}"))});
+    let request = json!({"jsonrpc": "2.0", "id": 1, "method": READ, "params": params});
+    let line = request.to_string() + "\n";
+    for piece in line.as_bytes().chunks(line.len().div_ceil(11)) {
+        front
+            .stream
+            .write_all(piece)
+            .expect("the connection stays open");
+        thread::sleep(Duration::from_millis(200));
+    }
+}
+
+/// Eight clients take 2 s to write a request, among a thousand silent connections that compete for the slots. Guards
+/// against closing a connection 2 s after it was accepted, with its request half read.
+#[test]
+fn slowly_written_requests_are_served_among_a_thousand_silent_connections() {
+    let node = Node::start_with(None, |config| {
+        config["limits"]["sockets"] = json!(192);
+        // The time to write it counts into its age here.
+        config["settings"]["lanes"][0]["promise"] = json!(9000);
+        config["settings"]["lanes"][0]["deadline"] = json!(12000);
+    });
+    let address = node.address;
+    thread::scope(|scope| {
+        let slow: Vec<_> = (0..8)
+            .map(|n| {
+                scope.spawn(move || {
+                    let mut front = Front::connect(address);
+                    write_in_pieces(&mut front, n);
+                    front.answer()
+                })
+            })
+            .collect();
+        let silent = (0..1000).map(|_| {
+            thread::sleep(Duration::from_millis(2));
+            TcpStream::connect(address).expect("it listens")
+        });
+        let _silent: Vec<TcpStream> = silent.collect();
+        for (n, slow) in slow.into_iter().enumerate() {
+            let answer = slow.join().expect("an answer");
+            assert_eq!(result_body(&answer), format!("done serve:slow{n}"));
+        }
+    });
 }
 
-/// Prints a row for each number of idle connections: threads, descriptors, memory, and processor time over two seconds
-/// in which every connection asks once, beside one front end that is at work. `docs/front.md` keeps the rows and the
-/// command; `GATEWAY_PROGRAM` names an earlier build to compare with.
+/// Prints a row for each number of idle connections: threads, descriptors, memory, and processor time over two seconds in
+/// which one front end sends requests. `docs/front.md` has the rows and the command; `GATEWAY_PROGRAM` names an earlier
+/// build to compare with.
 #[test]
 #[ignore = "a measurement"]
-fn what_idle_connections_cost() {
+fn measure_idle_connections() {
     println!(
         "idle | threads | descriptors | resident kB | processor ms in 2 s | a request, µs (median, 99th)"
     );
     for idle in [0, 100, 400] {
         let node = Node::start();
-        let used = |_| {
+        let connect_and_check = |_| {
             let mut front = node.front();
             front.alive();
             front
         };
-        let open: Vec<Front> = (0..idle).map(used).collect();
+        let open: Vec<Front> = (0..idle).map(connect_and_check).collect();
         let mut front = node.front();
-        let (before, begun) = (node.usage(), Instant::now());
-        let mut took = Vec::new();
-        while begun.elapsed() < Duration::from_secs(2) {
+        let before = node.usage();
+        let started_at = Instant::now();
+        let mut latencies_us = Vec::new();
+        while started_at.elapsed() < Duration::from_secs(2) {
             let sent = Instant::now();
             let id = front.send(READ, "serve");
-            // It may be told to go, once more are unused than are kept.
+            // A goodbye may come first, once more connections are idle than the node keeps.
             while front.next()["id"] != id {}
-            took.push(sent.elapsed().as_micros());
+            latencies_us.push(sent.elapsed().as_micros());
             thread::sleep(Duration::from_millis(4));
         }
         let spent = node.usage().processor_ms - before.processor_ms;
         drop(open);
-        took.sort_unstable();
-        let at = |part: f64| took[(took.len() as f64 * part) as usize];
+        latencies_us.sort_unstable();
+        let percentile =
+            |fraction: f64| latencies_us[(latencies_us.len() as f64 * fraction) as usize];
         println!(
             "{idle} | {} | {} | {} | {spent} | {} | {}",
             before.threads,
             before.descriptors,
             before.resident_kb,
-            at(0.5),
-            at(0.99)
+            percentile(0.5),
+            percentile(0.99)
         );
     }
 }
--- /dev/null
+++ b/tests/process_replacement.rs
@@ -0,0 +1,242 @@
+//! Replacement of a node's process by its successor: under load, with reloads and kills, and the resources that the two share.
+
+#[path = "common/admin.rs"]
+mod admin;
+#[path = "common/answers.rs"]
+mod answers;
+
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
+
+use admin::{send_command, start_node_with_admin, wait_until_accepting_clients};
+use answers::result_body;
+use serde_json::json;
+use test_doubles::*;
+
+const READ: &str = "statement-read";
+
+/// What became of the requests of one client.
+#[derive(Default)]
+struct Served {
+    bodies: Vec<String>,
+    dropped: usize,
+}
+
+impl Served {
+    fn merge(mut self, other: Served) -> Served {
+        self.bodies.extend(other.bodies);
+        self.dropped += other.dropped;
+        self
+    }
+}
+
+/// Sends requests one by one, on new and on kept connections, until `stop`; each has to be served once, by whichever
+/// process it reaches. A request on a connection that ends without an answer counts as dropped, as front ends would send
+/// it again.
+fn send_until_stopped(address: SocketAddr, name: &str, stop: &AtomicBool) -> Served {
+    let mut served = Served::default();
+    let mut sent = 0;
+    let mut kept: Option<Front> = None;
+    while !stop.load(SeqCst) {
+        sent += 1;
+        let body = format!("serve:{name}-{sent}");
+        let mut front = kept.take().unwrap_or_else(|| Front::connect(address));
+        let id = front.send("settlement-post", &body);
+        let mut is_closing = false;
+        let mut answer = front.next();
+        while answer["method"] == "farewell" {
+            is_closing = true;
+            answer = front.next();
+        }
+        if answer.is_null() {
+            served.dropped += 1;
+            continue;
+        }
+        assert_eq!(answer["id"], id);
+        assert_eq!(result_body(&answer), format!("done {body}"));
+        served.bodies.push(body);
+        // Every other connection is kept, unless its node has announced the close.
+        kept = Some(front).filter(|_| !is_closing && sent % 2 == 0);
+    }
+    served
+}
+
+/// Two replacements in a row under a steady load: each request is served and runs once, none is dropped, health checks
+/// always succeed, and the endpoint list is never sent that the node is out.
+#[test]
+fn processes_are_replaced_under_load_without_a_lost_request() {
+    let stop = AtomicBool::new(false);
+    let mut node = start_node_with_admin();
+    let address = node.address;
+    let mut executors = vec![node.executor.clone()];
+    let served = std::thread::scope(|scope| {
+        let clients: Vec<_> = (0..4)
+            .map(|client| {
+                let stop = &stop;
+                scope.spawn(move || send_until_stopped(address, &format!("client{client}"), stop))
+            })
+            .collect();
+        for _ in 0..2 {
+            let next = node.successor();
+            wait_until_accepting_clients(&next);
+            executors.push(next.executor.clone());
+            let mut watcher = node.front();
+            node.terminate();
+            until("the old process knows that it is replaced", || {
+                node.log().contains("replaced")
+            });
+            let health = watcher.alive();
+            assert!(
+                health["method"] == "farewell" || health["result"]["ready"] == true,
+                "{health}"
+            );
+            drop(watcher);
+            assert_eq!(node.exit().code(), Some(0));
+            assert!(!node.list.heard("HB n3 OUT"));
+            node = next;
+        }
+        stop.store(true, SeqCst);
+        let ended = clients
+            .into_iter()
+            .map(|client| client.join().expect("a client"));
+        ended.reduce(Served::merge).expect("clients")
+    });
+    assert!(served.bodies.len() > 20, "{} served", served.bodies.len());
+    assert_eq!(served.dropped, 0, "closed without an answer");
+    for body in &served.bodies {
+        assert_eq!(
+            executors
+                .iter()
+                .map(|executor| executor.runs(body))
+                .sum::<usize>(),
+            1,
+            "{body}"
+        );
+    }
+}
+
+/// SIGHUP to both processes in the middle of a replacement: each connects to its own executor's new address, runs in
+/// progress continue, and the replacement completes.
+#[test]
+fn both_processes_reload_during_a_replacement() {
+    let mut first = start_node_with_admin();
+    let mut runs = first.front();
+    let run = runs.send("settlement-post", "hang:first");
+    until("it runs", || first.executor.runs("hang:first") == 1);
+    let second = first.successor();
+    wait_until_accepting_clients(&second);
+    let config_with_moved_executor = |node: &Node| {
+        let mut moved = config(
+            node.executor.elsewhere(),
+            node.database.address,
+            node.list.address,
+        );
+        moved["listen"] = json!(first.address);
+        moved.to_string()
+    };
+    let first_config = config_with_moved_executor(&first);
+    let second_config = config_with_moved_executor(&second);
+    first.reload(&first_config);
+    second.reload(&second_config);
+    until("both are connected to the new address", || {
+        [&first, &second]
+            .iter()
+            .all(|node| node.executor.joins().len() == 2)
+    });
+    first.terminate();
+    until("the old process knows that it is replaced", || {
+        first.log().contains("replaced")
+    });
+    // Once more while the old process shuts down.
+    first.reload(&first_config);
+    second.reload(&second_config);
+    first.executor.finish("hang:first");
+    let answer = runs.answer();
+    assert_eq!(
+        (answer["id"].as_u64(), result_body(&answer).as_str()),
+        (Some(run), "late result")
+    );
+    drop(runs);
+    assert_eq!(first.exit().code(), Some(0));
+    assert_eq!(
+        result_body(&second.front().ask(READ, "serve:after")),
+        "done serve:after"
+    );
+    assert_eq!(
+        (
+            first.executor.runs("hang:first"),
+            second.executor.runs("hang:first")
+        ),
+        (1, 0)
+    );
+    assert!(!second.list.heard("HB n3 OUT"));
+}
+
+/// Two processes of one node divide its limits: the share of the first falls as the second starts to serve, and a process
+/// that is killed (SIGKILL) gives its share back at once.
+#[test]
+fn two_processes_divide_the_resources_of_their_node() {
+    let logged_share = |node: &Node, shares: u32| node.log().contains(&format!("held: {shares}"));
+    let mut first = start_node_with_admin();
+    until("the first holds all", || logged_share(&first, 8));
+    let mut second = first.successor();
+    wait_until_accepting_clients(&second);
+    until("each holds half", || {
+        logged_share(&first, 4) && logged_share(&second, 4)
+    });
+    assert!(!logged_share(&second, 8));
+    second.kill();
+    until("the first holds all again", || {
+        first.log().matches("held: 8").count() == 2
+    });
+    let third = first.successor();
+    wait_until_accepting_clients(&third);
+    until("each holds half again", || logged_share(&third, 4));
+    first.kill();
+    until("the last one holds all", || logged_share(&third, 8));
+    let mut front = third.front();
+    assert_eq!(result_body(&front.ask(READ, "serve:all")), "done serve:all");
+}
+
+/// A process killed in the middle of a replacement: the other serves on, and the next process finds a free lock.
+#[test]
+fn killing_either_process_leaves_the_other_serving() {
+    let mut first = start_node_with_admin();
+    // A successor that was killed has replaced nobody: the first process does not count as replaced.
+    let mut second = first.successor();
+    wait_until_accepting_clients(&second);
+    second.kill();
+    assert_eq!(first.front().alive()["result"]["ready"], true);
+    let mut third = first.successor();
+    wait_until_accepting_clients(&third);
+    // Two processes are the most: another one waits until one of them ends, and accepts clients then.
+    let fourth = first.successor();
+    until("its executor is up and the admin server listens", || {
+        fourth.log().contains("executor connected") && fourth.logged("admin").is_some()
+    });
+    assert_eq!(send_command(fourth.door(), b"health\n"), "fail starting");
+    first.kill();
+    wait_until_accepting_clients(&fourth);
+    third.terminate();
+    assert_eq!(third.exit().code(), Some(0));
+    assert!(third.log().contains("replaced") && !third.list.heard("HB n3 OUT"));
+    assert_eq!(
+        result_body(&Front::connect(first.address).ask(READ, "serve:after")),
+        "done serve:after"
+    );
+}
+
+/// Lock files left behind by others do not count as a sibling process: alone, the node reports that it is out.
+#[test]
+fn stale_lock_files_are_ignored() {
+    let stale = [0, 1].map(|n| Scratch::new(&format!("mothwinch-n3.seat{n}"), "taking clients \n"));
+    let mut node = start_node_with_admin();
+    node.terminate();
+    until("it shuts down", || node.log().contains("shutting down"));
+    assert!(!node.log().contains("replaced"));
+    until("the endpoint list has the report", || {
+        node.list.heard("HB n3 OUT")
+    });
+    assert_eq!(node.exit().code(), Some(0));
+    drop(stale);
+}
