--- a/crates/fleet-cli/src/args.rs
+++ b/crates/fleet-cli/src/args.rs
@@ -66,7 +66,7 @@
     wait_ms: u64,
 }
 
-/// The member that is queried, with what the fleet file says of it.
+/// The member that is queried, with the name of its fleet.
 pub(crate) struct Target {
     pub(crate) address: SocketAddr,
     pub(crate) fleet: Name,
--- a/crates/fleet-runtime/src/actor/commands.rs
+++ b/crates/fleet-runtime/src/actor/commands.rs
@@ -19,7 +19,7 @@
                 self.advertise_status();
             }
             ActorCommand::SetClientAddress(address) => {
-                let address = self.config.serves.unwrap_or(address);
+                let address = self.config.client_address.unwrap_or(address);
                 self.membership.set_client_address(Some(address), now);
             }
             ActorCommand::ReloadConfig(config) => self.reload_config(*config),
--- a/crates/fleet-runtime/src/actor/publishing.rs
+++ b/crates/fleet-runtime/src/actor/publishing.rs
@@ -21,19 +21,17 @@
 }
 
 impl Publisher {
-    pub(super) fn new(first: MembershipSnapshot, on_change: Box<dyn Fn() + Send>) -> Publisher {
+    pub(super) fn new(
+        snapshot: Arc<ArcSwap<MembershipSnapshot>>,
+        on_change: Box<dyn Fn() + Send>,
+    ) -> Publisher {
         Publisher {
-            snapshot: Arc::new(ArcSwap::from_pointee(first)),
+            snapshot,
             on_change,
             publish_at: None,
         }
     }
 
-    /// The place where readers find the last snapshot.
-    pub(super) fn snapshot(&self) -> &Arc<ArcSwap<MembershipSnapshot>> {
-        &self.snapshot
-    }
-
     pub(super) fn publish_at(&self) -> Option<Instant> {
         self.publish_at
     }
@@ -93,7 +91,7 @@
 
     /// Logs a change of a member's status, unless it is the state that was last published.
     pub(super) fn log_member_change(&self, record: &MemberRecord) {
-        let published = self.publisher.snapshot().load();
+        let published = self.publisher.snapshot.load();
         let previous = published.member(&record.name).map(LoggedState::from);
         let current = LoggedState::from(record);
         if previous == Some(current) {
--- a/crates/fleet-runtime/src/actor/spawn.rs
+++ b/crates/fleet-runtime/src/actor/spawn.rs
@@ -7,6 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use arc_swap::ArcSwap;
 use crossbeam_channel::bounded;
 use membership::{
     member_state, AdvertisedStatus, Liveness, MemberRecord, MemberState, MembershipView, Name,
@@ -53,10 +54,12 @@
     on_change: Box<dyn Fn() + Send>,
     log: &Logger,
 ) -> io::Result<FleetHandle> {
-    let poll = Poll::new()?;
-    let socket = FleetSocket::bind(&config, &poll, log)?;
-    let address = socket.local_address()?.unwrap_or(config.listen);
-    let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
+    let ActorIo {
+        poll,
+        socket,
+        address,
+        waker,
+    } = ActorIo::open(&config, log)?;
     let seed = random_seed(&member.name);
     let identity = Identity {
         name: member.name,
@@ -64,14 +67,26 @@
     };
     let started_at = Instant::now();
     let membership = new_membership(&config, &identity, address, member.client_address);
+    let budgets = BudgetSharing::new(&config, &identity, started_at, &waker);
     let (command_sender, commands) = bounded(COMMAND_CAPACITY);
+    let handle = FleetHandle {
+        address,
+        snapshot: Arc::new(ArcSwap::from_pointee(MembershipSnapshot::capture(
+            &membership,
+        ))),
+        commands: command_sender,
+        waker,
+        quotas: budgets
+            .as_ref()
+            .map_or_else(Vec::new, |budgets| budgets.quotas().to_vec()),
+    };
     let actor = FleetActor {
         partition_status: membership.partition_status(),
-        budgets: BudgetSharing::new(&config, &identity, started_at, &waker),
+        budgets,
         aggregation: member
             .shared_counters
             .map(|counters| Aggregation::new(&config, &identity, counters)),
-        publisher: Publisher::new(MembershipSnapshot::capture(&membership), on_change),
+        publisher: Publisher::new(handle.snapshot.clone(), on_change),
         config,
         membership,
         poll,
@@ -84,21 +99,40 @@
         is_superseded: false,
         log: log.clone(),
     };
-    let handle = FleetHandle {
-        address,
-        snapshot: actor.publisher.snapshot().clone(),
-        commands: command_sender,
-        waker,
-        quotas: actor
-            .budgets
-            .as_ref()
-            .map_or_else(Vec::new, |budgets| budgets.quotas().to_vec()),
-    };
+    start_thread(actor, stack_size)?;
+    Ok(handle)
+}
+
+fn start_thread(actor: FleetActor, stack_size: usize) -> io::Result<()> {
     thread::Builder::new()
         .name("fleet".into())
         .stack_size(stack_size)
         .spawn(move || actor.run())?;
-    Ok(handle)
+    Ok(())
+}
+
+/// The socket, and what wakes the thread that waits for it.
+struct ActorIo {
+    poll: Poll,
+    socket: FleetSocket,
+    /// The address of the socket, or the configured one while there is no socket.
+    address: SocketAddr,
+    waker: Arc<Waker>,
+}
+
+impl ActorIo {
+    fn open(config: &Config, log: &Logger) -> io::Result<ActorIo> {
+        let poll = Poll::new()?;
+        let socket = FleetSocket::bind(config, &poll, log)?;
+        let address = socket.local_address()?.unwrap_or(config.listen);
+        let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
+        Ok(ActorIo {
+            poll,
+            socket,
+            address,
+            waker,
+        })
+    }
 }
 
 /// Which run of which member this process is.
@@ -130,7 +164,7 @@
         name: identity.name.clone(),
         site: config.site.clone(),
         address: config.advertise.unwrap_or(address),
-        client_address: config.serves.or(client_address),
+        client_address: config.client_address.or(client_address),
         state: MemberState {
             incarnation: identity.incarnation,
             version: 0,
--- a/crates/fleet-runtime/src/config/mod.rs
+++ b/crates/fleet-runtime/src/config/mod.rs
@@ -33,7 +33,7 @@
     /// The UDP address that others send to, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
     /// The address that clients connect to, if it differs from where the node listens.
-    pub serves: Option<SocketAddr>,
+    pub client_address: Option<SocketAddr>,
     /// Members that are contacted at the start, and again while they are not known.
     pub seeds: Vec<SocketAddr>,
     /// Timing and sizes of the membership protocol.
@@ -92,7 +92,7 @@
             site: file.site.into(),
             listen: file.listen,
             advertise: file.advertise,
-            serves: file.serves,
+            client_address: file.serves,
             seeds: file.seeds,
             settings,
             voters: file.voters.into_iter().map(Into::into).collect(),
@@ -111,13 +111,13 @@
         self.advertise.unwrap_or(self.listen)
     }
 
-    /// Whether `other` can replace this configuration in a running process: what it changes takes effect at once.
+    /// Whether `other` differs only in settings that take effect without a restart.
     pub(crate) fn has_same_fixed_settings(&self, other: &Config) -> bool {
         self.fleet == other.fleet
             && self.site == other.site
             && self.listen == other.listen
             && self.advertise == other.advertise
-            && self.serves == other.serves
+            && self.client_address == other.client_address
             && self.shares_counts == other.shares_counts
             && self.shares_ledger_health == other.shares_ledger_health
     }
--- a/crates/fleet-runtime/src/shared_counters.rs
+++ b/crates/fleet-runtime/src/shared_counters.rs
@@ -33,7 +33,7 @@
 /// This node's recent calls to the ledger.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LedgerObservation {
-    /// What the calls say about the ledger; `None` where there were too few.
+    /// The ledger's health as these calls show it; `None` where there were too few.
     pub(crate) health: Option<ObservedHealth>,
     /// How many calls there were, and how many of them failed.
     pub(crate) calls: AttemptCounts,
@@ -98,7 +98,7 @@
         self.fleet.load().ledger_health
     }
 
-    /// What this node's recent calls say about the ledger.
+    /// The ledger's health as this node's recent calls show it.
     pub(crate) fn observe_ledger(&self) -> LedgerObservation {
         let now = self.started_at.elapsed();
         let window = self
--- a/crates/json5-errors/src/positions.rs
+++ b/crates/json5-errors/src/positions.rs
@@ -1,4 +1,4 @@
-//! On which line each field of a JSON5 text stands.
+//! The lines of the fields in a JSON5 text.
 
 use std::collections::BTreeMap;
 use std::iter::Peekable;
@@ -14,7 +14,7 @@
     duplicate: Option<DuplicateField>,
 }
 
-/// A field that stands twice in the same object. `json5` silently keeps the later value.
+/// A field that occurs twice in the same object. `json5` silently keeps the later value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DuplicateField {
     /// The path of the field, its names joined by dots.
@@ -46,7 +46,7 @@
             .map_or_else(String::new, |(field, _)| field.clone())
     }
 
-    /// The first field that stands twice in its object.
+    /// The first field that occurs twice in its object.
     pub fn duplicate(&self) -> Option<&DuplicateField> {
         self.duplicate.as_ref()
     }
