--- a/src/node/policy_actor/sweep.rs
+++ b/src/node/policy_actor/sweep.rs
@@ -86,8 +86,8 @@
     }
 }
 
-/// How much longer an answered run of this class may continue before it is stopped. One with an idempotency key goes
-/// on, as another attempt may come for its result.
+/// How much longer an answered run of this class may continue before it is stopped. One with an idempotency key
+/// continues, as another attempt may ask for its result.
 fn stop_grace(classes: &[policy::Class], class: ClassId) -> Duration {
     match classes.get(class.0) {
         Some(class) if class.idempotency == Idempotency::ByKey => to_duration(class.deadline),
--- a/src/node/request.rs
+++ b/src/node/request.rs
@@ -111,7 +111,7 @@
     },
     /// It never ran: its tenant belongs to another cell.
     WrongCell {
-        /// The epoch of the cell layout that says so.
+        /// The epoch of the cell layout that decided it.
         epoch: u64,
     },
     /// It failed; it may have taken idempotency.
