--- /dev/null
+++ b/tests/common/testbed.rs
@@ -0,0 +1,120 @@
+//! A fleet of node processes on the fault testbed, and clients that keep its nodes busy.
+#![allow(dead_code)]
+
+use std::net::TcpStream;
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
+use std::sync::Arc;
+use std::thread;
+use std::time::Duration;
+
+use fault_testbed::{Plan, Rig};
+use test_doubles::Front;
+
+/// The longest that a fleet may take to reach a state.
+pub(crate) const SETTLE_TIMEOUT: Duration = Duration::from_secs(40);
+
+/// The names of nodes by their numbers.
+pub(crate) fn node_names(numbers: impl IntoIterator<Item = usize>) -> Vec<String> {
+    numbers.into_iter().map(|n| format!("n{n}")).collect()
+}
+
+/// Borrows each name.
+pub(crate) fn as_strs(names: &[String]) -> Vec<&str> {
+    names.iter().map(String::as_str).collect()
+}
+
+/// Adds nodes to the testbed, each with these fields in its fleet file.
+pub(crate) fn plan_nodes(
+    rig: &mut Rig,
+    numbers: impl IntoIterator<Item = usize>,
+    fleet_fields: &str,
+) {
+    for number in numbers {
+        rig.plan(Plan {
+            fleet: fleet_fields.to_string(),
+            ..Plan::node(number)
+        })
+        .expect("sockets");
+    }
+}
+
+/// Starts these nodes at once and waits until they run.
+pub(crate) fn start_nodes(rig: &mut Rig, names: &[String]) {
+    for name in names {
+        rig.start(name);
+    }
+    rig.up(&as_strs(names));
+}
+
+/// Starts all planned nodes with two of them as seeds, and waits until they agree on who is there.
+pub(crate) fn start_settled(rig: &mut Rig) {
+    rig.seeds(&["n0", "n1"]);
+    let all = rig.names();
+    start_nodes(rig, &all);
+    rig.settle(SETTLE_TIMEOUT);
+}
+
+/// What each client of a group sends, and how long it waits before it sends again.
+#[derive(Clone, Copy)]
+pub(crate) struct ClientLoad {
+    pub body: &'static str,
+    pub pause_after_result: Duration,
+    pub pause_after_error: Duration,
+}
+
+/// Clients of one node that send one request after the other until the value is dropped.
+pub(crate) struct LoadClients {
+    stop: Arc<AtomicBool>,
+    served: Arc<AtomicUsize>,
+}
+
+impl LoadClients {
+    /// Starts `count` clients of a node.
+    pub(crate) fn start(rig: &Rig, name: &str, count: usize, load: ClientLoad) -> LoadClients {
+        let clients = LoadClients {
+            stop: Arc::default(),
+            served: Arc::default(),
+        };
+        let address = rig.node(name).address;
+        for _ in 0..count {
+            let stop = clients.stop.clone();
+            let served = clients.served.clone();
+            thread::spawn(move || {
+                // A node that was killed meanwhile has no clients.
+                let Ok(stream) = TcpStream::connect(address) else {
+                    return;
+                };
+                drop(stream);
+                send_until_stopped(Front::connect(address), load, &stop, &served);
+            });
+        }
+        clients
+    }
+
+    /// How many requests were answered with a result.
+    pub(crate) fn served(&self) -> usize {
+        self.served.load(Relaxed)
+    }
+}
+
+impl Drop for LoadClients {
+    fn drop(&mut self) {
+        self.stop.store(true, Relaxed);
+    }
+}
+
+fn send_until_stopped(mut front: Front, load: ClientLoad, stop: &AtomicBool, served: &AtomicUsize) {
+    while !stop.load(Relaxed) {
+        front.send("statement-read", load.body);
+        let answer = front.answer();
+        if answer.is_null() {
+            return;
+        }
+        if answer["result"].is_object() {
+            served.fetch_add(1, Relaxed);
+            thread::sleep(load.pause_after_result);
+        } else {
+            thread::sleep(load.pause_after_error);
+        }
+    }
+}
--- a/tests/shared_quotas.rs
+++ b/tests/shared_quotas.rs
@@ -1,367 +1,373 @@
-//! Budgets that the fleet shares, with processes of the program, faults between them, and a ledger that counts for itself.
+//! Quotas that the fleet shares, with processes of the program, faults between them, and a database that counts calls itself.
 
-use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
-use std::sync::Arc;
+#[path = "common/testbed.rs"]
+mod testbed;
+
+use std::cell::Cell;
 use std::thread;
 use std::time::{Duration, Instant};
 
 use fault_testbed::{Plan, Rig};
-use test_doubles::{until, Front};
+use test_doubles::until;
+use testbed::{
+    node_names, plan_nodes, start_nodes, start_settled, ClientLoad, LoadClients, SETTLE_TIMEOUT,
+};
 
-const MOST: Duration = Duration::from_secs(40);
+/// The quota of concurrent database calls of the whole fleet.
 const TOTAL: usize = 18;
 
-fn names(numbers: impl IntoIterator<Item = usize>) -> Vec<String> {
-    numbers.into_iter().map(|n| format!("n{n}")).collect()
-}
+/// A call of 60 ms, sent again as soon as it is answered.
+const SHORT_CALLS: ClientLoad = ClientLoad {
+    body: "call:hold#60",
+    pause_after_result: Duration::ZERO,
+    pause_after_error: Duration::from_millis(20),
+};
 
-/// Nodes that share so many calls at once, of which each has one of its own; three of them are keepers.
-fn fleet(count: usize, floors: bool) -> Rig {
+/// Starts nodes that share the quota; the first three are voters, and each may have one unit guaranteed.
+fn start_fleet(count: usize, has_guaranteed_quota: bool) -> Rig {
     let mut rig = Rig::new(5).expect("sockets");
-    let floors: Vec<String> = names(0..count)
+    let guaranteed: Vec<String> = node_names(0..count)
         .iter()
-        .filter(|_| floors)
+        .filter(|_| has_guaranteed_quota)
         .map(|n| format!("{n}: 1"))
         .collect();
-    for n in 0..count {
-        let fleet = format!(
-            "period_ms: 200, keepers: ['n0', 'n1', 'n2'], budgets: {{ ledger: {{ total: {TOTAL}, floors: {{ {} }} }} }},",
-            floors.join(", ")
-        );
-        rig.plan(Plan {
-            fleet,
-            ..Plan::node(n)
-        })
-        .expect("sockets");
-    }
-    rig.seeds(&["n0", "n1"]);
-    let all = rig.names();
-    all.iter().for_each(|n| rig.start(n));
-    rig.up(&all.iter().map(String::as_str).collect::<Vec<_>>());
-    rig.settle(MOST);
+    let fleet_fields = format!(
+        "period_ms: 200, keepers: ['n0', 'n1', 'n2'], budgets: {{ ledger: {{ total: {TOTAL}, floors: {{ {} }} }} }},",
+        guaranteed.join(", ")
+    );
+    plan_nodes(&mut rig, 0..count, &fleet_fields);
+    start_settled(&mut rig);
     rig
 }
 
-/// Clients at one node that ask for calls of 60 ms each as fast as they are answered, until the value goes.
-struct Clients {
-    end: Arc<AtomicBool>,
-    served: Arc<AtomicUsize>,
+fn start_clients(rig: &Rig, name: &str, count: usize) -> LoadClients {
+    LoadClients::start(rig, name, count, SHORT_CALLS)
 }
-impl Clients {
-    fn at(rig: &Rig, name: &str, count: usize) -> Clients {
-        let clients = Clients {
-            end: Arc::default(),
-            served: Arc::default(),
-        };
-        let at = rig.node(name).address;
-        for _ in 0..count {
-            let (end, served) = (clients.end.clone(), clients.served.clone());
-            thread::spawn(move || {
-                let Ok(stream) = std::net::TcpStream::connect(at) else {
-                    return;
-                };
-                drop(stream);
-                let mut front = Front::connect(at);
-                while !end.load(Relaxed) {
-                    front.send("statement-read", "call:hold#60");
-                    let answer = front.answer();
-                    if answer.is_null() {
-                        return;
-                    }
-                    if answer["result"].is_object() {
-                        served.fetch_add(1, Relaxed);
-                    } else {
-                        thread::sleep(Duration::from_millis(20));
-                    }
-                }
-            });
-        }
-        clients
-    }
-    fn served(&self) -> usize {
-        self.served.load(Relaxed)
-    }
+
+fn start_clients_of_all(rig: &Rig, count: usize) -> Vec<LoadClients> {
+    rig.names()
+        .iter()
+        .map(|name| start_clients(rig, name, count))
+        .collect()
 }
-impl Drop for Clients {
-    fn drop(&mut self) {
-        self.end.store(true, Relaxed);
-    }
+
+/// What the database saw over a time.
+struct DatabaseUse {
+    max_in_flight: usize,
+    /// The mean fraction of the total that was in flight.
+    mean_fraction: f64,
 }
 
-/// The ledger for so long: the most in hand, and the mean part of the total that was used.
-fn watch(rig: &Rig, long: Duration) -> (usize, f64) {
-    let end = Instant::now() + long;
-    let (mut most, mut sum, mut looks) = (0, 0, 0);
+/// Watches the calls in flight at the database.
+fn watch_database(rig: &Rig, duration: Duration) -> DatabaseUse {
+    let end = Instant::now() + duration;
+    let mut max_in_flight = 0;
+    let mut sum = 0;
+    let mut samples = 0;
     while Instant::now() < end {
         let held = rig.database().held();
-        (most, sum, looks) = (most.max(held.most), sum + held.now, looks + 1);
+        max_in_flight = held.most.max(max_in_flight);
+        sum += held.now;
+        samples += 1;
         thread::sleep(Duration::from_millis(5));
     }
-    (most, sum as f64 / looks as f64 / TOTAL as f64)
+    DatabaseUse {
+        max_in_flight,
+        mean_fraction: sum as f64 / samples as f64 / TOTAL as f64,
+    }
+}
+
+fn max_in_flight_for(rig: &Rig, seconds: u64) -> usize {
+    watch_database(rig, Duration::from_secs(seconds)).max_in_flight
 }
 
-/// Guards the total: with all nodes at full demand it is used, and the ledger never has more in hand, while the granter is
-/// killed, a node is stopped and goes on, one restarts under its name, and the fleet is cut.
+fn is_mostly_used(rig: &Rig) -> bool {
+    watch_database(rig, Duration::from_millis(300)).mean_fraction > 0.7
+}
+
+fn leased_units(rig: &Rig, name: &str) -> Option<u64> {
+    rig.look(name)
+        .map(|snapshot| snapshot.budgets[0].leased.units)
+}
+
+/// With all nodes at full demand the quota is used and never exceeded, while the leader is killed, a node is stopped and
+/// resumes, one restarts under its name, and the fleet is partitioned.
 #[test]
-fn the_ledger_never_has_more_in_hand_than_the_total() {
-    let mut rig = fleet(5, true);
-    let mut clients: Vec<Clients> = rig
-        .names()
-        .iter()
-        .map(|n| Clients::at(&rig, n, 12))
-        .collect();
+fn calls_in_flight_never_exceed_the_total() {
+    let mut rig = start_fleet(5, true);
+    let mut clients = start_clients_of_all(&rig, 12);
     until("calls are made", || rig.database().held().all > 50);
-    rig.wait("most of the total is used", MOST, |rig| {
-        watch(rig, Duration::from_millis(300)).1 > 0.7
-    })
-    .expect("it is used");
-    let granter = rig.granter("n4").expect("one grants");
-    rig.kill(&granter);
-    assert!(watch(&rig, Duration::from_secs(5)).0 <= TOTAL);
-    rig.start(&granter);
-    rig.up(&[&granter]);
-    clients.push(Clients::at(&rig, &granter, 12));
-    assert!(watch(&rig, Duration::from_secs(2)).0 <= TOTAL);
+    rig.wait("most of the total is used", SETTLE_TIMEOUT, is_mostly_used)
+        .expect("it is used");
+    let leader = rig.granter("n4").expect("there is a leader");
+    rig.kill(&leader);
+    assert!(max_in_flight_for(&rig, 5) <= TOTAL);
+    rig.start(&leader);
+    rig.up(&[&leader]);
+    clients.push(start_clients(&rig, &leader, 12));
+    assert!(max_in_flight_for(&rig, 2) <= TOTAL);
     rig.stop("n3");
-    assert!(watch(&rig, Duration::from_secs(7)).0 <= TOTAL);
+    assert!(max_in_flight_for(&rig, 7) <= TOTAL);
     rig.resume("n3");
-    assert!(watch(&rig, Duration::from_secs(3)).0 <= TOTAL);
-    // Cut off, two go on with what is their own once their leases have run out.
-    rig.partition(&[names([0, 1, 2]), names([3, 4])]);
-    assert!(watch(&rig, Duration::from_secs(9)).0 <= TOTAL);
-    for name in names([3, 4]) {
-        let look = rig.look(&name).expect("it answers");
+    assert!(max_in_flight_for(&rig, 3) <= TOTAL);
+    // Partitioned, two nodes go on with their guaranteed quota once their leases have expired.
+    rig.partition(&[node_names([0, 1, 2]), node_names([3, 4])]);
+    assert!(max_in_flight_for(&rig, 9) <= TOTAL);
+    for name in node_names([3, 4]) {
+        let snapshot = rig.look(&name).expect("it answers");
         assert_eq!(
-            (look.budgets[0].leased.units, look.budgets[0].guaranteed),
+            (
+                snapshot.budgets[0].leased.units,
+                snapshot.budgets[0].guaranteed
+            ),
             (0, (1, true).into()),
             "{name}"
         );
     }
     rig.heal();
-    rig.wait("the total is used again", MOST, |rig| {
-        watch(rig, Duration::from_millis(300)).1 > 0.7
-    })
-    .expect("it is used");
-    assert!(watch(&rig, Duration::from_secs(1)).0 <= TOTAL);
+    rig.wait("the total is used again", SETTLE_TIMEOUT, is_mostly_used)
+        .expect("it is used");
+    assert!(max_in_flight_for(&rig, 1) <= TOTAL);
 }
 
-/// One node wants nearly all, the others next to nothing: it gets it in seconds, and gives it back when another wants it.
+/// A node with nearly all of the demand gets nearly all of the quota in seconds, and gives it back when another needs it.
 #[test]
-fn parts_move_to_where_demand_is() {
-    let rig = fleet(3, false);
-    let one = Clients::at(&rig, "n2", 24);
-    let leased = |rig: &Rig, name: &str| {
-        rig.look(name)
-            .map_or(0, |l| l.budgets[0].leased.units as usize)
-    };
-    rig.wait("one has nearly all", MOST, |rig| {
+fn leases_move_to_the_nodes_with_demand() {
+    let rig = start_fleet(3, false);
+    let first = start_clients(&rig, "n2", 24);
+    let leased = |rig: &Rig, name: &str| leased_units(rig, name).unwrap_or(0) as usize;
+    rig.wait("one has nearly all", SETTLE_TIMEOUT, |rig| {
         leased(rig, "n2") * 10 >= TOTAL * 8
     })
     .expect("it moves");
-    let (most, used) = watch(&rig, Duration::from_secs(1));
+    let used = watch_database(&rig, Duration::from_secs(1));
     assert!(
-        most <= TOTAL && used > 0.5,
-        "{most} at most, {used:.2} used"
+        used.max_in_flight <= TOTAL && used.mean_fraction > 0.5,
+        "{} at most, {:.2} used",
+        used.max_in_flight,
+        used.mean_fraction
     );
-    let other = Clients::at(&rig, "n1", 24);
-    rig.wait("both have about half", MOST, |rig| {
+    let second = start_clients(&rig, "n1", 24);
+    rig.wait("both have about half", SETTLE_TIMEOUT, |rig| {
         leased(rig, "n1") >= TOTAL / 3 && leased(rig, "n2") <= TOTAL * 2 / 3
     })
     .expect("it moves back");
-    assert!(watch(&rig, Duration::from_secs(1)).0 <= TOTAL);
-    let before = (one.served(), other.served());
+    assert!(max_in_flight_for(&rig, 1) <= TOTAL);
+    let first_before = first.served();
+    let second_before = second.served();
     until("both are served", || {
-        one.served() > before.0 + 20 && other.served() > before.1 + 20
+        first.served() > first_before + 20 && second.served() > second_before + 20
     });
 }
 
-/// Guards a start: a node that no granter has answered makes no call past what is its own, and one whose own is nothing
-/// makes none.
+fn wait_until_lease_expired(rig: &Rig, name: &str) {
+    rig.wait("no lease is left", SETTLE_TIMEOUT, |rig| {
+        leased_units(rig, name) == Some(0)
+    })
+    .expect("leases expire");
+}
+
+/// A node that no leader answers makes no call beyond its guaranteed quota, and none without one.
 #[test]
-fn without_a_granter_nobody_spends_more_than_its_own() {
-    let mut rig = fleet(3, true);
+fn without_a_leader_a_node_spends_only_its_guaranteed_quota() {
+    let mut rig = start_fleet(3, true);
     rig.kill("n0");
     rig.kill("n1");
-    let _clients = Clients::at(&rig, "n2", 6);
-    rig.wait("no lease is left", MOST, |rig| {
-        rig.look("n2")
-            .is_some_and(|l| l.budgets[0].leased.units == 0)
-    })
-    .expect("leases end");
+    let _clients = start_clients(&rig, "n2", 6);
+    wait_until_lease_expired(&rig, "n2");
     thread::sleep(Duration::from_millis(100));
     rig.database().held();
-    let (most, _) = watch(&rig, Duration::from_secs(2));
-    assert_eq!(most, 1);
+    assert_eq!(max_in_flight_for(&rig, 2), 1);
     assert_eq!(rig.look("n2").expect("it answers").leader, None);
 }
 
-/// Guards what is the name's own against two processes that have the name: during a replacement only one of them spends it.
+/// Two processes have one name during a replacement; only one of them spends the guaranteed quota of the name.
 #[test]
-fn what_is_the_names_own_is_spent_by_one_process_of_it() {
-    let mut rig = fleet(3, true);
-    let hears = rig.node("n2").logged("fleet").expect("logged");
+fn guaranteed_quota_is_spent_by_one_process_during_a_replacement() {
+    let mut rig = start_fleet(3, true);
+    let fleet_address = rig.node("n2").logged("fleet").expect("logged");
     rig.kill("n0");
     rig.kill("n1");
-    let first = Clients::at(&rig, "n2", 6);
-    rig.wait("no lease is left", MOST, |rig| {
-        rig.look("n2")
-            .is_some_and(|l| l.budgets[0].leased.units == 0)
-    })
-    .expect("leases end");
-    until("it goes on with its own", || first.served() > 0);
-    let second = rig.successor("n2", hears);
-    until("the second takes clients", || {
+    let first_clients = start_clients(&rig, "n2", 6);
+    wait_until_lease_expired(&rig, "n2");
+    until("it spends its guaranteed quota", || {
+        first_clients.served() > 0
+    });
+    let second = rig.successor("n2", fleet_address);
+    until("the second accepts clients", || {
         second.logged("listening").is_some()
     });
-    let _more = Clients::at(&rig, "n2", 6);
+    let _second_clients = start_clients(&rig, "n2", 6);
     rig.database().held();
-    assert_eq!(watch(&rig, Duration::from_secs(2)).0, 1, "both live");
+    assert_eq!(max_in_flight_for(&rig, 2), 1, "both live");
     rig.end("n2");
     let before = rig.database().held().all;
-    assert!(watch(&rig, Duration::from_secs(4)).0 <= 1);
-    until("the second has it", || rig.database().held().all > before);
+    assert!(max_in_flight_for(&rig, 4) <= 1);
+    until("the second spends it", || {
+        rig.database().held().all > before
+    });
     drop(second);
 }
 
-/// The hard cases with processes, one after the other, printed as rows: `cargo test --release --test shared_quotas -- --ignored
-/// --nocapture hard_cases`. The total is exceeded in none.
+/// Prints how much was in flight in a case, and checks that it was never more than `total`.
+fn report_case(rig: &Rig, case: &str, seconds: u64, total: usize) {
+    let used = watch_database(rig, Duration::from_secs(seconds));
+    println!(
+        "| {case} | {} of {total} | {:.2} |",
+        used.max_in_flight,
+        used.mean_fraction * TOTAL as f64 / total as f64
+    );
+    assert!(
+        used.max_in_flight <= total,
+        "{case}: {}",
+        used.max_in_flight
+    );
+}
+
+/// Prints how long it takes until nearly all of the total is used.
+fn report_time_to_full_use(rig: &Rig, case: &str) {
+    let took = rig
+        .wait(case, SETTLE_TIMEOUT, |rig| {
+            watch_database(rig, Duration::from_millis(300)).mean_fraction > 0.95
+        })
+        .expect("used again");
+    println!("| {case}: 95% used | | after {:.1} s |", took.as_secs_f64());
+}
+
+/// Twelve more nodes join under load and are killed at once.
+fn join_and_kill_twelve_nodes(rig: &mut Rig, clients: &mut Vec<LoadClients>) {
+    let text = std::fs::read_to_string(rig.fleet_file_of("n0")).expect("a file");
+    let from = text.find("period_ms").expect("fields of this test");
+    let fleet_fields = text[from..].split(" advertise").next().expect("a part");
+    let joining = node_names(12..24);
+    for number in 12..24 {
+        plan_nodes(rig, [number], fleet_fields);
+        rig.start(&format!("n{number}"));
+    }
+    rig.up(&testbed::as_strs(&joining));
+    clients.extend(joining.iter().map(|name| start_clients(rig, name, 4)));
+    report_case(rig, "12 more join under load", 10, TOTAL);
+    for name in &joining {
+        rig.kill(name);
+    }
+    report_case(rig, "those are killed in one instant", 10, TOTAL);
+    report_time_to_full_use(rig, "12 left");
+}
+
+/// Cuts the total by a third in the files of twelve nodes, under full use.
+fn cut_the_total(rig: &mut Rig) {
+    let new_total = TOTAL * 2 / 3;
+    for name in node_names(0..12) {
+        let file = rig.fleet_file_of(&name);
+        let text = std::fs::read_to_string(&file).expect("a file");
+        let changed = text.replace(&format!("total: {TOTAL}"), &format!("total: {new_total}"));
+        std::fs::write(&file, changed).expect("written");
+        rig.hangup(&name);
+    }
+    report_case(rig, "the total is cut under full use, first 8 s", 8, TOTAL);
+    rig.database().held();
+    report_case(rig, "the total is cut, after that", 5, new_total);
+}
+
+/// The hard cases with processes, one after the other, printed as rows: `cargo test --release --test shared_quotas --
+/// --ignored --nocapture hard_cases`. The total is exceeded in none.
 #[test]
 #[ignore = "takes three minutes"]
 fn hard_cases() {
-    let mut rig = fleet(12, true);
-    let mut clients: Vec<Clients> = rig
-        .names()
-        .iter()
-        .map(|n| Clients::at(&rig, n, 4))
-        .collect();
-    let row = |rig: &Rig, case: &str, long: u64, total: usize| {
-        let (most, used) = watch(rig, Duration::from_secs(long));
-        println!(
-            "| {case} | {most} of {total} | {:.2} |",
-            used * TOTAL as f64 / total as f64
-        );
-        assert!(most <= total, "{case}: {most}");
-    };
-    let full = |rig: &Rig, total: usize, case: &str| {
-        let part =
-            |rig: &Rig| watch(rig, Duration::from_millis(300)).1 * TOTAL as f64 / total as f64;
-        let took = rig
-            .wait(case, MOST, |rig| part(rig) > 0.95)
-            .expect("used again");
-        println!("| {case}: 95% used | | after {:.1} s |", took.as_secs_f64());
-    };
+    let mut rig = start_fleet(12, true);
+    let mut clients = start_clients_of_all(&rig, 4);
     println!("| case | most in hand | mean part used |\n| --- | --- | --- |");
-    full(&rig, TOTAL, "start");
+    report_time_to_full_use(&rig, "start");
     rig.weather(
         serde_json::json!({"loss": 0.2, "double": 1.0, "delay_ms": [0, 300]}),
         |link| {
-            (link.loss, link.double) = (0.2, 1.0);
+            link.loss = 0.2;
+            link.double = 1.0;
             link.delay = (Duration::ZERO, Duration::from_millis(300));
         },
     );
-    row(
+    report_case(
         &rig,
         "all doubled, a fifth lost, reordered by up to 0.3 s",
         20,
         TOTAL,
     );
     rig.heal();
-    full(&rig, TOTAL, "that healed");
-    let half = names(6..12);
-    rig.partition(&[names(0..6), half.clone()]);
-    row(&rig, "half hears nothing, first 10 s", 10, TOTAL);
-    row(&rig, "half hears nothing, the rest of a minute", 50, TOTAL);
+    report_time_to_full_use(&rig, "that healed");
+    rig.partition(&[node_names(0..6), node_names(6..12)]);
+    report_case(&rig, "half hears nothing, first 10 s", 10, TOTAL);
+    report_case(&rig, "half hears nothing, the rest of a minute", 50, TOTAL);
     rig.heal();
-    full(&rig, TOTAL, "that healed");
-    for n in 12..24 {
-        let text = std::fs::read_to_string(rig.fleet_file_of("n0")).expect("a file");
-        let from = text.find("period_ms").expect("lines of ours");
-        let fleet = text[from..]
-            .split(" advertise")
-            .next()
-            .expect("a part")
-            .to_string();
-        rig.plan(Plan {
-            fleet,
-            ..Plan::node(n)
-        })
-        .expect("sockets");
-        rig.start(&format!("n{n}"));
-    }
-    let more = names(12..24);
-    rig.up(&more.iter().map(String::as_str).collect::<Vec<_>>());
-    clients.extend(more.iter().map(|n| Clients::at(&rig, n, 4)));
-    row(&rig, "12 more join under load", 10, TOTAL);
-    more.iter().for_each(|n| rig.kill(n));
-    row(&rig, "those are killed in one instant", 10, TOTAL);
-    full(&rig, TOTAL, "12 left");
-    let cut = TOTAL * 2 / 3;
-    for name in names(0..12) {
-        let file = rig.fleet_file_of(&name);
-        let text = std::fs::read_to_string(&file).expect("a file");
-        let less = text.replace(&format!("total: {TOTAL}"), &format!("total: {cut}"));
-        std::fs::write(&file, less).expect("written");
-        rig.hangup(&name);
-    }
-    row(&rig, "the total is cut under full use, first 8 s", 8, TOTAL);
-    rig.database().held();
-    row(&rig, "the total is cut, after that", 5, cut);
+    report_time_to_full_use(&rig, "that healed");
+    join_and_kill_twelve_nodes(&mut rig, &mut clients);
+    cut_the_total(&mut rig);
 }
 
-/// Guards the routers' further tries: both routers get a part of the fleet's, what they say to spend never adds up to more than
-/// the total, streams cut under load or not, and they have parts again when another grants.
-#[test]
-fn routers_share_one_budget_of_further_tries() {
-    const TRIES: u64 = 10;
+/// The fleet's quota of retries.
+const RETRIES: u64 = 10;
+
+/// Starts three nodes and two routers that share a quota of retries.
+fn start_fleet_with_routers() -> Rig {
     let mut rig = Rig::new(9).expect("sockets");
-    let fleet = format!(
-        "period_ms: 200, keepers: ['n0', 'n1', 'n2'], budgets: {{ tries: {{ total: {TRIES} }} }},"
+    let fleet_fields = format!(
+        "period_ms: 200, keepers: ['n0', 'n1', 'n2'], budgets: {{ tries: {{ total: {RETRIES} }} }},"
     );
-    for n in 0..3 {
-        rig.plan(Plan {
-            fleet: fleet.clone(),
-            ..Plan::node(n)
-        })
-        .expect("sockets");
-    }
+    plan_nodes(&mut rig, 0..3, &fleet_fields);
     for name in ["r0", "r1"] {
         rig.plan(Plan {
             name: name.into(),
-            fleet: fleet.clone(),
+            fleet: fleet_fields.clone(),
             ..Plan::node(0)
         })
         .expect("sockets");
     }
     rig.seeds(&["n0", "n1"]);
-    names(0..3).iter().for_each(|n| rig.start(n));
-    rig.up(&["n0", "n1", "n2"]);
-    ["r0", "r1"].iter().for_each(|r| rig.start_router(r, true));
+    start_nodes(&mut rig, &node_names(0..3));
+    for router in ["r0", "r1"] {
+        rig.start_router(router, true);
+    }
     rig.up(&["r0", "r1"]);
-    rig.settle(MOST);
-    // Streams from one router are cut every now and then: what was in hand is lost, and tried again while there is a try.
-    let _many = Clients::at(&rig, "r0", 12);
-    let _few = Clients::at(&rig, "r1", 2);
-    let look = |rig: &Rig, name: &str| rig.look(name).map(|l| l.budgets[0].clone());
-    let cut = std::cell::Cell::new(Instant::now());
-    let parts = |rig: &Rig| {
-        let (Some(a), Some(b)) = (look(rig, "r0"), look(rig, "r1")) else {
+    rig.settle(SETTLE_TIMEOUT);
+    rig
+}
+
+/// Both routers lease a part of the retry quota and never spend more than the total together, also while streams are cut
+/// under load, and they hold leases again under a new leader.
+#[test]
+fn routers_share_one_quota_of_retries() {
+    let mut rig = start_fleet_with_routers();
+    // Streams of one router are cut now and then: what was in flight is lost, and retried within the quota.
+    let _many = start_clients(&rig, "r0", 12);
+    let _few = start_clients(&rig, "r1", 2);
+    let quota = |rig: &Rig, name: &str| rig.look(name).map(|s| s.budgets[0].clone());
+    let last_cut = Cell::new(Instant::now());
+    let both_have_leases = |rig: &Rig| {
+        let (Some(first), Some(second)) = (quota(rig, "r0"), quota(rig, "r1")) else {
             return false;
         };
-        assert!(a.usage.in_use + b.usage.in_use <= TRIES, "{a:?} {b:?}");
-        if cut.get().elapsed() > Duration::from_millis(200) {
-            cut.set(Instant::now());
-            rig.switch()
-                .links(|links| names(0..3).iter().for_each(|n| links.cut("r0", n)));
+        assert!(
+            first.usage.in_use + second.usage.in_use <= RETRIES,
+            "{first:?} {second:?}"
+        );
+        if last_cut.get().elapsed() > Duration::from_millis(200) {
+            last_cut.set(Instant::now());
+            rig.switch().links(|links| {
+                for name in node_names(0..3) {
+                    links.cut("r0", &name);
+                }
+            });
         }
-        a.leased.units > 0 && b.leased.units > 0
+        first.leased.units > 0 && second.leased.units > 0
     };
-    rig.wait("both have parts", MOST, parts).expect("they do");
-    let granter = rig.granter("r0").expect("one grants");
-    rig.kill(&granter);
-    rig.wait("another grants", MOST, |rig| {
-        parts(rig);
-        rig.granter("r0").is_some_and(|g| g != granter)
+    rig.wait("both have leases", SETTLE_TIMEOUT, both_have_leases)
+        .expect("they do");
+    let leader = rig.granter("r0").expect("there is a leader");
+    rig.kill(&leader);
+    rig.wait("another node leads", SETTLE_TIMEOUT, |rig| {
+        both_have_leases(rig);
+        rig.granter("r0").is_some_and(|now| now != leader)
     })
     .expect("one does");
-    rig.wait("both have parts", MOST, parts).expect("they do");
+    rig.wait("both have leases", SETTLE_TIMEOUT, both_have_leases)
+        .expect("they do");
 }
