--- a/src/node/policy_actor/actions.rs
+++ b/src/node/policy_actor/actions.rs
@@ -7,9 +7,9 @@
 use policy::{Action, Event, Idempotency, RequestId, RunOutcome, Span};
 use slog::info;
 
-use super::super::request_table::RequestStage;
-use super::super::{unix_now, ExecutorCommand, Failure, Outcome};
 use super::{to_duration, PolicyActor};
+use crate::node::request_table::RequestStage;
+use crate::node::{unix_now, ExecutorCommand, Failure, Outcome};
 
 impl PolicyActor {
     pub(super) fn perform(&mut self, action: Action) {
--- a/src/node/policy_actor/answers.rs
+++ b/src/node/policy_actor/answers.rs
@@ -6,9 +6,9 @@
 use policy::{Event, RequestId, RunOutcome};
 use slog::info;
 
-use super::super::request_table::{RequestStage, RunResult};
-use super::super::{Answer, Failure, Outcome, RequestUid, Responder};
 use super::PolicyActor;
+use crate::node::request_table::{RequestStage, RunResult};
+use crate::node::{Answer, Failure, Outcome, RequestUid, Responder};
 
 impl PolicyActor {
     /// Sends an answer with the present capacity hint.
--- a/src/node/policy_actor/arrivals.rs
+++ b/src/node/policy_actor/arrivals.rs
@@ -4,10 +4,10 @@
 use policy::{Idempotency, Request, RequestId, Span, TenantId};
 use slog::warn;
 
-use super::super::request_table::{KeyClaim, RequestEntry, RequestStage};
-use super::super::{unix_now, Arrival, Failure, Outcome};
 use super::batch::PendingEvent;
 use super::PolicyActor;
+use crate::node::request_table::{KeyClaim, RequestEntry, RequestStage};
+use crate::node::{unix_now, Arrival, Failure, Outcome};
 
 impl PolicyActor {
     /// Answers a request that must not be queued, and queues any other.
--- a/src/node/policy_actor/batch.rs
+++ b/src/node/policy_actor/batch.rs
@@ -6,8 +6,8 @@
 use policy::{Event, Gauges, Request, Span, Time};
 use slog::info;
 
-use super::super::{unix_now, ExecutorCommand};
 use super::{to_duration, PolicyActor};
+use crate::node::{unix_now, ExecutorCommand};
 
 /// An event for the next batch.
 pub(super) enum PendingEvent {
--- a/src/node/policy_actor/calls.rs
+++ b/src/node/policy_actor/calls.rs
@@ -5,9 +5,9 @@
 use policy::{CallOutcome, Event, RequestId, Span};
 use slog::warn;
 
-use super::super::request_table::{RequestEntry, RequestStage};
-use super::super::{CallResult, DatabaseCall, ExecutorCommand, Payload, RequestUid};
 use super::{to_duration, to_span, PolicyActor};
+use crate::node::request_table::{RequestEntry, RequestStage};
+use crate::node::{CallResult, DatabaseCall, ExecutorCommand, Payload, RequestUid};
 
 impl PolicyActor {
     /// A run waits for a call, on which the policy decides.
--- a/src/node/policy_actor/runs.rs
+++ b/src/node/policy_actor/runs.rs
@@ -6,9 +6,9 @@
 use policy::{Event, Idempotency, Policy, RequestId, RunOutcome, Settings};
 use slog::{debug, info, warn};
 
-use super::super::request_table::{RequestStage, RunResult};
-use super::super::{unix_now, ExecutorCommand, Failure, Outcome, RequestUid, RunReport};
 use super::{to_span, PolicyActor};
+use crate::node::request_table::{RequestStage, RunResult};
+use crate::node::{unix_now, ExecutorCommand, Failure, Outcome, RequestUid, RunReport};
 
 /// What the end of a run means for its request.
 pub(super) struct EndOfRun {
--- a/src/node/policy_actor/sweep.rs
+++ b/src/node/policy_actor/sweep.rs
@@ -6,10 +6,10 @@
 use policy::{ClassId, Idempotency, Policy, RunOutcome};
 use slog::{info, warn};
 
-use super::super::request_table::{RequestStage, RunResult};
-use super::super::{unix_now, ExecutorCommand, Failure, Outcome};
 use super::runs::EndOfRun;
 use super::{to_duration, PolicyActor};
+use crate::node::request_table::{RequestStage, RunResult};
+use crate::node::{unix_now, ExecutorCommand, Failure, Outcome};
 
 impl PolicyActor {
     pub(super) fn sweep(&mut self) {
