--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -14,7 +14,7 @@
     for (number, line) in io::stdin().lock().lines().enumerate() {
         let reply = line
             .map_err(|e| e.to_string())
-            .and_then(|line| host.line(&line));
+            .and_then(|line| host.handle_line(&line));
         let written = match reply {
             Ok(reply) => writeln!(out, "{reply}").and_then(|()| out.flush()),
             Err(what) => {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter: shapes in, shapes out, and one plain line about what is malformed.
+//! The simulator's adapter: events in, actions out, and one line about what is malformed.
 use protocol_gateway::wire::Host;
 use serde_json::{json, Value};
 
@@ -22,7 +22,7 @@
 
 fn started() -> Host {
     let mut host = Host::default();
-    let reply = host.line(&batch(
+    let reply = host.handle_line(&batch(
         1.0,
         3,
         json!([{"Spawn": {"nonce64": 9, "facts": facts()}}]),
@@ -34,7 +34,9 @@
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
     assert_eq!(
-        Host::default().line(r#"{"t":1,"backends":[]}"#).as_deref(),
+        Host::default()
+            .handle_line(r#"{"t":1,"backends":[]}"#)
+            .as_deref(),
         Ok(r#"{"backends":[]}"#)
     );
 }
@@ -50,15 +52,15 @@
     .into_iter()
     .enumerate()
     {
-        let reply = host.line(&batch(2.0 + n as f64, 3, json!([{"Query": query}]))).expect("is read");
+        let reply = host.handle_line(&batch(2.0 + n as f64, 3, json!([{"Query": query}]))).expect("is read");
         assert!(reply.contains(r#"{"Admit":{"msgId":"#), "{reply}");
     }
     let end = json!([{"Finished": {"msgId": id, "outcome": "GOOD", "duration": 3.0}}]);
-    assert!(host.line(&batch(9.0, 3, end)).is_ok());
+    assert!(host.handle_line(&batch(9.0, 3, end)).is_ok());
 }
 
 #[test]
-fn what_is_malformed_is_told_with_its_instance() {
+fn a_malformed_line_is_reported_with_its_instance() {
     for (line, words) in [
         ("no json".to_string(), "expected"),
         (
@@ -86,22 +88,22 @@
             "backend 3: a run can't end",
         ),
     ] {
-        let error = started().line(&line).expect_err("is malformed");
+        let error = started().handle_line(&line).expect_err("is malformed");
         assert!(error.contains(words) && !error.contains('\n'), "{error}");
     }
     let mut none = facts();
     none["specifics"]["cores"] = json!(0);
     let spawn = batch(1.0, 2, json!([{"Spawn": {"nonce64": 1, "facts": none}}]));
     assert_eq!(
-        Host::default().line(&spawn),
+        Host::default().handle_line(&spawn),
         Err("backend 2: settings name no cores".into())
     );
 }
 
 #[test]
-fn a_restart_leaves_nothing_of_the_earlier_life() {
+fn a_restarted_server_remembers_nothing() {
     let mut host = started();
-    host.line(&batch(
+    host.handle_line(&batch(
         2.0,
         3,
         json!([{"Query": {"msgId": 7, "type": "look"}}]),
@@ -109,15 +111,17 @@
     .expect("is read");
     let spawn = json!({"Spawn": {"nonce64": 9, "facts": facts()}});
     let reply = host
-        .line(&batch(3.0, 3, json!([{"Retire": {}}, spawn])))
+        .handle_line(&batch(3.0, 3, json!([{"Retire": {}}, spawn])))
         .expect("starts anew");
     assert!(
         !reply.contains("\"msgId\":7") && reply.contains("Readiness"),
         "{reply}"
     );
-    assert!(host.line(&batch(4.0, 3, json!([{"Retire": {}}]))).is_ok());
     assert!(host
-        .line(&batch(5.0, 3, json!([{"Left": {"msgId": 7}}])))
+        .handle_line(&batch(4.0, 3, json!([{"Retire": {}}])))
+        .is_ok());
+    assert!(host
+        .handle_line(&batch(5.0, 3, json!([{"Left": {"msgId": 7}}])))
         .is_err());
 }
 
@@ -128,7 +132,7 @@
         let queries: Vec<Value> = (1..40)
             .map(|id| json!({"Query": {"msgId": id, "type": "look", "userGroup": "a"}}))
             .collect();
-        host.line(&batch(2.0, 3, Value::Array(queries)))
+        host.handle_line(&batch(2.0, 3, Value::Array(queries)))
     };
     assert_eq!(play(), play());
 }
