--- a/src/amqp/connection.rs
+++ b/src/amqp/connection.rs
@@ -123,7 +123,7 @@
             }
             self.settled(0);
             // Jitter, so that the consumers of a broker that restarts don't all come back at once.
-            let pause = backoff.pause();
+            let pause = backoff.next_delay();
             let part = 0.5 + (self.next_random() >> 11) as f64 / (1u64 << 54) as f64;
             self.pause(pause.mul_f64(part));
         }
--- a/src/fleet_membership.rs
+++ b/src/fleet_membership.rs
@@ -12,7 +12,7 @@
 use membership::AdvertisedStatus;
 use slog::{info, o, warn, Logger};
 
-use crate::net::database::Guard;
+use crate::net::database::SharedCallBudget;
 
 /// What a node needs to become a member of a fleet.
 pub struct FleetMembershipOptions {
@@ -25,7 +25,7 @@
     /// The stack of the fleet actor's thread, in bytes.
     pub stack_size: usize,
     /// The guard of ledger calls, where the fleet has a budget for them or shares what it observes of them.
-    pub ledger_guard: Option<Guard>,
+    pub ledger_guard: Option<SharedCallBudget>,
     /// The node's counters, where the fleet shares them.
     pub shared_counters: Option<SharedCounters>,
 }
@@ -97,7 +97,7 @@
         let guard = self.options.ledger_guard.clone();
         let on_change = Box::new(move || {
             if let Some(guard) = &guard {
-                guard.look();
+                guard.wake_actor();
             }
         });
         let handle = spawn_fleet_actor(
@@ -114,7 +114,7 @@
         if let (Some(guard), Some(quota)) =
             (&self.options.ledger_guard, handle.quota(LEDGER_BUDGET))
         {
-            guard.joined(quota);
+            guard.set_quota(quota);
         }
         Ok(handle)
     }
--- /dev/null
+++ b/src/net/database/mod.rs
@@ -0,0 +1,109 @@
+//! The database's actor: one thread makes all calls, each on its own non-blocking connection. A call has one timeout to
+//! connect, one for its reply, and one from the reply's first byte to its last.
+//!
+//! Two threads for each connection made 48 of a node's 55 threads; `docs/architecture.md` has the figures.
+//!
+//! Connections are not reused. A reply may be followed by a second copy of it or by noise, at any time, and HTTP/1.1
+//! cannot tell that from the next call's reply; and a connection that the database has forgotten is reset at the next
+//! call, which looks as if that call might have run. A fresh connection has neither problem.
+
+mod budget;
+mod exchange;
+mod pool;
+mod reply;
+
+use std::io;
+use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
+use std::sync::Arc;
+
+use crossbeam_channel::{bounded, Receiver, Sender};
+use mio::{Poll, Token, Waker};
+use slog::Logger;
+
+pub use budget::{CallBudget, SharedCallBudget};
+
+use super::{spawn, PeerAddress};
+use crate::node::{DatabaseCall, Limits, PolicyMessage};
+use pool::CallPool;
+
+const MAILBOX: Token = Token(0);
+
+/// Calls that wait in the mailbox, for each connection.
+const MAILBOX_CALLS_PER_CONNECTION: usize = 4;
+
+/// The sending side of the actor's mailbox.
+pub struct CallSender {
+    sender: Sender<DatabaseCall>,
+    waker: Arc<Waker>,
+    /// Whether the actor has been woken and has not read its mailbox since.
+    is_woken: Arc<AtomicBool>,
+}
+
+impl CallSender {
+    /// Sends a call to the actor without blocking. Returns false where the mailbox is full: the call was never made.
+    pub fn try_send(&self, call: DatabaseCall) -> bool {
+        let was_sent = self.sender.try_send(call).is_ok();
+        if was_sent && !self.is_woken.swap(true, SeqCst) {
+            let _ = self.waker.wake();
+        }
+        was_sent
+    }
+}
+
+/// The receiving side of the actor's mailbox.
+struct CallReceiver {
+    inbox: Receiver<DatabaseCall>,
+    is_woken: Arc<AtomicBool>,
+}
+
+/// Starts the actor on a thread of its own. The results of calls go to `policy`.
+pub fn start(
+    address: &Arc<PeerAddress>,
+    budget: Option<SharedCallBudget>,
+    limits: &Limits,
+    policy: &Sender<PolicyMessage>,
+    log: &Logger,
+) -> io::Result<CallSender> {
+    let poll = Poll::new()?;
+    let waker = Arc::new(Waker::new(poll.registry(), MAILBOX)?);
+    if let Some(budget) = &budget {
+        budget.set_waker(waker.clone());
+    }
+    let is_woken = Arc::new(AtomicBool::new(false));
+    let (sender, inbox) = bounded(limits.database.connections * MAILBOX_CALLS_PER_CONNECTION);
+    let pool = CallPool::new(
+        address.clone(),
+        budget,
+        limits.clone(),
+        poll,
+        CallReceiver {
+            inbox,
+            is_woken: is_woken.clone(),
+        },
+        policy.clone(),
+        log.clone(),
+    );
+    spawn("database", limits.stack_bytes, move || pool.run())?;
+    Ok(CallSender {
+        sender,
+        waker,
+        is_woken,
+    })
+}
+
+// ALIAS until users follow.
+pub use {CallBudget as Budget, CallSender as Calls, SharedCallBudget as Guard};
+
+impl CallSender {
+    #[doc(hidden)]
+    pub fn make(&self, call: DatabaseCall) -> bool {
+        self.try_send(call)
+    }
+}
+
+impl CallBudget {
+    #[doc(hidden)]
+    pub fn waits(&self, requests: usize) {
+        self.set_waiting_requests(requests);
+    }
+}
--- /dev/null
+++ b/src/net/database/pool.rs
@@ -0,0 +1,341 @@
+//! The actor's loop: starts calls while there is capacity, advances those in flight and gives up the late ones.
+
+use std::collections::{HashMap, VecDeque};
+use std::io::{self, ErrorKind};
+use std::net::SocketAddr;
+use std::sync::atomic::Ordering::SeqCst;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use crossbeam_channel::{Sender, TryRecvError};
+use mio::net::TcpStream;
+use mio::{Events, Interest, Poll, Token};
+use slog::{debug, warn, Logger};
+
+use super::exchange::{encode_request, HttpExchange};
+use super::reply::{HttpReply, ReplyError};
+use super::{CallReceiver, PeerAddress, SharedCallBudget, MAILBOX};
+use crate::node::{CallResult, DatabaseCall, Limits, PolicyMessage, RateLimitedLog};
+
+/// The policy's actor has ended: nobody waits for calls any more.
+pub(super) struct Disconnected;
+
+/// A call that waits for capacity.
+struct QueuedCall {
+    queued_at: Instant,
+    call: DatabaseCall,
+}
+
+/// How many calls may be in flight now.
+struct CallCapacity {
+    max_calls: usize,
+    /// Whether the limit is due to the health of the ledger.
+    is_ledger_suspect: bool,
+}
+
+/// All calls of the node to the database.
+pub(super) struct CallPool {
+    address: Arc<PeerAddress>,
+    budget: Option<SharedCallBudget>,
+    queue: VecDeque<QueuedCall>,
+    /// Calls that were given up without a complete reply: until when the database may have each in flight.
+    abandoned: Vec<Instant>,
+    timed_out_in_queue: RateLimitedLog,
+    /// The call limit that the policy was last notified of.
+    notified_call_limit: usize,
+    limits: Limits,
+    poll: Poll,
+    mailbox: CallReceiver,
+    policy: Sender<PolicyMessage>,
+    log: Logger,
+    exchanges: HashMap<usize, HttpExchange>,
+    next_token: usize,
+    chunk: Vec<u8>,
+}
+
+impl CallPool {
+    /// A pool without calls, which reads them from `mailbox`.
+    pub(super) fn new(
+        address: Arc<PeerAddress>,
+        budget: Option<SharedCallBudget>,
+        limits: Limits,
+        poll: Poll,
+        mailbox: CallReceiver,
+        policy: Sender<PolicyMessage>,
+        log: Logger,
+    ) -> CallPool {
+        CallPool {
+            address,
+            budget,
+            queue: VecDeque::new(),
+            abandoned: Vec::new(),
+            timed_out_in_queue: RateLimitedLog::new(limits.repeated_log_interval),
+            notified_call_limit: usize::MAX,
+            chunk: vec![0; limits.read_bytes],
+            limits,
+            poll,
+            mailbox,
+            policy,
+            log,
+            exchanges: HashMap::new(),
+            next_token: MAILBOX.0 + 1,
+        }
+    }
+
+    /// Runs until the policy's actor has ended.
+    pub(super) fn run(mut self) {
+        let mut events = Events::with_capacity(self.limits.database.connections * 2);
+        while self.run_once(&mut events).is_ok() {}
+    }
+
+    fn run_once(&mut self, events: &mut Events) -> Result<(), Disconnected> {
+        self.wait_for_events(events);
+        self.mailbox.is_woken.store(false, SeqCst);
+        let ready: Vec<usize> = events
+            .iter()
+            .map(|event| event.token().0)
+            .filter(|token| *token != MAILBOX.0)
+            .collect();
+        for token in ready {
+            self.advance(token)?;
+        }
+        self.give_up_late_exchanges()?;
+        self.start_calls()
+    }
+
+    fn wait_for_events(&mut self, events: &mut Events) {
+        let timeout = self.poll_timeout(Instant::now());
+        match self.poll.poll(events, timeout) {
+            Err(e) if e.kind() != ErrorKind::Interrupted => {
+                // Nothing that the database does causes this.
+                warn!(self.log, "database: poll failed"; "error" => %e);
+                std::thread::sleep(self.limits.reconnect_backoff);
+            }
+            _ => {}
+        }
+    }
+
+    /// How long there is nothing to do without an event.
+    fn poll_timeout(&self, now: Instant) -> Option<Duration> {
+        let next_deadline = self.exchanges.values().map(|e| e.deadline).min();
+        let timeout = next_deadline.map(|deadline| deadline.saturating_duration_since(now));
+        if self.budget.is_none() || self.queue.is_empty() {
+            return timeout;
+        }
+        // Capacity may come by time alone, as with a lease or the end of an abandoned call.
+        let poll_interval = self.limits.database.poll_interval;
+        Some(timeout.map_or(poll_interval, |timeout| timeout.min(poll_interval)))
+    }
+
+    /// Starts calls while there are connections for them, and capacity in the fleet's budget where there is one.
+    fn start_calls(&mut self) -> Result<(), Disconnected> {
+        let now = Instant::now();
+        self.abandoned.retain(|ends_at| *ends_at > now);
+        loop {
+            let in_flight = self.exchanges.len() + self.abandoned.len();
+            self.receive_calls(now, in_flight)?;
+            let capacity = self.update_capacity(in_flight)?;
+            let Some(queued) = self.queue.pop_front() else {
+                return Ok(());
+            };
+            let waited = now.saturating_duration_since(queued.queued_at);
+            if self.budget.is_some() && waited >= queued.call.timeout {
+                self.drop_late_call(&queued.call, &capacity, in_flight)?;
+            } else if self.exchanges.len() < self.limits.database.connections
+                && in_flight < capacity.max_calls
+            {
+                self.start_call(queued.call)?;
+            } else {
+                self.queue.push_front(queued);
+                return Ok(());
+            }
+        }
+    }
+
+    /// Moves calls from the mailbox to the queue. No more than one for each connection waits there; the rest stays in
+    /// the mailbox, which is bounded.
+    fn receive_calls(&mut self, now: Instant, in_flight: usize) -> Result<(), Disconnected> {
+        while self.queue.len() < self.limits.database.connections {
+            match self.mailbox.inbox.try_recv() {
+                Ok(call) => self.queue.push_back(QueuedCall {
+                    queued_at: now,
+                    call,
+                }),
+                Err(TryRecvError::Disconnected) if in_flight + self.queue.len() == 0 => {
+                    return Err(Disconnected);
+                }
+                Err(TryRecvError::Empty | TryRecvError::Disconnected) => break,
+            }
+        }
+        Ok(())
+    }
+
+    /// Reports the demand to the fleet and a changed limit to the policy; how many calls may be in flight.
+    fn update_capacity(&mut self, in_flight: usize) -> Result<CallCapacity, Disconnected> {
+        let connections = self.limits.database.connections;
+        let Some(budget) = &self.budget else {
+            return Ok(CallCapacity {
+                max_calls: connections,
+                is_ledger_suspect: false,
+            });
+        };
+        let call_limit = budget.call_limit();
+        budget.report_usage(in_flight, self.queue.len());
+        if let Some(limit) = call_limit.filter(|limit| *limit != self.notified_call_limit) {
+            self.notified_call_limit = limit;
+            self.notify_policy(PolicyMessage::CallLimitChanged(limit))?;
+        }
+        let is_ledger_suspect = budget.is_ledger_suspect();
+        let max_calls = call_limit.unwrap_or(connections);
+        Ok(CallCapacity {
+            max_calls: if is_ledger_suspect {
+                max_calls.min(1)
+            } else {
+                max_calls
+            },
+            is_ledger_suspect,
+        })
+    }
+
+    /// Ends a call whose timeout has passed in the queue.
+    fn drop_late_call(
+        &self,
+        call: &DatabaseCall,
+        capacity: &CallCapacity,
+        in_flight: usize,
+    ) -> Result<(), Disconnected> {
+        self.timed_out_in_queue.log(|suppressed| {
+            let reason = if capacity.is_ledger_suspect {
+                "ledger health"
+            } else {
+                "quota"
+            };
+            warn!(self.log, "call not made: no capacity before its timeout"; "limited_by" => reason,
+                "call_limit" => capacity.max_calls, "in_flight" => in_flight, "suppressed" => suppressed);
+        });
+        self.notify_policy(PolicyMessage::CallEnded {
+            id: call.id,
+            result: CallResult::NeverRan,
+            elapsed: Duration::ZERO,
+        })
+    }
+
+    fn start_call(&mut self, mut call: DatabaseCall) -> Result<(), Disconnected> {
+        call.timeout = self.effective_timeout(&call);
+        let started_at = Instant::now();
+        let Some(address) = self.address.get() else {
+            // The site has no database: no call can be made, and none was.
+            let error = ReplyError::NotSent(ErrorKind::AddrNotAvailable.into());
+            return self.report_end(&call, started_at, Err(error));
+        };
+        let token = self.next_token;
+        self.next_token += 1;
+        let stream = match self.connect(address, token) {
+            Ok(stream) => stream,
+            Err(e) => return self.report_end(&call, started_at, Err(ReplyError::NotSent(e))),
+        };
+        let request = encode_request(&call, address);
+        let connect_deadline = started_at + self.limits.connect_timeout.min(call.timeout);
+        let exchange = HttpExchange::new(call, stream, request, started_at, connect_deadline);
+        self.exchanges.insert(token, exchange);
+        self.advance(token)
+    }
+
+    /// How long a call may take: the policy's timeout, and no longer than the fleet's quota allows.
+    fn effective_timeout(&self, call: &DatabaseCall) -> Duration {
+        let max_duration = self.budget.as_ref().and_then(|b| b.max_call_duration());
+        max_duration.map_or(call.timeout, |max| call.timeout.min(max))
+    }
+
+    fn connect(&self, address: SocketAddr, token: usize) -> io::Result<TcpStream> {
+        let mut stream = TcpStream::connect(address)?;
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        self.poll
+            .registry()
+            .register(&mut stream, Token(token), interest)?;
+        Ok(stream)
+    }
+
+    fn advance(&mut self, token: usize) -> Result<(), Disconnected> {
+        let Some(exchange) = self.exchanges.get_mut(&token) else {
+            return Ok(());
+        };
+        let progress = exchange.advance(&mut self.chunk, &self.limits.database);
+        match progress.transpose() {
+            Some(outcome) => self.close(token, outcome),
+            None => Ok(()),
+        }
+    }
+
+    fn give_up_late_exchanges(&mut self) -> Result<(), Disconnected> {
+        let now = Instant::now();
+        let late: Vec<(usize, bool)> = self
+            .exchanges
+            .iter()
+            .filter(|(_, exchange)| exchange.deadline <= now)
+            .map(|(token, exchange)| (*token, exchange.is_connected))
+            .collect();
+        for (token, is_connected) in late {
+            let error = if is_connected {
+                ReplyError::TimedOut
+            } else {
+                ReplyError::NotSent(ErrorKind::TimedOut.into())
+            };
+            self.close(token, Err(error))?;
+        }
+        Ok(())
+    }
+
+    /// Closes a connection, which gives up a call that is still in flight and whatever else may be received on it.
+    fn close(
+        &mut self,
+        token: usize,
+        outcome: Result<HttpReply, ReplyError>,
+    ) -> Result<(), Disconnected> {
+        // The connection is closed here, before the policy learns of the end.
+        let Some(HttpExchange {
+            call, started_at, ..
+        }) = self.exchanges.remove(&token)
+        else {
+            return Ok(());
+        };
+        let is_over = matches!(outcome, Ok(_) | Err(ReplyError::NotSent(_)));
+        if self.budget.is_some() && !is_over {
+            // The database was given this timeout, and may have the call in flight until then.
+            self.abandoned.push(started_at + call.timeout);
+        }
+        self.report_end(&call, started_at, outcome)
+    }
+
+    /// Reports the end of a call to the fleet and to the policy.
+    fn report_end(
+        &self,
+        call: &DatabaseCall,
+        started_at: Instant,
+        outcome: Result<HttpReply, ReplyError>,
+    ) -> Result<(), Disconnected> {
+        if let Some(budget) = &self.budget {
+            let succeeded = outcome.as_ref().is_ok_and(|reply| reply.status < 500);
+            budget.record_call(|| succeeded.then(|| started_at.elapsed()));
+        }
+        let result = match outcome {
+            Ok(reply) => reply.into_call_result(),
+            Err(e) => {
+                debug!(self.log, "database call failed"; "uid" => %call.uid, "error" => %e);
+                match e {
+                    ReplyError::NotSent(_) => CallResult::NeverRan,
+                    _ => CallResult::Unknown,
+                }
+            }
+        };
+        self.notify_policy(PolicyMessage::CallEnded {
+            id: call.id,
+            result,
+            elapsed: started_at.elapsed(),
+        })
+    }
+
+    fn notify_policy(&self, message: PolicyMessage) -> Result<(), Disconnected> {
+        self.policy.send(message).map_err(|_| Disconnected)
+    }
+}
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -1,4 +1,4 @@
-//! The database's lanes and the request table's promises, in this process and with limits of the test's own.
+//! The database's call pool, responders and line readers, in this process and with limits of the test's own.
 
 mod stand_ins;
 
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crossbeam_channel::{bounded, Receiver};
-use protocol_gateway::net::{database, Address, Lines};
+use protocol_gateway::net::{database, LineReader, PeerAddress};
 use protocol_gateway::node::{
     Answer, CallResult, DatabaseCall, Failure, Limits, Outcome, Payload, PolicyMessage, RequestUid,
     Responder,
@@ -16,40 +16,49 @@
 use slog::{o, Discard, Logger};
 use stand_ins::{unix_ms, until, Database};
 
-struct Pool {
-    calls: database::Calls,
-    done: Receiver<PolicyMessage>,
+struct TestPool {
+    calls: database::CallSender,
+    policy_inbox: Receiver<PolicyMessage>,
 }
 
-impl Pool {
-    fn start(to: std::net::SocketAddr, change: impl FnOnce(&mut Limits)) -> Pool {
+impl TestPool {
+    fn start(address: std::net::SocketAddr, change: impl FnOnce(&mut Limits)) -> TestPool {
         let mut limits = Limits::new(1024);
         change(&mut limits);
-        let (module, done) = bounded(8);
+        let (policy, policy_inbox) = bounded(8);
         let log = Logger::root(Discard, o!());
-        let calls = database::start(&Arc::new(Address::new(to)), None, &limits, &module, &log)
-            .expect("threads");
-        Pool { calls, done }
+        let calls = database::start(
+            &Arc::new(PeerAddress::new(address)),
+            None,
+            &limits,
+            &policy,
+            &log,
+        )
+        .expect("threads");
+        TestPool {
+            calls,
+            policy_inbox,
+        }
     }
-    /// Makes a call and tells how it ended.
-    fn call(&self, body: &str, limit: Duration) -> String {
+    /// Makes a call and returns how it ended.
+    fn call(&self, body: &str, timeout: Duration) -> String {
         let (uid, payload) = (
             RequestUid::from_number(7),
             Payload::from_bytes(body.as_bytes()),
         );
         assert!(
-            self.calls.make(DatabaseCall {
+            self.calls.try_send(DatabaseCall {
                 id: RequestId(1),
                 uid,
                 payload,
-                timeout: limit
+                timeout
             }),
-            "there is room"
+            "the mailbox has capacity"
         );
         match self
-            .done
+            .policy_inbox
             .recv_timeout(Duration::from_secs(20))
-            .expect("an end")
+            .expect("the end of the call")
         {
             PolicyMessage::CallEnded {
                 id: RequestId(1),
@@ -72,9 +81,9 @@
 const LONG: Duration = Duration::from_secs(20);
 
 #[test]
-fn each_reply_means_what_the_protocol_says() {
+fn each_reply_has_the_meaning_of_the_protocol() {
     let database = Database::start();
-    let pool = Pool::start(database.address, |limits| limits.database.connections = 1);
+    let pool = TestPool::start(database.address, |limits| limits.database.connections = 1);
     for (body, end) in [
         ("ok", "rows for ok"),
         ("busy", "never ran"),
@@ -91,7 +100,7 @@
 #[test]
 fn a_call_that_takes_too_long_is_given_up_and_its_connection_closed() {
     let database = Database::start();
-    let pool = Pool::start(database.address, |limits| limits.database.connections = 1);
+    let pool = TestPool::start(database.address, |limits| limits.database.connections = 1);
     assert_eq!(pool.call("silent", Duration::from_millis(30)), "unknown");
     until("its connection is closed", || database.open() == 0);
     assert_eq!(pool.call("ok", LONG), "rows for ok");
@@ -100,9 +109,9 @@
 /// Guards against a reply taken for a call that it does not belong to: a 1xx answer before the reply, and a copy of it
 /// or noise behind it, which used to be given to the next call on the connection.
 #[test]
-fn a_reply_that_brings_more_than_belongs_to_it_is_that_calls_alone() {
+fn surplus_bytes_of_a_reply_are_not_given_to_the_next_call() {
     let database = Database::start();
-    let pool = Pool::start(database.address, |limits| limits.database.connections = 1);
+    let pool = TestPool::start(database.address, |limits| limits.database.connections = 1);
     let reply = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nrows";
     for n in 0..3 {
         let before = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
@@ -125,14 +134,14 @@
     until("no connection stays open", || database.open() == 0);
 }
 
-/// Guards a lane, and what waits for it, against a reply that can't be read or is never whole: it used to be waited for
-/// until the call's limit. Nothing of it goes to the run.
+/// Guards a connection, and what waits for it, against an invalid or incomplete reply: it used to be waited for
+/// until the call's timeout. Nothing of it is passed to the run.
 #[test]
-fn a_spoilt_reply_ends_its_call_soon_and_proves_nothing() {
+fn an_invalid_reply_ends_its_call_soon_and_proves_nothing() {
     let database = Database::start();
-    let pool = Pool::start(database.address, |limits| limits.database.connections = 1);
+    let pool = TestPool::start(database.address, |limits| limits.database.connections = 1);
     let ok = |heads: &str| format!("raw#HTTP/1.1 200 OK\r\n{heads}\r\nrows");
-    let spoilt = [
+    let invalid_replies = [
         "raw#\u{1}\u{2}\u{3} noise \r\n\r\n".to_string(),
         "raw#HTTP/1.1 200 OK\r\nContent-Le".into(),
         "forever".into(),
@@ -147,7 +156,7 @@
         ok("Transfer-Encoding: chunked\r\nContent-Length: 4\r\n"),
         "raw#HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n".into(),
     ];
-    for body in spoilt {
+    for body in invalid_replies {
         let begun = unix_ms();
         assert_eq!(pool.call(&body, LONG), "unknown", "{body:?}");
         assert!(
@@ -166,24 +175,24 @@
         .expect("loopback")
         .local_addr()
         .expect("bound");
-    let pool = Pool::start(address, |limits| limits.database.connections = 1);
+    let pool = TestPool::start(address, |limits| limits.database.connections = 1);
     assert_eq!(pool.call("ok", LONG), "never ran");
 }
 
-/// Guards "exactly one answer": a right to answer that is lost on some path answers by itself.
+/// Guards "exactly one answer": a responder that is dropped on some path answers by itself.
 #[test]
-fn a_reply_answers_once_also_when_it_is_dropped() {
-    let (tell, told) = mpsc::channel();
-    let reply = || {
-        let tell = tell.clone();
-        Responder::new(move |answer| tell.send(answer.outcome).expect("a listener"))
+fn a_responder_answers_once_also_when_it_is_dropped() {
+    let (outcomes, received) = mpsc::channel();
+    let responder = || {
+        let outcomes = outcomes.clone();
+        Responder::new(move |answer| outcomes.send(answer.outcome).expect("a listener"))
     };
-    reply().answer(Answer {
+    responder().answer(Answer {
         outcome: Outcome::Failed(Failure::RunFailed),
         capacity_hint: None,
     });
-    drop(reply());
-    let all: Vec<Outcome> = told.try_iter().collect();
+    drop(responder());
+    let all: Vec<Outcome> = received.try_iter().collect();
     assert_eq!(
         all,
         [
@@ -194,11 +203,13 @@
 }
 
 #[test]
-fn lines_are_whole_and_bounded() {
-    let mut lines = Lines::new(&b"one\ntwo\r\n\n12345678\ncut off"[..], 8, 5);
-    for want in [&b"one"[..], b"two", b"", b"12345678"] {
-        assert_eq!(lines.next_line().expect("a line"), Some(want));
+fn lines_are_complete_and_bounded() {
+    let mut lines = LineReader::new(&b"one\ntwo\r\n\n12345678\ncut off"[..], 8, 5);
+    for expected in [&b"one"[..], b"two", b"", b"12345678"] {
+        assert_eq!(lines.next_line().expect("a line"), Some(expected));
     }
     assert_eq!(lines.next_line().expect("the end"), None);
-    assert!(Lines::new(&b"123456789\n"[..], 8, 5).next_line().is_err());
+    assert!(LineReader::new(&b"123456789\n"[..], 8, 5)
+        .next_line()
+        .is_err());
 }
