--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -14,10 +14,11 @@
 use std::sync::Arc;
 
 pub use health::CellHealth;
-pub use json5_errors::ConfigFileError as FileError; // ALIAS until users follow
 pub use layout::{CellSpec, Layout, LayoutError, NodeSpec, Placement, TenantSpec};
 pub use map::{AssignedCells, Assignment, Cell, CellMap, Node, PendingMigration, PublishedMap};
 pub use migration::{Fence, Migration, MigrationPhase};
 
 /// The name of a node, cell, site or tenant.
 pub type Name = Arc<str>;
+/// The version number of a cell map; it rises with each change.
+pub type Epoch = u64;
