--- a/src/actors.rs
+++ b/src/actors.rs
@@ -8,7 +8,7 @@
 use protocol_gateway::amqp::Amqp;
 use protocol_gateway::inventory::Queue;
 use protocol_gateway::net::jsonrpc::JsonRpcServer;
-use protocol_gateway::net::{database, door, executor, membership, spawn, Address};
+use protocol_gateway::net::{admin, database, endpoint_list, executor, spawn, PeerAddress};
 use protocol_gateway::node::config::Config;
 use protocol_gateway::node::{
     CellGuard, ExecutorCommand, FleetCounters, Limits, NodeStatus, Peers, PolicyActor,
@@ -35,11 +35,11 @@
     pub(crate) amqp: Amqp,
     pub(crate) fleet: FleetLinks,
     /// The database's address, which may change.
-    pub(crate) database: Arc<Address>,
+    pub(crate) database: Arc<PeerAddress>,
     /// New addresses for the executor's actor.
     pub(crate) executor_moves: Sender<SocketAddr>,
     /// Reports for the endpoint list's actor.
-    pub(crate) endpoint_list_reports: Sender<membership::Report>,
+    pub(crate) endpoint_list_reports: Sender<endpoint_list::EndpointListMessage>,
     /// Disconnected when the policy's thread ends, however it ends: without the policy the node is of no use.
     pub(crate) policy_ended: Receiver<()>,
     /// Receives a message after each change of the process's state by an admin command.
@@ -61,7 +61,7 @@
         let (executor_moves, executor_move_inbox) = bounded(1);
         let (endpoint_list_reports, endpoint_list_inbox) = bounded(1);
         let (state_change_sender, state_changes) = bounded(1);
-        let database = Arc::new(Address::new(context.config.database));
+        let database = Arc::new(PeerAddress::new(context.config.database));
         let calls = context.start_database(&database, &fleet)?;
         let policy_ended = context.start_policy(executor_commands, calls, &fleet, cells)?;
         context.start_executor(executor_inbox, executor_move_inbox)?;
@@ -88,7 +88,7 @@
 /// The connection between the fleet's shared counts and quotas and this node's actors.
 pub(crate) struct FleetLinks {
     /// Keeps the database's calls within the quota and the judgement of the fleet.
-    pub(crate) call_guard: Option<database::Guard>,
+    pub(crate) call_guard: Option<database::SharedCallBudget>,
     /// Counters that the members of the fleet share.
     pub(crate) counters: Option<fleet::SharedCounters>,
     shares_tenant_counts: bool,
@@ -112,8 +112,9 @@
             .then(fleet::SharedCounters::default);
         let judged = counters.clone().filter(|_| config.shares_ledger_health);
         let is_guarded = has_call_quota || judged.is_some();
-        let call_guard =
-            is_guarded.then(|| database::Guard::new(database::Budget::new(has_call_quota, judged)));
+        let call_guard = is_guarded.then(|| {
+            database::SharedCallBudget::new(database::CallBudget::new(has_call_quota, judged))
+        });
         FleetLinks {
             call_guard,
             counters,
@@ -155,9 +156,9 @@
     /// Starts the database's actor.
     fn start_database(
         &self,
-        address: &Arc<Address>,
+        address: &Arc<PeerAddress>,
         fleet: &FleetLinks,
-    ) -> Result<database::Calls, StartError> {
+    ) -> Result<database::CallSender, StartError> {
         let log = self.log_for("database");
         database::start(
             address,
@@ -173,17 +174,17 @@
     fn start_policy(
         &self,
         executor: Sender<ExecutorCommand>,
-        calls: database::Calls,
+        calls: database::CallSender,
         fleet: &FleetLinks,
         cells: Option<CellGuard>,
     ) -> Result<Receiver<()>, StartError> {
         let report_waiting = fleet
             .call_guard
             .clone()
-            .map(|guard| Box::new(move |requests| guard.waits(requests)) as Box<_>);
+            .map(|guard| Box::new(move |requests| guard.set_waiting_requests(requests)) as Box<_>);
         let peers = Peers {
             executor,
-            database: Box::new(move |call| calls.make(call)),
+            database: Box::new(move |call| calls.try_send(call)),
             report_waiting,
             fleet: fleet.tenant_counters(),
         };
@@ -227,14 +228,17 @@
     }
 
     /// Starts the actor that reports this node to the endpoint list.
-    fn start_endpoint_list(&self, inbox: Receiver<membership::Report>) -> Result<(), StartError> {
+    fn start_endpoint_list(
+        &self,
+        inbox: Receiver<endpoint_list::EndpointListMessage>,
+    ) -> Result<(), StartError> {
         let address = self.config.endpoint_list;
         let name = self.config.name.clone();
         let limits = self.limits.clone();
         let status = self.status.clone();
         let log = self.log_for("endpoint_list");
         spawn("endpoint-list", self.limits.stack_bytes, move || {
-            membership::run(address, &name, &limits, &status, &inbox, &log);
+            endpoint_list::run(address, &name, &limits, &status, &inbox, &log);
         })
         .map_err(StartError::system("threads"))
     }
@@ -269,7 +273,7 @@
         state_changes: Sender<()>,
     ) -> Result<(), StartError> {
         let log = self.log_for("admin");
-        let address = door::start(listener, &self.status, state_changes, self.limits, &log)
+        let address = admin::start(listener, &self.status, state_changes, self.limits, &log)
             .map_err(StartError::system("door"))?;
         info!(self.log, "admin"; "at" => %address);
         Ok(())
--- a/src/net/database/mod.rs
+++ b/src/net/database/mod.rs
@@ -90,20 +90,3 @@
         is_woken,
     })
 }
-
-// ALIAS until users follow.
-pub use {CallBudget as Budget, CallSender as Calls, SharedCallBudget as Guard};
-
-impl CallSender {
-    #[doc(hidden)]
-    pub fn make(&self, call: DatabaseCall) -> bool {
-        self.try_send(call)
-    }
-}
-
-impl CallBudget {
-    #[doc(hidden)]
-    pub fn waits(&self, requests: usize) {
-        self.set_waiting_requests(requests);
-    }
-}
--- a/src/net/endpoint_list.rs
+++ b/src/net/endpoint_list.rs
@@ -85,17 +85,3 @@
     };
     UdpSocket::bind((local, 0))
 }
-
-// ALIAS until users follow.
-pub use EndpointListMessage as Report;
-
-#[doc(hidden)]
-impl EndpointListMessage {
-    #[allow(non_upper_case_globals)]
-    pub const Changed: EndpointListMessage = EndpointListMessage::StateChanged;
-
-    #[allow(non_snake_case)]
-    pub fn To(address: SocketAddr) -> EndpointListMessage {
-        EndpointListMessage::AddressChanged(address)
-    }
-}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -29,7 +29,3 @@
         .spawn(body)
         .map(drop)
 }
-
-// ALIAS until users follow.
-pub use address::{bind_client_address as take_address, PeerAddress as Address};
-pub use {admin as door, endpoint_list as membership};
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crossbeam_channel::Sender;
-use protocol_gateway::net::{membership, Address};
+use protocol_gateway::net::{endpoint_list, PeerAddress};
 use protocol_gateway::node::config::Config;
 use protocol_gateway::node::CellGuard;
 use slog::{info, warn, Logger};
@@ -18,9 +18,9 @@
     pub(crate) cells: Option<CellGuard>,
     pub(crate) executor: SocketAddr,
     pub(crate) executor_moves: Sender<SocketAddr>,
-    pub(crate) database: Arc<Address>,
+    pub(crate) database: Arc<PeerAddress>,
     pub(crate) endpoint_list: SocketAddr,
-    pub(crate) endpoint_list_reports: Sender<membership::Report>,
+    pub(crate) endpoint_list_reports: Sender<endpoint_list::EndpointListMessage>,
     pub(crate) log: Logger,
 }
 
@@ -55,7 +55,7 @@
         self.database.set(config.database);
         if self.endpoint_list != config.endpoint_list {
             self.endpoint_list = config.endpoint_list;
-            let moved = membership::Report::To(config.endpoint_list);
+            let moved = endpoint_list::EndpointListMessage::AddressChanged(config.endpoint_list);
             let _ = self.endpoint_list_reports.send(moved);
         }
     }
--- a/src/run_loop.rs
+++ b/src/run_loop.rs
@@ -9,8 +9,8 @@
 use lifecycle::{ProcessState, SiblingProcess, Transition};
 use protocol_gateway::fleet_membership::FleetMembership;
 use protocol_gateway::instance_lock::InstanceLock;
+use protocol_gateway::net::endpoint_list;
 use protocol_gateway::net::jsonrpc::JsonRpcServer;
-use protocol_gateway::net::membership;
 use protocol_gateway::node::config::Config;
 use protocol_gateway::node::{Limits, NodeStatus, PolicyMessage};
 use slog::{info, Logger};
@@ -152,7 +152,7 @@
         let _ = self
             .actors
             .endpoint_list_reports
-            .try_send(membership::Report::Changed);
+            .try_send(endpoint_list::EndpointListMessage::StateChanged);
     }
 
     /// Drains the node: what is open is answered, as far as time allows.
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -7,7 +7,7 @@
 use protocol_gateway::fleet_membership::{FleetMembership, FleetMembershipOptions};
 use protocol_gateway::instance_lock::{InstanceLock, ResourceShareLocks};
 use protocol_gateway::inventory::{self, InventoryError, Queue};
-use protocol_gateway::net::take_address;
+use protocol_gateway::net::bind_client_address;
 use protocol_gateway::node::cell_guard::CellGuardError;
 use protocol_gateway::node::config::{Config, ConfigError};
 use protocol_gateway::node::{CellGuard, Limits};
@@ -106,7 +106,7 @@
     } = NodeFiles::read(cli)?;
     let log = logger(&config.name);
     let signals = Signals::listen(limits.stack_bytes).map_err(StartError::system("signals"))?;
-    let client_socket = take_address(config.listen, config.admin.is_some())
+    let client_socket = bind_client_address(config.listen, config.admin.is_some())
         .map_err(StartError::system("listen"))?;
     let admin_listener = config
         .admin
