--- a/src/node/policy_actor/actions.rs
+++ b/src/node/policy_actor/actions.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sends a queued request to the executor; without room in its mailbox the request is rejected.
+    /// Sends a queued request to the executor; if its mailbox is full, the request is rejected.
     fn start_run(&mut self, id: RequestId) {
         let Some(entry) = self
             .requests
