--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -187,7 +187,7 @@
             );
             self.answer(
                 number,
-                &AdminResponse::InvalidRequest(AdminRequestError::TooManyClients),
+                AdminResponse::InvalidRequest(AdminRequestError::TooManyClients),
             );
         }
         self.clients.remove(&number);
@@ -223,10 +223,10 @@
             match client.read() {
                 ReadOutcome::Command(command) => {
                     let response = self.execute(command);
-                    self.answer(number, &response);
+                    self.answer(number, response);
                 }
                 ReadOutcome::Invalid(error) => {
-                    self.answer(number, &AdminResponse::InvalidRequest(error));
+                    self.answer(number, AdminResponse::InvalidRequest(error));
                 }
                 ReadOutcome::Incomplete => {}
                 ReadOutcome::WouldBlock => return,
@@ -252,7 +252,7 @@
         response
     }
 
-    fn answer(&mut self, number: usize, response: &AdminResponse) {
+    fn answer(&mut self, number: usize, response: AdminResponse) {
         let Some(client) = self.clients.get_mut(&number) else {
             return;
         };
@@ -282,7 +282,7 @@
             if self.is_unanswered(number) {
                 self.answer(
                     number,
-                    &AdminResponse::InvalidRequest(AdminRequestError::TimedOut),
+                    AdminResponse::InvalidRequest(AdminRequestError::TimedOut),
                 );
             } else {
                 self.clients.remove(&number);
