--- a/crates/cells-model/src/lib.rs
+++ b/crates/cells-model/src/lib.rs
@@ -3,11 +3,11 @@
 //! `cells` itself.
 
 mod action;
-mod liveness;
 mod model;
+mod progress;
 mod state;
 
 pub use action::Action;
-pub use liveness::{check_every_migration_can_finish, Liveness};
 pub use model::{InjectedBug, MigrationModel};
+pub use progress::{check_every_migration_can_finish, ProgressReport};
 pub use state::{AttemptState, Client, ModelState};
--- a/crates/cells-model/src/liveness.rs
+++ b/crates/cells-model/src/progress.rs
@@ -8,7 +8,7 @@
 use crate::state::ModelState;
 
 /// The result of [`check_every_migration_can_finish`].
-pub struct Liveness {
+pub struct ProgressReport {
     /// The number of states that can be reached.
     pub states: usize,
     /// A state from which the migration can't finish, if there is one.
@@ -17,11 +17,11 @@
 
 /// Checks whether the migration can still finish from every state that can be reached. It explores all states in memory,
 /// so it is for models with small bounds.
-pub fn check_every_migration_can_finish(model: &MigrationModel) -> Liveness {
+pub fn check_every_migration_can_finish(model: &MigrationModel) -> ProgressReport {
     let graph = StateGraph::explore(model);
     let can_finish = graph.states_that_can_finish();
     let stuck = can_finish.iter().position(|can_finish| !can_finish);
-    Liveness {
+    ProgressReport {
         states: graph.states.len(),
         stuck: stuck.map(|index| graph.states[index].clone()),
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,6 +2,7 @@
 
 mod actors;
 mod cli;
+mod client_socket;
 mod reload;
 mod resource_divider;
 mod route;
--- a/src/net/jsonrpc/request.rs
+++ b/src/net/jsonrpc/request.rs
@@ -42,7 +42,7 @@
     #[serde(rename = "prio")]
     priority: f64,
     #[serde(rename = "obj")]
-    object: Option<String>,
+    subject: Option<String>,
     body: String,
 }
 
@@ -57,7 +57,7 @@
             tenant: tenant_name.as_deref().map(|name| site.tenant(name)),
             cell_key: tenant_name.map(|name| CellKey {
                 tenant: name.into(),
-                subject: self.object.map(Into::into),
+                subject: self.subject.map(Into::into),
             }),
             arrived_at: Time((self.arrived_at_ms * 1e3) as i64),
             caller_timeout: budget.map(Span::from_ms),
@@ -90,7 +90,7 @@
                 "again is not 1",
             ),
             (
-                self.object.as_deref().is_none_or(is_uid),
+                self.subject.as_deref().is_none_or(is_uid),
                 "obj is not 16 hex digits",
             ),
             (self.may_name_tenant(site), "no such tenant"),
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -83,7 +83,7 @@
     Reply(Payload),
     /// It certainly never ran.
     NeverRan,
-    /// It may have taken idempotency.
+    /// It may have taken effect.
     Unknown,
 }
 
--- a/src/node/policy_actor/arrivals.rs
+++ b/src/node/policy_actor/arrivals.rs
@@ -70,7 +70,7 @@
         }
         if self.has_expired(arrival) {
             return Err(match repeats {
-                // Rejected, a request that may have taken idempotency could be accepted elsewhere.
+                // Rejected, a request that may have taken effect could be accepted elsewhere.
                 Some(_) => Outcome::Failed(Failure::MayHaveRun),
                 None => Outcome::Rejected {
                     retry_after: Span(0),
--- a/src/node/policy_actor/sweep.rs
+++ b/src/node/policy_actor/sweep.rs
@@ -39,7 +39,7 @@
     }
 
     /// Stops runs that are answered but not over: their end may never be reported if a command was lost with a
-    /// connection. Each is stopped again, and counts as over when that has had no idempotency for long enough.
+    /// connection. Each is stopped again, and counts as over when that has had no effect for long enough.
     fn stop_abandoned_runs(&mut self) {
         let mut over = Vec::new();
         for entry in self.requests.iter_mut().filter(|e| e.was_sent()) {
--- a/src/node/request.rs
+++ b/src/node/request.rs
@@ -114,7 +114,7 @@
         /// The epoch of the cell layout that decided it.
         epoch: u64,
     },
-    /// It failed; it may have taken idempotency.
+    /// It failed; it may have taken effect.
     Failed(Failure),
 }
 
--- a/src/run_loop.rs
+++ b/src/run_loop.rs
@@ -1,6 +1,5 @@
 //! The main thread of a node: serves until it is told to shut down, then drains what is open and ends.
 
-use std::net::{SocketAddr, TcpListener};
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,13 +9,12 @@
 use protocol_gateway::fleet_membership::FleetMembership;
 use protocol_gateway::instance_lock::InstanceLock;
 use protocol_gateway::net::endpoint_list;
-use protocol_gateway::net::jsonrpc::JsonRpcServer;
 use protocol_gateway::node::config::Config;
 use protocol_gateway::node::{Limits, NodeStatus, PolicyMessage};
 use slog::{info, Logger};
-use socket2::Socket;
 
 use crate::actors::Actors;
+use crate::client_socket::ClientSocket;
 use crate::reload::ConfigReloader;
 use crate::resource_divider::ResourceDivider;
 use crate::signals::Signals;
@@ -30,7 +28,7 @@
     pub(crate) policy: Sender<PolicyMessage>,
     pub(crate) actors: Actors,
     pub(crate) signals: Signals,
-    pub(crate) clients: ClientListener,
+    pub(crate) client_socket: ClientSocket,
     pub(crate) reloader: ConfigReloader,
     pub(crate) instance_lock: InstanceLock,
     pub(crate) divider: ResourceDivider,
@@ -68,7 +66,7 @@
 
     fn join_fleet(&mut self) -> Result<(), StartError> {
         self.member
-            .join(self.status.process_state(), self.clients.address)
+            .join(self.status.process_state(), self.client_socket.address())
             .map_err(StartError::system("fleet"))
     }
 
@@ -137,7 +135,7 @@
     }
 
     fn accept_clients(&mut self) -> Result<(), StartError> {
-        self.clients.open(&self.actors.json_rpc)?;
+        self.client_socket.open(&self.actors.json_rpc)?;
         // Published before the admin listener reports it: the platform ends the other process on that report.
         self.instance_lock.publish(ProcessState::Serving);
         let _ = self.status.apply_transition(Transition::AcceptClients);
@@ -238,43 +236,3 @@
             "unsettled" => self.actors.amqp.unsettled(), "ms" => elapsed.as_millis() as u64);
     }
 }
-
-/// The socket for clients, which is opened once they can be served.
-pub(crate) struct ClientListener {
-    /// The bound socket, until it listens.
-    socket: Option<Socket>,
-    backlog: i32,
-    /// Where clients connect, once the socket listens.
-    address: Option<SocketAddr>,
-    log: Logger,
-}
-
-impl ClientListener {
-    /// A bound socket that does not listen yet.
-    pub(crate) fn new(socket: Socket, backlog: i32, log: &Logger) -> ClientListener {
-        ClientListener {
-            socket: Some(socket),
-            backlog,
-            address: None,
-            log: log.clone(),
-        }
-    }
-
-    /// Listens, unless it does so already, and hands the connections to the server.
-    pub(crate) fn open(&mut self, server: &JsonRpcServer) -> Result<(), StartError> {
-        let Some(socket) = self.socket.take() else {
-            return Ok(());
-        };
-        socket
-            .listen(self.backlog)
-            .map_err(StartError::system("listen"))?;
-        let listener = TcpListener::from(socket);
-        let address = listener
-            .local_addr()
-            .map_err(StartError::system("listen"))?;
-        info!(self.log, "listening"; "at" => %address);
-        server.listen(listener);
-        self.address = Some(address);
-        Ok(())
-    }
-}
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -16,9 +16,10 @@
 
 use crate::actors::{ActorContext, Actors, FleetLinks};
 use crate::cli::Cli;
+use crate::client_socket::ClientSocket;
 use crate::reload::ConfigReloader;
 use crate::resource_divider::ResourceDivider;
-use crate::run_loop::{ClientListener, Node};
+use crate::run_loop::Node;
 use crate::signals::Signals;
 
 /// Why the program did not start.
@@ -106,7 +107,7 @@
     } = NodeFiles::read(cli)?;
     let log = logger(&config.name);
     let signals = Signals::listen(limits.stack_bytes).map_err(StartError::system("signals"))?;
-    let client_socket = bind_client_address(config.listen, config.admin.is_some())
+    let bound_socket = bind_client_address(config.listen, config.admin.is_some())
         .map_err(StartError::system("listen"))?;
     let admin_listener = config
         .admin
@@ -122,22 +123,14 @@
         cells.clone(),
         admin_listener,
     )?;
-    let mut clients = ClientListener::new(client_socket, limits.listener.backlog, &log);
+    let mut client_socket = ClientSocket::new(bound_socket, limits.listener.backlog, &log);
     // Where another process may serve at this address, clients must not connect before they can be served.
     if config.admin.is_none() {
-        clients.open(&actors.json_rpc)?;
+        client_socket.open(&actors.json_rpc)?;
     }
     let reloader = config_reloader(&context, &actors, cells);
     let (instance_lock, divider) = divide_resources(&context, &actors);
-    let membership_options = FleetMembershipOptions {
-        config: fleet,
-        config_file: cli.fleet.clone(),
-        node_name: config.name.clone(),
-        stack_size: limits.stack_bytes,
-        ledger_guard: actors.fleet.call_guard.clone(),
-        shared_counters: actors.fleet.counters.clone(),
-    };
-    let member = FleetMembership::new(membership_options, &log);
+    let member = fleet_membership(&context, &actors, fleet, cli);
     let status = context.status.clone();
     let policy = context.policy.clone();
     let mut node = Node {
@@ -147,7 +140,7 @@
         policy,
         actors,
         signals,
-        clients,
+        client_socket,
         reloader,
         instance_lock,
         divider,
@@ -158,6 +151,24 @@
     Ok(node)
 }
 
+/// Prepares this node's membership of the fleet that `fleet` describes, if there is one. It does not join yet.
+fn fleet_membership(
+    context: &ActorContext<'_>,
+    actors: &Actors,
+    fleet: Option<fleet::Config>,
+    cli: &Cli,
+) -> FleetMembership {
+    let options = FleetMembershipOptions {
+        config: fleet,
+        config_file: cli.fleet.clone(),
+        node_name: context.config.name.clone(),
+        stack_size: context.limits.stack_bytes,
+        ledger_guard: actors.fleet.call_guard.clone(),
+        shared_counters: actors.fleet.counters.clone(),
+    };
+    FleetMembership::new(options, context.log)
+}
+
 /// Prepares reloads of the configuration that the node starts with.
 fn config_reloader(
     context: &ActorContext<'_>,
