--- a/crates/cells-cli/src/lib.rs
+++ b/crates/cells-cli/src/lib.rs
@@ -3,12 +3,11 @@
 mod plan;
 mod show;
 
-use std::io;
 use std::path::{Path, PathBuf};
 
 use cells::{CellMap, Layout, LayoutError, PendingMigration};
 use clap::{Args, Subcommand};
-use json5_errors::ConfigFileError;
+use json5_errors::{read_text, ConfigFileError, UnreadableFile};
 
 /// The commands. Their documentation and that of their arguments is the program's help text.
 #[derive(Debug, Subcommand)]
@@ -53,13 +52,8 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CellsCommandError {
     /// The file can't be read.
-    #[error("{}: {source}", .path.display())]
-    Unreadable {
-        /// The file.
-        path: PathBuf,
-        /// Why.
-        source: io::Error,
-    },
+    #[error(transparent)]
+    Unreadable(#[from] UnreadableFile),
     /// The file can't be used.
     #[error(transparent)]
     File(#[from] ConfigFileError),
@@ -104,10 +98,7 @@
 }
 
 fn read_layout(path: &Path) -> Result<Layout, CellsCommandError> {
-    let text = std::fs::read_to_string(path).map_err(|source| CellsCommandError::Unreadable {
-        path: path.to_path_buf(),
-        source,
-    })?;
+    let text = read_text(path)?;
     Ok(Layout::parse(&path.display().to_string(), &text)?)
 }
 
--- a/crates/fleet-runtime/src/config/mod.rs
+++ b/crates/fleet-runtime/src/config/mod.rs
@@ -4,10 +4,10 @@
 mod file;
 
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::time::Duration;
 
-use json5_errors::ConfigFileError;
+use json5_errors::{read_text, ConfigFileError, UnreadableFile};
 use membership::{Name, Settings};
 use shared_state::QuotaConfig;
 
@@ -52,13 +52,8 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file can't be read.
-    #[error("{}: {source}", path.display())]
-    Unreadable {
-        /// The file.
-        path: PathBuf,
-        /// Why it can't be read.
-        source: std::io::Error,
-    },
+    #[error(transparent)]
+    Unreadable(#[from] UnreadableFile),
     /// The file has an error.
     #[error(transparent)]
     Invalid(#[from] ConfigFileError),
@@ -67,10 +62,7 @@
 impl Config {
     /// Reads a fleet file.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
-        let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
-            path: path.to_path_buf(),
-            source,
-        })?;
+        let text = read_text(path)?;
         Ok(Config::parse(&path.display().to_string(), &text)?)
     }
 
--- a/crates/json5-errors/src/lib.rs
+++ b/crates/json5-errors/src/lib.rs
@@ -5,6 +5,8 @@
 
 mod error;
 mod positions;
+mod read;
 
 pub use error::ConfigFileError;
 pub use positions::{line_starting_with, DuplicateField, FieldPositions};
+pub use read::{read_text, UnreadableFile};
--- a/crates/router/src/config/error.rs
+++ b/crates/router/src/config/error.rs
@@ -1,28 +1,22 @@
 //! Why a router's configuration can't be used.
 
-use std::io;
 use std::path::PathBuf;
 
 use fleet_runtime as fleet;
-use json5_errors::ConfigFileError;
+use json5_errors::{ConfigFileError, UnreadableFile};
 
 /// Why a router's configuration can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// A file can't be read.
-    #[error("{}: {source}", path.display())]
-    Unreadable {
-        /// The file.
-        path: PathBuf,
-        /// The error of the system.
-        source: io::Error,
-    },
+    #[error(transparent)]
+    Unreadable(#[from] UnreadableFile),
     /// The router's file or the cells file has something that can't be used.
     #[error(transparent)]
-    File(ConfigFileError),
+    File(#[from] ConfigFileError),
     /// The fleet file has something that can't be used.
     #[error(transparent)]
-    Fleet(fleet::ConfigError),
+    Fleet(#[from] fleet::ConfigError),
     /// The fleet file has no name for the member, and the router has no other.
     #[error("{}: name: is missing, and a router has no other", path.display())]
     MissingName {
--- a/crates/router/src/config/file.rs
+++ b/crates/router/src/config/file.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use json5_errors::ConfigFileError;
+use json5_errors::{read_text, ConfigFileError};
 use serde::Deserialize;
 
 use super::{ConfigError, RequestClass};
@@ -55,10 +55,9 @@
     pub(super) fn read(path: &Path) -> Result<ConfigFile, ConfigError> {
         let text = read_text(path)?;
         let name = path.display().to_string();
-        let file: ConfigFile = json5::from_str(&text)
-            .map_err(|e| ConfigError::File(ConfigFileError::from_json5(&name, &e)))?;
-        file.check()
-            .map_err(|invalid| ConfigError::File(invalid.in_file(name)))?;
+        let file: ConfigFile =
+            json5::from_str(&text).map_err(|error| ConfigFileError::from_json5(&name, &error))?;
+        file.check().map_err(|invalid| invalid.in_file(name))?;
         Ok(file)
     }
 
@@ -127,11 +126,3 @@
     let message = format!("is not from {} to {}", range.start(), range.end());
     Err(InvalidField::new(field, message))
 }
-
-/// Reads a file as text.
-pub(super) fn read_text(path: &Path) -> Result<String, ConfigError> {
-    std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
-        path: path.to_path_buf(),
-        source,
-    })
-}
--- a/crates/router/src/config/mod.rs
+++ b/crates/router/src/config/mod.rs
@@ -10,6 +10,7 @@
 
 use cells::Layout;
 use fleet_runtime as fleet;
+use json5_errors::read_text;
 
 pub use error::ConfigError;
 use file::ConfigFile;
@@ -73,7 +74,7 @@
     /// # Errors
     /// The file can't be used, or has no name for the router.
     pub fn read_fleet(path: &Path) -> Result<fleet::Config, ConfigError> {
-        let fleet = fleet::Config::read(path).map_err(ConfigError::Fleet)?;
+        let fleet = fleet::Config::read(path)?;
         if fleet.name.is_none() {
             let path = path.to_path_buf();
             return Err(ConfigError::MissingName { path });
@@ -86,9 +87,8 @@
     /// # Errors
     /// The file can't be used, or a node has no address.
     pub fn read_layout(path: &Path) -> Result<Layout, ConfigError> {
-        let text = file::read_text(path)?;
-        let layout =
-            Layout::parse(&path.display().to_string(), &text).map_err(ConfigError::File)?;
+        let text = read_text(path)?;
+        let layout = Layout::parse(&path.display().to_string(), &text)?;
         let without_address = layout.nodes.iter().find(|(_, node)| node.address.is_none());
         if let Some((node, _)) = without_address {
             return Err(ConfigError::MissingAddress {
--- a/src/node/cell_guard.rs
+++ b/src/node/cell_guard.rs
@@ -1,23 +1,17 @@
 //! The cells in force at a node: which tenants are its own, and which requests it must reject.
 
-use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
 use cells::{CellMap, Epoch, Layout, LayoutError, Name, PublishedMap};
-use json5_errors::ConfigFileError;
+use json5_errors::{read_text, ConfigFileError, UnreadableFile};
 
 /// Why a file of cells can't be put in force.
 #[derive(Debug, thiserror::Error)]
 pub enum CellGuardError {
     /// The file can't be read.
-    #[error("{}: {source}", .path.display())]
-    Unreadable {
-        /// The file.
-        path: PathBuf,
-        /// Why.
-        source: io::Error,
-    },
+    #[error(transparent)]
+    Unreadable(#[from] UnreadableFile),
     /// The file can't be used.
     #[error(transparent)]
     File(#[from] ConfigFileError),
@@ -62,11 +56,7 @@
 
     /// Reads the file again and returns the epoch in force afterwards. A file that can't be used changes nothing.
     pub fn reload(&self) -> Result<Epoch, CellGuardError> {
-        let text =
-            std::fs::read_to_string(&self.file).map_err(|source| CellGuardError::Unreadable {
-                path: self.file.clone(),
-                source,
-            })?;
+        let text = read_text(&self.file)?;
         let layout = Layout::parse(&self.file.display().to_string(), &text)?;
         let (map, _) =
             self.map
