--- a/crates/router/src/client_message.rs
+++ b/crates/router/src/client_message.rs
@@ -3,15 +3,13 @@
 use std::collections::BTreeMap;
 
 use cells::map::Name;
+use client_listener::protocol::{HEALTH_METHOD, INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND};
 use client_listener::ClientMessage;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
 use crate::config::RequestClass;
-use crate::error_line::{error_line, INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND};
-
-/// The method of a health check.
-const HEALTH_METHOD: &str = "alive";
+use crate::error_line::error_line;
 
 /// A request to be forwarded.
 pub(crate) struct ClientRequest {
--- a/crates/router/src/error_line.rs
+++ b/crates/router/src/error_line.rs
@@ -2,16 +2,7 @@
 
 use std::time::Duration;
 
-/// The error code of a rejected request: the attempt never ran.
-pub(crate) const REJECTED: i64 = -32002;
-/// The error code of a failed request: it may have run.
-pub(crate) const FAILED: i64 = -32000;
-/// The error code of a line that is not a request of this protocol.
-pub(crate) const INVALID_REQUEST: i64 = -32600;
-/// The error code of a request with an unknown method.
-pub(crate) const METHOD_NOT_FOUND: i64 = -32601;
-/// The error code of a request with invalid parameters.
-pub(crate) const INVALID_PARAMS: i64 = -32602;
+use client_listener::protocol::REJECTED;
 
 /// The line of an error. Without an id it answers no request.
 pub(crate) fn error_line(id: Option<u64>, code: i64, message: &str) -> String {
--- a/crates/router/src/node_reply.rs
+++ b/crates/router/src/node_reply.rs
@@ -1,10 +1,9 @@
 //! What a node replies, and how a reply is forwarded: with another id and nothing else changed.
 
+use client_listener::protocol::GOODBYE_METHOD;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// The notification after which a connection gets no new requests.
-pub(crate) const GOODBYE_METHOD: &str = "farewell";
 /// The error code for an error that can't be read.
 const UNKNOWN_CODE: i64 = 0;
 
--- a/crates/router/src/request_router/attempts.rs
+++ b/crates/router/src/request_router/attempts.rs
@@ -4,10 +4,11 @@
 use std::time::{Duration, Instant};
 
 use cells::Name;
+use client_listener::protocol::FAILED;
 use routing::{AttemptOutcome, Rejection, RetryDecision, RouteDecision, Ticket};
 
 use super::{Clients, RequestRouter};
-use crate::error_line::{error_line, rejection_line, FAILED};
+use crate::error_line::{error_line, rejection_line};
 use crate::upstream_state::UpstreamRequest;
 
 /// How an attempt ended, and what the node replied.
--- a/crates/router/src/request_router/client_handler.rs
+++ b/crates/router/src/request_router/client_handler.rs
@@ -5,6 +5,7 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use client_listener::protocol::INVALID_REQUEST;
 use client_listener::{ClientHandler, ClientMessage, RequestHandle};
 use mio::event::Event;
 use routing::Request;
@@ -12,7 +13,7 @@
 
 use super::{Clients, OpenRequest, RequestRouter};
 use crate::client_message::{parse_line, ClientRequest};
-use crate::error_line::{error_line, rejection_line, INVALID_REQUEST};
+use crate::error_line::{error_line, rejection_line};
 
 impl ClientHandler for RequestRouter {
     type ConnectionData = ();
--- a/crates/router/src/request_router/heartbeat.rs
+++ b/crates/router/src/request_router/heartbeat.rs
@@ -4,6 +4,7 @@
 use std::time::{Duration, Instant};
 
 use cells::Name;
+use client_listener::protocol::HEALTH_METHOD;
 use fleet_runtime as fleet;
 use slog::info;
 
@@ -74,7 +75,8 @@
             self.upstreams.remove(token);
         } else if connection.state.open_request_count() < MAX_OPEN_HEALTH_CHECKS {
             let id = connection.state.next_id();
-            let line = format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"alive\"}}\n");
+            let line =
+                format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"{HEALTH_METHOD}\"}}\n");
             connection
                 .state
                 .enqueue_request(id, UpstreamRequest::HealthCheck, &line);
--- a/crates/router/src/request_router/upstream_events.rs
+++ b/crates/router/src/request_router/upstream_events.rs
@@ -2,6 +2,7 @@
 
 use std::time::Instant;
 
+use client_listener::protocol::REJECTED;
 use mio::event::Event;
 use mio::Token;
 use routing::{AttemptOutcome, Ticket};
@@ -9,7 +10,6 @@
 
 use super::attempts::AttemptResult;
 use super::{Clients, RequestRouter};
-use crate::error_line::REJECTED;
 use crate::node_reply::{NodeReply, ReplyContent};
 use crate::upstream_pool::ReadOutcome;
 use crate::upstream_state::UpstreamRequest;
--- a/crates/router/src/router_loop.rs
+++ b/crates/router/src/router_loop.rs
@@ -5,6 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use client_listener::protocol::GOODBYE_LINE;
 use client_listener::{ClientListener, ListenerSettings, LiveLimits, TimerMode};
 use connections::ConnectionLimits;
 use fleet_runtime as fleet;
@@ -27,8 +28,6 @@
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// Clients accepted in one step.
 const ACCEPTS_PER_STEP: usize = 16;
-/// The notification after which a client sends no new requests on a connection.
-const GOODBYE_LINE: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n";
 
 /// A router that is not yet running.
 pub struct RouterLoop {
--- a/src/net/jsonrpc/answer.rs
+++ b/src/net/jsonrpc/answer.rs
@@ -1,26 +1,11 @@
 //! The lines that clients get: answers, health answers, errors and the goodbye.
 
+use client_listener::protocol::{FAILED, REJECTED};
 use serde::Serialize;
 use serde_json::json;
 
 use crate::node::{Answer, Outcome};
 
-/// The error code of a rejected request: it never ran here.
-const REJECTED: i32 = -32002;
-/// The error code of a failed request: it may have run.
-const FAILED: i32 = -32000;
-/// The error code of a line that is not JSON.
-pub(super) const PARSE_ERROR: i32 = -32700;
-/// The error code of a line that is not a request of this protocol.
-pub(super) const INVALID_REQUEST: i32 = -32600;
-/// The error code of a request with an unknown method.
-pub(super) const METHOD_NOT_FOUND: i32 = -32601;
-/// The error code of a request with invalid parameters.
-pub(super) const INVALID_PARAMS: i32 = -32602;
-
-/// The notification after which a connection gets no new requests.
-pub(super) const GOODBYE_LINE: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n";
-
 #[derive(Serialize)]
 struct ResponseLine<'a> {
     jsonrpc: &'static str,
@@ -43,7 +28,7 @@
 
 #[derive(Serialize)]
 struct ResponseError {
-    code: i32,
+    code: i64,
     message: &'static str,
     data: ErrorData,
 }
@@ -81,7 +66,7 @@
     response_line(id, Some(result), None)
 }
 
-fn error_line(id: u64, code: i32, message: &'static str, data: ErrorData) -> String {
+fn error_line(id: u64, code: i64, message: &'static str, data: ErrorData) -> String {
     let error = ResponseError {
         code,
         message,
@@ -149,7 +134,7 @@
 }
 
 /// The last line on a connection whose peer breaks the protocol. It answers no request unless it has the id of one.
-pub(super) fn violation_line(id: Option<u64>, code: i32, message: &str) -> String {
+pub(super) fn violation_line(id: Option<u64>, code: i64, message: &str) -> String {
     let error = json!({"code": code, "message": message});
     json!({"jsonrpc": "2.0", "id": id, "error": error}).to_string() + "\n"
 }
--- a/src/net/jsonrpc/handler.rs
+++ b/src/net/jsonrpc/handler.rs
@@ -6,14 +6,13 @@
 use std::sync::Arc;
 use std::time::Instant;
 
+use client_listener::protocol::INVALID_REQUEST;
 use client_listener::{ClientHandler, ClientListener, ClientMessage, RequestHandle};
 use crossbeam_channel::Receiver;
 use mio::net::TcpStream;
 use slog::{info, warn, Logger};
 
-use super::answer::{
-    answer_line, health_line, too_many_requests_line, violation_line, INVALID_REQUEST,
-};
+use super::answer::{answer_line, health_line, too_many_requests_line, violation_line};
 use super::mailbox::{Mailbox, ServerCommand};
 use super::message::{parse_line, ClassifiedRequest};
 use super::server_loop::NodeContext;
@@ -126,14 +125,15 @@
     }
 
     fn connection_rejected(&self, error: &io::Error) {
-        self.rate_limited_log
-            .log(|more| warn!(self.log, "connection"; "error" => %error, "more" => more));
+        self.rate_limited_log.log(
+            |suppressed| warn!(self.log, "connection"; "error" => %error, "more" => suppressed),
+        );
     }
 
     fn protocol_violated(&self, peer: &TcpStream, answer: &str) {
-        self.rate_limited_log.log(|more| {
+        self.rate_limited_log.log(|suppressed| {
             let peer = peer.peer_addr().map(|a| a.to_string()).unwrap_or_default();
-            info!(self.log, "protocol broken"; "peer" => peer, "answer" => answer.trim_end(), "more" => more);
+            info!(self.log, "protocol broken"; "peer" => peer, "answer" => answer.trim_end(), "more" => suppressed);
         });
     }
 }
--- a/src/net/jsonrpc/message.rs
+++ b/src/net/jsonrpc/message.rs
@@ -1,20 +1,19 @@
 //! What a line of a client means in JSON-RPC 2.0.
 
+use client_listener::protocol::{
+    HEALTH_METHOD, INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, PARSE_ERROR,
+};
 use client_listener::ClientMessage;
 use serde::Deserialize as _;
 use serde_json::Value;
 
-use super::answer::{
-    violation_line, INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, PARSE_ERROR,
-};
+use super::answer::violation_line;
 use super::request::Params;
 use crate::wire::Site;
 use crate::ClassId;
 
 /// The notification by which a client says that it no longer waits for a request.
 const CANCEL_METHOD: &str = "cancelRequest";
-/// The method of a health check.
-const HEALTH_METHOD: &str = "alive";
 
 /// A request with valid parameters.
 pub(super) struct ClassifiedRequest {
@@ -25,12 +24,12 @@
 /// A line that breaks the protocol; its answer is built from this.
 struct MalformedLine {
     id: Option<u64>,
-    code: i32,
+    code: i64,
     text: String,
 }
 
 impl MalformedLine {
-    fn new(id: Option<u64>, code: i32, text: impl Into<String>) -> MalformedLine {
+    fn new(id: Option<u64>, code: i64, text: impl Into<String>) -> MalformedLine {
         let text = text.into();
         MalformedLine { id, code, text }
     }
--- a/src/net/jsonrpc/server_loop.rs
+++ b/src/net/jsonrpc/server_loop.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use client_listener::protocol::GOODBYE_LINE;
 use client_listener::{ClientListener, ListenerCounters, ListenerSettings, LiveLimits, TimerMode};
 use crossbeam_channel::{unbounded, Sender};
 use lifecycle::amount_for_shares;
 use slog::{warn, Logger};
 
-use super::answer::GOODBYE_LINE;
 use super::handler::{listen_on, RequestHandler};
 use super::mailbox::Mailbox;
 use crate::node::{Limits, NodeStatus, PolicyMessage, RateLimitedLog};
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -4,6 +4,7 @@
 
 use connections::ConnectionLimits;
 
+use super::longest_deadline;
 use crate::wire::Site;
 
 /// The most megabytes that the platform gives.
@@ -14,8 +15,10 @@
 /// Descriptors beside those of clients and database connections: the executor, the endpoint list, the listener, the
 /// standard streams and a few spare ones.
 const RESERVED_DESCRIPTORS: usize = 40;
-/// Fewest and most client connections.
-const CLIENT_CONNECTIONS: (usize, usize) = (8, 640);
+/// Fewest client connections, however few descriptors there are.
+const MIN_CLIENT_CONNECTIONS: usize = 8;
+/// Most client connections, however many descriptors there are.
+const MAX_CLIENT_CONNECTIONS: usize = 640;
 
 /// All limits of a node. Figures that the platform sets are filled in by [`Limits::new`].
 #[derive(Clone, Debug)]
@@ -64,10 +67,9 @@
     /// The limits under this many descriptors, with as much memory as the platform gives at the most.
     pub fn new(descriptors: usize) -> Limits {
         let database = DatabaseLimits::default();
-        let (fewest, most) = CLIENT_CONNECTIONS;
         let connections = descriptors
             .saturating_sub(database.connections + RESERVED_DESCRIPTORS)
-            .clamp(fewest, most);
+            .clamp(MIN_CLIENT_CONNECTIONS, MAX_CLIENT_CONNECTIONS);
         Limits {
             front: ConnectionLimits::new(connections),
             listener: ListenerLimits::default(),
@@ -100,14 +102,7 @@
     /// How long a process that was replaced may continue: the longest deadline of its classes, as far as the platform
     /// waits for it, and a grace.
     pub fn replaced_lifetime(&self, site: &Site) -> Duration {
-        let longest_deadline = site
-            .settings
-            .classes
-            .iter()
-            .map(|c| c.deadline.0)
-            .max()
-            .unwrap_or(0);
-        let longest_deadline = Duration::from_micros(longest_deadline.unsigned_abs());
+        let longest_deadline = Duration::from_micros(longest_deadline(site).0.unsigned_abs());
         longest_deadline.min(self.replacement.max_deadline) + self.replacement.grace
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -14,7 +14,9 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use policy::Time;
+use policy::{Span, Time};
+
+use crate::wire::Site;
 
 pub use cell_guard::CellGuard;
 pub use limits::Limits;
@@ -25,6 +27,12 @@
 pub use request::{Answer, Arrival, CellKey, Failure, Outcome, Payload, RequestUid, Responder};
 pub use status::NodeStatus;
 
+/// The longest deadline of the site's classes; zero without classes.
+fn longest_deadline(site: &Site) -> Span {
+    let deadlines = site.settings.classes.iter().map(|class| class.deadline.0);
+    Span(deadlines.max().unwrap_or(0))
+}
+
 /// The system's Unix clock, on which all arrivals and deadlines are measured.
 pub fn unix_now() -> Time {
     let since_epoch = SystemTime::now()
--- a/src/node/policy_actor/actions.rs
+++ b/src/node/policy_actor/actions.rs
@@ -45,11 +45,7 @@
 
     /// Sends a queued request to the executor; if its mailbox is full, the request is rejected.
     fn start_run(&mut self, id: RequestId) {
-        let Some(entry) = self
-            .requests
-            .get(id)
-            .filter(|e| e.stage == RequestStage::Queued)
-        else {
+        let Some(entry) = self.requests.get_queued(id) else {
             return;
         };
         let class = self.site.class_name(entry.class).to_string();
@@ -74,7 +70,7 @@
         if self.idempotency(id) == Some(Idempotency::ByKey) {
             return;
         }
-        if let Some(entry) = self.requests.get(id).filter(|e| e.was_sent()) {
+        if let Some(entry) = self.requests.get_mut(id).filter(|e| e.was_sent()) {
             // If the command is lost, the run ends by itself and its result is dropped.
             let _ = self
                 .peers
@@ -84,7 +80,7 @@
     }
 
     fn reject(&mut self, id: RequestId, retry_after: Span, is_final: bool) {
-        let Some(entry) = self.requests.get(id) else {
+        let Some(entry) = self.requests.get_mut(id) else {
             return;
         };
         let class = self.site.settings.classes.get(entry.class.0);
@@ -101,7 +97,7 @@
     }
 
     fn fail(&mut self, id: RequestId) {
-        let Some(entry) = self.requests.get(id) else {
+        let Some(entry) = self.requests.get_mut(id) else {
             return;
         };
         let failure = match entry.repeats {
--- a/src/node/policy_actor/answers.rs
+++ b/src/node/policy_actor/answers.rs
@@ -24,7 +24,7 @@
         let Some(responder) = self.take_responder(id) else {
             return;
         };
-        if let (Outcome::Failed(failure), Some(entry)) = (&outcome, self.requests.get(id)) {
+        if let (Outcome::Failed(failure), Some(entry)) = (&outcome, self.requests.get_mut(id)) {
             info!(self.log, "request failed"; "uid" => %entry.uid, "class" => entry.class.0,
                 "reason" => failure.reason(), "stage" => entry.stage.name());
         }
@@ -33,7 +33,7 @@
 
     /// Takes the right to answer a request, if it is still there, and counts the request as answered.
     fn take_responder(&mut self, id: RequestId) -> Option<Responder> {
-        let entry = self.requests.get(id)?;
+        let entry = self.requests.get_mut(id)?;
         let responder = entry.responder.take()?;
         entry.answered_at = Some(Instant::now());
         if let Some((fleet, key)) = self.peers.fleet.as_ref().zip(entry.fleet_key) {
@@ -63,7 +63,7 @@
     }
 
     fn remove_unless_sent(&mut self, id: RequestId) {
-        if self.requests.get(id).is_some_and(|e| !e.was_sent()) {
+        if self.requests.get_mut(id).is_some_and(|e| !e.was_sent()) {
             self.remove(id);
         }
     }
@@ -94,11 +94,7 @@
 
     /// Has a queued request share the answer of the one that it repeats.
     pub(super) fn join_repeated(&mut self, id: RequestId) {
-        let Some(entry) = self
-            .requests
-            .get(id)
-            .filter(|e| e.stage == RequestStage::Queued)
-        else {
+        let Some(entry) = self.requests.get_queued(id) else {
             return;
         };
         let Some(original) = entry.repeats else {
--- a/src/node/policy_actor/arrivals.rs
+++ b/src/node/policy_actor/arrivals.rs
@@ -18,7 +18,7 @@
         let lookup = claim.map_or(Lookup::Unknown, |c| {
             self.requests
                 .keys
-                .lookup(c.key, c.payload, Micros(c.arrived_at.0))
+                .lookup(c.key_digest, c.payload_digest, Micros(c.arrived_at.0))
         });
         match self.screen(&arrival, idempotency, lookup) {
             Ok(repeats) => self.enqueue(arrival, idempotency, claim, repeats),
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The digests of a request's idempotency key and payload, where its class is not run as often as one likes.
+    /// The digests of a request's idempotency key and payload; `None` without a key, and in a class that may run repeatedly.
     fn key_claim(&self, arrival: &Arrival, idempotency: Idempotency) -> Option<KeyClaim> {
         let key = arrival.idempotency_key.as_ref()?;
         if idempotency == Idempotency::Idempotent {
@@ -34,8 +34,8 @@
         }
         let digests = &self.requests.digests;
         Some(KeyClaim {
-            key: digests.digest((arrival.class, arrival.tenant, key)),
-            payload: digests.digest(arrival.payload.as_base64()),
+            key_digest: digests.digest((arrival.class, arrival.tenant, key)),
+            payload_digest: digests.digest(arrival.payload.as_base64()),
             arrived_at: arrival.arrived_at,
         })
     }
@@ -112,6 +112,7 @@
         arrival.arrived_at + timeout + settings.answer_slack < unix_now()
     }
 
+    /// Enters a request into the table as queued, and has the policy read it with the next batch.
     fn enqueue(
         &mut self,
         arrival: Arrival,
@@ -120,6 +121,7 @@
         repeats: Option<RequestId>,
     ) {
         let claim = claim.filter(|_| repeats.is_none());
+        let request = policy_request(&arrival, idempotency, repeats);
         let entry = RequestEntry {
             uid: arrival.uid,
             class: arrival.class,
@@ -138,22 +140,10 @@
             self.requests.keys.extend_window(id.0, Micros::NEVER);
         }
         self.status.add_unanswered();
-        let request = Request {
-            id,
-            class: arrival.class,
-            tenant: arrival.tenant,
-            has_key: false,
-            remaining_wait: arrival.caller_timeout,
-            work_hint: None,
-            queued_kb: arrival.queued_kb,
-            is_retry: arrival.is_retry,
-            is_write: idempotency != Idempotency::Idempotent,
-            caller: arrival.caller,
-            age: Span(0),
-            duplicate_of: repeats,
-        };
-        self.pending
-            .push(PendingEvent::Read(request, arrival.arrived_at));
+        self.pending.push(PendingEvent::Read(
+            Request { id, ..request },
+            arrival.arrived_at,
+        ));
     }
 
     /// Counts a request of this tenant in the fleet's counters; the key it is counted under, where there are any.
@@ -168,3 +158,25 @@
         Some(key)
     }
 }
+
+/// The request as the policy reads it. Its id is set when it is entered into the table, its age when the batch runs.
+fn policy_request(
+    arrival: &Arrival,
+    idempotency: Idempotency,
+    repeats: Option<RequestId>,
+) -> Request {
+    Request {
+        id: RequestId(0),
+        class: arrival.class,
+        tenant: arrival.tenant,
+        has_key: false,
+        remaining_wait: arrival.caller_timeout,
+        work_hint: None,
+        queued_kb: arrival.queued_kb,
+        is_retry: arrival.is_retry,
+        is_write: idempotency != Idempotency::Idempotent,
+        caller: arrival.caller,
+        age: Span(0),
+        duplicate_of: repeats,
+    }
+}
--- a/src/node/policy_actor/calls.rs
+++ b/src/node/policy_actor/calls.rs
@@ -15,7 +15,7 @@
         let Some(id) = self.requests.find(uid) else {
             return;
         };
-        if let Some(entry) = self.requests.get(id) {
+        if let Some(entry) = self.requests.get_mut(id) {
             entry.is_unconfirmed = false;
             entry.stage = RequestStage::AwaitingCall { payload, notice };
             self.queue_event(Event::CallRequested(id));
@@ -24,7 +24,7 @@
 
     /// Has the call made that a run waits for; a call that the database's mailbox has no space for counts as never made.
     pub(super) fn start_call(&mut self, id: RequestId, timeout: Span) {
-        let Some(entry) = self.requests.get(id) else {
+        let Some(entry) = self.requests.get_mut(id) else {
             return;
         };
         let RequestStage::AwaitingCall { payload, notice } = &entry.stage else {
@@ -45,7 +45,7 @@
 
     /// Lets a run continue without the call that it waits for.
     pub(super) fn skip_call(&mut self, id: RequestId) {
-        let Some(entry) = self.requests.get(id) else {
+        let Some(entry) = self.requests.get_mut(id) else {
             return;
         };
         let RequestStage::AwaitingCall { notice, .. } = entry.stage else {
@@ -64,7 +64,7 @@
     pub(super) fn call_ended(&mut self, id: RequestId, result: CallResult, elapsed: Duration) {
         let is_calling =
             |entry: &&mut RequestEntry| matches!(entry.stage, RequestStage::Calling { .. });
-        let Some(entry) = self.requests.get(id).filter(is_calling) else {
+        let Some(entry) = self.requests.get_mut(id).filter(is_calling) else {
             return;
         };
         let outcome = match result {
--- a/src/node/policy_actor/mod.rs
+++ b/src/node/policy_actor/mod.rs
@@ -26,7 +26,9 @@
 
 use self::batch::{GaugeReading, PendingEvent};
 use super::request_table::RequestTable;
-use super::{CellGuard, Limits, NodeStatus, Peers, PolicyMessage, RateLimitedLog};
+use super::{
+    longest_deadline, CellGuard, Limits, NodeStatus, Peers, PolicyMessage, RateLimitedLog,
+};
 use crate::wire::Site;
 
 /// What a [`PolicyActor`] is configured with.
@@ -43,7 +45,8 @@
     pub cells: Option<CellGuard>,
 }
 
-/// Runs the policy on real time; see the module's documentation.
+/// Runs the policy on the system's clocks. It owns the request table, performs the policy's actions, and hands it what
+/// clients and peers send as batches of events.
 pub struct PolicyActor {
     site: Arc<Site>,
     seed: u64,
@@ -59,10 +62,11 @@
     requests: RequestTable,
     /// Events for the policy's next batch.
     pending: Vec<PendingEvent>,
-    /// Buffer for the policy's answers to a batch.
+    /// Buffer for the actions that the policy returns for a batch; kept for its memory.
     actions: Vec<Action>,
     /// Wake-ups that the policy asked for.
     wake_ups: BinaryHeap<Reverse<Instant>>,
+    /// The reading of the gauges that the next wake-up waits for.
     gauge_reading: Option<GaugeReading>,
     /// Tag after which all notices sent before a break of the executor's connection have been read.
     reconnect_barrier: Option<u64>,
@@ -87,10 +91,10 @@
     state: RateLimitedLog,
 }
 
-/// Peak values since the last line of the log on the state.
+/// Peak values since the last log line on the state.
 #[derive(Default)]
 struct Peaks {
-    /// Kilobytes that the platform books.
+    /// Kilobytes that the platform counts for all requests.
     booked_kb: f64,
     /// Age of a request when the policy read it.
     age: Span,
@@ -220,7 +224,7 @@
 
     /// How often a request's class allows it to run.
     fn idempotency(&mut self, id: RequestId) -> Option<Idempotency> {
-        let class = self.requests.get(id)?.class;
+        let class = self.requests.get_mut(id)?.class;
         self.site
             .settings
             .classes
@@ -229,16 +233,9 @@
     }
 }
 
-/// How long an attempt can lie unread and still be accepted: no class waits for an answer longer than this.
+/// How long an attempt may wait to be read and still be accepted: no class waits for an answer longer than this.
 fn max_queue_time(site: &Site) -> Span {
-    let longest_deadline = site
-        .settings
-        .classes
-        .iter()
-        .map(|c| c.deadline.0)
-        .max()
-        .unwrap_or(0);
-    Span(longest_deadline + site.settings.answer_slack.0)
+    Span(longest_deadline(site).0 + site.settings.answer_slack.0)
 }
 
 /// A duration as the policy measures it.
--- a/src/node/request_table.rs
+++ b/src/node/request_table.rs
@@ -63,7 +63,7 @@
     pub(super) uid: RequestUid,
     pub(super) class: ClassId,
     pub(super) payload: Payload,
-    /// Kilobytes that the platform books for it while it is queued.
+    /// Kilobytes that the platform counts for it while it is queued.
     pub(super) queued_kb: f64,
     /// The right to answer it, until it is answered.
     pub(super) responder: Option<Responder>,
@@ -103,14 +103,15 @@
 #[derive(Clone, Copy)]
 pub(super) struct KeyClaim {
     /// Digest of the key, its class and its tenant.
-    pub(super) key: u128,
+    pub(super) key_digest: u128,
     /// Digest of the payload.
-    pub(super) payload: u128,
+    pub(super) payload_digest: u128,
     /// When the request arrived.
     pub(super) arrived_at: Time,
 }
 
-/// Digests under seeds of this process: a long key takes no more memory than a short one.
+/// Computes digests of 128 bits with random seeds of this process: a long key takes no more memory than a short one, and
+/// no client can choose keys whose digests collide.
 pub(super) struct Digests(RandomState, RandomState);
 
 impl Digests {
@@ -161,15 +162,19 @@
         let id = RequestId(self.next_id);
         self.next_id += 1;
         if let Some(claim) = claim {
-            self.keys
-                .reserve(claim.key, claim.payload, id.0, Micros(claim.arrived_at.0));
+            self.keys.reserve(
+                claim.key_digest,
+                claim.payload_digest,
+                id.0,
+                Micros(claim.arrived_at.0),
+            );
         }
         self.by_uid.insert(entry.uid, id);
         self.entries.insert(id, entry);
         id
     }
 
-    /// Removes a request that is over; the requests that joined it, if it never ran. The key of one that was ever sent
+    /// Removes a request that is over. Returns the requests that joined it, if it never ran. The key of one that was ever sent
     /// to run stays in the table of keys.
     pub(super) fn remove(&mut self, id: RequestId) -> Vec<RequestId> {
         let Some(entry) = self.entries.remove(&id) else {
@@ -190,10 +195,16 @@
         self.by_uid.get(&uid).copied()
     }
 
-    pub(super) fn get(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
         self.entries.get_mut(&id)
     }
 
+    /// The request, if it has not been sent to run and has joined no other.
+    pub(super) fn get_queued(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
+        self.get_mut(id)
+            .filter(|entry| entry.stage == RequestStage::Queued)
+    }
+
     pub(super) fn counts(&self) -> RequestCounts {
         let sent = self.entries.values().filter(|e| e.was_sent());
         let sent_count = sent.clone().count();
@@ -205,7 +216,7 @@
         }
     }
 
-    /// Kilobytes that the platform books for all requests; a running request takes `run_factor` times what it takes while
+    /// Kilobytes that the platform counts for all requests; a running request takes `run_factor` times what it takes while
     /// queued.
     pub(super) fn booked_kb(&self, run_factor: f64) -> f64 {
         self.entries
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -21,11 +21,13 @@
     resource_shares: AtomicU32,
     used_shares: AtomicU32,
     process_state: Mutex<ProcessState>,
-    executor_ready: (Sender<()>, Receiver<()>),
+    executor_ready_sender: Sender<()>,
+    executor_ready: Receiver<()>,
 }
 
 impl Default for NodeStatus {
     fn default() -> NodeStatus {
+        let (executor_ready_sender, executor_ready) = bounded(1);
         NodeStatus {
             is_accepting: AtomicBool::new(false),
             capacity_hint: AtomicU64::new(f64::NAN.to_bits()),
@@ -34,7 +36,8 @@
             resource_shares: AtomicU32::new(TOTAL_SHARES),
             used_shares: AtomicU32::new(0),
             process_state: Mutex::default(),
-            executor_ready: bounded(1),
+            executor_ready_sender,
+            executor_ready,
         }
     }
 }
@@ -45,7 +48,7 @@
         self.is_accepting.load(Relaxed) && self.process_state().is_healthy()
     }
 
-    /// The capacity hint to callers, once the policy has set one.
+    /// How much of the usual traffic the node wants, as it tells callers; `None` until the policy has set it.
     pub fn capacity_hint(&self) -> Option<f64> {
         let hint = f64::from_bits(self.capacity_hint.load(Relaxed));
         (hint.is_finite() && hint >= 0.0).then_some(hint)
@@ -109,12 +112,12 @@
 
     /// Receives one message as soon as the executor is connected and requests can be accepted.
     pub fn executor_ready(&self) -> &Receiver<()> {
-        &self.executor_ready.1
+        &self.executor_ready
     }
 
     pub(super) fn notify_executor_ready(&self) {
         // If one is already waiting, a second adds nothing.
-        let _ = self.executor_ready.0.try_send(());
+        let _ = self.executor_ready_sender.try_send(());
     }
 
     pub(super) fn set_accepting(&self, is_accepting: bool) {
