--- /dev/null
+++ b/tests/common/membership_scenarios.rs
@@ -0,0 +1,258 @@
+//! Fault scenarios of the fleet's membership, for any number of nodes and any protocol period. Each returns how long the
+//! fleet took to settle after the last fault.
+#![allow(dead_code)]
+
+use std::collections::BTreeSet;
+use std::time::{Duration, Instant};
+
+use fault_testbed::{Plan, Rig};
+use membership::{Liveness, MemberRecord};
+use serde_json::json;
+
+use crate::testbed::{node_names, start_nodes, SETTLE_TIMEOUT};
+
+/// Starts nodes at once that have not met yet. `is_open` leaves out the testbed's proxy before them.
+pub(crate) fn start_unsettled(count: usize, period_ms: u64, seeds: &[&str], is_open: bool) -> Rig {
+    let mut rig = Rig::new(7).expect("sockets");
+    for number in 0..count {
+        rig.plan(Plan {
+            fleet: format!("period_ms: {period_ms},"),
+            open: is_open,
+            ..Plan::node(number)
+        })
+        .expect("sockets");
+    }
+    rig.seeds(seeds);
+    let all = rig.names();
+    start_nodes(&mut rig, &all);
+    rig
+}
+
+/// Starts nodes with two seeds and waits until they agree on who is there.
+pub(crate) fn start_fleet(count: usize, period_ms: u64) -> Rig {
+    let rig = start_unsettled(count, period_ms, &["n0", "n1"], false);
+    rig.settle(SETTLE_TIMEOUT);
+    rig
+}
+
+/// What a member says about the partition that it is in.
+pub(crate) fn partition_status(rig: &Rig, name: &str) -> String {
+    rig.told(name).map_or("silent".into(), |reply| {
+        reply.summary.partition_status.to_string()
+    })
+}
+
+/// Whether this member holds the other one as present.
+fn holds_as_present(rig: &Rig, observer: &str, member: &str) -> Option<bool> {
+    let reply = rig.told(observer)?;
+    Some(
+        reply
+            .members
+            .iter()
+            .any(|record| &*record.name == member && record.state.is_present()),
+    )
+}
+
+/// Whether all other running members answer and hold none of these as present.
+fn are_given_up(rig: &Rig, members: &[String]) -> bool {
+    rig.names()
+        .iter()
+        .filter(|name| rig.runs(name) && !members.contains(name))
+        .all(|observer| {
+            members
+                .iter()
+                .all(|member| holds_as_present(rig, observer, member) == Some(false))
+        })
+}
+
+/// The members that any of these observers holds as dead.
+fn held_as_dead(rig: &Rig, observers: &[String]) -> BTreeSet<String> {
+    let members = |name: &String| rig.told(name).map_or(vec![], |reply| reply.members);
+    let records: Vec<MemberRecord> = observers
+        .iter()
+        .filter(|name| rig.runs(name))
+        .flat_map(members)
+        .collect();
+    records
+        .iter()
+        .filter(|record| record.state.liveness == Liveness::Dead)
+        .map(|record| record.name.to_string())
+        .collect()
+}
+
+/// The members that any running member holds as dead.
+fn held_as_dead_by_anyone(rig: &Rig) -> BTreeSet<String> {
+    held_as_dead(rig, &rig.names())
+}
+
+/// A fleet starts while one of its two seeds is down.
+pub(crate) fn start_with_a_seed_down(count: usize, period_ms: u64) -> Duration {
+    start_unsettled(count, period_ms, &["n0", "nobody"], false).settle(SETTLE_TIMEOUT)
+}
+
+/// A third of the nodes is killed.
+pub(crate) fn kill_a_third(count: usize, period_ms: u64) -> Duration {
+    let mut rig = start_fleet(count, period_ms);
+    for name in node_names((0..count).filter(|n| n % 3 == 2)) {
+        rig.kill(&name);
+    }
+    rig.settle(SETTLE_TIMEOUT)
+}
+
+/// The fleet is partitioned until each side has given up the others, then the partition heals.
+pub(crate) fn partition_and_heal(
+    count: usize,
+    period_ms: u64,
+    side_of: impl Fn(usize) -> usize,
+    side_count: usize,
+) -> Duration {
+    let mut rig = start_fleet(count, period_ms);
+    let sides: Vec<Vec<String>> = (0..side_count)
+        .map(|side| node_names((0..count).filter(|n| side_of(*n) == side)))
+        .collect();
+    rig.partition(&sides);
+    // An isolated member knows that it is long before it has given up each of the others.
+    match sides.iter().find(|side| side.len() == 1) {
+        Some(isolated) => {
+            rig.wait("it is given up", SETTLE_TIMEOUT, |rig| {
+                are_given_up(rig, isolated) && partition_status(rig, &isolated[0]) == "alone"
+            })
+            .expect("it is given up, and knows");
+        }
+        None => {
+            rig.settle(SETTLE_TIMEOUT);
+        }
+    }
+    for side in &sides {
+        let expected_status = if side.len() == 1 {
+            "alone"
+        } else if side.len() * 2 > count {
+            "whole"
+        } else {
+            "part"
+        };
+        assert_eq!(
+            partition_status(&rig, &side[0]),
+            expected_status,
+            "{side:?}"
+        );
+    }
+    rig.heal();
+    let took = rig.settle(SETTLE_TIMEOUT);
+    assert_eq!(partition_status(&rig, "n0"), "whole");
+    took
+}
+
+/// One node receives nothing from the others, or they receive nothing from it, then the links heal.
+pub(crate) fn silence_one_way(count: usize, period_ms: u64, is_deaf: bool) -> Duration {
+    let mut rig = start_fleet(count, period_ms);
+    let silenced = node_names([1]);
+    let others = node_names((0..count).filter(|n| *n != 1));
+    if is_deaf {
+        rig.silence(&others, &silenced);
+    } else {
+        rig.silence(&silenced, &others);
+    }
+    rig.wait("it is given up", SETTLE_TIMEOUT, |rig| {
+        are_given_up(rig, &silenced)
+    })
+    .expect("it is given up");
+    if is_deaf {
+        rig.wait("it knows that it is isolated", SETTLE_TIMEOUT, |rig| {
+            partition_status(rig, "n1") == "alone"
+        })
+        .expect("it receives nothing");
+    }
+    assert_eq!(
+        held_as_dead(&rig, &others),
+        BTreeSet::from(["n1".to_string()]),
+        "nobody else is given up"
+    );
+    rig.heal();
+    rig.settle(SETTLE_TIMEOUT)
+}
+
+/// Nodes on both sides of a partition are replaced before it heals.
+pub(crate) fn replace_nodes_while_partitioned(count: usize, period_ms: u64) -> Duration {
+    let mut rig = start_fleet(count, period_ms);
+    rig.partition(&[
+        node_names((0..count).filter(|n| n % 2 == 0)),
+        node_names((0..count).filter(|n| n % 2 == 1)),
+    ]);
+    rig.settle(SETTLE_TIMEOUT);
+    for name in node_names(2..4) {
+        rig.kill(&name);
+        rig.start(&name);
+        rig.up(&[&name]);
+    }
+    rig.settle(SETTLE_TIMEOUT);
+    rig.heal();
+    rig.settle(SETTLE_TIMEOUT)
+}
+
+/// A fifth of the datagrams is lost and the others are delayed for this long; nobody may be given up.
+pub(crate) fn lose_a_fifth(count: usize, period_ms: u64, duration: Duration) {
+    let mut rig = start_fleet(count, period_ms);
+    rig.weather(json!("a fifth lost, up to 20 ms"), |link| {
+        link.loss = 0.2;
+        link.double = 0.05;
+        link.delay = (Duration::from_millis(1), Duration::from_millis(20));
+    });
+    let end = Instant::now() + duration;
+    while Instant::now() < end {
+        assert_eq!(held_as_dead_by_anyone(&rig), BTreeSet::new());
+    }
+    rig.heal();
+    rig.settle(SETTLE_TIMEOUT);
+}
+
+/// A process is stopped until it is given up, and resumes; it may suspect nobody for what it missed.
+pub(crate) fn stop_and_resume(count: usize, period_ms: u64) -> Duration {
+    let mut rig = start_fleet(count, period_ms);
+    rig.stop("n1");
+    rig.wait("it is given up", SETTLE_TIMEOUT, |rig| {
+        node_names((0..count).filter(|n| *n != 1))
+            .iter()
+            .all(|observer| holds_as_present(rig, observer, "n1") == Some(false))
+    })
+    .expect("it is given up");
+    rig.resume("n1");
+    let took = rig.settle(SETTLE_TIMEOUT);
+    assert_eq!(held_as_dead_by_anyone(&rig), BTreeSet::new());
+    took
+}
+
+/// A node is killed and starts again under its name, as a later incarnation.
+pub(crate) fn restart_one(count: usize, period_ms: u64) -> Duration {
+    let mut rig = start_fleet(count, period_ms);
+    let reply = rig.told("n1").expect("it answers");
+    let incarnation = reply.responder.state.incarnation;
+    rig.kill("n1");
+    rig.start("n1");
+    rig.up(&["n1"]);
+    let took = rig.settle(SETTLE_TIMEOUT);
+    let held = rig
+        .told("n0")
+        .expect("it answers")
+        .members
+        .into_iter()
+        .find(|record| &*record.name == "n1");
+    assert!(held.is_some_and(|record| record.state.incarnation > incarnation));
+    took
+}
+
+/// All nodes are ended and started again, one after the other.
+pub(crate) fn restart_all_in_turn(count: usize, period_ms: u64) -> Duration {
+    let mut rig = start_fleet(count, period_ms);
+    for name in rig.names() {
+        rig.end(&name);
+        rig.start(&name);
+        rig.up(&[&name]);
+        rig.wait("it is back", SETTLE_TIMEOUT, |rig| {
+            rig.told(&name)
+                .is_some_and(|reply| reply.summary.present == count as u32)
+        })
+        .expect("it is back");
+    }
+    rig.settle(SETTLE_TIMEOUT)
+}
--- /dev/null
+++ b/tests/fleet_membership_cost.rs
@@ -0,0 +1,94 @@
+//! A measurement of what membership costs a node in a fleet of 256. It runs only when asked.
+
+use std::net::SocketAddr;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use fleet_runtime::{spawn_fleet_actor, Config, FleetHandle, LocalMember};
+use membership::AdvertisedStatus;
+use slog::{o, Discard, Logger};
+use test_doubles::{until, Node, Scratch};
+
+/// The stack of each member's thread, in bytes.
+const STACK_SIZE: usize = 160 * 1024;
+
+/// Starts a member on a socket of this process.
+fn start_member(number: usize, seed: SocketAddr, log: &Logger) -> FleetHandle {
+    let site = number % 3;
+    let text = format!(
+        "{{ version: 1, fleet: 'rig', site: 's{site}', listen: '127.0.0.1:0', seeds: ['{seed}'] }}"
+    );
+    let config = Config::parse("f", &text).expect("it can be used");
+    let member = LocalMember {
+        name: format!("v{number}").into(),
+        client_address: None,
+        shared_counters: None,
+    };
+    let handle =
+        spawn_fleet_actor(config, member, STACK_SIZE, Box::new(|| {}), log).expect("a socket");
+    handle.set_status(AdvertisedStatus::Up);
+    handle
+}
+
+/// The latencies of 20,000 requests in µs, sorted.
+fn measure_latencies_us(node: &Node) -> Vec<u128> {
+    let mut front = node.front();
+    let mut latencies_us: Vec<u128> = (0..20_000)
+        .map(|_| {
+            let sent_at = Instant::now();
+            front.ask("statement-read", "serve:cost");
+            sent_at.elapsed().as_micros()
+        })
+        .collect();
+    latencies_us.sort_unstable();
+    latencies_us
+}
+
+/// Prints a row with the processor time at rest over 20 s, memory, threads, and latencies of a node.
+fn report_cost(label: &str, node: &Node) {
+    thread::sleep(Duration::from_secs(10));
+    let started_at = Instant::now();
+    let before = node.usage();
+    thread::sleep(Duration::from_secs(20));
+    let elapsed = started_at.elapsed();
+    let after = node.usage();
+    let processor_percent =
+        (after.processor_ms - before.processor_ms) as f64 / elapsed.as_secs_f64() / 10.0;
+    let latencies_us = measure_latencies_us(node);
+    println!(
+        "| {label} | {processor_percent:.2} | {:.1} | {} | {}, {} |",
+        after.resident_kb as f64 / 1024.0,
+        after.threads,
+        latencies_us[latencies_us.len() / 2],
+        latencies_us[latencies_us.len() * 99 / 100]
+    );
+}
+
+/// 255 members on sockets of this process, and a node with and without membership of its own.
+#[test]
+#[ignore = "a measurement"]
+fn measure_membership_in_a_fleet_of_256() {
+    let log = Logger::root(Discard, o!());
+    let first = start_member(0, ([127, 0, 0, 1], 9).into(), &log);
+    let members: Vec<FleetHandle> = (1..255)
+        .map(|number| start_member(number, first.address, &log))
+        .collect();
+    let fleet_file = Scratch::new(
+        "own.json5",
+        &format!(
+            "{{ version: 1, fleet: 'rig', site: 's', listen: '127.0.0.1:0', seeds: ['{}'] }}",
+            first.address
+        ),
+    );
+    println!("| | CPU at rest, % of a core | resident MB | threads | answer, µs: median, 99th |");
+    for round in 0..2 {
+        report_cost(&format!("{round}, without"), &Node::start());
+        let node = Node::start_in(&fleet_file);
+        until("all see it", || {
+            members
+                .iter()
+                .all(|member| member.snapshot().present == 256)
+        });
+        report_cost(&format!("{round}, with"), &node);
+    }
+}
--- /dev/null
+++ b/tests/fleet_router.rs
@@ -0,0 +1,203 @@
+//! The router as a member of the fleet: it uses the nodes that membership shows, and goes on without membership.
+
+#[path = "common/membership_scenarios.rs"]
+mod membership_scenarios;
+#[path = "common/testbed.rs"]
+mod testbed;
+
+use std::cell::Cell;
+use std::path::Path;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use fault_testbed::script::Script;
+use fault_testbed::{Plan, Rig};
+use membership::AdvertisedStatus;
+use membership_scenarios::partition_status;
+use serde_json::json;
+use test_doubles::until;
+use testbed::{as_strs, node_names, plan_nodes, SETTLE_TIMEOUT};
+
+/// Starts nodes and a router in front of them, and waits until the router uses all nodes.
+fn start_fleet_with_router(count: usize, uses_membership: bool) -> Rig {
+    let mut rig = Rig::new(11).expect("sockets");
+    plan_nodes(&mut rig, 0..count, "period_ms: 200,");
+    rig.seeds(&["n0"]);
+    rig.plan(Plan {
+        name: "r0".into(),
+        site: "milano-lambrate".into(),
+        fleet: "period_ms: 200,".into(),
+        open: false,
+    })
+    .expect("sockets");
+    let nodes = node_names(0..count);
+    for name in &nodes {
+        rig.start(name);
+    }
+    rig.start_router("r0", uses_membership);
+    rig.up(&as_strs(&nodes));
+    rig.up(&["r0"]);
+    rig.settle(SETTLE_TIMEOUT);
+    let mut front = rig.front("r0");
+    until("the router has all nodes", || {
+        let body = format!("serve:{:?}", Instant::now());
+        front.ask("statement-read", &body);
+        nodes.iter().all(|n| rig.executor(n).all_runs() > 0)
+    });
+    rig
+}
+
+/// A request to the router and its end.
+struct SentRequest {
+    sent_at: Instant,
+    took: Duration,
+    is_served: bool,
+    body: String,
+}
+
+/// Sends one request after the other to the router for this long.
+fn send_requests_for(rig: &Rig, duration: Duration) -> Vec<SentRequest> {
+    let mut front = rig.front("r0");
+    let end = Instant::now() + duration;
+    let mut requests = Vec::new();
+    while Instant::now() < end {
+        let sent_at = Instant::now();
+        let body = format!("serve:{}", requests.len());
+        let answer = front.ask("statement-read", &body);
+        requests.push(SentRequest {
+            sent_at,
+            took: sent_at.elapsed(),
+            is_served: answer["result"].is_object(),
+            body,
+        });
+        thread::sleep(Duration::from_millis(1));
+    }
+    requests
+}
+
+#[test]
+fn router_uses_the_nodes_of_the_membership_view() {
+    let mut rig = start_fleet_with_router(3, true);
+    // A quiesced node gets no request once the router has the update.
+    assert_eq!(rig.call("n1", "quiesce"), "ok quiesced");
+    let update = rig.wait("the router has the update", SETTLE_TIMEOUT, |rig| {
+        rig.told("r0").is_some_and(|reply| {
+            reply
+                .members
+                .iter()
+                .any(|r| &*r.name == "n1" && r.state.status == AdvertisedStatus::Quiesced)
+        })
+    });
+    update.expect("it has");
+    thread::sleep(Duration::from_millis(50));
+    let before = rig.executor("n1").all_runs();
+    assert!(send_requests_for(&rig, Duration::from_millis(500))
+        .iter()
+        .all(|request| request.is_served));
+    assert_eq!(rig.executor("n1").all_runs(), before);
+    assert_eq!(rig.call("n1", "resume"), "ok serving");
+    until("it gets requests again", || {
+        send_requests_for(&rig, Duration::from_millis(50));
+        rig.executor("n1").all_runs() > before
+    });
+    // A killed node costs no read: another node serves it.
+    rig.kill("n2");
+    let asked = send_requests_for(&rig, Duration::from_secs(2));
+    assert!(
+        asked.len() > 20 && asked.iter().all(|request| request.is_served),
+        "{} asked",
+        asked.len()
+    );
+}
+
+/// A router that receives nothing of the fleet goes on with the nodes that it knew, and finds their state by health checks.
+#[test]
+fn isolated_router_serves_on_with_the_nodes_it_knows() {
+    let mut rig = start_fleet_with_router(3, true);
+    rig.weather(json!("all datagrams lost"), |link| link.loss = 1.0);
+    let mut served = Vec::new();
+    until("the router knows that it is isolated", || {
+        served.extend(send_requests_for(&rig, Duration::from_millis(100)));
+        partition_status(&rig, "r0") == "alone"
+    });
+    served.extend(send_requests_for(&rig, Duration::from_secs(1)));
+    assert!(
+        served.iter().all(|request| request.is_served),
+        "of {} not all were served",
+        served.len()
+    );
+    assert_eq!(rig.call("n1", "quiesce"), "ok quiesced");
+    let before = Cell::new(rig.executor("n1").all_runs());
+    until("a check finds that one is quiesced", || {
+        send_requests_for(&rig, Duration::from_millis(100));
+        before.replace(rig.executor("n1").all_runs()) == rig.executor("n1").all_runs()
+    });
+    rig.heal();
+    rig.settle(SETTLE_TIMEOUT);
+    assert_eq!(partition_status(&rig, "r0"), "whole");
+}
+
+#[test]
+#[ignore = "a measurement"]
+fn measure_from_quiesce_and_kill_to_the_last_request_routed_there() {
+    println!("| router | quiesce to last there, ms: median, worst | kill to last not served or over 50 ms late, ms: median, worst |");
+    for uses_membership in [true, false] {
+        let (mut quiesced, mut killed) = (Vec::new(), Vec::new());
+        for _ in 0..10 {
+            let mut rig = start_fleet_with_router(4, uses_membership);
+            let from = Instant::now();
+            assert_eq!(rig.call("n1", "quiesce"), "ok quiesced");
+            let asked = send_requests_for(&rig, Duration::from_millis(800));
+            let routed_there = asked
+                .iter()
+                .filter(|request| rig.executor("n1").runs(&request.body) > 0);
+            quiesced.push(
+                routed_there
+                    .map(|request| request.sent_at.duration_since(from).as_millis())
+                    .max()
+                    .unwrap_or(0),
+            );
+            let from = Instant::now();
+            rig.kill("n2");
+            let asked = send_requests_for(&rig, Duration::from_secs(4));
+            let harmed = asked
+                .iter()
+                .filter(|request| !request.is_served || request.took.as_millis() > 50);
+            killed.push(
+                harmed
+                    .map(|request| request.sent_at.duration_since(from).as_millis())
+                    .max()
+                    .unwrap_or(0),
+            );
+        }
+        quiesced.sort_unstable();
+        killed.sort_unstable();
+        let name = if uses_membership {
+            "by the view"
+        } else {
+            "by asking, as before"
+        };
+        println!(
+            "| {name} | {}, {} | {}, {} |",
+            quiesced[5], quiesced[9], killed[5], killed[9]
+        );
+    }
+}
+
+/// The scenario in the deploy folder that cuts and stalls streams: cut ones cost nobody an answer, and a node whose streams
+/// stall costs a few until the router ejects it, although membership holds it as up all the time.
+#[test]
+fn scenario_from_a_file_cuts_and_stalls_streams() {
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/plays/streams.json5");
+    let scenario = Script::read(&file).expect("it can be used");
+    let rig = scenario.play(false).unwrap_or_else(|e| panic!("{e}"));
+    let timeline = rig.timeline();
+    for event in ["\"cut\"", "\"stall\"", "\"served\""] {
+        assert!(timeline.contains(event), "{event} is missing: {timeline}");
+    }
+    let text = std::fs::read_to_string(&file)
+        .expect("readable")
+        .replace("router: true", "router: false");
+    let error = Script::parse("play", &text).expect_err("nobody to ask");
+    assert!(error.to_string().contains("steps[2]"), "{error}");
+}
