--- a/src/actors.rs
+++ b/src/actors.rs
@@ -6,7 +6,7 @@
 use crossbeam_channel::{bounded, Receiver, Sender};
 use fleet_runtime as fleet;
 use protocol_gateway::amqp::Amqp;
-use protocol_gateway::inventory::Queue;
+use protocol_gateway::inventory::BrokerQueue;
 use protocol_gateway::net::jsonrpc::JsonRpcServer;
 use protocol_gateway::net::{database, door, executor, membership, spawn, Address};
 use protocol_gateway::node::config::Config;
@@ -53,7 +53,7 @@
     pub(crate) fn start(
         context: &ActorContext<'_>,
         fleet: FleetLinks,
-        queues: Vec<Queue>,
+        queues: Vec<BrokerQueue>,
         cells: Option<CellGuard>,
         admin_listener: Option<TcpListener>,
     ) -> Result<Actors, StartError> {
@@ -241,7 +241,7 @@
     }
 
     /// Starts the consumers of AMQP queues.
-    fn start_amqp(&self, queues: Vec<Queue>) -> Result<Amqp, StartError> {
+    fn start_amqp(&self, queues: Vec<BrokerQueue>) -> Result<Amqp, StartError> {
         let site = self.config.site.clone();
         let log = self.log_for("amqp");
         Amqp::start(
--- a/src/amqp/connection.rs
+++ b/src/amqp/connection.rs
@@ -16,7 +16,7 @@
 
 use super::consumer::{Consumer, Delivery, Settings, State, Step};
 use super::{codec, Shared};
-use crate::inventory::Queue;
+use crate::inventory::BrokerQueue;
 use crate::net::{spawn, Backoff};
 use crate::node::{
     unix_now, Answer, Arrival, CellKey, Payload, PolicyMessage, RequestUid, Responder,
@@ -50,7 +50,7 @@
 
 pub(crate) struct Connection {
     number: u64,
-    queues: Vec<Queue>,
+    queues: Vec<BrokerQueue>,
     shared: Arc<Shared>,
     mailbox: Sender<ToConnection>,
     inbox: Receiver<ToConnection>,
@@ -81,7 +81,7 @@
 impl Connection {
     pub(super) fn new(
         number: u64,
-        queues: Vec<Queue>,
+        queues: Vec<BrokerQueue>,
         shared: Arc<Shared>,
         (mailbox, inbox): (Sender<ToConnection>, Receiver<ToConnection>),
         log: Logger,
@@ -265,11 +265,11 @@
 
     fn serve(&mut self, link: &Link) -> Result<(), Ended> {
         let mut steps = Vec::new();
-        let settings = |(at, queue): (usize, &Queue)| Settings {
+        let settings = |(at, queue): (usize, &BrokerQueue)| Settings {
             channel: at as u16 + 1,
-            queue: ShortString::try_new(queue.queue.as_str()).unwrap_or_default(),
+            queue: ShortString::try_new(queue.name.as_str()).unwrap_or_default(),
             prefetch: queue.prefetch,
-            once: queue.once,
+            once: !queue.is_idempotent,
             body: self.shared.limits.amqp.message_bytes,
             frame: link.frame,
         };
@@ -346,7 +346,7 @@
                 Step::Send(frame) => frames.push(*frame),
                 Step::Deliver(delivery) => self.deliver(link, at, delivery)?,
                 Step::Malformed(why) => {
-                    let queue = &self.queues[at].queue;
+                    let queue = &self.queues[at].name;
                     warn!(self.log, "message rejected"; "why" => why, "queue" => queue);
                 }
                 Step::Gone(why) => gone = Some(why),
@@ -391,7 +391,7 @@
             caller_timeout: None,
             caller: CallerId(FIRST_CALLER + (self.number << 16) + at as u64),
             is_retry: delivery.redelivered,
-            queued_kb: queue.held_kb,
+            queued_kb: queue.queued_kb,
             payload: Payload::from_bytes(&delivery.body),
             idempotency_key: delivery.message_id.map(String::into_boxed_str),
             may_have_run: delivery.redelivered,
--- a/src/amqp/mod.rs
+++ b/src/amqp/mod.rs
@@ -14,7 +14,7 @@
 use crossbeam_channel::{bounded, Sender};
 use slog::{o, Logger};
 
-use crate::inventory::Queue;
+use crate::inventory::BrokerQueue;
 use crate::net::spawn;
 use crate::node::{Limits, NodeStatus, PolicyMessage};
 use crate::wire::Site;
@@ -44,14 +44,14 @@
 impl Amqp {
     /// Starts a connection for each broker, virtual host and user that the inventory names.
     pub fn start(
-        queues: Vec<Queue>,
+        queues: Vec<BrokerQueue>,
         (site, seed): (Arc<Site>, u64),
         limits: &Limits,
         node_status: &Arc<NodeStatus>,
         policy: &Sender<PolicyMessage>,
         log: &Logger,
     ) -> io::Result<Amqp> {
-        let mut groups: BTreeMap<_, Vec<Queue>> = BTreeMap::new();
+        let mut groups: BTreeMap<_, Vec<BrokerQueue>> = BTreeMap::new();
         for q in queues {
             let broker = (
                 q.host.clone(),
--- /dev/null
+++ b/src/inventory/mod.rs
@@ -0,0 +1,88 @@
+//! The inventory: the file that lists the broker queues which the node consumes from.
+//!
+//! It has the form that configuration tools use: YAML with groups, hosts and variables, or CSV with a header row.
+//! Each host or row describes one queue. Variables that the node does not know are ignored, so that one inventory
+//! can serve several tools; a variable that is missing, invalid or duplicated is an [`InventoryError`] with its
+//! file, line and field.
+
+mod csv;
+mod error;
+mod queue;
+mod record;
+mod validation;
+mod yaml;
+
+use std::collections::HashSet;
+use std::fs;
+use std::path::Path;
+
+pub use error::{InventoryError, InventoryProblem, Location};
+pub use queue::BrokerQueue;
+
+use self::error::ContentError;
+use self::record::{Record, RecordReader};
+use self::validation::RecordValidator;
+use crate::node::Limits;
+use crate::wire::Site;
+
+/// Reads the inventory at `path` and checks it against the classes and tenants of `site` and against `limits`.
+///
+/// `env` looks up the environment variables that hold the brokers' passwords.
+///
+/// # Errors
+///
+/// The first problem of the file, in the order of its records.
+pub fn read(
+    path: &Path,
+    site: &Site,
+    limits: &Limits,
+    env: impl Fn(&str) -> Option<String>,
+) -> Result<Vec<BrokerQueue>, InventoryError> {
+    let validator = RecordValidator { site, limits, env };
+    read_records(path)
+        .and_then(|records| validate_records(&records, &validator))
+        .map_err(|error| error.in_file(path))
+}
+
+/// Reads the records of a file, whose extension tells its format.
+fn read_records(path: &Path) -> Result<Vec<Record>, ContentError> {
+    let text = fs::read_to_string(path)
+        .map_err(|error| ContentError::in_whole_file(InventoryProblem::Unreadable(error)))?;
+    let reader = reader_for(path)
+        .ok_or_else(|| ContentError::in_whole_file(InventoryProblem::UnknownExtension))?;
+    let records = reader(&text)?;
+    if records.is_empty() {
+        return Err(ContentError::in_whole_file(InventoryProblem::Empty));
+    }
+    Ok(records)
+}
+
+/// The reader for the format that the file's extension names.
+fn reader_for(path: &Path) -> Option<RecordReader> {
+    let extension = path.extension()?.to_str()?.to_ascii_lowercase();
+    match extension.as_str() {
+        "csv" => Some(csv::read_records),
+        "yaml" | "yml" => Some(yaml::read_records),
+        _ => None,
+    }
+}
+
+/// Turns each record into a queue. No two records may describe the same queue of the same broker.
+fn validate_records<Env>(
+    records: &[Record],
+    validator: &RecordValidator<'_, Env>,
+) -> Result<Vec<BrokerQueue>, ContentError>
+where
+    Env: Fn(&str) -> Option<String>,
+{
+    let mut identities = HashSet::new();
+    let mut queues = Vec::with_capacity(records.len());
+    for record in records {
+        let queue = validator.validate(record)?;
+        if !identities.insert(queue.identity()) {
+            return Err(record.error("queue", InventoryProblem::Duplicate));
+        }
+        queues.push(queue);
+    }
+    Ok(queues)
+}
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -6,7 +6,7 @@
 use fleet_runtime as fleet;
 use protocol_gateway::fleet_membership::{FleetMembership, FleetMembershipOptions};
 use protocol_gateway::instance_lock::{InstanceLock, ResourceShareLocks};
-use protocol_gateway::inventory::{self, InventoryError, Queue};
+use protocol_gateway::inventory::{self, BrokerQueue, InventoryError};
 use protocol_gateway::net::take_address;
 use protocol_gateway::node::cell_guard::CellGuardError;
 use protocol_gateway::node::config::{Config, ConfigError};
@@ -63,7 +63,7 @@
 struct NodeFiles {
     config: Config,
     fleet: Option<fleet::Config>,
-    queues: Vec<Queue>,
+    queues: Vec<BrokerQueue>,
     cells: Option<CellGuard>,
     limits: Limits,
 }
--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -1,4 +1,4 @@
-//! Inventories as configuration tools keep them: what is read, and what stops the start.
+//! Inventories in YAML and CSV: what is read from them, and which errors stop the start of a node.
 
 mod doubles;
 
@@ -6,7 +6,7 @@
 use std::process::Command;
 
 use doubles::{command, config, settings, Scratch};
-use protocol_gateway::inventory::{read, InventoryError, Queue};
+use protocol_gateway::inventory::{read, BrokerQueue, InventoryError};
 use protocol_gateway::node::Limits;
 use protocol_gateway::wire::Site;
 
@@ -14,7 +14,7 @@
     (name == "PW").then(|| "secret".into())
 }
 
-fn load(name: &str, text: &str) -> Result<Vec<Queue>, InventoryError> {
+fn load(name: &str, text: &str) -> Result<Vec<BrokerQueue>, InventoryError> {
     let site = Site::from_json(&settings()).expect("settings");
     read(&Scratch::new(name, text).0, &site, &Limits::new(1024), env)
 }
@@ -46,22 +46,22 @@
 ";
 
 #[test]
-fn yaml_groups_hosts_and_vars() {
+fn yaml_groups_hosts_and_vars_become_queues() {
     let queues = load("i.yaml", YAML).expect("an inventory");
-    let of: Vec<_> = queues
+    let addresses: Vec<_> = queues
         .iter()
         .map(|q| {
             (
                 q.host.as_str(),
                 q.port,
                 q.vhost.as_str(),
-                q.queue.as_str(),
+                q.name.as_str(),
                 q.prefetch,
             )
         })
         .collect();
     assert_eq!(
-        of,
+        addresses,
         [
             ("127.0.0.2", 5673, "billing", "posts", 2),
             ("127.0.0.3", 5672, "/", "reads", 16),
@@ -69,8 +69,8 @@
         ]
     );
     assert_eq!(
-        queues.iter().map(|q| q.once).collect::<Vec<_>>(),
-        [true, false, false]
+        queues.iter().map(|q| q.is_idempotent).collect::<Vec<_>>(),
+        [false, true, true]
     );
     assert_eq!(queues[1].tenant.as_deref(), Some("alpenergia"));
     assert!(queues
@@ -80,129 +80,145 @@
 }
 
 #[test]
-fn csv_rows() {
+fn csv_rows_become_queues() {
     let text = "queue,class,host,username,password_env,prefetch,tenant,colour\n\
                 # the near one\n\
                 reads,statement-read,127.0.0.3,guest,PW,16,alpenergia,blue\n\
                 posts, settlement-post ,127.0.0.2,guest,PW,2,,\n";
     let queues = load("i.csv", text).expect("an inventory");
     assert_eq!(queues.len(), 2);
+    assert_eq!((queues[0].name.as_str(), queues[0].prefetch), ("reads", 16));
     assert_eq!(
-        (queues[0].queue.as_str(), queues[0].prefetch),
-        ("reads", 16)
-    );
-    assert_eq!(
-        (queues[1].once, queues[1].tenant.as_deref(), queues[1].port),
-        (true, None, 5672)
+        (
+            queues[1].is_idempotent,
+            queues[1].tenant.as_deref(),
+            queues[1].port
+        ),
+        (false, None, 5672)
     );
 }
 
-/// Every fault names the line and the field.
+/// Each error names the line and the field.
 #[test]
-fn faults_name_the_line_and_the_field() {
-    let swap = |from: &str, to: &str| {
+fn errors_name_the_line_and_the_field() {
+    let with_replaced = |from: &str, to: &str| {
         assert!(YAML.contains(from));
         load("i.yaml", &YAML.replacen(from, to, 1))
-            .expect_err("a fault")
+            .expect_err("an error")
             .to_string()
     };
     let head = "queue,class,host,username,password_env,prefetch\n";
-    let row = |row: &str| {
+    let with_row = |row: &str| {
         load("i.csv", &format!("{head}{row}\n"))
-            .expect_err("a fault")
+            .expect_err("an error")
             .to_string()
     };
     let cases = [
-        (swap("          queue: posts\n", ""), ":12: queue: missing"),
-        (swap("username: guest\n    ", ""), ": username: missing"),
         (
-            swap("port: 5673", "port: 70000"),
+            with_replaced("          queue: posts\n", ""),
+            ":12: queue: missing",
+        ),
+        (
+            with_replaced("username: guest\n    ", ""),
+            ": username: missing",
+        ),
+        (
+            with_replaced("port: 5673", "port: 70000"),
             ":14: port: not a number from 1 to 65535",
         ),
         (
-            swap("'16'", "0"),
+            with_replaced("'16'", "0"),
             ":22: prefetch: not a number from 1 to 65535",
         ),
-        (swap("'16'", "2000"), ":22: prefetch: more than 1024"),
         (
-            swap("class: settlement-post", "class: nonsense"),
+            with_replaced("'16'", "2000"),
+            ":22: prefetch: more than 1024",
+        ),
+        (
+            with_replaced("class: settlement-post", "class: nonsense"),
             ":9: class: no class named nonsense",
         ),
         (
-            swap("tenant: alpenergia", "tenant: nobody"),
+            with_replaced("tenant: alpenergia", "tenant: nobody"),
             ":21: tenant: no tenant named nobody",
         ),
         (
-            swap("password_env: PW", "password_env: OTHER"),
+            with_replaced("password_env: PW", "password_env: OTHER"),
             ":4: password_env: OTHER is not set",
         ),
         (
-            swap("queue: posts", "queue: 007"),
+            with_replaced("queue: posts", "queue: 007"),
             ":12: queue: not a text; quote it",
         ),
         (
-            swap("vhost: billing", "queue: posts"),
+            with_replaced("vhost: billing", "queue: posts"),
             ":13: malformed: duplicated key",
         ),
         (
-            swap("        far:", "        near:"),
+            with_replaced("        far:", "        near:"),
             "malformed: duplicated key",
         ),
-        (swap("127.0.0.4", "127.0.0.3"), ":23: queue: there twice"),
-        (swap("all:", "all: ["), "malformed"),
         (
-            swap(
+            with_replaced("127.0.0.4", "127.0.0.3"),
+            ":23: queue: there twice",
+        ),
+        (with_replaced("all:", "all: ["), "malformed"),
+        (
+            with_replaced(
                 "    reads:\n      hosts:\n        near:",
                 "    reads:\n      hosts: [x]\n      vars:\n        near:",
             ),
             "not a mapping",
         ),
-        (row("reads,statement-read,h,guest,PW"), ":2: malformed"),
+        (with_row("reads,statement-read,h,guest,PW"), ":2: malformed"),
         (
-            row("reads,statement-read,h,guest,PW,many"),
+            with_row("reads,statement-read,h,guest,PW,many"),
             ":2: prefetch: not a number",
         ),
-        (row("reads,statement-read,h,,PW,4"), ":2: username: missing"),
         (
-            row("a,statement-read,h,u,PW,4\na,statement-read,h,u,PW,4"),
+            with_row("reads,statement-read,h,,PW,4"),
+            ":2: username: missing",
+        ),
+        (
+            with_row("a,statement-read,h,u,PW,4\na,statement-read,h,u,PW,4"),
             ":3: queue: there twice",
         ),
         (
             load("i.csv", "queue,queue\n")
-                .expect_err("a fault")
+                .expect_err("an error")
                 .to_string(),
             ":1: queue: there twice",
         ),
         (
-            load("i.csv", head).expect_err("a fault").to_string(),
+            load("i.csv", head).expect_err("an error").to_string(),
             "names no queue",
         ),
         (
-            load("i.txt", "").expect_err("a fault").to_string(),
+            load("i.txt", "").expect_err("an error").to_string(),
             "not named .csv, .yaml or .yml",
         ),
         (
-            load("i.yaml", "all:\n").expect_err("a fault").to_string(),
+            load("i.yaml", "all:\n").expect_err("an error").to_string(),
             "names no queue",
         ),
     ];
-    for (said, want) in cases {
-        assert!(said.contains(want), "said {said}, wanted {want}");
+    for (error, expected) in cases {
+        assert!(error.contains(expected), "got {error}, expected {expected}");
     }
 }
 
 #[test]
-fn the_example_under_deploy_fits_the_site() {
+fn the_example_under_deploy_is_valid_for_its_site() {
     let mut settings = settings();
-    let lane = settings["lanes"][0].clone();
-    settings["lanes"].as_array_mut().expect("lanes").push(lane);
+    let class = settings["lanes"][0].clone();
+    settings["lanes"].as_array_mut().expect("lanes").push(class);
     settings["lanes"][2]["name"] = "meter-refresh".into();
     for tenant in ["solpiana", "luce-brianza"] {
-        let told = serde_json::json!({"name": tenant, "allowancePerS": 10.0});
+        let tenant = serde_json::json!({"name": tenant, "allowancePerS": 10.0});
         settings["tenants"]
             .as_array_mut()
             .expect("tenants")
-            .push(told);
+            .push(tenant);
     }
     let site = Site::from_json(&settings).expect("settings");
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/inventory.yaml");
@@ -214,9 +230,9 @@
     );
 }
 
-/// A bad inventory is one line on standard error and no start; so are arguments that are none.
+/// An invalid inventory stops the start with one line on standard error, and unknown arguments stop it as well.
 #[test]
-fn a_bad_inventory_stops_the_start() {
+fn an_invalid_inventory_or_argument_stops_the_start() {
     let unused = "127.0.0.1:9".parse().expect("an address");
     let config = Scratch::new("config.json", &config(unused, unused, unused).to_string());
     let inventory = Scratch::new("i.yaml", "all: {hosts: {a: {queue: q}}}");
@@ -225,11 +241,11 @@
         .arg(&inventory.0)
         .output()
         .expect("the program starts");
-    let said = String::from_utf8_lossy(&output.stderr);
+    let stderr = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        said.contains("i.yaml:1: class: missing") && said.lines().count() == 1,
-        "{said}"
+        stderr.contains("i.yaml:1: class: missing") && stderr.lines().count() == 1,
+        "{stderr}"
     );
     let output = Command::new(env!("CARGO_BIN_EXE_protocol-gateway"))
         .arg("--nonsense")
