--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -98,113 +98,133 @@
     );
 }
 
-/// Each error names the line and the field.
+const CSV_HEADER: &str = "queue,class,host,username,password_env,prefetch\n";
+
+/// The error of an inventory that can't be used.
+fn load_error(name: &str, text: &str) -> String {
+    load(name, text).expect_err("an error").to_string()
+}
+
+/// The error of the YAML inventory with one text replaced.
+fn yaml_error(from: &str, to: &str) -> String {
+    assert!(YAML.contains(from));
+    load_error("i.yaml", &YAML.replacen(from, to, 1))
+}
+
+/// The error of a CSV inventory with these rows.
+fn csv_error(rows: &str) -> String {
+    load_error("i.csv", &format!("{CSV_HEADER}{rows}\n"))
+}
+
+/// Checks that each error contains the text that is expected of it.
+fn check_errors(cases: &[(String, &str)]) {
+    for (error, expected) in cases {
+        assert!(error.contains(expected), "got {error}, expected {expected}");
+    }
+}
+
+/// Each error in a variable names the line and the field.
 #[test]
-fn errors_name_the_line_and_the_field() {
-    let with_replaced = |from: &str, to: &str| {
-        assert!(YAML.contains(from));
-        load("i.yaml", &YAML.replacen(from, to, 1))
-            .expect_err("an error")
-            .to_string()
-    };
-    let head = "queue,class,host,username,password_env,prefetch\n";
-    let with_row = |row: &str| {
-        load("i.csv", &format!("{head}{row}\n"))
-            .expect_err("an error")
-            .to_string()
-    };
-    let cases = [
-        (
-            with_replaced("          queue: posts\n", ""),
+fn errors_in_yaml_values_name_the_line_and_the_field() {
+    check_errors(&[
+        (
+            yaml_error("          queue: posts\n", ""),
             ":12: queue: missing",
         ),
         (
-            with_replaced("username: guest\n    ", ""),
+            yaml_error("username: guest\n    ", ""),
             ": username: missing",
         ),
         (
-            with_replaced("port: 5673", "port: 70000"),
+            yaml_error("port: 5673", "port: 70000"),
             ":14: port: not a number from 1 to 65535",
         ),
         (
-            with_replaced("'16'", "0"),
+            yaml_error("'16'", "0"),
             ":22: prefetch: not a number from 1 to 65535",
         ),
+        (yaml_error("'16'", "2000"), ":22: prefetch: more than 1024"),
         (
-            with_replaced("'16'", "2000"),
-            ":22: prefetch: more than 1024",
-        ),
-        (
-            with_replaced("class: settlement-post", "class: nonsense"),
+            yaml_error("class: settlement-post", "class: nonsense"),
             ":9: class: no class named nonsense",
         ),
         (
-            with_replaced("tenant: alpenergia", "tenant: nobody"),
+            yaml_error("tenant: alpenergia", "tenant: nobody"),
             ":21: tenant: no tenant named nobody",
         ),
         (
-            with_replaced("password_env: PW", "password_env: OTHER"),
+            yaml_error("password_env: PW", "password_env: OTHER"),
             ":4: password_env: OTHER is not set",
         ),
         (
-            with_replaced("queue: posts", "queue: 007"),
+            yaml_error("queue: posts", "queue: 007"),
             ":12: queue: not a text; quote it",
         ),
         (
-            with_replaced("vhost: billing", "queue: posts"),
-            ":13: malformed: duplicated key",
+            yaml_error("127.0.0.4", "127.0.0.3"),
+            ":23: queue: there twice",
         ),
+    ]);
+}
+
+/// What is not valid YAML or has another structure is reported.
+#[test]
+fn errors_in_the_structure_of_yaml_are_reported() {
+    check_errors(&[
         (
-            with_replaced("        far:", "        near:"),
-            "malformed: duplicated key",
+            yaml_error("vhost: billing", "queue: posts"),
+            ":13: malformed: duplicated key",
         ),
         (
-            with_replaced("127.0.0.4", "127.0.0.3"),
-            ":23: queue: there twice",
+            yaml_error("        far:", "        near:"),
+            "malformed: duplicated key",
         ),
-        (with_replaced("all:", "all: ["), "malformed"),
+        (yaml_error("all:", "all: ["), "malformed"),
         (
-            with_replaced(
+            yaml_error(
                 "    reads:\n      hosts:\n        near:",
                 "    reads:\n      hosts: [x]\n      vars:\n        near:",
             ),
             "not a mapping",
         ),
-        (with_row("reads,statement-read,h,guest,PW"), ":2: malformed"),
+    ]);
+}
+
+/// Each error in a row names the line and, where there is one, the field.
+#[test]
+fn errors_in_csv_rows_name_the_line_and_the_field() {
+    check_errors(&[
+        (
+            csv_error("reads,statement-read,h,guest,PW"),
+            ":2: malformed",
+        ),
         (
-            with_row("reads,statement-read,h,guest,PW,many"),
+            csv_error("reads,statement-read,h,guest,PW,many"),
             ":2: prefetch: not a number",
         ),
         (
-            with_row("reads,statement-read,h,,PW,4"),
+            csv_error("reads,statement-read,h,,PW,4"),
             ":2: username: missing",
         ),
         (
-            with_row("a,statement-read,h,u,PW,4\na,statement-read,h,u,PW,4"),
+            csv_error("a,statement-read,h,u,PW,4\na,statement-read,h,u,PW,4"),
             ":3: queue: there twice",
         ),
+    ]);
+}
+
+/// Files without queues, with a repeated column or with an unknown extension are reported.
+#[test]
+fn errors_in_the_whole_file_are_reported() {
+    check_errors(&[
         (
-            load("i.csv", "queue,queue\n")
-                .expect_err("an error")
-                .to_string(),
+            load_error("i.csv", "queue,queue\n"),
             ":1: queue: there twice",
         ),
-        (
-            load("i.csv", head).expect_err("an error").to_string(),
-            "names no queue",
-        ),
-        (
-            load("i.txt", "").expect_err("an error").to_string(),
-            "not named .csv, .yaml or .yml",
-        ),
-        (
-            load("i.yaml", "all:\n").expect_err("an error").to_string(),
-            "names no queue",
-        ),
-    ];
-    for (error, expected) in cases {
-        assert!(error.contains(expected), "got {error}, expected {expected}");
-    }
+        (load_error("i.csv", CSV_HEADER), "names no queue"),
+        (load_error("i.txt", ""), "not named .csv, .yaml or .yml"),
+        (load_error("i.yaml", "all:\n"), "names no queue"),
+    ]);
 }
 
 #[test]
