--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -27,7 +27,7 @@
 }
 
 impl Policy {
-    /// The policy of a fresh server, which knows only its settings, unless these cannot be used. The seed
+    /// The policy of a fresh server, which knows only its settings, or why these cannot be used. The seed
     /// determines how the counts of tenants are spread.
     pub fn new(mut settings: Settings, seed: u64) -> Result<Policy, SettingsError> {
         settings.check()?;
