--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -1,126 +1,100 @@
-//! The AMQP front against a stand-in broker: runs per key, settlements, and nothing unacknowledged at stop.
+//! Requests over AMQP, with a fake broker: replies, settlements, the prefetch, and the connection to the broker.
 
+#[path = "common/amqp_node.rs"]
+mod amqp_node;
 mod doubles;
 
-use amq_protocol::types::{AMQPValue, FieldTable};
-use doubles::broker::{Broker, Message, POSTS, READS};
+use amq_protocol::types::AMQPValue;
+use amqp_node::*;
+use doubles::broker::{FakeBroker, Message, POSTS, READS};
 use doubles::*;
 
-const STATUS: &str = "x-mothwinch-status";
-const REASON: &str = "x-mothwinch-reason";
-const RETRY_AFTER: &str = "x-mothwinch-retry-after-ms";
-const MAY_RETRY: &str = "x-mothwinch-may-retry";
-const HANDED_BACK: &str = "x-mothwinch-handed-back";
-
-fn start(prefetch: u16) -> (Broker, Node) {
-    let broker = Broker::start();
-    let node = node_at(&broker, prefetch);
-    (broker, node)
-}
-
-fn node_at(broker: &Broker, prefetch: u16) -> Node {
-    Node::start_with(Some(&broker.inventory(prefetch)), |_| {})
-}
-
-/// Leaves, and checks that nothing is left unsettled and no rule of the protocol was broken.
-fn stop(broker: &Broker, node: &mut Node) {
-    node.terminate();
-    assert_eq!(node.exit().code(), Some(0));
-    broker.with(|seen| {
-        assert_eq!(seen.unacked, 0, "unacknowledged at stop");
-        assert_eq!(seen.violations, Vec::<String>::new());
-    });
-}
-
-fn replies(broker: &Broker) -> usize {
-    broker.with(|seen| seen.replies.len())
-}
-fn dead(broker: &Broker) -> usize {
-    broker.with(|seen| seen.dead.len())
-}
-
 #[test]
-fn what_is_served_is_published_with_its_correlation_and_then_acknowledged() {
-    let (broker, mut node) = start(4);
+fn result_is_published_with_its_correlation_id_and_then_acknowledged() {
+    let (broker, mut node) = start_broker_and_node(4);
     broker.publish(READS, Message::new("serve:a"));
     broker.publish(POSTS, Message::new("call:ok#b"));
-    until("both are answered", || replies(&broker) == 2);
+    until("both are answered", || reply_count(&broker) == 2);
     until("both are acknowledged", || {
-        broker.with(|seen| seen.acked) == 2
+        broker.with(|state| state.acked) == 2
     });
-    broker.with(|seen| {
-        let reply = |about: &str| {
-            seen.replies
+    broker.with(|state| {
+        let reply = |correlation_id: &str| {
+            state
+                .replies
                 .iter()
-                .find(|r| r.correlation() == about)
+                .find(|r| r.correlation() == correlation_id)
                 .expect("a reply")
                 .clone()
         };
         assert_eq!(reply("about serve:a").body, "done serve:a");
         assert_eq!(reply("about call:ok#b").body, "rows for ok#b");
-        assert!(seen.replies.iter().all(|r| r.text(STATUS) == "served"));
+        assert!(state.replies.iter().all(|r| r.text(STATUS) == "served"));
     });
     assert_eq!(node.executor.runs("serve:a"), 1);
-    stop(&broker, &mut node);
+    stop_node(&broker, &mut node);
 }
 
 #[test]
-fn a_result_that_nobody_asked_for_is_acknowledged() {
-    let (broker, mut node) = start(4);
+fn result_without_a_reply_queue_is_acknowledged() {
+    let (broker, mut node) = start_broker_and_node(4);
     broker.publish(READS, Message::without_reply("serve:a"));
-    until("it is acknowledged", || broker.with(|seen| seen.acked) == 1);
-    stop(&broker, &mut node);
-    assert_eq!((replies(&broker), dead(&broker)), (0, 0));
+    until("it is acknowledged", || {
+        broker.with(|state| state.acked) == 1
+    });
+    stop_node(&broker, &mut node);
+    assert_eq!((reply_count(&broker), dead_letter_count(&broker)), (0, 0));
 }
 
-/// Guards our memory against a broker that pushes as fast as it can.
+/// Guards the node's memory against a broker that delivers as fast as it can.
 #[test]
-fn no_more_is_in_hand_than_the_prefetch() {
-    let (broker, mut node) = start(3);
+fn unacknowledged_messages_never_exceed_the_prefetch() {
+    let (broker, mut node) = start_broker_and_node(3);
     for n in 0..8 {
         broker.publish(READS, Message::new(&format!("hang:{n}")));
     }
-    until("all are answered", || replies(&broker) == 8);
-    assert_eq!(broker.with(|seen| seen.most_unacked), 3);
-    stop(&broker, &mut node);
+    until("all are answered", || reply_count(&broker) == 8);
+    assert_eq!(broker.with(|state| state.most_unacked), 3);
+    stop_node(&broker, &mut node);
 }
 
-/// A request that the module turns away never ran, is answered at once and told when to come back.
+/// A request that the policy rejects never ran, is answered at once and told when to retry.
 #[test]
-fn what_is_refused_never_ran_and_is_told_so() {
-    let (broker, mut node) = start(24);
+fn rejected_request_never_ran_and_gets_a_retry_after() {
+    let (broker, mut node) = start_broker_and_node(24);
     let bodies: Vec<String> = (0..20).map(|n| format!("hang:{n}")).collect();
     for body in &bodies {
         broker.publish(POSTS, Message::new(body));
     }
-    until("all are answered", || replies(&broker) == 20);
+    until("all are answered", || reply_count(&broker) == 20);
     until("all are acknowledged", || {
-        broker.with(|seen| seen.acked) == 20
+        broker.with(|state| state.acked) == 20
     });
-    let statuses: Vec<(String, String)> = broker.with(|seen| {
-        seen.replies
+    let statuses: Vec<(String, String)> = broker.with(|state| {
+        state
+            .replies
             .iter()
             .map(|r| (r.correlation(), r.text(STATUS)))
             .collect()
     });
-    let refused: Vec<&String> = statuses
+    let rejected: Vec<&String> = statuses
         .iter()
         .filter(|(_, s)| s == "refused")
         .map(|(about, _)| about)
         .collect();
     assert!(
-        !refused.is_empty() && refused.len() < 20,
-        "six cores can't run twenty that hang: {refused:?}"
+        !rejected.is_empty() && rejected.len() < 20,
+        "six cores can't run twenty that hang: {rejected:?}"
     );
-    for about in &refused {
+    for about in &rejected {
         assert_eq!(
             node.executor.runs(about.trim_start_matches("about ")),
             0,
             "{about}"
         );
     }
-    broker.with(|seen| {
-        for reply in seen.replies.iter().filter(|r| r.text(STATUS) == "refused") {
+    broker.with(|state| {
+        for reply in state.replies.iter().filter(|r| r.text(STATUS) == "refused") {
             assert!(
                 matches!(
                     reply.header(RETRY_AFTER),
@@ -131,40 +105,42 @@
             assert_eq!(reply.header(MAY_RETRY), Some(&AMQPValue::Boolean(true)));
         }
     });
-    stop(&broker, &mut node);
+    stop_node(&broker, &mut node);
 }
 
-/// Due times hold as for front ends: a run that hangs is failed by then, and a post must not be tried again.
+/// Deadlines hold as for front ends: a run that hangs fails by then, and a post must not be retried.
 #[test]
-fn what_is_late_is_failed_by_its_due_time() {
-    let (broker, mut node) = start(4);
+fn late_request_fails_by_its_deadline() {
+    let (broker, mut node) = start_broker_and_node(4);
     broker.publish(POSTS, Message::new("hang"));
     until("it runs", || node.executor.runs("hang") == 1);
-    until("it is answered", || replies(&broker) == 1);
-    broker.with(|seen| {
-        assert_eq!(seen.replies[0].text(STATUS), "failed");
-        assert_eq!(seen.replies[0].text(REASON), "given up");
+    until("it is answered", || reply_count(&broker) == 1);
+    broker.with(|state| {
+        assert_eq!(state.replies[0].text(STATUS), "failed");
+        assert_eq!(state.replies[0].text(REASON), "given up");
         assert_eq!(
-            seen.replies[0].header(MAY_RETRY),
+            state.replies[0].header(MAY_RETRY),
             Some(&AMQPValue::Boolean(false))
         );
     });
-    until("it is acknowledged", || broker.with(|seen| seen.acked) == 1);
+    until("it is acknowledged", || {
+        broker.with(|state| state.acked) == 1
+    });
     until("its run is stopped", || node.executor.killed() == 1);
-    stop(&broker, &mut node);
+    stop_node(&broker, &mut node);
 }
 
 #[test]
-fn an_error_that_nobody_hears_of_goes_to_the_dead_letters() {
-    let (broker, mut node) = start(4);
+fn failure_without_a_reply_queue_is_dead_lettered() {
+    let (broker, mut node) = start_broker_and_node(4);
     broker.publish(READS, Message::without_reply("fail"));
-    until("it is dead", || dead(&broker) == 1);
-    stop(&broker, &mut node);
+    until("it is dead-lettered", || dead_letter_count(&broker) == 1);
+    stop_node(&broker, &mut node);
 }
 
 #[test]
-fn what_can_not_be_a_request_is_rejected_unrun() {
-    let (broker, mut node) = start(4);
+fn invalid_message_is_dead_lettered_without_a_run() {
+    let (broker, mut node) = start_broker_and_node(4);
     broker.publish(
         POSTS,
         Message {
@@ -179,235 +155,18 @@
             ..Message::new("serve:long")
         },
     );
-    until("both are dead", || dead(&broker) == 2);
+    until("both are dead-lettered", || dead_letter_count(&broker) == 2);
     broker.publish(READS, Message::new("serve:after"));
-    until("the next is served", || replies(&broker) == 1);
+    until("the next is served", || reply_count(&broker) == 1);
     assert_eq!(node.executor.runs("serve:keyless"), 0);
     assert!(node.log().contains("no message_id") && node.log().contains("message too long"));
-    stop(&broker, &mut node);
+    stop_node(&broker, &mut node);
 }
 
-/// Guards the single effect within a life: the same key again is dead-lettered, whatever became of the first.
+/// The quota of database calls is one for both: queues and front ends together never have more calls in flight.
 #[test]
-fn a_key_that_ran_never_runs_again() {
-    let (broker, mut node) = start(4);
-    for body in ["serve:a", "fail"] {
-        broker.publish(POSTS, Message::new(body));
-        until("the first is answered", || node.executor.runs(body) == 1);
-        broker.publish(POSTS, Message::new(body));
-    }
-    until("the second ones are dead", || dead(&broker) == 2);
-    until("all are answered", || replies(&broker) == 4);
-    assert_eq!(
-        (node.executor.runs("serve:a"), node.executor.runs("fail")),
-        (1, 1)
-    );
-    assert_eq!(
-        broker.with(|seen| seen
-            .replies
-            .iter()
-            .filter(|r| r.text(REASON) == "may have run")
-            .count()),
-        2
-    );
-    stop(&broker, &mut node);
-}
-
-/// The keys of reads don't count: they may run as often as anyone likes.
-#[test]
-fn a_read_runs_again() {
-    let (broker, mut node) = start(4);
-    for again in [false, true] {
-        let message = Message::new("serve:a");
-        broker.publish(
-            READS,
-            if again {
-                message.redelivered()
-            } else {
-                message
-            },
-        );
-    }
-    until("both are served", || replies(&broker) == 2);
-    assert_eq!(node.executor.runs("serve:a"), 2);
-    stop(&broker, &mut node);
-}
-
-/// Guards the single effect across links: what was in hand when the link broke comes again, marked.
-#[test]
-fn a_link_lost_in_the_middle_of_a_run_runs_nothing_twice() {
-    let (broker, mut node) = start(4);
-    broker.publish(POSTS, Message::new("hang"));
-    until("it runs", || node.executor.runs("hang") == 1);
-    broker.break_links();
-    until("it is dead", || dead(&broker) == 1);
-    assert_eq!(
-        broker.with(|seen| seen.replies[0].text(REASON)),
-        "may have run"
-    );
-    // The run goes on to its end, and its result finds no one: the delivery was settled once already.
-    node.executor.finish("hang");
-    broker.publish(POSTS, Message::new("serve:next"));
-    until("the new link serves", || {
-        node.executor.runs("serve:next") == 1
-    });
-    until("and answers", || replies(&broker) == 2);
-    assert_eq!(node.executor.runs("hang"), 1);
-    stop(&broker, &mut node);
-}
-
-/// Guards the single effect across lives: the node dies in the middle of a write, its successor gets the message
-/// again and can't know how far the write went.
-#[test]
-fn a_post_redelivered_after_its_node_was_killed_is_not_run() {
-    let (broker, mut first) = start(4);
-    broker.publish(POSTS, Message::new("hang"));
-    until("it runs", || first.executor.runs("hang") == 1);
-    first.process.kill().expect("a child");
-    first.exit();
-    until("the broker has noticed", || {
-        broker.with(|seen| seen.unacked) == 0
-    });
-    let mut second = node_at(&broker, 4);
-    until("it is dead", || dead(&broker) == 1);
-    assert_eq!(
-        first.executor.runs("hang") + second.executor.runs("hang"),
-        1
-    );
-    assert_eq!(
-        broker.with(|seen| seen.replies[0].text(REASON)),
-        "may have run"
-    );
-    stop(&broker, &mut second);
-}
-
-/// The broker keeps pushing while the node leaves: all of it goes back unrun, posts as copies that carry no mark of
-/// an earlier delivery, so that the next node may run them; once.
-#[test]
-fn what_is_pushed_while_leaving_is_handed_back_and_runs_elsewhere() {
-    let (broker, mut node) = start(8);
-    broker.publish(POSTS, Message::new("hang"));
-    until("one runs", || node.executor.runs("hang") == 1);
-    broker.with(|seen| {
-        for n in 0..3 {
-            seen.push_on_cancel
-                .push((POSTS.into(), Message::new(&format!("serve:post {n}"))));
-            seen.push_on_cancel
-                .push((READS.into(), Message::new(&format!("serve:read {n}"))));
-        }
-        seen.push_on_cancel.push((
-            POSTS.into(),
-            Message::new("serve:second time").redelivered(),
-        ));
-    });
-    stop(&broker, &mut node);
-    let mut ran = 0;
-    broker.with(|seen| {
-        assert_eq!(seen.requeued, 3, "the reads");
-        assert_eq!((seen.ready[READS].len(), seen.ready[POSTS].len()), (3, 3));
-        for copy in &seen.ready[POSTS] {
-            assert!(!copy.redelivered);
-            assert_eq!(copy.header(HANDED_BACK), Some(&AMQPValue::LongLongInt(1)));
-            ran += node.executor.runs(&copy.body);
-        }
-        // A mark of an earlier delivery must not be lost by a copy.
-        assert_eq!(
-            seen.dead
-                .iter()
-                .map(|m| m.body.as_str())
-                .collect::<Vec<_>>(),
-            ["serve:second time"]
-        );
-        assert_eq!(
-            seen.replies
-                .iter()
-                .filter(|r| r.text(STATUS) == "failed")
-                .count(),
-            2
-        );
-    });
-    assert_eq!(ran, 0, "nothing that was handed back has run");
-    let mut next = node_at(&broker, 8);
-    until("the next node serves all", || replies(&broker) == 2 + 6);
-    for n in 0..3 {
-        assert_eq!(next.executor.runs(&format!("serve:post {n}")), 1);
-    }
-    stop(&broker, &mut next);
-}
-
-/// Guards a copy from what the broker would act on twice: another user's name closes the channel, and `CC` would
-/// send the message to other queues once more.
-#[test]
-fn a_copy_keeps_what_is_the_messages_and_leaves_what_was_the_brokers() {
-    let (broker, mut node) = start(8);
-    until("it consumes", || broker.with(|seen| seen.consumers) == 2);
-    let mut message = Message::new("serve:a");
-    let mut headers = FieldTable::default();
-    headers.insert("CC".into(), AMQPValue::LongString("elsewhere".into()));
-    headers.insert("trace".into(), AMQPValue::LongLongInt(7));
-    message.properties = message
-        .properties
-        .with_headers(headers)
-        .with_user_id("partner".into())
-        .with_priority(3);
-    broker.with(|seen| seen.push_on_cancel.push((POSTS.into(), message.clone())));
-    stop(&broker, &mut node);
-    let copy = broker.with(|seen| seen.ready[POSTS][0].clone());
-    assert_eq!(
-        (copy.header("CC"), copy.header("trace")),
-        (None, Some(&AMQPValue::LongLongInt(7)))
-    );
-    assert_eq!(
-        (copy.properties.user_id(), copy.properties.priority()),
-        (&None, &Some(3))
-    );
-    assert_eq!(
-        copy.properties.message_id(),
-        message.properties.message_id()
-    );
-    assert_eq!(
-        (copy.body, copy.properties.reply_to()),
-        (message.body, message.properties.reply_to())
-    );
-}
-
-/// A copy that can't be routed comes back before its confirm; then the original must not be lost.
-#[test]
-fn a_copy_that_comes_back_requeues_the_original() {
-    let (broker, mut node) = start(8);
-    until("it consumes", || broker.with(|seen| seen.consumers) == 2);
-    broker.with(|seen| {
-        seen.unroutable = true;
-        seen.push_on_cancel
-            .push((POSTS.into(), Message::new("serve:a")));
-    });
-    stop(&broker, &mut node);
-    assert_eq!(
-        broker.with(|seen| (seen.requeued, seen.ready[POSTS].len(), seen.acked)),
-        (1, 1, 0)
-    );
-    assert_eq!(node.executor.runs("serve:a"), 0);
-}
-
-/// A reply is not taken for given before the broker says that it has it.
-#[test]
-fn an_answer_is_acknowledged_only_after_its_confirm() {
-    let (broker, mut node) = start(4);
-    broker.with(|seen| seen.hold_confirms = true);
-    broker.publish(POSTS, Message::new("serve:a"));
-    until("it is answered", || replies(&broker) == 1);
-    assert_eq!(broker.with(|seen| (seen.acked, seen.unacked)), (0, 1));
-    broker.with(|seen| seen.hold_confirms = false);
-    broker.break_links();
-    until("it came again and is dead", || dead(&broker) == 1);
-    assert_eq!(node.executor.runs("serve:a"), 1);
-    stop(&broker, &mut node);
-}
-
-/// The share of the ledger is one for both fronts: queues and front ends together never have more calls in hand.
-#[test]
-fn both_fronts_keep_one_share_of_the_ledger() {
-    let (broker, mut node) = start(8);
+fn listener_and_queues_share_one_quota_of_database_calls() {
+    let (broker, mut node) = start_broker_and_node(8);
     let mut front = node.front();
     for n in 0..6 {
         front.send("settlement-post", &format!("call:silent#front {n}"));
@@ -416,45 +175,47 @@
     for _ in 0..6 {
         assert!(front.next()["error"].is_object());
     }
-    until("the queue's are answered", || replies(&broker) == 6);
+    until("the queue's requests are answered", || {
+        reply_count(&broker) == 6
+    });
     let most = node.database.most_silent();
     assert!(
         (2..=5).contains(&most),
-        "{most} calls in hand of a share of 5"
+        "{most} calls in flight of a quota of 5"
     );
-    stop(&broker, &mut node);
+    stop_node(&broker, &mut node);
 }
 
 #[test]
-fn heartbeats_are_sent_and_a_silent_broker_is_left() {
-    let broker = Broker::start();
-    broker.with(|seen| seen.heartbeat = 1);
-    let mut node = node_at(&broker, 4);
+fn heartbeats_are_sent_and_a_silent_broker_is_reconnected() {
+    let broker = FakeBroker::start();
+    broker.with(|state| state.heartbeat = 1);
+    let mut node = start_node(&broker, 4);
     until("heartbeats come", || {
-        broker.with(|seen| seen.heartbeats) >= 2
+        broker.with(|state| state.heartbeats) >= 2
     });
-    until("the silent link is given up for a new one", || {
-        broker.with(|seen| seen.connections) >= 2
+    until("the silent connection is replaced", || {
+        broker.with(|state| state.connections) >= 2
     });
-    stop(&broker, &mut node);
+    stop_node(&broker, &mut node);
 }
 
-/// A broker that turns us away is tried again, and does not keep front ends from being served.
+/// A broker that refuses the login is retried, and front ends are served meanwhile.
 #[test]
-fn a_broker_that_refuses_us_harms_no_one() {
-    let broker = Broker::start();
+fn broker_that_refuses_the_login_is_retried_and_harms_no_one() {
+    let broker = FakeBroker::start();
     let text = std::fs::read_to_string(&broker.inventory(4).0)
         .expect("a file")
         .replace("username: guest", "username: eve");
     let inventory = Scratch::new("other.yaml", &text);
     let mut node = Node::start_with(Some(&inventory), |_| {});
-    until("it is tried again", || {
-        broker.with(|seen| seen.connections) >= 2
+    until("it is retried", || {
+        broker.with(|state| state.connections) >= 2
     });
     assert_eq!(
         node.front().ask("statement-read", "serve")["error"],
         serde_json::Value::Null
     );
     assert!(node.log().contains("403 ACCESS_REFUSED"));
-    stop(&broker, &mut node);
+    stop_node(&broker, &mut node);
 }
--- /dev/null
+++ b/tests/common/amqp_node.rs
@@ -0,0 +1,44 @@
+//! A node that consumes from a fake broker, its shutdown, and the headers of its replies.
+#![allow(dead_code)]
+
+use test_doubles::Node;
+
+use crate::doubles::broker::FakeBroker;
+
+pub(crate) const STATUS: &str = "x-mothwinch-status";
+pub(crate) const REASON: &str = "x-mothwinch-reason";
+pub(crate) const RETRY_AFTER: &str = "x-mothwinch-retry-after-ms";
+pub(crate) const MAY_RETRY: &str = "x-mothwinch-may-retry";
+pub(crate) const HANDED_BACK: &str = "x-mothwinch-handed-back";
+
+/// Starts a broker and a node that consumes from it.
+pub(crate) fn start_broker_and_node(prefetch: u16) -> (FakeBroker, Node) {
+    let broker = FakeBroker::start();
+    let node = start_node(&broker, prefetch);
+    (broker, node)
+}
+
+/// Starts a node that consumes from this broker.
+pub(crate) fn start_node(broker: &FakeBroker, prefetch: u16) -> Node {
+    Node::start_with(Some(&broker.inventory(prefetch)), |_| {})
+}
+
+/// Shuts the node down and checks that nothing is left unacknowledged and the protocol was not violated.
+pub(crate) fn stop_node(broker: &FakeBroker, node: &mut Node) {
+    node.terminate();
+    assert_eq!(node.exit().code(), Some(0));
+    broker.with(|state| {
+        assert_eq!(state.unacked, 0, "unacknowledged at stop");
+        assert_eq!(state.violations, Vec::<String>::new());
+    });
+}
+
+/// How many replies were published.
+pub(crate) fn reply_count(broker: &FakeBroker) -> usize {
+    broker.with(|state| state.replies.len())
+}
+
+/// How many messages are among the dead letters.
+pub(crate) fn dead_letter_count(broker: &FakeBroker) -> usize {
+    broker.with(|state| state.dead.len())
+}
--- a/tests/database_calls.rs
+++ b/tests/database_calls.rs
@@ -1,13 +1,10 @@
 //! The database's call pool, responders and line readers, in this process and with limits of the test's own.
 
-mod doubles;
-
 use std::net::TcpListener;
 use std::sync::{mpsc, Arc};
 use std::time::Duration;
 
 use crossbeam_channel::{bounded, Receiver};
-use doubles::{unix_ms, until, Database};
 use protocol_gateway::net::{database, LineReader, PeerAddress};
 use protocol_gateway::node::{
     Answer, CallResult, DatabaseCall, Failure, Limits, Outcome, Payload, PolicyMessage, RequestUid,
@@ -15,6 +12,7 @@
 };
 use protocol_gateway::RequestId;
 use slog::{o, Discard, Logger};
+use test_doubles::{unix_ms, until, Database};
 
 struct TestPool {
     calls: database::CallSender,
--- /dev/null
+++ b/tests/doubles/broker/mod.rs
@@ -0,0 +1,102 @@
+//! A fake AMQP broker: queues in memory, spoken to by AMQP 0-9-1 frames. It counts settlements and violations of the
+//! protocol.
+
+mod channel;
+mod connection;
+mod message;
+
+use std::collections::{HashMap, VecDeque};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::sync::{Arc, Mutex};
+
+use connection::BrokerConnection;
+pub(crate) use message::Message;
+
+use super::{lock, serve, Scratch};
+
+/// The queue of reads.
+pub(crate) const READS: &str = "reads";
+/// The queue of posts.
+pub(crate) const POSTS: &str = "posts";
+
+/// The broker's queues, what it has counted, and how it is to behave. Tests read and change it under the lock.
+#[derive(Default)]
+pub(crate) struct BrokerState {
+    /// Messages waiting for delivery, by queue.
+    pub ready: HashMap<String, VecDeque<Message>>,
+    /// Messages published to other queues.
+    pub replies: Vec<Message>,
+    /// Messages rejected without requeueing.
+    pub dead: Vec<Message>,
+    pub acked: usize,
+    pub requeued: usize,
+    pub unacked: usize,
+    pub most_unacked: usize,
+    pub connections: usize,
+    pub consumers: usize,
+    pub heartbeats: usize,
+    /// Settlements of unknown deliveries, and channels closed with unsettled ones.
+    pub violations: Vec<String>,
+    /// Messages to deliver between a cancel and its answer, with their queues.
+    pub push_on_cancel: Vec<(String, Message)>,
+    /// The heartbeat offered to consumers, in seconds. The broker itself sends none.
+    pub heartbeat: u16,
+    /// Whether copies that go back to their queue can't be routed.
+    pub unroutable: bool,
+    /// Whether publishes are never confirmed.
+    pub hold_confirms: bool,
+    links: Vec<TcpStream>,
+}
+
+/// A broker on loopback.
+#[derive(Clone)]
+pub(crate) struct FakeBroker {
+    pub address: SocketAddr,
+    state: Arc<Mutex<BrokerState>>,
+}
+
+impl FakeBroker {
+    /// Starts a broker with empty queues.
+    pub(crate) fn start() -> FakeBroker {
+        let state = Arc::new(Mutex::new(BrokerState::default()));
+        let shared = state.clone();
+        let address = serve(move |stream| BrokerConnection::new(stream, shared.clone()).run());
+        FakeBroker { address, state }
+    }
+
+    /// An inventory with a queue of reads and one of posts at this broker.
+    pub(crate) fn inventory(&self, prefetch: u16) -> Scratch {
+        let text = format!(
+            "all:\n  vars: {{host: 127.0.0.1, port: {}, vhost: billing, username: guest, prefetch: {prefetch},\n         \
+             password_env: TEST_AMQP_PASSWORD, tenant: alpenergia}}\n  hosts:\n    \
+             a: {{queue: {READS}, class: statement-read}}\n    b: {{queue: {POSTS}, class: settlement-post}}\n",
+            self.address.port()
+        );
+        Scratch::new("inventory.yaml", &text)
+    }
+
+    /// Puts a message into a queue.
+    pub(crate) fn publish(&self, queue: &str, message: Message) {
+        self.with(|state| {
+            state
+                .ready
+                .entry(queue.into())
+                .or_default()
+                .push_back(message);
+        });
+    }
+
+    /// Reads or changes the state under its lock.
+    pub(crate) fn with<T>(&self, access: impl FnOnce(&mut BrokerState) -> T) -> T {
+        access(&mut lock(&self.state))
+    }
+
+    /// Breaks all connections.
+    pub(crate) fn break_links(&self) {
+        self.with(|state| {
+            for link in state.links.drain(..) {
+                let _ = link.shutdown(Shutdown::Both);
+            }
+        });
+    }
+}
--- a/tests/golden_amqp.rs
+++ b/tests/golden_amqp.rs
@@ -6,14 +6,14 @@
 use std::path::Path;
 
 use amq_protocol::types::AMQPValue;
-use doubles::broker::{Broker, Message, POSTS, READS};
+use doubles::broker::{FakeBroker, Message, POSTS, READS};
 use doubles::*;
 
 /// Headers whose figures differ from run to run.
 const VARIABLE: [&str; 2] = ["x-mothwinch-hint", "x-mothwinch-retry-after-ms"];
 
-fn start() -> (Broker, Node) {
-    let broker = Broker::start();
+fn start() -> (FakeBroker, Node) {
+    let broker = FakeBroker::start();
     let node = Node::start_with(Some(&broker.inventory(8)), |config| {
         config["settings"]["specifics"]["say"] = "off".into();
     });
@@ -22,7 +22,7 @@
 }
 
 /// Ends the node and compares what is in the broker's hands then.
-fn check(broker: &Broker, node: &mut Node, name: &str) {
+fn check(broker: &FakeBroker, node: &mut Node, name: &str) {
     node.terminate();
     assert_eq!(node.exit().code(), Some(0));
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -111,7 +111,7 @@
 
 #[test]
 fn what_never_ran_is_refused_with_a_time_to_stay_away() {
-    let broker = Broker::start();
+    let broker = FakeBroker::start();
     // A tenant of another cell is refused on whatever comes.
     let cells = Scratch::new(
         "cells.json5",
--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -1,14 +1,12 @@
 //! Inventories in YAML and CSV: what is read from them, and which errors stop the start of a node.
 
-mod doubles;
-
 use std::path::Path;
 use std::process::Command;
 
-use doubles::{command, config, settings, Scratch};
 use protocol_gateway::inventory::{read, BrokerQueue, InventoryError};
 use protocol_gateway::node::Limits;
 use protocol_gateway::wire::Site;
+use test_doubles::{command, config, settings, Scratch};
 
 fn env(name: &str) -> Option<String> {
     (name == "PW").then(|| "secret".into())
