--- a/crates/fault-testbed/src/demo.rs
+++ b/crates/fault-testbed/src/demo.rs
@@ -11,7 +11,7 @@
 use clap::Args;
 use fleet_cli::state_name;
 use fleet_runtime::QueryReply;
-use test_doubles::Front;
+use test_doubles::TestClient;
 
 use crate::rig::{Plan, Rig};
 
@@ -101,7 +101,7 @@
         rig.node(ROUTER).address
     );
     for name in &all {
-        if let Some(at) = rig.node(name).logged("fleet") {
+        if let Some(at) = rig.node(name).logged_address("fleet") {
             println!(
                 "  {name}: protocol-gateway fleet status {} --at {at}",
                 rig.fleet_file_of(name).display()
@@ -111,9 +111,9 @@
     let counts = Arc::new(Counts::default());
     let (shared, at) = (counts.clone(), rig.node(ROUTER).address);
     let trickle = thread::spawn(move || {
-        let mut front = Front::connect(at);
+        let mut front = TestClient::connect(at);
         while !shared.ended.load(Relaxed) {
-            let answer = front.ask("statement-read", "serve:demo");
+            let answer = front.request("statement-read", "serve:demo");
             let count = if answer["result"].is_object() {
                 &shared.served
             } else {
@@ -205,7 +205,7 @@
     for name in all {
         let told: Option<QueryReply> = rig.runs(name).then(|| rig.told(name)).flatten();
         let served = if nodes.contains(name) {
-            let now = rig.executor(name).all_runs();
+            let now = rig.executor(name).total_runs();
             let before = runs.insert(name.clone(), now).unwrap_or(0);
             (now - before).to_string()
         } else {
--- a/crates/fault-testbed/src/rig.rs
+++ b/crates/fault-testbed/src/rig.rs
@@ -12,7 +12,10 @@
 use fleet_runtime::{query_members, query_shared_state, QueryReply};
 use serde_json::{json, Value};
 use shared_state::SharedStateSnapshot;
-use test_doubles::{command, config, lock, until, Database, Executor, Front, List, Node, Scratch};
+use test_doubles::{
+    lock, node_command, node_config, wait_until, FakeDatabase, FakeEndpointList, FakeExecutor,
+    FakePeers, Node, ScratchFile, TestClient,
+};
 
 use crate::links::Links;
 use crate::switch::Switch;
@@ -78,8 +81,8 @@
     member: bool,
     stopped: bool,
     part: u8,
-    file: Scratch,
-    executor: Executor,
+    file: ScratchFile,
+    executor: FakeExecutor,
 }
 
 /// Many processes of the program, and what lies between them.
@@ -87,10 +90,10 @@
     switch: Switch,
     slots: BTreeMap<String, Slot>,
     seeds: Vec<SocketAddr>,
-    database: Database,
+    database: FakeDatabase,
     /// Where nodes connect to the ledger, if that goes through the switch.
     ledger: Option<SocketAddr>,
-    list: List,
+    list: FakeEndpointList,
     began: Instant,
     timeline: Arc<Mutex<Vec<Value>>>,
     show: bool,
@@ -103,9 +106,9 @@
             switch: Switch::new(seed)?,
             slots: BTreeMap::new(),
             seeds: Vec::new(),
-            database: Database::start(),
+            database: FakeDatabase::start(),
             ledger: None,
-            list: List::start(),
+            list: FakeEndpointList::start(),
             began: Instant::now(),
             timeline: Arc::default(),
             show: false,
@@ -138,7 +141,7 @@
         &self.switch
     }
     /// The database that all nodes call.
-    pub fn database(&self) -> &Database {
+    pub fn database(&self) -> &FakeDatabase {
         &self.database
     }
     /// Nodes that start from now on reach the ledger over links of their own, to `ledger`.
@@ -149,10 +152,18 @@
         Ok(())
     }
     /// A node's executor.
-    pub fn executor(&self, name: &str) -> &Executor {
+    pub fn executor(&self, name: &str) -> &FakeExecutor {
         &self.slot(name).executor
     }
 
+    fn peers(&self, executor: &FakeExecutor) -> FakePeers {
+        FakePeers {
+            executor: executor.clone(),
+            database: self.database.clone(),
+            endpoint_list: self.list.clone(),
+        }
+    }
+
     // ---- processes ----
 
     fn slot(&self, name: &str) -> &Slot {
@@ -175,7 +186,7 @@
         if plan.open {
             self.switch.open(&plan.name);
         }
-        let file = Scratch::new(&format!("{}.json", plan.name), "{}");
+        let file = ScratchFile::new(&format!("{}.json", plan.name), "{}");
         let slot = Slot {
             before,
             process: None,
@@ -183,7 +194,7 @@
             stopped: false,
             part: 0,
             file,
-            executor: Executor::start(),
+            executor: FakeExecutor::start(),
             plan,
         };
         self.slots.insert(slot.plan.name.clone(), slot);
@@ -203,7 +214,7 @@
     }
     /// The fleet's file that a process was last started with.
     pub fn fleet_file_of(&self, name: &str) -> PathBuf {
-        self.slot(name).file.0.with_extension("fleet.json5")
+        self.slot(name).file.path().with_extension("fleet.json5")
     }
     fn fleet_file(&self, name: &str, listen: SocketAddr) -> PathBuf {
         let slot = self.slot(name);
@@ -219,29 +230,21 @@
             let _ = write!(text, " advertise: \"{at}\", serves: \"{serves}\",");
         }
         text.push_str(" }\n");
-        let path = slot.file.0.with_extension("fleet.json5");
+        let path = slot.file.path().with_extension("fleet.json5");
         std::fs::write(&path, text).expect("a file");
         path
     }
     fn launch(&self, name: &str, listen: SocketAddr) -> Node {
         let slot = self.slot(name);
         let ledger = self.ledger.unwrap_or(self.database.address);
-        let mut settings = config(slot.executor.address, ledger, self.list.address);
+        let mut settings = node_config(slot.executor.address, ledger, self.list.address);
         settings["name"] = json!(name);
         settings["admin"] = json!("127.0.0.1:0");
-        std::fs::write(&slot.file.0, settings.to_string()).expect("a file");
-        let mut command = command(&slot.file);
+        std::fs::write(&slot.file.path(), settings.to_string()).expect("a file");
+        let mut command = node_command(&slot.file);
         command.arg("--fleet").arg(self.fleet_file(name, listen));
-        let file = Scratch::new(&format!("{name}.spare"), "");
-        Node::run(
-            command,
-            (
-                slot.executor.clone(),
-                self.database.clone(),
-                self.list.clone(),
-            ),
-            file,
-        )
+        let file = ScratchFile::new(&format!("{name}.spare"), "");
+        Node::spawn_command(command, self.peers(&slot.executor), file)
     }
     /// Starts a node, or a new life of it, and does not wait for it.
     pub fn start(&mut self, name: &str) {
@@ -267,13 +270,13 @@
                 )
             })
             .collect();
-        let cells = self.slot(name).file.0.with_extension("cells.json5");
+        let cells = self.slot(name).file.path().with_extension("cells.json5");
         let text = format!(
             "{{ version: 1, strangers: true, cells: {{ all: {{}} }}, nodes: {{ {} }} }}",
             nodes.join(", ")
         );
         std::fs::write(&cells, text).expect("a file");
-        let own = self.slot(name).file.0.with_extension("router.json5");
+        let own = self.slot(name).file.path().with_extension("router.json5");
         let fleet = if view {
             format!("fleet: '{}',", place(&fleet))
         } else {
@@ -286,14 +289,14 @@
             place(&cells)
         );
         std::fs::write(&own, text).expect("a file");
-        let mut command = command(&self.slot(name).file);
+        let mut command = node_command(&self.slot(name).file);
         command.arg("route").arg(own);
-        let peers = (
-            self.slot(name).executor.clone(),
-            self.database.clone(),
-            self.list.clone(),
+        let peers = self.peers(&self.slot(name).executor);
+        let node = Node::spawn_command(
+            command,
+            peers,
+            ScratchFile::new(&format!("{name}.spare"), ""),
         );
-        let node = Node::run(command, peers, Scratch::new(&format!("{name}.spare"), ""));
         self.switch.runs(name, node.process.id());
         self.note("start", json!(name));
         let slot = self.slot_mut(name);
@@ -309,13 +312,15 @@
                 .unwrap_or_else(|| panic!("{name} was not started"));
             let node = process.node();
             if slot.member {
-                until("it hears the fleet", || node.logged("fleet").is_some());
+                wait_until("it hears the fleet", || {
+                    node.logged_address("fleet").is_some()
+                });
                 self.switch
-                    .hears(name, node.logged("fleet").expect("logged"))
+                    .hears(name, node.logged_address("fleet").expect("logged"))
                     .expect("on loopback");
             }
-            until("it listens", || node.logged("listening").is_some());
-            let serves = node.logged("listening").expect("logged");
+            wait_until("it listens", || node.logged_address("listening").is_some());
+            let serves = node.logged_address("listening").expect("logged");
             self.switch.serves(name, serves).expect("on loopback");
             let node = self
                 .slot_mut(name)
@@ -339,8 +344,8 @@
         self.slot(name).process.is_some()
     }
     /// A connection to this process's clients' address, past the switch.
-    pub fn front(&self, name: &str) -> Front {
-        Front::connect(self.node(name).address)
+    pub fn front(&self, name: &str) -> TestClient {
+        TestClient::connect(self.node(name).address)
     }
     /// kill -9.
     pub fn kill(&mut self, name: &str) {
@@ -354,25 +359,21 @@
         self.note("end", json!(name));
         if let Some(mut process) = self.slot_mut(name).process.take() {
             process.node().terminate();
-            process.node_mut().exit();
+            process.node_mut().wait_for_exit();
         }
     }
     /// A second process of a node that runs, beside it.
     pub fn successor(&self, name: &str, listen: SocketAddr) -> Node {
         let first = self.node(name);
-        let executor = Executor::start();
-        let mut settings = config(executor.address, self.database.address, self.list.address);
+        let executor = FakeExecutor::start();
+        let mut settings = node_config(executor.address, self.database.address, self.list.address);
         settings["name"] = json!(name);
         settings["listen"] = json!(first.address);
         settings["admin"] = json!("127.0.0.1:0");
-        let file = Scratch::new(&format!("{name}.second.json"), &settings.to_string());
-        let mut command = command(&file);
+        let file = ScratchFile::new(&format!("{name}.second.json"), &settings.to_string());
+        let mut command = node_command(&file);
         command.arg("--fleet").arg(self.fleet_file(name, listen));
-        let mut node = Node::run(
-            command,
-            (executor, self.database.clone(), self.list.clone()),
-            file,
-        );
+        let mut node = Node::spawn_command(command, self.peers(&executor), file);
         node.address = first.address;
         self.note("successor", json!(name));
         node
@@ -404,7 +405,8 @@
     /// A call at a node's door.
     pub fn call(&self, name: &str, call: &str) -> String {
         use std::io::{BufRead, BufReader, Write};
-        let mut stream = std::net::TcpStream::connect(self.node(name).door()).expect("a door");
+        let mut stream =
+            std::net::TcpStream::connect(self.node(name).admin_address()).expect("a door");
         stream
             .write_all(format!("{call}\n").as_bytes())
             .expect("written");
@@ -490,12 +492,12 @@
 
     /// What a process sees, asked past the switch.
     pub fn told(&self, name: &str) -> Option<QueryReply> {
-        let at = self.node(name).logged("fleet")?;
+        let at = self.node(name).logged_address("fleet")?;
         query_members(at, FLEET, ASK).ok()
     }
     /// What a process holds of the budgets, asked past the switch.
     pub fn look(&self, name: &str) -> Option<SharedStateSnapshot> {
-        query_shared_state(self.node(name).logged("fleet")?, FLEET, ASK)
+        query_shared_state(self.node(name).logged_address("fleet")?, FLEET, ASK)
             .ok()
             .map(|reply| reply.state)
     }
--- a/crates/fault-testbed/src/script.rs
+++ b/crates/fault-testbed/src/script.rs
@@ -310,7 +310,7 @@
                 let mut bad = Vec::new();
                 for _ in 0..*asked {
                     let began = Instant::now();
-                    let answer = front.ask("statement-read", "serve:play");
+                    let answer = front.request("statement-read", "serve:play");
                     if !answer["result"].is_object() || began.elapsed() > Duration::from_millis(*ms)
                     {
                         bad.push(answer["error"]["message"].clone());
--- /dev/null
+++ b/crates/test-doubles/src/encoding.rs
@@ -0,0 +1,33 @@
+//! The encodings that the protocols of a node use in their fields.
+
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use base64::engine::general_purpose::STANDARD;
+use base64::Engine as _;
+
+use crate::error::{expect_ok, TestDoubleError};
+
+/// Encodes text as base64.
+pub fn encode_base64(text: &str) -> String {
+    STANDARD.encode(text)
+}
+
+/// Decodes base64 of UTF-8 text; panics where it is anything else.
+pub fn decode_base64(text: &str) -> String {
+    expect_ok(try_decode_base64(text))
+}
+
+/// Decodes base64 of UTF-8 text.
+pub(crate) fn try_decode_base64(text: &str) -> Result<String, TestDoubleError> {
+    let bytes = STANDARD
+        .decode(text)
+        .map_err(|error| TestDoubleError::InvalidBase64(error.to_string()))?;
+    String::from_utf8(bytes).map_err(|error| TestDoubleError::InvalidBase64(error.to_string()))
+}
+
+/// The wall clock, in milliseconds since the Unix epoch; 0 for a clock before it.
+pub fn unix_ms() -> u64 {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since_epoch| since_epoch.as_millis() as u64)
+}
--- /dev/null
+++ b/crates/test-doubles/src/error.rs
@@ -0,0 +1,59 @@
+//! The error type of all test doubles.
+
+use std::io;
+
+/// Why a test double could not do what was asked of it.
+#[derive(Debug, thiserror::Error)]
+pub enum TestDoubleError {
+    /// The operating system refused an operation.
+    #[error("{action}: {source}")]
+    Io {
+        /// What was attempted.
+        action: String,
+        /// The cause.
+        source: io::Error,
+    },
+    /// A message is not valid JSON.
+    #[error("a message is not JSON: {0}")]
+    InvalidJson(#[from] serde_json::Error),
+    /// Text is not base64 of UTF-8.
+    #[error("not base64 of UTF-8 text: {0}")]
+    InvalidBase64(String),
+    /// The node broke the protocol of a fake.
+    #[error("the node broke the protocol: {0}")]
+    Protocol(String),
+    /// A condition did not hold in time.
+    #[error("waited in vain: {0}")]
+    Timeout(String),
+    /// The node closed the connection while an answer was expected.
+    #[error("the connection was closed before the answer")]
+    ConnectionClosed,
+    /// An answer has the id of another request.
+    #[error("an answer to another request: {0}")]
+    UnexpectedAnswer(String),
+    /// A signal could not be sent to a process.
+    #[error("signal {signal} to process {pid} failed")]
+    Signal {
+        /// The name of the signal, without `SIG`.
+        signal: String,
+        /// The id of the process.
+        pid: u32,
+    },
+    /// Something that the environment should provide is missing.
+    #[error("missing: {0}")]
+    Missing(&'static str),
+}
+
+impl TestDoubleError {
+    /// Returns a function for `map_err` that adds what was attempted to an error of the operating system.
+    pub(crate) fn io(action: impl Into<String>) -> impl FnOnce(io::Error) -> TestDoubleError {
+        let action = action.into();
+        move |source| TestDoubleError::Io { action, source }
+    }
+}
+
+/// The value of a result; panics with the error, which fails the test that runs.
+#[track_caller]
+pub(crate) fn expect_ok<T>(result: Result<T, TestDoubleError>) -> T {
+    result.unwrap_or_else(|error| panic!("{error}"))
+}
--- /dev/null
+++ b/crates/test-doubles/src/executor/mod.rs
@@ -0,0 +1,144 @@
+//! The fake of the executor.
+
+mod runs;
+
+use std::io::{BufRead, BufReader};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::{Arc, Mutex, MutexGuard};
+
+use serde_json::Value;
+
+use crate::error::{expect_ok, TestDoubleError};
+use crate::loopback_server::try_serve_connections;
+use crate::waiting::lock_state;
+use runs::ExecutorState;
+
+/// An executor. Clones share their state.
+///
+/// A request's body selects how its run goes: `serve` and `fail` end at once, `bad` is rejected as a command, `call:BODY`
+/// first calls the database with that body, and anything else, such as `hang`, goes on until it is ended.
+#[derive(Clone)]
+pub struct FakeExecutor {
+    /// Where nodes connect to it.
+    pub address: SocketAddr,
+    state: Arc<Mutex<ExecutorState>>,
+}
+
+impl FakeExecutor {
+    /// Starts the executor; panics where the system provides no socket.
+    pub fn start() -> FakeExecutor {
+        expect_ok(FakeExecutor::try_start())
+    }
+
+    /// Starts the executor.
+    ///
+    /// # Errors
+    /// [`TestDoubleError::Io`] where the system provides no socket.
+    pub fn try_start() -> Result<FakeExecutor, TestDoubleError> {
+        let state = Arc::new(Mutex::new(ExecutorState::default()));
+        let address = serve_links(state.clone())?;
+        Ok(FakeExecutor { address, state })
+    }
+
+    /// Opens a second address of the same executor: its runs and notice numbers carry on.
+    pub fn open_second_address(&self) -> SocketAddr {
+        expect_ok(serve_links(self.state.clone()))
+    }
+
+    /// How often a request with this body was run.
+    pub fn run_count(&self, body: &str) -> usize {
+        self.checked_state().run_count(body)
+    }
+
+    /// How many requests were run.
+    pub fn total_runs(&self) -> usize {
+        expect_ok(self.try_total_runs())
+    }
+
+    /// How many requests were run.
+    ///
+    /// # Errors
+    /// [`TestDoubleError::Protocol`] if the node broke the protocol. The methods without `try_` panic in that case.
+    pub fn try_total_runs(&self) -> Result<usize, TestDoubleError> {
+        self.check_protocol()?;
+        Ok(lock_state(&self.state).total_runs())
+    }
+
+    /// The positions of notices that links joined at, in order.
+    pub fn join_positions(&self) -> Vec<u64> {
+        self.checked_state().join_positions.clone()
+    }
+
+    /// How many commands to end a run came.
+    pub fn kill_count(&self) -> usize {
+        self.checked_state().kill_count
+    }
+
+    /// Ends a run that hangs, successfully. Panics if no such run is in progress.
+    pub fn finish_run(&self, body: &str) {
+        let finished = self.checked_state().finish_run(body);
+        assert!(finished, "no run of {body} is in progress");
+    }
+
+    /// Breaks the link; notices until the next one are kept for it.
+    pub fn break_link(&self) {
+        self.checked_state().break_link();
+    }
+
+    /// Loses the next command to run, and the link with it.
+    pub fn lose_next_command(&self) {
+        self.checked_state().loses_next_command = true;
+    }
+
+    /// Checks that the node has kept to the protocol.
+    ///
+    /// # Errors
+    /// [`TestDoubleError::Protocol`] with its first offence.
+    pub fn check_protocol(&self) -> Result<(), TestDoubleError> {
+        let error = lock_state(&self.state).protocol_error.clone();
+        error.map_or(Ok(()), |error| Err(TestDoubleError::Protocol(error)))
+    }
+
+    fn checked_state(&self) -> MutexGuard<'_, ExecutorState> {
+        expect_ok(self.check_protocol());
+        lock_state(&self.state)
+    }
+}
+
+/// Listens for links to the executor, and returns the address.
+fn serve_links(state: Arc<Mutex<ExecutorState>>) -> Result<SocketAddr, TestDoubleError> {
+    try_serve_connections(move |stream| {
+        if let Err(error) = read_commands(&stream, &state) {
+            let mut state = lock_state(&state);
+            state.protocol_error.get_or_insert(error.to_string());
+            state.break_link();
+        }
+    })
+}
+
+/// Reads the commands of a link until its end.
+fn read_commands(stream: &TcpStream, state: &Mutex<ExecutorState>) -> Result<(), TestDoubleError> {
+    let Ok(reading_half) = stream.try_clone() else {
+        return Ok(());
+    };
+    let mut reader = BufReader::new(reading_half);
+    let mut line = String::new();
+    // A node that is killed may leave half a line at the end.
+    while reader.read_line(&mut line).is_ok() && line.ends_with('\n') {
+        let command: Value = serde_json::from_str(&line)?;
+        line.clear();
+        let mut state = lock_state(state);
+        if command["action"] == "JOIN" {
+            let position = command["pos"].as_u64();
+            let position = position
+                .ok_or_else(|| TestDoubleError::Protocol(format!("no position: {command}")))?;
+            let Ok(writing_half) = stream.try_clone() else {
+                return Ok(());
+            };
+            state.join_link(position, writing_half);
+        } else {
+            state.handle_command(&command)?;
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/test-doubles/src/executor/runs.rs
@@ -0,0 +1,176 @@
+//! The runs of the fake executor and the notices about them.
+
+use std::collections::HashMap;
+use std::io::Write;
+use std::net::{Shutdown, TcpStream};
+
+use serde_json::{json, Value};
+
+use crate::encoding::{encode_base64, try_decode_base64};
+use crate::error::TestDoubleError;
+
+/// What an executor keeps over all its links.
+#[derive(Default)]
+pub(super) struct ExecutorState {
+    /// How often each body was run.
+    run_counts: HashMap<String, usize>,
+    /// Runs in progress, by the id of their request.
+    running: HashMap<String, Run>,
+    /// How many commands to end a run came.
+    pub(super) kill_count: usize,
+    /// The positions that links joined at.
+    pub(super) join_positions: Vec<u64>,
+    /// All notices so far; the first has the position 1.
+    notices: Vec<String>,
+    link: Option<TcpStream>,
+    /// The next command to run is lost with its link.
+    pub(super) loses_next_command: bool,
+    /// How the node broke the protocol, if it did.
+    pub(super) protocol_error: Option<String>,
+}
+
+struct Run {
+    body: String,
+    waits_for_call: bool,
+}
+
+impl ExecutorState {
+    pub(super) fn run_count(&self, body: &str) -> usize {
+        self.run_counts.get(body).copied().unwrap_or(0)
+    }
+
+    pub(super) fn total_runs(&self) -> usize {
+        self.run_counts.values().sum()
+    }
+
+    /// Makes a connection the link that notices go to, and sends the notices after this position.
+    pub(super) fn join_link(&mut self, position: u64, link: TcpStream) {
+        self.join_positions.push(position);
+        self.link = Some(link);
+        self.write("{\"action\":\"WELCOME\",\"code\":\"WARM\",\"wall_ms\":5}\n");
+        let missed: String = self
+            .notices
+            .iter()
+            .skip(position as usize)
+            .cloned()
+            .collect();
+        self.write(&missed);
+    }
+
+    pub(super) fn break_link(&mut self) {
+        if let Some(link) = self.link.take() {
+            let _ = link.shutdown(Shutdown::Both);
+        }
+    }
+
+    /// Ends the run with this body successfully; whether there was one.
+    pub(super) fn finish_run(&mut self, body: &str) -> bool {
+        let found = self.running.iter().find(|(_, run)| run.body == body);
+        let Some(uid) = found.map(|(uid, _)| uid.clone()) else {
+            return false;
+        };
+        self.end_run(&uid, "OK", Some("late result"));
+        true
+    }
+
+    pub(super) fn handle_command(&mut self, command: &Value) -> Result<(), TestDoubleError> {
+        let uid = command["uid"].as_str().unwrap_or("").to_string();
+        match command["action"].as_str() {
+            Some("EXEC") if std::mem::take(&mut self.loses_next_command) => self.break_link(),
+            Some("EXEC") if !self.running.contains_key(&uid) => {
+                self.start_run(&uid, &decode_content(command)?);
+            }
+            Some("RETURN") if self.waits_for_call(&uid) => {
+                let reply = decode_content(command)?;
+                self.end_run(&uid, "OK", Some(&reply));
+            }
+            Some("BYPASS") if self.waits_for_call(&uid) => self.bypass_call(&uid, command)?,
+            Some("KILL") => {
+                self.kill_count += 1;
+                self.end_run(&uid, "STOPPED", None);
+            }
+            Some("METER") => {
+                let meters = json!({"action": "METERS", "echo": command["echo"], "meters": [0.1, 1, 0.1, 5]});
+                self.write(&format!("{meters}\n"));
+            }
+            _ => {}
+        }
+        Ok(())
+    }
+
+    fn start_run(&mut self, uid: &str, body: &str) {
+        *self.run_counts.entry(body.to_string()).or_default() += 1;
+        let (verb, argument) = body.split_once(':').unwrap_or((body, ""));
+        let run = Run {
+            body: body.to_string(),
+            waits_for_call: verb == "call",
+        };
+        self.running.insert(uid.to_string(), run);
+        match verb {
+            "serve" => self.end_run(uid, "OK", Some(&format!("done {body}"))),
+            "fail" => self.end_run(uid, "ERROR", None),
+            "bad" => self.reject_run(uid),
+            "call" => self.notify(
+                json!({"action": "CALLOUT", "uid": uid, "content": encode_base64(argument)}),
+            ),
+            _ => {}
+        }
+    }
+
+    fn reject_run(&mut self, uid: &str) {
+        self.running.remove(uid);
+        // A message that a node does not know must not end its link.
+        self.write("{\"action\":\"NEWS\",\"pos\":0}\nnot JSON\n");
+        let rejection = json!({"action": "BAD", "code": "EXEC", "uid": uid});
+        self.write(&format!("{rejection}\n"));
+    }
+
+    /// Ends a run without its call, with a result if the command names the notice of that call.
+    fn bypass_call(&mut self, uid: &str, command: &Value) -> Result<(), TestDoubleError> {
+        let position = command["pos"].as_u64().unwrap_or(0) as usize;
+        let index = position
+            .checked_sub(1)
+            .ok_or_else(|| TestDoubleError::Protocol(format!("no position: {command}")))?;
+        let notice = self.notices.get(index);
+        let is_callout =
+            notice.is_some_and(|notice| notice.contains("CALLOUT") && notice.contains(uid));
+        self.end_run(uid, "OK", is_callout.then_some("without the call"));
+        Ok(())
+    }
+
+    fn waits_for_call(&self, uid: &str) -> bool {
+        self.running.get(uid).is_some_and(|run| run.waits_for_call)
+    }
+
+    fn end_run(&mut self, uid: &str, code: &str, content: Option<&str>) {
+        if self.running.remove(uid).is_none() {
+            return;
+        }
+        let content = content.map(encode_base64);
+        self.notify(
+            json!({"action": "EXIT", "uid": uid, "code": code, "wall_ms": 1.0, "content": content}),
+        );
+    }
+
+    /// Sends a notice with the next position, and keeps it for later links.
+    fn notify(&mut self, mut notice: Value) {
+        notice["pos"] = json!(self.notices.len() + 1);
+        let line = format!("{notice}\n");
+        self.write(&line);
+        self.notices.push(line);
+    }
+
+    /// Writes to the link; an error is ignored, since the node may have closed it.
+    fn write(&self, line: &str) {
+        if let Some(mut link) = self.link.as_ref() {
+            let _ = link.write_all(line.as_bytes());
+        }
+    }
+}
+
+fn decode_content(command: &Value) -> Result<String, TestDoubleError> {
+    let content = command["content"].as_str();
+    let content =
+        content.ok_or_else(|| TestDoubleError::Protocol(format!("no content: {command}")))?;
+    try_decode_base64(content)
+}
--- /dev/null
+++ b/crates/test-doubles/src/scratch_file.rs
@@ -0,0 +1,73 @@
+//! Temporary files of a test.
+
+use std::cell::RefCell;
+use std::path::{Path, PathBuf};
+use std::rc::{Rc, Weak};
+
+use tempfile::TempDir;
+
+use crate::error::{expect_ok, TestDoubleError};
+
+thread_local! {
+    /// The folder of the test that runs on this thread, while it has files.
+    static FOLDER: RefCell<Weak<TempDir>> = const { RefCell::new(Weak::new()) };
+}
+
+/// A file in a temporary folder that all files of the same thread share, and so of the same test. Removed with the value,
+/// the folder with its last file.
+///
+/// The nodes of a test have this folder as their `TMPDIR`: their lock files meet there.
+pub struct ScratchFile {
+    path: PathBuf,
+    folder: Rc<TempDir>,
+}
+
+impl ScratchFile {
+    /// Writes a file; panics where that fails.
+    pub fn new(name: &str, text: &str) -> ScratchFile {
+        expect_ok(ScratchFile::try_new(name, text))
+    }
+
+    /// Writes a file.
+    ///
+    /// # Errors
+    /// [`TestDoubleError::Io`] where the folder or the file can't be written.
+    pub fn try_new(name: &str, text: &str) -> Result<ScratchFile, TestDoubleError> {
+        let folder = shared_folder()?;
+        let path = folder.path().join(name);
+        std::fs::write(&path, text).map_err(TestDoubleError::io(path.display().to_string()))?;
+        Ok(ScratchFile { path, folder })
+    }
+
+    /// The path of the file.
+    pub fn path(&self) -> &Path {
+        &self.path
+    }
+
+    /// The folder of the test.
+    pub fn folder(&self) -> &Path {
+        self.folder.path()
+    }
+}
+
+impl Drop for ScratchFile {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_file(&self.path);
+    }
+}
+
+/// The folder of this thread, made where there is none.
+fn shared_folder() -> Result<Rc<TempDir>, TestDoubleError> {
+    FOLDER.with_borrow_mut(|current| {
+        if let Some(folder) = current.upgrade() {
+            return Ok(folder);
+        }
+        let folder = tempfile::Builder::new()
+            .prefix("protocol-gateway-")
+            .tempdir()
+            .map_err(TestDoubleError::io("making a temporary folder"))?;
+        let folder = Rc::new(folder);
+        *current = Rc::downgrade(&folder);
+        Ok(folder)
+    })
+}
--- a/tests/golden_config.rs
+++ b/tests/golden_config.rs
@@ -7,7 +7,7 @@
 
 use golden::check_groups;
 use serde_json::json;
-use test_doubles::{command, config, until, Database, Executor, List, Node, Scratch};
+use test_doubles::{node_command, wait_until, FakePeers, Node, ScratchFile};
 
 #[test]
 fn each_key_of_the_configuration_is_read_and_each_fault_is_one_line() {
@@ -22,14 +22,14 @@
 #[test]
 fn the_variable_for_the_admin_address_wins_over_the_file() {
     let taken = TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let peers = (Executor::start(), Database::start(), List::start());
-    let mut text = config(peers.0.address, peers.1.address, peers.2.address);
+    let peers = FakePeers::start();
+    let mut text = peers.node_config();
     text["admin"] = json!(taken.local_addr().expect("bound"));
-    let file = Scratch::new("config.json", &text.to_string());
-    let mut command = command(&file);
+    let file = ScratchFile::new("config.json", &text.to_string());
+    let mut command = node_command(&file);
     command.env("PROXY_ADMIN", "127.0.0.1:0");
-    let node = Node::run(command, peers, file);
-    until("the admin address of the variable is in use", || {
-        node.logged("admin").is_some()
+    let node = Node::spawn_command(command, peers, file);
+    wait_until("the admin address of the variable is in use", || {
+        node.logged_address("admin").is_some()
     });
 }
--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -8,7 +8,7 @@
 use protocol_gateway::inventory::{read, InventoryError, Queue};
 use protocol_gateway::node::Limits;
 use protocol_gateway::wire::Site;
-use stand_ins::{command, config, settings, Scratch};
+use stand_ins::{node_command, node_config, small_site_settings, ScratchFile};
 
 fn env(name: &str) -> Option<String> {
     (name == "PW").then(|| "secret".into())
--- a/tests/stand_ins/broker.rs
+++ b/tests/stand_ins/broker.rs
@@ -17,7 +17,7 @@
 use crossbeam_channel::{unbounded, RecvTimeoutError};
 use protocol_gateway::amqp::codec;
 
-use super::{lock, serve, Scratch};
+use super::{lock, serve_connections, ScratchFile};
 
 pub(crate) const READS: &str = "reads";
 pub(crate) const POSTS: &str = "posts";
