--- a/crates/fault-testbed/src/rig.rs
+++ b/crates/fault-testbed/src/rig.rs
@@ -240,7 +240,7 @@
         let mut settings = node_config(slot.executor.address, ledger, self.list.address);
         settings["name"] = json!(name);
         settings["admin"] = json!("127.0.0.1:0");
-        std::fs::write(&slot.file.path(), settings.to_string()).expect("a file");
+        std::fs::write(slot.file.path(), settings.to_string()).expect("a file");
         let mut command = node_command(&slot.file);
         command.arg("--fleet").arg(self.fleet_file(name, listen));
         let file = ScratchFile::new(&format!("{name}.spare"), "");
--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -230,7 +230,7 @@
     let inventory = ScratchFile::new("i.yaml", "all: {hosts: {a: {queue: q}}}");
     let output = node_command(&config)
         .arg("--inventory")
-        .arg(&inventory.path())
+        .arg(inventory.path())
         .output()
         .expect("the program starts");
     let said = String::from_utf8_lossy(&output.stderr);
--- a/tests/node_requests.rs
+++ b/tests/node_requests.rs
@@ -650,14 +650,14 @@
         node.database.address,
         node.endpoint_list.address,
     );
-    std::fs::write(&file.path(), &cells("a")[..60]).expect("a file");
+    std::fs::write(file.path(), &cells("a")[..60]).expect("a file");
     node.reload(&config.to_string());
     wait_until("the broken file is told", || {
         node.log().contains("the new cells are not used")
     });
     assert_eq!(code(&front.request(POST, "serve:elsewhere")), REFUSED);
     // Nobody moves by a file: the tenant lives in b until a move is committed.
-    std::fs::write(&file.path(), cells("a")).expect("a file");
+    std::fs::write(file.path(), cells("a")).expect("a file");
     node.reload(&config.to_string());
     wait_until("the good one is in force", || {
         node.log().contains("cells read again")
