--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -17,7 +17,7 @@
 fn load(name: &str, text: &str) -> Result<Vec<Queue>, InventoryError> {
     let site = Site::from_json(&small_site_settings()).expect("settings");
     read(
-        &ScratchFile::new(name, text).path(),
+        ScratchFile::new(name, text).path(),
         &site,
         &Limits::new(1024),
         env,
