--- /dev/null
+++ b/tests/configuration.rs
@@ -0,0 +1,184 @@
+//! Configuration of a node: what is needed to start, reload on SIGHUP, and sites with settings of their own.
+
+#[path = "common/answers.rs"]
+mod answers;
+
+use answers::{error_code, result_body};
+use serde_json::json;
+use test_doubles::*;
+
+const READ: &str = "statement-read";
+const POST: &str = "settlement-post";
+
+/// Guards a serving node: SIGHUP used to end it. The new addresses are used, runs go on over the new link with no notice
+/// lost or handled twice, and an unusable file changes nothing.
+#[test]
+fn reload_moves_the_peers_and_ends_nothing() {
+    let node = Node::start();
+    let mut front = node.connect();
+    assert_eq!(result_body(&front.request(READ, "serve")), "done serve");
+    front.send(POST, "hang");
+    wait_until("it runs", || node.executor.run_count("hang") == 1);
+    let (database, list) = (FakeDatabase::start(), FakeEndpointList::start());
+    let moved = node_config(
+        node.executor.open_second_address(),
+        database.address,
+        list.address,
+    );
+    node.reload(&moved.to_string());
+    wait_until("the executor is connected at its new address", || {
+        node.executor.join_positions() == [0, 1]
+    });
+    wait_until(
+        "the endpoint list has the report at its new address",
+        || list.has_report("HB n3 UP"),
+    );
+    node.executor.finish_run("hang");
+    assert_eq!(result_body(&front.read_message()), "late result");
+    assert_eq!(
+        result_body(&front.request(POST, "call:ok#moved")),
+        "rows for ok#moved"
+    );
+    assert_eq!(
+        (
+            database.call_count("ok#moved"),
+            node.database.call_count("ok#moved")
+        ),
+        (1, 0)
+    );
+    node.reload("{ not a configuration");
+    wait_until("the file is rejected", || {
+        node.log().contains("the new configuration is not used")
+    });
+    assert_eq!(
+        result_body(&front.request(POST, "call:ok#kept")),
+        "rows for ok#kept"
+    );
+    assert_eq!(
+        (
+            database.call_count("ok#kept"),
+            node.executor.join_positions().len()
+        ),
+        (1, 2)
+    );
+}
+
+#[test]
+fn unusable_configuration_prints_one_line_and_exits() {
+    let unused = "127.0.0.1:9".parse().expect("an address");
+    let mut memoryless = node_config(unused, unused, unused);
+    memoryless["limits"]["memory_mb"] = json!(0);
+    let mut coreless = node_config(unused, unused, unused);
+    coreless["settings"]["specifics"]["cores"] = json!(0);
+    let mut without_database = node_config(unused, unused, unused);
+    without_database
+        .as_object_mut()
+        .expect("an object")
+        .remove("db");
+    let cases = [
+        ("{".to_string(), "configuration:"),
+        (without_database.to_string(), "`db`"),
+        (memoryless.to_string(), "limits.memory_mb"),
+        (coreless.to_string(), "settings name no cores"),
+    ];
+    for (text, expected_error) in cases {
+        let file = ScratchFile::new("bad.json", &text);
+        let output = node_command(&file).output().expect("the program starts");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert!(!output.status.success());
+        assert!(
+            stderr.contains(expected_error) && stderr.lines().count() == 1,
+            "{stderr}"
+        );
+    }
+}
+
+/// Nodes of a site that depend on nothing, as those of a second tier, have no database address, and start.
+#[test]
+fn node_without_a_dependency_starts_without_a_database() {
+    let mut node = Node::start_with(None, |config| {
+        config.as_object_mut().expect("an object").remove("db");
+        config["settings"]["specifics"]["dependsOn"] = json!("off");
+        config["settings"]["specifics"]["classCalls"] = json!([false, false]);
+    });
+    let mut front = node.connect();
+    assert_eq!(
+        result_body(&front.request("statement-read", "serve")),
+        "done serve"
+    );
+    // A call that a run still asks for can't be made; its request is answered by its deadline.
+    assert!(error_code(&front.request("statement-read", "call:ok")) != 0);
+    node.reload("{");
+    assert_eq!(
+        result_body(&front.request("settlement-post", "serve")),
+        "done serve"
+    );
+    node.terminate();
+    assert_eq!(node.wait_for_exit().code(), Some(0));
+}
+
+/// An endpoint list that never answers costs nothing: the node serves and shuts down.
+#[test]
+fn silent_endpoint_list_costs_nothing() {
+    // Bound and dropped: nobody listens at this address.
+    let closed_address = std::net::UdpSocket::bind("127.0.0.1:0")
+        .and_then(|socket| socket.local_addr())
+        .expect("loopback");
+    let mut node = Node::start_with(None, |config| config["members"] = json!(closed_address));
+    let mut front = node.connect();
+    for _ in 0..20 {
+        assert_eq!(
+            result_body(&front.request("settlement-post", "serve")),
+            "done serve"
+        );
+    }
+    assert!(!node.endpoint_list.has_report("HB n3 UP"));
+    assert_eq!(front.query_alive()["result"]["ready"], true);
+    node.terminate();
+    drop(front);
+    assert_eq!(node.wait_for_exit().code(), Some(0));
+}
+
+/// Two nodes with different classes, tenants and deadlines in one test: neither uses anything of the other's.
+#[test]
+fn settings_of_one_site_do_not_leak_into_another() {
+    let one = Node::start();
+    let two = Node::start_with(None, |config| {
+        config["settings"]["lanes"] = json!([{"name": "charge-card", "promise": 200.0, "deadline": 300.0,
+            "effect": "once", "lateWorth": 0.0, "window": 0.0, "worth": 4.0}]);
+        config["settings"]["tenants"] = json!([{"name": "ring-line", "allowancePerS": 5.0}]);
+        config["settings"]["specifics"]["classCalls"] = json!([false]);
+        config["settings"]["specifics"]["classSkipWorth"] = json!([0.0]);
+        config["settings"]["specifics"]["say"] = json!("off");
+    });
+    let (mut at_one, mut at_two) = (one.connect(), two.connect());
+    let t0 = unix_ms();
+    at_two.send_with_fields(
+        "charge-card",
+        "hang",
+        &json!({"acct": "ring-line", "t0": t0}),
+    );
+    at_one.send("statement-read", "hang");
+    let answer = at_two.read_answer();
+    assert!(
+        error_code(&answer) != 0 && unix_ms() - t0 < 600,
+        "{answer} after {} ms",
+        unix_ms() - t0
+    );
+    // No capacity hint where the settings give none.
+    assert!(
+        answer["error"]["data"]["hint"].is_null()
+            && at_two.query_alive()["result"]["hint"].is_null()
+    );
+    one.executor.finish_run("hang");
+    assert_eq!(result_body(&at_one.read_answer()), "late result");
+    assert!(!at_one.query_alive()["result"]["hint"].is_null());
+    // Each rejects what only the other's settings name.
+    at_one.send_with_fields("charge-card", "serve", &json!({}));
+    assert_eq!(error_code(&at_one.read_message()), -32601);
+    let mut again = one.connect();
+    again.send_with_fields("statement-read", "serve", &json!({"acct": "ring-line"}));
+    assert_eq!(error_code(&again.read_message()), -32602);
+    at_two.send_with_fields("statement-read", "serve", &json!({"acct": "ring-line"}));
+    assert_eq!(error_code(&at_two.read_message()), -32601);
+}
