--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -17,7 +17,7 @@
 fn load(name: &str, text: &str) -> Result<Vec<BrokerQueue>, InventoryError> {
     let site = Site::from_json(&small_site_settings()).expect("settings");
     read(
-        &ScratchFile::new(name, text).path(),
+        ScratchFile::new(name, text).path(),
         &site,
         &Limits::new(1024),
         env,
@@ -266,7 +266,7 @@
     let inventory = ScratchFile::new("i.yaml", "all: {hosts: {a: {queue: q}}}");
     let output = node_command(&config)
         .arg("--inventory")
-        .arg(&inventory.path())
+        .arg(inventory.path())
         .output()
         .expect("the program starts");
     let stderr = String::from_utf8_lossy(&output.stderr);
--- a/tests/node_requests.rs
+++ b/tests/node_requests.rs
@@ -285,7 +285,7 @@
         node.database.address,
         node.endpoint_list.address,
     );
-    std::fs::write(&file.path(), &cells_file("a")[..60]).expect("a file");
+    std::fs::write(file.path(), &cells_file("a")[..60]).expect("a file");
     node.reload(&config.to_string());
     wait_until("the broken file is rejected", || {
         node.log().contains("the new cells are not used")
@@ -295,7 +295,7 @@
         REJECTED
     );
     // A file migrates nobody: the tenant stays in b until a migration is committed.
-    std::fs::write(&file.path(), cells_file("a")).expect("a file");
+    std::fs::write(file.path(), cells_file("a")).expect("a file");
     node.reload(&config.to_string());
     wait_until("the good one is read", || {
         node.log().contains("cells read again")
