--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -448,7 +448,7 @@
 #[test]
 fn a_broker_that_refuses_us_harms_no_one() {
     let broker = Broker::start();
-    let text = std::fs::read_to_string(&broker.inventory(4).path())
+    let text = std::fs::read_to_string(broker.inventory(4).path())
         .expect("a file")
         .replace("username: guest", "username: eve");
     let inventory = ScratchFile::new("other.yaml", &text);
