--- a/src/actors.rs
+++ b/src/actors.rs
@@ -5,7 +5,7 @@
 
 use crossbeam_channel::{bounded, Receiver, Sender};
 use fleet_runtime as fleet;
-use protocol_gateway::amqp::Amqp;
+use protocol_gateway::amqp::AmqpConsumers;
 use protocol_gateway::inventory::Queue;
 use protocol_gateway::net::jsonrpc::JsonRpcServer;
 use protocol_gateway::net::{admin, database, endpoint_list, executor, spawn, PeerAddress};
@@ -32,7 +32,7 @@
 /// The running actors, and the mailboxes through which the main thread reaches them.
 pub(crate) struct Actors {
     pub(crate) json_rpc: JsonRpcServer,
-    pub(crate) amqp: Amqp,
+    pub(crate) amqp: AmqpConsumers,
     pub(crate) fleet: FleetLinks,
     /// The database's address, which may change.
     pub(crate) database: Arc<PeerAddress>,
@@ -245,12 +245,13 @@
     }
 
     /// Starts the consumers of AMQP queues.
-    fn start_amqp(&self, queues: Vec<Queue>) -> Result<Amqp, StartError> {
+    fn start_amqp(&self, queues: Vec<Queue>) -> Result<AmqpConsumers, StartError> {
         let site = self.config.site.clone();
         let log = self.log_for("amqp");
-        Amqp::start(
+        AmqpConsumers::start(
             queues,
-            (site, self.config.seed),
+            site,
+            self.config.seed,
             self.limits,
             &self.status,
             &self.policy,
--- /dev/null
+++ b/src/amqp/broker/connection.rs
@@ -0,0 +1,122 @@
+//! The socket of a connection to a broker, with a thread that reads its frames.
+
+use std::io;
+use std::net::{Shutdown, TcpStream, ToSocketAddrs};
+use std::sync::atomic::AtomicBool;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use amq_protocol::frame::AMQPFrame;
+use amq_protocol::protocol::connection::{AMQPMethod as Method, CloseOk};
+use amq_protocol::protocol::AMQPClass;
+use crossbeam_channel::{at, bounded, select, Receiver, Sender};
+use slog::{debug, Logger};
+
+use super::super::codec;
+use super::error::BrokerError;
+use crate::inventory::Queue;
+use crate::net::spawn;
+use crate::node::Limits;
+
+/// The channel of methods that concern the connection itself.
+pub(super) const CONNECTION_CHANNEL: u16 = 0;
+
+/// A connection to a broker. It is closed when it is dropped.
+pub(super) struct Connection {
+    stream: Arc<TcpStream>,
+    pub(super) frames: Receiver<AMQPFrame>,
+    /// The interval at which heartbeats are sent, half the agreed one; `None` if there are no heartbeats.
+    pub(super) heartbeat_interval: Option<Duration>,
+    /// The most bytes of a frame.
+    pub(super) max_frame_bytes: usize,
+    /// Set when an answer found the mailbox full: the connection is dropped, which gives everything back to the broker.
+    pub(super) has_lost_answers: Arc<AtomicBool>,
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        let _ = self.stream.shutdown(Shutdown::Both);
+    }
+}
+
+impl Connection {
+    /// Connects to the broker of this queue and starts the thread that reads its frames.
+    pub(super) fn open(
+        queue: &Queue,
+        limits: &Limits,
+        log: &Logger,
+    ) -> Result<Connection, BrokerError> {
+        let mut addresses = (queue.host.as_str(), queue.port).to_socket_addrs()?;
+        let address = addresses.next().ok_or(BrokerError::NoAddress)?;
+        let stream = TcpStream::connect_timeout(&address, limits.connect_timeout)?;
+        stream.set_nodelay(true)?;
+        stream.set_write_timeout(Some(limits.write_timeout))?;
+        let stream = Arc::new(stream);
+        let (sender, frames) = bounded(limits.amqp.frame_queue);
+        let (read_stream, read_limits, log) = (stream.clone(), limits.clone(), log.clone());
+        // The codec is recursive in nested tables; the length of a frame bounds their depth.
+        spawn("amqp-read", limits.amqp.stack_bytes, move || {
+            read_frames(&read_stream, &read_limits, &sender, &log);
+        })?;
+        Ok(Connection {
+            stream,
+            frames,
+            heartbeat_interval: None,
+            max_frame_bytes: limits.amqp.frame_bytes,
+            has_lost_answers: Arc::default(),
+        })
+    }
+
+    /// Sends frames.
+    pub(super) fn send(&self, frames: &[AMQPFrame]) -> io::Result<()> {
+        codec::write(&*self.stream, frames)
+    }
+
+    /// Sends a method of the connection itself.
+    pub(super) fn send_method(&self, method: Method) -> io::Result<()> {
+        self.send(&[AMQPFrame::Method(
+            CONNECTION_CHANNEL,
+            AMQPClass::Connection(method),
+        )])
+    }
+
+    /// Waits until `deadline` for the next method of the connection itself.
+    pub(super) fn next_method(&self, deadline: Instant) -> Result<Method, BrokerError> {
+        loop {
+            let frame = select! {
+                recv(self.frames) -> frame => frame.map_err(|_| BrokerError::ConnectionLost)?,
+                recv(at(deadline)) -> _ => return Err(BrokerError::TimedOut),
+            };
+            match frame {
+                AMQPFrame::Method(CONNECTION_CHANNEL, AMQPClass::Connection(method)) => {
+                    return self.check_not_closed(method);
+                }
+                AMQPFrame::Heartbeat => {}
+                other => return Err(BrokerError::unexpected(&other)),
+            }
+        }
+    }
+
+    fn check_not_closed(&self, method: Method) -> Result<Method, BrokerError> {
+        let Method::Close(close) = method else {
+            return Ok(method);
+        };
+        let _ = self.send_method(Method::CloseOk(CloseOk {}));
+        Err(BrokerError::rejected(&close))
+    }
+}
+
+/// Reads frames until the stream ends or nobody receives them.
+fn read_frames(stream: &TcpStream, limits: &Limits, frames: &Sender<AMQPFrame>, log: &Logger) {
+    let mut reader = io::BufReader::with_capacity(limits.read_bytes, stream);
+    loop {
+        match codec::read(&mut reader, limits.amqp.frame_bytes) {
+            Ok(frame) => {
+                if frames.send(frame).is_err() {
+                    return;
+                }
+            }
+            Err(e) => return debug!(log, "broker read ended"; "error" => %e),
+        }
+    }
+}
--- /dev/null
+++ b/src/amqp/broker/mod.rs
@@ -0,0 +1,153 @@
+//! A broker's actor: it connects, agrees on the connection, and drives the consumers on it. After a lost connection it
+//! reconnects with jittered backoff; what was delivered on the old connection belongs to the broker again.
+
+mod connection;
+mod error;
+mod handshake;
+mod session;
+
+use std::sync::atomic::Ordering::SeqCst;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use crossbeam_channel::{after, select, Receiver, Sender};
+use slog::{info, warn, Logger};
+
+use super::SharedState;
+use crate::inventory::Queue;
+use crate::net::Backoff;
+use crate::node::Answer;
+use error::BrokerError;
+
+/// A message to a broker's actor.
+pub(super) enum BrokerMessage {
+    /// The answer to a delivery.
+    Answer(DeliveryAnswer),
+    /// Stop consuming.
+    ShutDown,
+}
+
+/// The answer to a delivery on one of the actor's connections.
+pub(super) struct DeliveryAnswer {
+    /// The generation of the connection.
+    generation: u64,
+    channel: u16,
+    tag: u64,
+    answer: Answer,
+}
+
+/// Both ends of a broker's mailbox.
+pub(super) struct BrokerMailbox {
+    pub(super) sender: Sender<BrokerMessage>,
+    pub(super) receiver: Receiver<BrokerMessage>,
+}
+
+/// The actor of one broker, virtual host and user.
+pub(super) struct BrokerActor {
+    number: u64,
+    queues: Vec<Queue>,
+    shared: Arc<SharedState>,
+    mailbox: BrokerMailbox,
+    log: Logger,
+    /// The state of the random generator.
+    random: u64,
+    /// Counts connections, so that an answer to a delivery of an earlier one is not taken for a later one's.
+    generation: u64,
+    /// Deliveries that are not settled, as counted in the shared state.
+    unsettled: usize,
+}
+
+impl BrokerActor {
+    pub(super) fn new(
+        number: u64,
+        queues: Vec<Queue>,
+        shared: Arc<SharedState>,
+        mailbox: BrokerMailbox,
+        log: Logger,
+    ) -> BrokerActor {
+        let random = shared.seed ^ (number + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        BrokerActor {
+            number,
+            queues,
+            shared,
+            mailbox,
+            log,
+            random,
+            generation: 0,
+            unsettled: 0,
+        }
+    }
+
+    /// Runs until the node shuts down and every delivery is settled.
+    pub(super) fn run(mut self) {
+        let limits = self.shared.limits.clone();
+        let mut backoff = Backoff::new(limits.reconnect_backoff, limits.amqp.backoff_max);
+        while !self.is_shutting_down() {
+            // Nothing is consumed before the node can serve it.
+            if !self.shared.node_status.process_state().may_consume() {
+                self.pause(limits.reconnect_backoff);
+                continue;
+            }
+            self.generation += 1;
+            let connected_at = Instant::now();
+            match self.run_connection() {
+                Ok(()) => break,
+                Err(error) => {
+                    warn!(self.log, "broker connection ended"; "error" => %error, "unsettled" => self.unsettled);
+                    // A broker that accepts connections and drops them at once is not asked again at once.
+                    if connected_at.elapsed() > limits.amqp.backoff_max {
+                        backoff.reset();
+                    }
+                }
+            }
+            self.set_unsettled(0);
+            let delay = backoff.next_delay().mul_f64(self.next_jitter());
+            self.pause(delay);
+        }
+        self.set_unsettled(0);
+        self.shared.open_brokers.fetch_sub(1, SeqCst);
+    }
+
+    /// Connects and serves the connection; returns `Ok` once everything is settled and closed for the shutdown.
+    fn run_connection(&mut self) -> Result<(), BrokerError> {
+        let connection = self.connect()?;
+        info!(self.log, "broker connected"; "queues" => self.queues.len());
+        self.serve(&connection)
+    }
+
+    fn is_shutting_down(&self) -> bool {
+        self.shared.is_shutting_down.load(SeqCst)
+    }
+
+    /// Waits between connections. Answers that are received meanwhile belong to a connection that has ended.
+    fn pause(&self, duration: Duration) {
+        let timeout = after(duration);
+        while !self.is_shutting_down() {
+            select! {
+                recv(self.mailbox.receiver) -> _ => {}
+                recv(timeout) -> _ => return,
+            }
+        }
+    }
+
+    /// A random fraction from 0.5 to 1, so that the consumers of a broker that restarts don't all reconnect at once.
+    fn next_jitter(&mut self) -> f64 {
+        0.5 + (self.next_random() >> 11) as f64 / (1u64 << 54) as f64
+    }
+
+    /// The next random number, by `SplitMix64`.
+    fn next_random(&mut self) -> u64 {
+        self.random = self.random.wrapping_add(0x9E37_79B9_7F4A_7C15);
+        let mut z = self.random;
+        z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+        z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+        z ^ (z >> 31)
+    }
+
+    /// Sets the number of this broker's unsettled deliveries in the shared count.
+    fn set_unsettled(&mut self, unsettled: usize) {
+        self.shared.unsettled.fetch_add(unsettled, SeqCst);
+        self.shared.unsettled.fetch_sub(self.unsettled, SeqCst);
+        self.unsettled = unsettled;
+    }
+}
--- a/src/amqp/codec.rs
+++ b/src/amqp/codec.rs
@@ -1,12 +1,14 @@
-//! Frames as bytes. The codec itself is the amq-protocol crate's; here stand only the bounds on what is read.
+//! Encoding and decoding of frames, which the amq-protocol crate does, with limits on what is read.
 
 use std::io::{self, Read, Write};
 
 use amq_protocol::frame::{gen_frame, parse_frame, AMQPFrame, WriteContext};
 
-/// What stands around a frame's payload: type, channel and size before it, the end mark after it.
-const HEAD: usize = 7;
-const END: usize = 1;
+/// Bytes before a frame's payload: type, channel and size.
+const HEAD_BYTES: usize = 7;
+
+/// Bytes after a frame's payload: the end mark.
+const END_BYTES: usize = 1;
 
 /// The bytes of a frame.
 pub fn encode(frame: &AMQPFrame) -> io::Result<Vec<u8>> {
@@ -17,33 +19,36 @@
     Ok(bytes)
 }
 
-/// Writes frames in one go.
-pub fn write(mut to: impl Write, frames: &[AMQPFrame]) -> io::Result<()> {
+/// Writes frames with a single write.
+pub fn write(mut stream: impl Write, frames: &[AMQPFrame]) -> io::Result<()> {
     let mut bytes = Vec::new();
     for frame in frames {
         bytes.extend_from_slice(&encode(frame)?);
     }
-    to.write_all(&bytes)
+    stream.write_all(&bytes)
 }
 
-/// Reads one frame of at most `most` bytes in all. The length is checked before anything is read for it, so that a
-/// broker can't have us hold more than was agreed.
-pub fn read(mut from: impl Read, most: usize) -> io::Result<AMQPFrame> {
-    let malformed = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what);
-    let mut bytes = vec![0; HEAD];
-    from.read_exact(&mut bytes)?;
-    // A broker that does not speak this version answers with its own protocol header.
+/// Reads one frame of at most `max_bytes` in all. The length is checked before anything is read for it, so that a broker
+/// cannot have the node keep more than was agreed.
+pub fn read(mut stream: impl Read, max_bytes: usize) -> io::Result<AMQPFrame> {
+    let mut bytes = vec![0; HEAD_BYTES];
+    stream.read_exact(&mut bytes)?;
+    // A broker that does not support this version answers with its own protocol header.
     if bytes.starts_with(b"AMQP") {
-        return Err(malformed("the broker does not speak AMQP 0-9-1"));
+        return Err(invalid_data("the broker does not speak AMQP 0-9-1"));
     }
-    let size = u32::from_be_bytes([bytes[3], bytes[4], bytes[5], bytes[6]]) as usize;
-    if size > most.saturating_sub(HEAD + END) {
-        return Err(malformed("frame too long"));
+    let payload_bytes = u32::from_be_bytes([bytes[3], bytes[4], bytes[5], bytes[6]]) as usize;
+    if payload_bytes > max_bytes.saturating_sub(HEAD_BYTES + END_BYTES) {
+        return Err(invalid_data("frame too long"));
     }
-    bytes.resize(HEAD + size + END, 0);
-    from.read_exact(&mut bytes[HEAD..])?;
+    bytes.resize(HEAD_BYTES + payload_bytes + END_BYTES, 0);
+    stream.read_exact(&mut bytes[HEAD_BYTES..])?;
     match parse_frame(&bytes[..]) {
         Ok(([], frame)) => Ok(frame),
-        _ => Err(malformed("frame not understood")),
+        _ => Err(invalid_data("frame not understood")),
     }
 }
+
+fn invalid_data(message: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, message)
+}
--- /dev/null
+++ b/src/amqp/consumer/incoming.rs
@@ -0,0 +1,154 @@
+//! Messages that are received frame by frame: a method, a header, and bodies.
+
+use amq_protocol::frame::AMQPContentHeader;
+use amq_protocol::protocol::basic::{self, AMQPMethod as Basic, AMQPProperties};
+use amq_protocol::types::AMQPValue;
+
+use super::reply::{header, COPY_NUMBER_HEADER};
+use super::settlement::UnsettledDelivery;
+use super::{ChannelError, Consumer, ConsumerEffect, Delivery, InvalidMessage};
+
+/// A message whose frames are being received.
+pub(super) struct IncomingMessage {
+    kind: IncomingKind,
+    properties: AMQPProperties,
+    /// Bytes of the body that are not received yet; `None` before the header.
+    remaining: Option<u64>,
+    body: Vec<u8>,
+    /// Whether the message is too long to keep its body.
+    is_too_long: bool,
+}
+
+enum IncomingKind {
+    /// A delivery from the queue.
+    Delivery(basic::Deliver),
+    /// A publish of this consumer that the broker could not route.
+    Returned,
+}
+
+impl IncomingMessage {
+    pub(super) fn delivery(deliver: basic::Deliver) -> IncomingMessage {
+        IncomingMessage::new(IncomingKind::Delivery(deliver))
+    }
+
+    pub(super) fn returned() -> IncomingMessage {
+        IncomingMessage::new(IncomingKind::Returned)
+    }
+
+    fn new(kind: IncomingKind) -> IncomingMessage {
+        IncomingMessage {
+            kind,
+            properties: AMQPProperties::default(),
+            remaining: None,
+            body: Vec::new(),
+            is_too_long: false,
+        }
+    }
+}
+
+impl Consumer {
+    pub(super) fn receive_header(
+        &mut self,
+        header: AMQPContentHeader,
+        effects: &mut Vec<ConsumerEffect>,
+    ) {
+        let max_bytes = self.settings.max_message_bytes as u64;
+        match &mut self.incoming {
+            Some(message) if message.remaining.is_none() => {
+                message.properties = header.properties;
+                message.remaining = Some(header.body_size);
+                message.is_too_long = header.body_size > max_bytes;
+                self.receive_message_if_complete(effects);
+            }
+            _ => self.fail(ChannelError::MisplacedHeader, effects),
+        }
+    }
+
+    pub(super) fn receive_body(&mut self, bytes: &[u8], effects: &mut Vec<ConsumerEffect>) {
+        let length = bytes.len() as u64;
+        let remaining = self
+            .incoming
+            .as_ref()
+            .and_then(|message| message.remaining)
+            .and_then(|remaining| remaining.checked_sub(length));
+        let (Some(message), Some(remaining)) = (&mut self.incoming, remaining) else {
+            return self.fail(ChannelError::MisplacedBody, effects);
+        };
+        message.remaining = Some(remaining);
+        if !message.is_too_long {
+            message.body.extend_from_slice(bytes);
+        }
+        self.receive_message_if_complete(effects);
+    }
+
+    fn receive_message_if_complete(&mut self, effects: &mut Vec<ConsumerEffect>) {
+        let Some(message) = self.incoming.take_if(|m| m.remaining == Some(0)) else {
+            return;
+        };
+        match message.kind {
+            IncomingKind::Delivery(ref deliver) => {
+                let (tag, is_redelivered) = (deliver.delivery_tag, deliver.redelivered);
+                self.receive_delivery(tag, is_redelivered, message, effects);
+            }
+            IncomingKind::Returned => self.note_returned(&message.properties),
+        }
+    }
+
+    fn note_returned(&mut self, properties: &AMQPProperties) {
+        if let Some(AMQPValue::LongLongInt(number)) = header(properties, COPY_NUMBER_HEADER) {
+            self.returned.push(number.unsigned_abs());
+        }
+    }
+
+    fn receive_delivery(
+        &mut self,
+        tag: u64,
+        is_redelivered: bool,
+        message: IncomingMessage,
+        effects: &mut Vec<ConsumerEffect>,
+    ) {
+        let message_id = message_id(&message.properties);
+        if let Some(reason) = self.check_message(&message, message_id.as_deref()) {
+            effects.push(ConsumerEffect::MessageRejected(reason));
+            let reject = basic::Reject {
+                delivery_tag: tag,
+                requeue: false,
+            };
+            return self.send_basic(Basic::Reject(reject), effects);
+        }
+        let copied_body = if self.settings.must_not_repeat {
+            message.body.clone()
+        } else {
+            Vec::new()
+        };
+        let unsettled = UnsettledDelivery::new(message.properties, copied_body);
+        self.unsettled.insert(tag, unsettled);
+        effects.push(ConsumerEffect::Deliver(Delivery {
+            tag,
+            is_redelivered,
+            message_id,
+            is_late: self.is_shutting_down,
+            body: message.body,
+        }));
+    }
+
+    fn check_message(
+        &self,
+        message: &IncomingMessage,
+        message_id: Option<&str>,
+    ) -> Option<InvalidMessage> {
+        if message.is_too_long {
+            Some(InvalidMessage::TooLong)
+        } else if self.settings.must_not_repeat && message_id.is_none() {
+            Some(InvalidMessage::NoMessageId)
+        } else {
+            None
+        }
+    }
+}
+
+/// The message's id, if there is one that is not empty.
+fn message_id(properties: &AMQPProperties) -> Option<String> {
+    let id = properties.message_id().as_ref()?;
+    Some(id.to_string()).filter(|id| !id.is_empty())
+}
--- /dev/null
+++ b/src/amqp/consumer/settlement.rs
@@ -0,0 +1,236 @@
+//! Settling deliveries: replies and copies are published, and what they are for is settled once the broker confirms.
+
+use amq_protocol::frame::{AMQPContentHeader, AMQPFrame};
+use amq_protocol::protocol::basic::{self, AMQPMethod as Basic, AMQPProperties};
+use amq_protocol::types::{AMQPValue, ShortString};
+
+use super::reply::{
+    copy_properties, header, Reply, ReplyStatus, COPY_NUMBER_HEADER, HANDED_BACK_HEADER,
+};
+use super::{Consumer, ConsumerEffect};
+use crate::node::{Answer, Outcome};
+
+/// The class of methods that carry content.
+const BASIC_CLASS: u16 = 60;
+
+/// Bytes of a frame around its payload.
+const FRAME_OVERHEAD_BYTES: usize = 8;
+
+/// A delivery that is not settled.
+pub(super) struct UnsettledDelivery {
+    properties: AMQPProperties,
+    /// The body for a copy, where the message must not run twice; else empty.
+    body: Vec<u8>,
+    /// Whether its settlement waits for the confirmation of a publish.
+    is_settling: bool,
+}
+
+impl UnsettledDelivery {
+    pub(super) fn new(properties: AMQPProperties, body: Vec<u8>) -> UnsettledDelivery {
+        UnsettledDelivery {
+            properties,
+            body,
+            is_settling: false,
+        }
+    }
+
+    /// The queue for the reply, if there is one.
+    fn reply_to(&self) -> Option<ShortString> {
+        let reply_to = self.properties.reply_to().clone();
+        reply_to.filter(|queue| !queue.as_str().is_empty())
+    }
+}
+
+/// What to do with a delivery, by its tag, once a publish is confirmed.
+#[derive(Clone, Copy)]
+pub(super) enum ConfirmAction {
+    /// It was answered: acknowledge it.
+    Ack(u64),
+    /// It was answered, and nobody may run it again: dead-letter it.
+    DeadLetter(u64),
+    /// A copy of it was published: acknowledge it, or requeue it if the copy was returned or not accepted.
+    HandBack(u64),
+}
+
+/// A message to publish.
+struct OutgoingMessage<'a> {
+    routing_key: ShortString,
+    /// Whether the broker is to return it if no queue takes it.
+    is_mandatory: bool,
+    properties: AMQPProperties,
+    body: &'a [u8],
+}
+
+impl Consumer {
+    /// Settles a delivery with its answer. A second answer to the same delivery has no effect.
+    pub fn answer(&mut self, tag: u64, answer: &Answer, effects: &mut Vec<ConsumerEffect>) {
+        let Some(delivery) = self.unsettled.get_mut(&tag).filter(|d| !d.is_settling) else {
+            return;
+        };
+        let never_ran = matches!(
+            answer.outcome,
+            Outcome::Rejected { .. } | Outcome::WrongCell { .. }
+        );
+        if never_ran && self.is_shutting_down {
+            // Another consumer may run it.
+            return self.hand_back(tag, effects);
+        }
+        let reply = Reply::new(&answer.outcome);
+        let Some(reply_to) = delivery.reply_to() else {
+            // A result without a reply queue is dropped; an error that nobody would receive is dead-lettered.
+            return match reply.status {
+                ReplyStatus::Served => self.ack(tag, effects),
+                ReplyStatus::Rejected | ReplyStatus::Failed => self.reject(tag, false, effects),
+            };
+        };
+        delivery.is_settling = true;
+        let must_not_repeat = self.settings.must_not_repeat;
+        let message = OutgoingMessage {
+            routing_key: reply_to,
+            is_mandatory: false,
+            properties: reply.properties(answer, &delivery.properties, must_not_repeat),
+            body: &reply.body,
+        };
+        let action = if reply.may_have_run() {
+            ConfirmAction::DeadLetter(tag)
+        } else {
+            ConfirmAction::Ack(tag)
+        };
+        self.publish(message, action, effects);
+    }
+
+    /// Gives a delivery that never ran back to its queue. Requeued, one that must not run twice would be marked as
+    /// redelivered, and then nobody may run it. A copy carries no such mark; the original is settled only once the
+    /// broker has the copy.
+    fn hand_back(&mut self, tag: u64, effects: &mut Vec<ConsumerEffect>) {
+        if !self.settings.must_not_repeat {
+            return self.reject(tag, true, effects);
+        }
+        let Some(delivery) = self.unsettled.get_mut(&tag) else {
+            return;
+        };
+        delivery.is_settling = true;
+        let times = match header(&delivery.properties, HANDED_BACK_HEADER) {
+            Some(AMQPValue::LongLongInt(times)) => *times,
+            _ => 0,
+        };
+        let added_headers = [
+            (HANDED_BACK_HEADER, times + 1),
+            (COPY_NUMBER_HEADER, self.published as i64 + 1),
+        ];
+        let body = std::mem::take(&mut delivery.body);
+        let message = OutgoingMessage {
+            routing_key: self.settings.queue.clone(),
+            is_mandatory: true,
+            properties: copy_properties(&delivery.properties, added_headers),
+            body: &body,
+        };
+        self.publish(message, ConfirmAction::HandBack(tag), effects);
+    }
+
+    fn publish(
+        &mut self,
+        message: OutgoingMessage<'_>,
+        action: ConfirmAction,
+        effects: &mut Vec<ConsumerEffect>,
+    ) {
+        self.published += 1;
+        self.awaiting_confirm.insert(self.published, action);
+        let publish = basic::Publish {
+            exchange: ShortString::default(),
+            routing_key: message.routing_key,
+            mandatory: message.is_mandatory,
+            immediate: false,
+        };
+        self.send_basic(Basic::Publish(publish), effects);
+        let channel = self.settings.channel;
+        let header = AMQPContentHeader {
+            class_id: BASIC_CLASS,
+            body_size: message.body.len() as u64,
+            properties: message.properties,
+        };
+        let header = AMQPFrame::Header(channel, header);
+        effects.push(ConsumerEffect::Send(Box::new(header)));
+        let max_payload = self
+            .settings
+            .max_frame_bytes
+            .saturating_sub(FRAME_OVERHEAD_BYTES);
+        for chunk in message.body.chunks(max_payload.max(1)) {
+            let body = AMQPFrame::Body(channel, chunk.to_vec());
+            effects.push(ConsumerEffect::Send(Box::new(body)));
+        }
+    }
+
+    /// Processes the broker's confirmation that it has accepted publishes, or that it could not. With `is_multiple` it
+    /// stands for all up to this number.
+    pub(super) fn handle_confirm(
+        &mut self,
+        number: u64,
+        is_multiple: bool,
+        is_accepted: bool,
+        effects: &mut Vec<ConsumerEffect>,
+    ) {
+        let numbers: Vec<u64> = if is_multiple {
+            let confirmed = self.awaiting_confirm.range(..=number);
+            confirmed.map(|(number, _)| *number).collect()
+        } else {
+            vec![number]
+        };
+        for number in numbers {
+            let was_returned = self.remove_returned(number);
+            let Some(action) = self.awaiting_confirm.remove(&number) else {
+                continue;
+            };
+            match action {
+                // The reply counts as given; if the broker lost it, running the request again would be worse.
+                ConfirmAction::Ack(tag) => self.ack(tag, effects),
+                ConfirmAction::DeadLetter(tag) => self.reject(tag, false, effects),
+                ConfirmAction::HandBack(tag) if is_accepted && !was_returned => {
+                    self.ack(tag, effects);
+                }
+                ConfirmAction::HandBack(tag) => self.reject(tag, true, effects),
+            }
+        }
+    }
+
+    /// Whether the broker returned this publish, which is forgotten.
+    fn remove_returned(&mut self, number: u64) -> bool {
+        let position = self.returned.iter().position(|n| *n == number);
+        position
+            .map(|index| self.returned.swap_remove(index))
+            .is_some()
+    }
+
+    fn ack(&mut self, tag: u64, effects: &mut Vec<ConsumerEffect>) {
+        let ack = basic::Ack {
+            delivery_tag: tag,
+            multiple: false,
+        };
+        self.settle(tag, Basic::Ack(ack), effects);
+    }
+
+    /// Requeues a delivery or dead-letters it.
+    fn reject(&mut self, tag: u64, requeue: bool, effects: &mut Vec<ConsumerEffect>) {
+        let method = if requeue {
+            Basic::Nack(basic::Nack {
+                delivery_tag: tag,
+                multiple: false,
+                requeue,
+            })
+        } else {
+            Basic::Reject(basic::Reject {
+                delivery_tag: tag,
+                requeue,
+            })
+        };
+        self.settle(tag, method, effects);
+    }
+
+    /// Sends the settlement of a delivery, unless it is settled.
+    fn settle(&mut self, tag: u64, method: Basic, effects: &mut Vec<ConsumerEffect>) {
+        if self.unsettled.remove(&tag).is_some() {
+            self.send_basic(method, effects);
+            self.close_if_settled(effects);
+        }
+    }
+}
--- a/src/amqp/mod.rs
+++ b/src/amqp/mod.rs
@@ -1,9 +1,9 @@
-//! The second front: AMQP 0-9-1 as a consumer. An inventory names the broker queues; each broker gets one
-//! connection with an actor, each queue a channel and a consumer on it. What is delivered goes through the same
-//! core as what comes by JSON-RPC: the same decisions, due times, ledger share and single run.
+//! Requests from queues, by AMQP 0-9-1. An inventory names the queues; each broker has one connection with an actor, and
+//! each queue a channel with a consumer on it. Deliveries are processed as requests by JSON-RPC are: with the same
+//! decisions, deadlines, ledger quota and idempotency.
 
+mod broker;
 pub mod codec;
-mod connection;
 mod consumer;
 
 use std::collections::BTreeMap;
@@ -18,95 +18,102 @@
 use crate::net::spawn;
 use crate::node::{Limits, NodeStatus, PolicyMessage};
 use crate::wire::Site;
-pub use consumer::{Consumer, Delivery, Settings, State, Step};
+use broker::{BrokerActor, BrokerMailbox, BrokerMessage};
+pub use consumer::{
+    ChannelError, ChannelState, Consumer, ConsumerEffect, ConsumerSettings, Delivery,
+    InvalidMessage,
+};
 
-/// What the connections of this front share.
-pub(crate) struct Shared {
-    pub site: Arc<Site>,
-    pub limits: Limits,
-    pub node_status: Arc<NodeStatus>,
-    pub policy: Sender<PolicyMessage>,
-    pub seed: u64,
-    /// Told to leave.
-    pub leaving: AtomicBool,
-    /// Connections that have not finished leaving.
-    pub left: AtomicUsize,
-    /// Deliveries not settled.
-    pub unsettled: AtomicUsize,
+/// What the actors of all brokers share.
+struct SharedState {
+    site: Arc<Site>,
+    limits: Limits,
+    node_status: Arc<NodeStatus>,
+    policy: Sender<PolicyMessage>,
+    seed: u64,
+    is_shutting_down: AtomicBool,
+    /// Brokers whose connection is not closed for the shutdown.
+    open_brokers: AtomicUsize,
+    /// Deliveries that are not settled.
+    unsettled: AtomicUsize,
 }
 
-/// The running front.
-pub struct Amqp {
-    shared: Arc<Shared>,
-    mailboxes: Vec<Sender<connection::ToConnection>>,
+/// The consumers of all queues.
+pub struct AmqpConsumers {
+    shared: Arc<SharedState>,
+    mailboxes: Vec<Sender<BrokerMessage>>,
 }
 
-impl Amqp {
-    /// Starts a connection for each broker, virtual host and user that the inventory names.
+impl AmqpConsumers {
+    /// Starts an actor for each broker, virtual host and user that the inventory names. `seed` is that of the random
+    /// request ids and of the jitter.
     pub fn start(
         queues: Vec<Queue>,
-        (site, seed): (Arc<Site>, u64),
+        site: Arc<Site>,
+        seed: u64,
         limits: &Limits,
         node_status: &Arc<NodeStatus>,
         policy: &Sender<PolicyMessage>,
         log: &Logger,
-    ) -> io::Result<Amqp> {
-        let mut groups: BTreeMap<_, Vec<Queue>> = BTreeMap::new();
-        for q in queues {
-            let broker = (
-                q.host.clone(),
-                q.port,
-                q.vhost.clone(),
-                q.username.clone(),
-                q.password.clone(),
-            );
-            groups.entry(broker).or_default().push(q);
-        }
-        let shared = Arc::new(Shared {
+    ) -> io::Result<AmqpConsumers> {
+        let groups = group_by_broker(queues);
+        let shared = Arc::new(SharedState {
             site,
             limits: limits.clone(),
             node_status: node_status.clone(),
             policy: policy.clone(),
             seed,
-            leaving: AtomicBool::new(false),
-            left: AtomicUsize::new(groups.len()),
+            is_shutting_down: AtomicBool::new(false),
+            open_brokers: AtomicUsize::new(groups.len()),
             unsettled: AtomicUsize::new(0),
         });
         let mut mailboxes = Vec::new();
-        for (number, queues) in groups.into_values().enumerate() {
-            // Room for the answer of every delivery that the prefetches allow, and for the notice to leave.
-            let room: usize = queues.iter().map(|q| usize::from(q.prefetch)).sum();
-            let (mailbox, inbox) = bounded(room + 1);
-            let log = log.new(o!("broker" => format!("{}:{}", queues[0].host, queues[0].port)));
-            let actor = connection::Connection::new(
-                number as u64,
-                queues,
-                shared.clone(),
-                (mailbox.clone(), inbox),
-                log,
-            );
-            mailboxes.push(mailbox);
+        for (number, queues) in groups.into_iter().enumerate() {
+            // Capacity for the answer to every delivery that the prefetches allow, and for the notice of the shutdown.
+            let prefetch: usize = queues.iter().map(|q| usize::from(q.prefetch)).sum();
+            let (sender, receiver) = bounded(prefetch + 1);
+            mailboxes.push(sender.clone());
+            let address = format!("{}:{}", queues[0].host, queues[0].port);
+            let log = log.new(o!("broker" => address));
+            let mailbox = BrokerMailbox { sender, receiver };
+            let actor = BrokerActor::new(number as u64, queues, shared.clone(), mailbox, log);
             spawn("amqp", limits.stack_bytes, move || actor.run())?;
         }
-        Ok(Amqp { shared, mailboxes })
+        Ok(AmqpConsumers { shared, mailboxes })
     }
 
-    /// Stops consuming; what is still pushed is handed back unrun.
-    pub fn leave(&self) {
-        self.shared.leaving.store(true, SeqCst);
+    /// Stops consuming. Messages that are still delivered are handed back without a run.
+    pub fn begin_shutdown(&self) {
+        self.shared.is_shutting_down.store(true, SeqCst);
         for mailbox in &self.mailboxes {
-            // A full mailbox is no loss: its connection looks at the mark with every message.
-            let _ = mailbox.try_send(connection::ToConnection::Leave);
+            // Where the mailbox is full the actor checks the flag with each message in it.
+            let _ = mailbox.try_send(BrokerMessage::ShutDown);
         }
     }
 
-    /// Whether every delivery is settled and every connection closed after [`Amqp::leave`].
-    pub fn has_left(&self) -> bool {
-        self.shared.left.load(SeqCst) == 0
+    /// Whether every delivery is settled and every connection closed after [`AmqpConsumers::begin_shutdown`].
+    pub fn has_shut_down(&self) -> bool {
+        self.shared.open_brokers.load(SeqCst) == 0
     }
 
-    /// Deliveries not settled with their broker.
-    pub fn unsettled(&self) -> usize {
+    /// The number of deliveries that are not settled with their broker.
+    pub fn unsettled_count(&self) -> usize {
         self.shared.unsettled.load(SeqCst)
     }
 }
+
+/// Groups queues that can share a connection.
+fn group_by_broker(queues: Vec<Queue>) -> Vec<Vec<Queue>> {
+    let mut groups: BTreeMap<_, Vec<Queue>> = BTreeMap::new();
+    for queue in queues {
+        let broker = (
+            queue.host.clone(),
+            queue.port,
+            queue.vhost.clone(),
+            queue.username.clone(),
+            queue.password.clone(),
+        );
+        groups.entry(broker).or_default().push(queue);
+    }
+    groups.into_values().collect()
+}
--- a/src/run_loop.rs
+++ b/src/run_loop.rs
@@ -210,7 +210,7 @@
             self.actors.json_rpc.stop_listening();
         }
         self.actors.json_rpc.say_goodbye();
-        self.actors.amqp.leave();
+        self.actors.amqp.begin_shutdown();
         (is_replaced, time_left)
     }
 
@@ -224,7 +224,7 @@
     fn is_idle(&self) -> bool {
         self.actors.json_rpc.unfinished_count() == 0
             && self.status.unanswered() == 0
-            && self.actors.amqp.has_left()
+            && self.actors.amqp.has_shut_down()
     }
 
     /// Whether no client is connected or waits to be accepted by the listener, which closes with a delay.
@@ -235,7 +235,7 @@
     fn log_shutdown(&self, elapsed: Duration) {
         info!(self.log, "shut down"; "unanswered" => self.status.unanswered(),
             "unwritten" => self.actors.json_rpc.unfinished_count(),
-            "unsettled" => self.actors.amqp.unsettled(), "ms" => elapsed.as_millis() as u64);
+            "unsettled" => self.actors.amqp.unsettled_count(), "ms" => elapsed.as_millis() as u64);
     }
 }
 
--- a/tests/amqp_consumer_model.rs
+++ b/tests/amqp_consumer_model.rs
@@ -11,7 +11,7 @@
 use amq_protocol::protocol::confirm::{self, AMQPMethod as Confirm};
 use amq_protocol::protocol::AMQPClass;
 use amq_protocol::types::ShortString;
-use protocol_gateway::amqp::{Consumer, Settings, State, Step};
+use protocol_gateway::amqp::{ChannelState, Consumer, ConsumerEffect, ConsumerSettings};
 use protocol_gateway::node::{Answer, Failure, Outcome, Payload};
 use protocol_gateway::Span;
 use quickcheck::{Arbitrary, Gen};
@@ -57,15 +57,15 @@
 
 impl Model {
     /// Takes what the consumer wants done; false if it breaks a rule.
-    fn take(&mut self, steps: &mut Vec<Step>) -> bool {
+    fn take(&mut self, steps: &mut Vec<ConsumerEffect>) -> bool {
         steps.drain(..).all(|step| match step {
-            Step::Deliver(delivery) => {
+            ConsumerEffect::Deliver(delivery) => {
                 self.in_hand.push(delivery.tag);
                 true
             }
-            Step::Malformed(_) => true,
-            Step::Gone(_) => false,
-            Step::Send(frame) => match *frame {
+            ConsumerEffect::MessageRejected(_) => true,
+            ConsumerEffect::ChannelFailed(_) => false,
+            ConsumerEffect::Send(frame) => match *frame {
                 AMQPFrame::Method(_, AMQPClass::Basic(method)) => match method {
                     // Settled once, and only after the core has answered.
                     Basic::Ack(basic::Ack {
@@ -131,13 +131,13 @@
 fn a_consumer_settles_as_the_model_does() {
     fn check(steps: Vec<Queue>) -> bool {
         let queue = ShortString::try_new("q").expect("short");
-        let set = Settings {
+        let set = ConsumerSettings {
             channel: 1,
             queue,
             prefetch: 9,
-            once: steps.len().is_multiple_of(2),
-            body: 99,
-            frame: 4096,
+            must_not_repeat: steps.len().is_multiple_of(2),
+            max_message_bytes: 99,
+            max_frame_bytes: 4096,
         };
         let (mut out, mut model) = (Vec::new(), Model::default());
         let mut consumer = Consumer::new(set, &mut out);
@@ -146,7 +146,7 @@
                 match step {
                     Queue::Broker => {
                         if let Some(answer) = model.answer() {
-                            consumer.frame(AMQPFrame::Method(1, answer), &mut out);
+                            consumer.handle_frame(AMQPFrame::Method(1, answer), &mut out);
                         }
                     }
                     Queue::Deliver(reply) if model.active => {
@@ -170,9 +170,9 @@
                             body_size: 2,
                             properties,
                         };
-                        consumer.frame(AMQPFrame::Method(1, method), &mut out);
-                        consumer.frame(AMQPFrame::Header(1, header), &mut out);
-                        consumer.frame(AMQPFrame::Body(1, b"hi".to_vec()), &mut out);
+                        consumer.handle_frame(AMQPFrame::Method(1, method), &mut out);
+                        consumer.handle_frame(AMQPFrame::Header(1, header), &mut out);
+                        consumer.handle_frame(AMQPFrame::Body(1, b"hi".to_vec()), &mut out);
                     }
                     Queue::Answer(how, which) if !model.in_hand.is_empty() => {
                         let outcome = match how {
@@ -208,15 +208,16 @@
                                 requeue: false,
                             })
                         };
-                        consumer.frame(AMQPFrame::Method(1, AMQPClass::Basic(method)), &mut out);
+                        consumer
+                            .handle_frame(AMQPFrame::Method(1, AMQPClass::Basic(method)), &mut out);
                     }
-                    Queue::Leave => consumer.leave(&mut out),
+                    Queue::Leave => consumer.begin_shutdown(&mut out),
                     _ => {}
                 }
-                let rules = model.take(&mut out) && consumer.unsettled() == model.owed.len();
+                let rules = model.take(&mut out) && consumer.unsettled_count() == model.owed.len();
                 // One answer, or one copy, is published for a delivery at most.
                 let rules = rules && model.published <= model.answered;
-                rules && (consumer.state() != State::Closed || model.owed.is_empty())
+                rules && (consumer.channel_state() != ChannelState::Closed || model.owed.is_empty())
             })
     }
     check_steps(check);
