--- a/src/amqp/broker/connection.rs
+++ b/src/amqp/broker/connection.rs
@@ -14,7 +14,7 @@
 
 use super::super::codec;
 use super::error::BrokerError;
-use crate::inventory::Queue;
+use crate::inventory::BrokerQueue;
 use crate::net::spawn;
 use crate::node::Limits;
 
@@ -42,7 +42,7 @@
 impl Connection {
     /// Connects to the broker of this queue and starts the thread that reads its frames.
     pub(super) fn open(
-        queue: &Queue,
+        queue: &BrokerQueue,
         limits: &Limits,
         log: &Logger,
     ) -> Result<Connection, BrokerError> {
--- a/src/amqp/broker/handshake.rs
+++ b/src/amqp/broker/handshake.rs
@@ -9,7 +9,7 @@
 use super::connection::Connection;
 use super::error::BrokerError;
 use super::BrokerActor;
-use crate::inventory::Queue;
+use crate::inventory::BrokerQueue;
 
 impl BrokerActor {
     /// Connects to the broker and opens the virtual host.
@@ -60,7 +60,7 @@
 
 fn authenticate(
     connection: &Connection,
-    queue: &Queue,
+    queue: &BrokerQueue,
     deadline: Instant,
 ) -> Result<(), BrokerError> {
     let Method::Start(start) = connection.next_method(deadline)? else {
--- a/src/amqp/broker/mod.rs
+++ b/src/amqp/broker/mod.rs
@@ -14,7 +14,7 @@
 use slog::{info, warn, Logger};
 
 use super::SharedState;
-use crate::inventory::Queue;
+use crate::inventory::BrokerQueue;
 use crate::net::Backoff;
 use crate::node::Answer;
 use error::BrokerError;
@@ -45,7 +45,7 @@
 /// The actor of one broker, virtual host and user.
 pub(super) struct BrokerActor {
     number: u64,
-    queues: Vec<Queue>,
+    queues: Vec<BrokerQueue>,
     shared: Arc<SharedState>,
     mailbox: BrokerMailbox,
     log: Logger,
@@ -60,7 +60,7 @@
 impl BrokerActor {
     pub(super) fn new(
         number: u64,
-        queues: Vec<Queue>,
+        queues: Vec<BrokerQueue>,
         shared: Arc<SharedState>,
         mailbox: BrokerMailbox,
         log: Logger,
--- a/src/amqp/broker/session.rs
+++ b/src/amqp/broker/session.rs
@@ -124,9 +124,9 @@
         let queue = &self.queues[index];
         ConsumerSettings {
             channel: channel_number(index),
-            queue: ShortString::try_new(queue.queue.as_str()).unwrap_or_default(),
+            queue: ShortString::try_new(queue.name.as_str()).unwrap_or_default(),
             prefetch: queue.prefetch,
-            must_not_repeat: queue.once,
+            is_idempotent: queue.is_idempotent,
             max_message_bytes: self.shared.limits.amqp.message_bytes,
             max_frame_bytes: connection.max_frame_bytes,
         }
@@ -222,7 +222,7 @@
                     self.deliver(connection, queue_index, delivery)?;
                 }
                 ConsumerEffect::MessageRejected(reason) => {
-                    let queue = &self.queues[queue_index].queue;
+                    let queue = &self.queues[queue_index].name;
                     warn!(self.log, "message rejected"; "reason" => %reason, "queue" => queue);
                 }
                 ConsumerEffect::ChannelFailed(error) => channel_error = Some(error),
@@ -261,7 +261,7 @@
             caller_timeout: None,
             caller: CallerId(caller),
             is_retry: delivery.is_redelivered,
-            queued_kb: queue.held_kb,
+            queued_kb: queue.queued_kb,
             payload: Payload::from_bytes(&delivery.body),
             idempotency_key: delivery.message_id.map(String::into_boxed_str),
             may_have_run: delivery.is_redelivered,
--- a/src/amqp/consumer/incoming.rs
+++ b/src/amqp/consumer/incoming.rs
@@ -116,10 +116,10 @@
             };
             return self.send_basic(Basic::Reject(reject), effects);
         }
-        let copied_body = if self.settings.must_not_repeat {
-            message.body.clone()
-        } else {
+        let copied_body = if self.settings.is_idempotent {
             Vec::new()
+        } else {
+            message.body.clone()
         };
         let unsettled = UnsettledDelivery::new(message.properties, copied_body);
         self.unsettled.insert(tag, unsettled);
@@ -139,7 +139,7 @@
     ) -> Option<InvalidMessage> {
         if message.is_too_long {
             Some(InvalidMessage::TooLong)
-        } else if self.settings.must_not_repeat && message_id.is_none() {
+        } else if !self.settings.is_idempotent && message_id.is_none() {
             Some(InvalidMessage::NoMessageId)
         } else {
             None
--- a/src/amqp/consumer/mod.rs
+++ b/src/amqp/consumer/mod.rs
@@ -52,8 +52,8 @@
     pub queue: ShortString,
     /// The most deliveries that may be unsettled at once.
     pub prefetch: u16,
-    /// Whether a message of this queue must not run twice.
-    pub must_not_repeat: bool,
+    /// Whether a message of this queue may run more than once.
+    pub is_idempotent: bool,
     /// The most bytes of a message that is not rejected.
     pub max_message_bytes: usize,
     /// The most bytes of a frame, as agreed with the broker.
--- a/src/amqp/consumer/reply.rs
+++ b/src/amqp/consumer/reply.rs
@@ -97,10 +97,10 @@
         &self,
         answer: &Answer,
         delivery: &AMQPProperties,
-        must_not_repeat: bool,
+        is_idempotent: bool,
     ) -> AMQPProperties {
         let mut properties = AMQPProperties::default()
-            .with_headers(self.headers(answer, must_not_repeat))
+            .with_headers(self.headers(answer, is_idempotent))
             .with_type(short_string(self.status.as_str()));
         if let Some(id) = delivery.correlation_id() {
             properties = properties.with_correlation_id(id.clone());
@@ -108,7 +108,7 @@
         properties
     }
 
-    fn headers(&self, answer: &Answer, must_not_repeat: bool) -> FieldTable {
+    fn headers(&self, answer: &Answer, is_idempotent: bool) -> FieldTable {
         let mut headers = FieldTable::default();
         let mut insert = |name: &str, value| {
             headers.insert(short_string(name), value);
@@ -127,7 +127,7 @@
             insert(CAPACITY_HINT_HEADER, AMQPValue::Double(hint));
         }
         if self.status != ReplyStatus::Served {
-            let may_retry = self.status == ReplyStatus::Rejected || !must_not_repeat;
+            let may_retry = self.status == ReplyStatus::Rejected || is_idempotent;
             insert(
                 RETRY_AFTER_HEADER,
                 AMQPValue::LongLongInt(self.retry_after_ms),
--- a/src/amqp/consumer/settlement.rs
+++ b/src/amqp/consumer/settlement.rs
@@ -84,11 +84,11 @@
             };
         };
         delivery.is_settling = true;
-        let must_not_repeat = self.settings.must_not_repeat;
+        let is_idempotent = self.settings.is_idempotent;
         let message = OutgoingMessage {
             routing_key: reply_to,
             is_mandatory: false,
-            properties: reply.properties(answer, &delivery.properties, must_not_repeat),
+            properties: reply.properties(answer, &delivery.properties, is_idempotent),
             body: &reply.body,
         };
         let action = if reply.may_have_run() {
@@ -103,7 +103,7 @@
     /// redelivered, and then nobody may run it. A copy carries no such mark; the original is settled only once the
     /// broker has the copy.
     fn hand_back(&mut self, tag: u64, effects: &mut Vec<ConsumerEffect>) {
-        if !self.settings.must_not_repeat {
+        if self.settings.is_idempotent {
             return self.reject(tag, true, effects);
         }
         let Some(delivery) = self.unsettled.get_mut(&tag) else {
--- a/src/amqp/mod.rs
+++ b/src/amqp/mod.rs
@@ -14,7 +14,7 @@
 use crossbeam_channel::{bounded, Sender};
 use slog::{o, Logger};
 
-use crate::inventory::Queue;
+use crate::inventory::BrokerQueue;
 use crate::net::spawn;
 use crate::node::{Limits, NodeStatus, PolicyMessage};
 use crate::wire::Site;
@@ -48,7 +48,7 @@
     /// Starts an actor for each broker, virtual host and user that the inventory names. `seed` is that of the random
     /// request ids and of the jitter.
     pub fn start(
-        queues: Vec<Queue>,
+        queues: Vec<BrokerQueue>,
         site: Arc<Site>,
         seed: u64,
         limits: &Limits,
@@ -103,8 +103,8 @@
 }
 
 /// Groups queues that can share a connection.
-fn group_by_broker(queues: Vec<Queue>) -> Vec<Vec<Queue>> {
-    let mut groups: BTreeMap<_, Vec<Queue>> = BTreeMap::new();
+fn group_by_broker(queues: Vec<BrokerQueue>) -> Vec<Vec<BrokerQueue>> {
+    let mut groups: BTreeMap<_, Vec<BrokerQueue>> = BTreeMap::new();
     for queue in queues {
         let broker = (
             queue.host.clone(),
--- a/tests/amqp_consumer_model.rs
+++ b/tests/amqp_consumer_model.rs
@@ -135,7 +135,7 @@
             channel: 1,
             queue,
             prefetch: 9,
-            must_not_repeat: steps.len().is_multiple_of(2),
+            is_idempotent: !steps.len().is_multiple_of(2),
             max_message_bytes: 99,
             max_frame_bytes: 4096,
         };
