--- a/tests/common/testbed.rs
+++ b/tests/common/testbed.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use fault_testbed::{Plan, Rig};
-use test_doubles::Front;
+use test_doubles::TestClient;
 
 /// The longest that a fleet may take to reach a state.
 pub(crate) const SETTLE_TIMEOUT: Duration = Duration::from_secs(40);
@@ -85,7 +85,7 @@
                     return;
                 };
                 drop(stream);
-                send_until_stopped(Front::connect(address), load, &stop, &served);
+                send_until_stopped(TestClient::connect(address), load, &stop, &served);
             });
         }
         clients
@@ -103,10 +103,15 @@
     }
 }
 
-fn send_until_stopped(mut front: Front, load: ClientLoad, stop: &AtomicBool, served: &AtomicUsize) {
+fn send_until_stopped(
+    mut front: TestClient,
+    load: ClientLoad,
+    stop: &AtomicBool,
+    served: &AtomicUsize,
+) {
     while !stop.load(Relaxed) {
         front.send("statement-read", load.body);
-        let answer = front.answer();
+        let answer = front.read_answer();
         if answer.is_null() {
             return;
         }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -15,40 +15,50 @@
 #[test]
 fn reload_moves_the_peers_and_ends_nothing() {
     let node = Node::start();
-    let mut front = node.front();
-    assert_eq!(result_body(&front.ask(READ, "serve")), "done serve");
+    let mut front = node.connect();
+    assert_eq!(result_body(&front.request(READ, "serve")), "done serve");
     front.send(POST, "hang");
-    until("it runs", || node.executor.runs("hang") == 1);
-    let (database, list) = (Database::start(), List::start());
-    let moved = config(node.executor.elsewhere(), database.address, list.address);
+    wait_until("it runs", || node.executor.run_count("hang") == 1);
+    let (database, list) = (FakeDatabase::start(), FakeEndpointList::start());
+    let moved = node_config(
+        node.executor.open_second_address(),
+        database.address,
+        list.address,
+    );
     node.reload(&moved.to_string());
-    until("the executor is connected at its new address", || {
-        node.executor.joins() == [0, 1]
+    wait_until("the executor is connected at its new address", || {
+        node.executor.join_positions() == [0, 1]
     });
-    until(
+    wait_until(
         "the endpoint list has the report at its new address",
-        || list.heard("HB n3 UP"),
+        || list.has_report("HB n3 UP"),
     );
-    node.executor.finish("hang");
-    assert_eq!(result_body(&front.next()), "late result");
+    node.executor.finish_run("hang");
+    assert_eq!(result_body(&front.read_message()), "late result");
     assert_eq!(
-        result_body(&front.ask(POST, "call:ok#moved")),
+        result_body(&front.request(POST, "call:ok#moved")),
         "rows for ok#moved"
     );
     assert_eq!(
-        (database.calls("ok#moved"), node.database.calls("ok#moved")),
+        (
+            database.call_count("ok#moved"),
+            node.database.call_count("ok#moved")
+        ),
         (1, 0)
     );
     node.reload("{ not a configuration");
-    until("the file is rejected", || {
+    wait_until("the file is rejected", || {
         node.log().contains("the new configuration is not used")
     });
     assert_eq!(
-        result_body(&front.ask(POST, "call:ok#kept")),
+        result_body(&front.request(POST, "call:ok#kept")),
         "rows for ok#kept"
     );
     assert_eq!(
-        (database.calls("ok#kept"), node.executor.joins().len()),
+        (
+            database.call_count("ok#kept"),
+            node.executor.join_positions().len()
+        ),
         (1, 2)
     );
 }
@@ -56,11 +66,11 @@
 #[test]
 fn unusable_configuration_prints_one_line_and_exits() {
     let unused = "127.0.0.1:9".parse().expect("an address");
-    let mut memoryless = config(unused, unused, unused);
+    let mut memoryless = node_config(unused, unused, unused);
     memoryless["limits"]["memory_mb"] = json!(0);
-    let mut coreless = config(unused, unused, unused);
+    let mut coreless = node_config(unused, unused, unused);
     coreless["settings"]["specifics"]["cores"] = json!(0);
-    let mut without_database = config(unused, unused, unused);
+    let mut without_database = node_config(unused, unused, unused);
     without_database
         .as_object_mut()
         .expect("an object")
@@ -72,8 +82,8 @@
         (coreless.to_string(), "settings name no cores"),
     ];
     for (text, expected_error) in cases {
-        let file = Scratch::new("bad.json", &text);
-        let output = command(&file).output().expect("the program starts");
+        let file = ScratchFile::new("bad.json", &text);
+        let output = node_command(&file).output().expect("the program starts");
         let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success());
         assert!(
@@ -91,20 +101,20 @@
         config["settings"]["specifics"]["dependsOn"] = json!("off");
         config["settings"]["specifics"]["classCalls"] = json!([false, false]);
     });
-    let mut front = node.front();
+    let mut front = node.connect();
     assert_eq!(
-        result_body(&front.ask("statement-read", "serve")),
+        result_body(&front.request("statement-read", "serve")),
         "done serve"
     );
     // A call that a run still asks for can't be made; its request is answered by its deadline.
-    assert!(error_code(&front.ask("statement-read", "call:ok")) != 0);
+    assert!(error_code(&front.request("statement-read", "call:ok")) != 0);
     node.reload("{");
     assert_eq!(
-        result_body(&front.ask("settlement-post", "serve")),
+        result_body(&front.request("settlement-post", "serve")),
         "done serve"
     );
     node.terminate();
-    assert_eq!(node.exit().code(), Some(0));
+    assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
 /// An endpoint list that never answers costs nothing: the node serves and shuts down.
@@ -115,18 +125,18 @@
         .and_then(|socket| socket.local_addr())
         .expect("loopback");
     let mut node = Node::start_with(None, |config| config["members"] = json!(closed_address));
-    let mut front = node.front();
+    let mut front = node.connect();
     for _ in 0..20 {
         assert_eq!(
-            result_body(&front.ask("settlement-post", "serve")),
+            result_body(&front.request("settlement-post", "serve")),
             "done serve"
         );
     }
-    assert!(!node.list.heard("HB n3 UP"));
-    assert_eq!(front.alive()["result"]["ready"], true);
+    assert!(!node.endpoint_list.has_report("HB n3 UP"));
+    assert_eq!(front.query_alive()["result"]["ready"], true);
     node.terminate();
     drop(front);
-    assert_eq!(node.exit().code(), Some(0));
+    assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
 /// Two nodes with different classes, tenants and deadlines in one test: neither uses anything of the other's.
@@ -141,15 +151,15 @@
         config["settings"]["specifics"]["classSkipWorth"] = json!([0.0]);
         config["settings"]["specifics"]["say"] = json!("off");
     });
-    let (mut at_one, mut at_two) = (one.front(), two.front());
+    let (mut at_one, mut at_two) = (one.connect(), two.connect());
     let t0 = unix_ms();
-    at_two.send_with(
+    at_two.send_with_fields(
         "charge-card",
         "hang",
-        json!({"acct": "ring-line", "t0": t0}),
+        &json!({"acct": "ring-line", "t0": t0}),
     );
     at_one.send("statement-read", "hang");
-    let answer = at_two.answer();
+    let answer = at_two.read_answer();
     assert!(
         error_code(&answer) != 0 && unix_ms() - t0 < 600,
         "{answer} after {} ms",
@@ -157,17 +167,18 @@
     );
     // No capacity hint where the settings give none.
     assert!(
-        answer["error"]["data"]["hint"].is_null() && at_two.alive()["result"]["hint"].is_null()
+        answer["error"]["data"]["hint"].is_null()
+            && at_two.query_alive()["result"]["hint"].is_null()
     );
-    one.executor.finish("hang");
-    assert_eq!(result_body(&at_one.answer()), "late result");
-    assert!(!at_one.alive()["result"]["hint"].is_null());
+    one.executor.finish_run("hang");
+    assert_eq!(result_body(&at_one.read_answer()), "late result");
+    assert!(!at_one.query_alive()["result"]["hint"].is_null());
     // Each rejects what only the other's settings name.
-    at_one.send_with("charge-card", "serve", json!({}));
-    assert_eq!(error_code(&at_one.next()), -32601);
-    let mut again = one.front();
-    again.send_with("statement-read", "serve", json!({"acct": "ring-line"}));
-    assert_eq!(error_code(&again.next()), -32602);
-    at_two.send_with("statement-read", "serve", json!({"acct": "ring-line"}));
-    assert_eq!(error_code(&at_two.next()), -32601);
+    at_one.send_with_fields("charge-card", "serve", &json!({}));
+    assert_eq!(error_code(&at_one.read_message()), -32601);
+    let mut again = one.connect();
+    again.send_with_fields("statement-read", "serve", &json!({"acct": "ring-line"}));
+    assert_eq!(error_code(&again.read_message()), -32602);
+    at_two.send_with_fields("statement-read", "serve", &json!({"acct": "ring-line"}));
+    assert_eq!(error_code(&at_two.read_message()), -32601);
 }
--- a/tests/connection_load.rs
+++ b/tests/connection_load.rs
@@ -11,7 +11,7 @@
 
 use answers::{error_code, result_body, REJECTED};
 use serde_json::{json, Value};
-use test_doubles::{base64, unix_ms, until, Front, Node, Usage};
+use test_doubles::{encode_base64, unix_ms, wait_until, Node, ProcessUsage, TestClient};
 
 const READ: &str = "statement-read";
 
@@ -33,7 +33,7 @@
     let request_line = move |id: u64| {
         let rid = format!("{number:08x}{id:08x}");
         let params = json!({"rid": rid, "t0": unix_ms(), "peer": 9, "acct": "alpenergia", "mem": 24.5, "prio": 0.5,
-                            "body": base64("bad")});
+                            "body": encode_base64("bad")});
         json!({"jsonrpc": "2.0", "id": id, "method": READ, "params": params}).to_string() + "\n"
     };
     thread::spawn(move || {
@@ -61,13 +61,13 @@
 struct FrontEndLoad {
     answers: Vec<Value>,
     slowest_pair_ms: u64,
-    peak: Usage,
+    peak: ProcessUsage,
 }
 
 /// Sends requests in pairs until all clients have finished, at least fifty requests.
 fn ask_until_finished(
     node: &Node,
-    front: &mut Front,
+    front: &mut TestClient,
     clients: &[thread::JoinHandle<u128>],
 ) -> FrontEndLoad {
     let mut slowest_pair_ms = 0;
@@ -76,12 +76,12 @@
     while !clients.iter().all(thread::JoinHandle::is_finished) || answers.len() < 50 {
         let started_at = unix_ms();
         // One request on the open connection and one on a new connection, as front ends do.
-        for front in [&mut *front, &mut node.front()] {
-            answers.push(front.ask(READ, "serve"));
+        for front in [&mut *front, &mut node.connect()] {
+            answers.push(front.request(READ, "serve"));
         }
         slowest_pair_ms = slowest_pair_ms.max(unix_ms() - started_at);
         let now = node.usage();
-        peak = Usage {
+        peak = ProcessUsage {
             threads: peak.threads.max(now.threads),
             descriptors: peak.descriptors.max(now.descriptors),
             ..now
@@ -100,8 +100,8 @@
 #[test]
 fn silent_and_flooding_clients_do_not_delay_a_front_end() {
     let node = start_small_node();
-    let mut front = node.front();
-    assert!(front.ask(READ, "serve")["result"].is_object());
+    let mut front = node.connect();
+    assert!(front.request(READ, "serve")["result"].is_object());
     let silent: Vec<TcpStream> = (0..400)
         .map(|_| TcpStream::connect(node.address).expect("room"))
         .collect();
@@ -131,8 +131,8 @@
     }
     assert!(load.peak.threads < 80, "{:?}", load.peak);
     assert!(load.peak.descriptors < 512, "{:?}", load.peak);
-    until("the flood is over", || {
-        front.ask(READ, "serve")["result"].is_object()
+    wait_until("the flood is over", || {
+        front.request(READ, "serve")["result"].is_object()
     });
     // The silent connections get at most a goodbye and are closed.
     for mut stream in silent {
@@ -146,7 +146,7 @@
             "{received}"
         );
     }
-    until("all descriptors are free", || {
+    wait_until("all descriptors are free", || {
         node.usage().descriptors < 100
     });
 }
@@ -156,7 +156,7 @@
 #[test]
 fn flooding_connection_does_not_delay_another() {
     let node = start_small_node();
-    let mut front = node.front();
+    let mut front = node.connect();
     // Health checks cost the policy nothing, so only the reading is measured.
     let line = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"alive\"}\n";
     let mut flood = TcpStream::connect(node.address).expect("room");
@@ -166,7 +166,7 @@
     let reading = thread::spawn(move || reader.lines().map_while(Result::ok).take(200_000).count());
     let mut answered = 0;
     while !reading.is_finished() {
-        assert!(front.alive()["result"]["ready"] == true);
+        assert!(front.query_alive()["result"]["ready"] == true);
         answered += 1;
     }
     assert_eq!(reading.join().expect("a reader"), 200_000);
@@ -175,9 +175,9 @@
 }
 
 /// Writes a request in eleven pieces, 200 ms apart.
-fn write_in_pieces(front: &mut Front, number: u64) {
+fn write_in_pieces(front: &mut TestClient, number: u64) {
     let params = json!({"rid": format!("{number:016x}"), "t0": unix_ms(), "peer": 4, "acct": "alpenergia",
-                        "mem": 24.5, "prio": 0.5, "body": base64(&format!("serve:slow{number}"))});
+                        "mem": 24.5, "prio": 0.5, "body": encode_base64(&format!("serve:slow{number}"))});
     let request = json!({"jsonrpc": "2.0", "id": 1, "method": READ, "params": params});
     let line = request.to_string() + "\n";
     for piece in line.as_bytes().chunks(line.len().div_ceil(11)) {
@@ -204,9 +204,9 @@
         let slow: Vec<_> = (0..8)
             .map(|n| {
                 scope.spawn(move || {
-                    let mut front = Front::connect(address);
+                    let mut front = TestClient::connect(address);
                     write_in_pieces(&mut front, n);
-                    front.answer()
+                    front.read_answer()
                 })
             })
             .collect();
@@ -234,12 +234,12 @@
     for idle in [0, 100, 400] {
         let node = Node::start();
         let connect_and_check = |_| {
-            let mut front = node.front();
-            front.alive();
+            let mut front = node.connect();
+            front.query_alive();
             front
         };
-        let open: Vec<Front> = (0..idle).map(connect_and_check).collect();
-        let mut front = node.front();
+        let open: Vec<TestClient> = (0..idle).map(connect_and_check).collect();
+        let mut front = node.connect();
         let before = node.usage();
         let started_at = Instant::now();
         let mut latencies_us = Vec::new();
@@ -247,7 +247,7 @@
             let sent = Instant::now();
             let id = front.send(READ, "serve");
             // A goodbye may come first, once more connections are idle than the node keeps.
-            while front.next()["id"] != id {}
+            while front.read_message()["id"] != id {}
             latencies_us.push(sent.elapsed().as_micros());
             thread::sleep(Duration::from_millis(4));
         }
--- a/tests/database_calls.rs
+++ b/tests/database_calls.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crossbeam_channel::{bounded, Receiver};
-use doubles::{unix_ms, until, Database};
+use doubles::{unix_ms, wait_until, FakeDatabase};
 use protocol_gateway::net::{database, LineReader, PeerAddress};
 use protocol_gateway::node::{
     Answer, CallResult, DatabaseCall, Failure, Limits, Outcome, Payload, PolicyMessage, RequestUid,
@@ -82,7 +82,7 @@
 
 #[test]
 fn each_reply_has_the_meaning_of_the_protocol() {
-    let database = Database::start();
+    let database = FakeDatabase::start();
     let pool = TestPool::start(database.address, |limits| limits.database.connections = 1);
     for (body, end) in [
         ("ok", "rows for ok"),
@@ -93,16 +93,18 @@
         ("ok#2", "rows for ok#2"),
     ] {
         assert_eq!(pool.call(body, LONG), end, "{body}");
-        assert_eq!(database.calls(body), 1, "{body}");
+        assert_eq!(database.call_count(body), 1, "{body}");
     }
 }
 
 #[test]
 fn a_call_that_takes_too_long_is_given_up_and_its_connection_closed() {
-    let database = Database::start();
+    let database = FakeDatabase::start();
     let pool = TestPool::start(database.address, |limits| limits.database.connections = 1);
     assert_eq!(pool.call("silent", Duration::from_millis(30)), "unknown");
-    until("its connection is closed", || database.open() == 0);
+    wait_until("its connection is closed", || {
+        database.open_connections() == 0
+    });
     assert_eq!(pool.call("ok", LONG), "rows for ok");
 }
 
@@ -110,7 +112,7 @@
 /// or noise behind it, which used to be given to the next call on the connection.
 #[test]
 fn surplus_bytes_of_a_reply_are_not_given_to_the_next_call() {
-    let database = Database::start();
+    let database = FakeDatabase::start();
     let pool = TestPool::start(database.address, |limits| limits.database.connections = 1);
     let reply = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nrows";
     for n in 0..3 {
@@ -131,14 +133,16 @@
             );
         }
     }
-    until("no connection stays open", || database.open() == 0);
+    wait_until("no connection stays open", || {
+        database.open_connections() == 0
+    });
 }
 
 /// Guards a connection, and what waits for it, against an invalid or incomplete reply: it used to be waited for
 /// until the call's timeout. Nothing of it is passed to the run.
 #[test]
 fn an_invalid_reply_ends_its_call_soon_and_proves_nothing() {
-    let database = Database::start();
+    let database = FakeDatabase::start();
     let pool = TestPool::start(database.address, |limits| limits.database.connections = 1);
     let ok = |heads: &str| format!("raw#HTTP/1.1 200 OK\r\n{heads}\r\nrows");
     let invalid_replies = [
--- a/tests/doubles/broker.rs
+++ b/tests/doubles/broker.rs
@@ -17,7 +17,7 @@
 use crossbeam_channel::{unbounded, RecvTimeoutError};
 use protocol_gateway::amqp::codec;
 
-use super::{lock, serve, Scratch};
+use super::{lock, serve_connections, ScratchFile};
 
 pub(crate) const READS: &str = "reads";
 pub(crate) const POSTS: &str = "posts";
@@ -117,18 +117,18 @@
     pub(crate) fn start() -> Broker {
         let seen = Arc::new(Mutex::new(Seen::default()));
         let shared = seen.clone();
-        let address = serve(move |stream| Link::new(stream, shared.clone()).run());
+        let address = serve_connections(move |stream| Link::new(stream, shared.clone()).run());
         Broker { address, seen }
     }
     /// An inventory with a queue of reads and one of posts at this broker.
-    pub(crate) fn inventory(&self, prefetch: u16) -> Scratch {
+    pub(crate) fn inventory(&self, prefetch: u16) -> ScratchFile {
         let text = format!(
             "all:\n  vars: {{host: 127.0.0.1, port: {}, vhost: billing, username: guest, prefetch: {prefetch},\n         \
              password_env: TEST_AMQP_PASSWORD, tenant: alpenergia}}\n  hosts:\n    \
              a: {{queue: {READS}, class: statement-read}}\n    b: {{queue: {POSTS}, class: settlement-post}}\n",
             self.address.port()
         );
-        Scratch::new("inventory.yaml", &text)
+        ScratchFile::new("inventory.yaml", &text)
     }
     pub(crate) fn publish(&self, queue: &str, message: Message) {
         self.with(|seen| {
--- a/tests/fleet_router.rs
+++ b/tests/fleet_router.rs
@@ -15,7 +15,7 @@
 use membership::AdvertisedStatus;
 use membership_scenarios::partition_status;
 use serde_json::json;
-use test_doubles::until;
+use test_doubles::wait_until;
 use testbed::{as_strs, node_names, plan_nodes, SETTLE_TIMEOUT};
 
 /// Starts nodes and a router in front of them, and waits until the router uses all nodes.
@@ -39,10 +39,10 @@
     rig.up(&["r0"]);
     rig.settle(SETTLE_TIMEOUT);
     let mut front = rig.front("r0");
-    until("the router has all nodes", || {
+    wait_until("the router has all nodes", || {
         let body = format!("serve:{:?}", Instant::now());
-        front.ask("statement-read", &body);
-        nodes.iter().all(|n| rig.executor(n).all_runs() > 0)
+        front.request("statement-read", &body);
+        nodes.iter().all(|n| rig.executor(n).total_runs() > 0)
     });
     rig
 }
@@ -63,7 +63,7 @@
     while Instant::now() < end {
         let sent_at = Instant::now();
         let body = format!("serve:{}", requests.len());
-        let answer = front.ask("statement-read", &body);
+        let answer = front.request("statement-read", &body);
         requests.push(SentRequest {
             sent_at,
             took: sent_at.elapsed(),
@@ -90,15 +90,15 @@
     });
     update.expect("it has");
     thread::sleep(Duration::from_millis(50));
-    let before = rig.executor("n1").all_runs();
+    let before = rig.executor("n1").total_runs();
     assert!(send_requests_for(&rig, Duration::from_millis(500))
         .iter()
         .all(|request| request.is_served));
-    assert_eq!(rig.executor("n1").all_runs(), before);
+    assert_eq!(rig.executor("n1").total_runs(), before);
     assert_eq!(rig.call("n1", "resume"), "ok serving");
-    until("it gets requests again", || {
+    wait_until("it gets requests again", || {
         send_requests_for(&rig, Duration::from_millis(50));
-        rig.executor("n1").all_runs() > before
+        rig.executor("n1").total_runs() > before
     });
     // A killed node costs no read: another node serves it.
     rig.kill("n2");
@@ -116,7 +116,7 @@
     let mut rig = start_fleet_with_router(3, true);
     rig.weather(json!("all datagrams lost"), |link| link.loss = 1.0);
     let mut served = Vec::new();
-    until("the router knows that it is isolated", || {
+    wait_until("the router knows that it is isolated", || {
         served.extend(send_requests_for(&rig, Duration::from_millis(100)));
         partition_status(&rig, "r0") == "alone"
     });
@@ -127,10 +127,10 @@
         served.len()
     );
     assert_eq!(rig.call("n1", "quiesce"), "ok quiesced");
-    let before = Cell::new(rig.executor("n1").all_runs());
-    until("a check finds that one is quiesced", || {
+    let before = Cell::new(rig.executor("n1").total_runs());
+    wait_until("a check finds that one is quiesced", || {
         send_requests_for(&rig, Duration::from_millis(100));
-        before.replace(rig.executor("n1").all_runs()) == rig.executor("n1").all_runs()
+        before.replace(rig.executor("n1").total_runs()) == rig.executor("n1").total_runs()
     });
     rig.heal();
     rig.settle(SETTLE_TIMEOUT);
@@ -150,7 +150,7 @@
             let asked = send_requests_for(&rig, Duration::from_millis(800));
             let routed_there = asked
                 .iter()
-                .filter(|request| rig.executor("n1").runs(&request.body) > 0);
+                .filter(|request| rig.executor("n1").run_count(&request.body) > 0);
             quiesced.push(
                 routed_there
                     .map(|request| request.sent_at.duration_since(from).as_millis())
