--- a/examples/repeat.rs
+++ b/examples/repeat.rs
@@ -1,9 +1,10 @@
-//! A node with a class that is run by key, among stand-ins on loopback: a request, its repeat on another connection, and the
-//! same key with another body. Build the program first: `cargo build && cargo run --example repeat`.
+//! A node with a class that runs by idempotency key, among test doubles on loopback: a request, its repeat on another
+//! connection, and the same key with another body. Build the program first: `cargo build && cargo run --example repeat`.
 
 use serde_json::{json, Value};
 use test_doubles::{decode_base64, Node};
 
+/// The idempotency key of all three requests.
 const TOKEN: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
 fn main() {
@@ -12,23 +13,24 @@
         settings["lanes"][1]["name"] = json!("version-submit");
         settings["lanes"][1]["effect"] = json!("by_key");
         settings["lanes"][1]["window"] = json!(30_000.0);
-        // What the platform books for a key: small enough for many of them.
+        // The memory that a key is counted with: small enough for many of them.
         settings["specifics"]["keyKb"] = json!(1.0);
     });
     println!("a node listens at {}", node.address);
-    for (what, body) in [
-        ("first try", "serve:scan 7"),
+    for (label, body) in [
+        ("first attempt", "serve:scan 7"),
         ("repeat", "serve:scan 7"),
         ("other body", "serve:scan 8"),
     ] {
-        let mut front = node.connect();
-        front.send_with_fields("version-submit", body, &json!({"token": TOKEN}));
-        println!("{what}: {}", told(&front.read_answer()));
+        let mut client = node.connect();
+        client.send_with_fields("version-submit", body, &json!({"token": TOKEN}));
+        println!("{label}: {}", describe(&client.read_answer()));
     }
     println!("the executor ran {} of them", node.executor.total_runs());
 }
 
-fn told(answer: &Value) -> String {
+/// Describes an answer in a line.
+fn describe(answer: &Value) -> String {
     match answer["result"]["body"].as_str() {
         Some(body) => format!("served, {:?}", decode_base64(body)),
         None => format!(
--- a/tests/amqp_consumer_model.rs
+++ b/tests/amqp_consumer_model.rs
@@ -1,4 +1,4 @@
-//! Models of the states of connections, against which random steps are checked.
+//! A model of an AMQP channel's consumer, against which random steps are checked.
 
 #[path = "common/steps.rs"]
 mod steps;
@@ -17,94 +17,116 @@
 use quickcheck::{Arbitrary, Gen};
 use steps::check_steps;
 
+/// A step of the broker or of the node around the consumer.
 #[derive(Clone, Debug)]
-enum Queue {
-    /// The broker answers whatever is asked of it.
-    Broker,
-    Deliver(bool),
-    /// The core answers one of the deliveries in hand: how, and which.
-    Answer(u8, usize),
-    /// The broker confirms one of the publishes, or turns it down.
-    Confirm(usize, bool),
-    Leave,
+enum ChannelStep {
+    /// The broker answers the last request of the consumer.
+    BrokerAnswer,
+    /// The broker delivers a message, with or without a reply queue.
+    Deliver { has_reply_to: bool },
+    /// The node answers one of the deliveries in flight.
+    NodeAnswer { outcome: u8, index: usize },
+    /// The broker confirms one of the publishes, or rejects it.
+    Confirm { index: usize, is_accepted: bool },
+    /// The node begins to shut down.
+    Shutdown,
 }
-impl Arbitrary for Queue {
-    fn arbitrary(g: &mut Gen) -> Queue {
+
+impl Arbitrary for ChannelStep {
+    fn arbitrary(g: &mut Gen) -> ChannelStep {
         match u8::arbitrary(g) % 16 {
-            0..=4 => Queue::Broker,
-            5..=8 => Queue::Deliver(bool::arbitrary(g)),
-            9..=11 => Queue::Answer(u8::arbitrary(g) % 4, usize::arbitrary(g)),
-            12..=14 => Queue::Confirm(usize::arbitrary(g), bool::arbitrary(g)),
-            _ => Queue::Leave,
+            0..=4 => ChannelStep::BrokerAnswer,
+            5..=8 => ChannelStep::Deliver {
+                has_reply_to: bool::arbitrary(g),
+            },
+            9..=11 => ChannelStep::NodeAnswer {
+                outcome: u8::arbitrary(g) % 4,
+                index: usize::arbitrary(g),
+            },
+            12..=14 => ChannelStep::Confirm {
+                index: usize::arbitrary(g),
+                is_accepted: bool::arbitrary(g),
+            },
+            _ => ChannelStep::Shutdown,
         }
     }
 }
 
-/// The broker's and the core's side of one channel.
+/// What the broker and the node know of one channel.
 #[derive(Default)]
 struct Model {
-    /// What the consumer waits to hear.
-    asked: Vec<AMQPClass>,
-    /// Delivered and not settled, answers owed by the core, publishes not confirmed.
-    owed: BTreeSet<u64>,
-    in_hand: Vec<u64>,
-    publishes: Vec<u64>,
+    /// The consumer's requests without an answer of the broker.
+    requests: Vec<AMQPClass>,
+    /// Tags that were delivered and not settled.
+    unsettled: BTreeSet<u64>,
+    /// Tags that the node has not answered.
+    in_flight: Vec<u64>,
+    /// Publishes without a confirm.
+    unconfirmed: Vec<u64>,
     published: u64,
     delivered: u64,
     answered: u64,
-    active: bool,
+    is_active: bool,
 }
 
 impl Model {
-    /// Takes what the consumer wants done; false if it breaks a rule.
-    fn take(&mut self, steps: &mut Vec<ConsumerEffect>) -> bool {
-        steps.drain(..).all(|step| match step {
+    /// Applies what the consumer wants done; returns false if that breaks a rule.
+    fn apply_effects(&mut self, effects: &mut Vec<ConsumerEffect>) -> bool {
+        effects.drain(..).all(|effect| match effect {
             ConsumerEffect::Deliver(delivery) => {
-                self.in_hand.push(delivery.tag);
+                self.in_flight.push(delivery.tag);
                 true
             }
             ConsumerEffect::MessageRejected(_) => true,
             ConsumerEffect::ChannelFailed(_) => false,
-            ConsumerEffect::Send(frame) => match *frame {
-                AMQPFrame::Method(_, AMQPClass::Basic(method)) => match method {
-                    // Settled once, and only after the core has answered.
-                    Basic::Ack(basic::Ack {
-                        delivery_tag: tag,
-                        multiple: false,
-                    })
-                    | Basic::Nack(basic::Nack {
-                        delivery_tag: tag,
-                        multiple: false,
-                        ..
-                    })
-                    | Basic::Reject(basic::Reject {
-                        delivery_tag: tag, ..
-                    }) => self.owed.remove(&tag) && !self.in_hand.contains(&tag),
-                    Basic::Publish(_) => {
-                        self.published += 1;
-                        self.publishes.push(self.published);
-                        true
-                    }
-                    other => {
-                        self.asked.push(AMQPClass::Basic(other));
-                        true
-                    }
-                },
-                AMQPFrame::Method(_, method) => {
-                    // No channel is closed while anything is owed on it.
-                    let closing = matches!(method, AMQPClass::Channel(Channel::Close(_)));
-                    self.asked.push(method);
-                    !closing || self.owed.is_empty()
-                }
-                _ => true,
-            },
+            ConsumerEffect::Send(frame) => self.apply_frame(*frame),
         })
     }
 
-    /// The broker's answer to what was asked.
-    fn answer(&mut self) -> Option<AMQPClass> {
+    fn apply_frame(&mut self, frame: AMQPFrame) -> bool {
+        match frame {
+            AMQPFrame::Method(_, AMQPClass::Basic(method)) => self.apply_basic(method),
+            AMQPFrame::Method(_, method) => {
+                // No channel is closed while a delivery is unsettled.
+                let is_closing = matches!(method, AMQPClass::Channel(Channel::Close(_)));
+                self.requests.push(method);
+                !is_closing || self.unsettled.is_empty()
+            }
+            _ => true,
+        }
+    }
+
+    fn apply_basic(&mut self, method: Basic) -> bool {
+        match method {
+            // Settled once, and only after the node has answered.
+            Basic::Ack(basic::Ack {
+                delivery_tag: tag,
+                multiple: false,
+            })
+            | Basic::Nack(basic::Nack {
+                delivery_tag: tag,
+                multiple: false,
+                ..
+            })
+            | Basic::Reject(basic::Reject {
+                delivery_tag: tag, ..
+            }) => self.unsettled.remove(&tag) && !self.in_flight.contains(&tag),
+            Basic::Publish(_) => {
+                self.published += 1;
+                self.unconfirmed.push(self.published);
+                true
+            }
+            other => {
+                self.requests.push(AMQPClass::Basic(other));
+                true
+            }
+        }
+    }
+
+    /// The broker's answer to the last request of the consumer.
+    fn next_broker_answer(&mut self) -> Option<AMQPClass> {
         let consumer_tag = ShortString::default();
-        Some(match self.asked.pop()? {
+        Some(match self.requests.pop()? {
             AMQPClass::Channel(Channel::Open(_)) => {
                 AMQPClass::Channel(Channel::OpenOk(channel::OpenOk {}))
             }
@@ -114,11 +136,11 @@
             AMQPClass::Confirm(_) => AMQPClass::Confirm(Confirm::SelectOk(confirm::SelectOk {})),
             AMQPClass::Basic(Basic::Qos(_)) => AMQPClass::Basic(Basic::QosOk(basic::QosOk {})),
             AMQPClass::Basic(Basic::Consume(_)) => {
-                self.active = true;
+                self.is_active = true;
                 AMQPClass::Basic(Basic::ConsumeOk(basic::ConsumeOk { consumer_tag }))
             }
             AMQPClass::Basic(Basic::Cancel(_)) => {
-                self.active = false;
+                self.is_active = false;
                 AMQPClass::Basic(Basic::CancelOk(basic::CancelOk { consumer_tag }))
             }
             _ => return None,
@@ -126,98 +148,151 @@
     }
 }
 
-/// Every delivery is settled exactly once, after its answer, and a channel closes only when nothing is owed.
-#[test]
-fn a_consumer_settles_as_the_model_does() {
-    fn check(steps: Vec<Queue>) -> bool {
-        let queue = ShortString::try_new("q").expect("short");
-        let set = ConsumerSettings {
+fn short_string(text: &str) -> ShortString {
+    ShortString::try_new(text).expect("short")
+}
+
+/// A consumer, its effects, and the model beside it.
+struct CheckedConsumer {
+    consumer: Consumer,
+    effects: Vec<ConsumerEffect>,
+    model: Model,
+}
+
+impl CheckedConsumer {
+    fn new(is_idempotent: bool) -> CheckedConsumer {
+        let settings = ConsumerSettings {
             channel: 1,
-            queue,
+            queue: short_string("q"),
             prefetch: 9,
-            is_idempotent: !steps.len().is_multiple_of(2),
+            is_idempotent,
             max_message_bytes: 99,
             max_frame_bytes: 4096,
         };
-        let (mut out, mut model) = (Vec::new(), Model::default());
-        let mut consumer = Consumer::new(set, &mut out);
-        model.take(&mut out)
-            && steps.into_iter().all(|step| {
-                match step {
-                    Queue::Broker => {
-                        if let Some(answer) = model.answer() {
-                            consumer.handle_frame(AMQPFrame::Method(1, answer), &mut out);
-                        }
-                    }
-                    Queue::Deliver(reply) if model.active => {
-                        model.delivered += 1;
-                        model.owed.insert(model.delivered);
-                        let name = || ShortString::try_new("k").expect("short");
-                        let mut properties = AMQPProperties::default().with_message_id(name());
-                        if reply {
-                            properties = properties.with_reply_to(name());
-                        }
-                        let deliver = basic::Deliver {
-                            consumer_tag: name(),
-                            delivery_tag: model.delivered,
-                            redelivered: false,
-                            exchange: name(),
-                            routing_key: name(),
-                        };
-                        let method = AMQPClass::Basic(Basic::Deliver(deliver));
-                        let header = AMQPContentHeader {
-                            class_id: 60,
-                            body_size: 2,
-                            properties,
-                        };
-                        consumer.handle_frame(AMQPFrame::Method(1, method), &mut out);
-                        consumer.handle_frame(AMQPFrame::Header(1, header), &mut out);
-                        consumer.handle_frame(AMQPFrame::Body(1, b"hi".to_vec()), &mut out);
-                    }
-                    Queue::Answer(how, which) if !model.in_hand.is_empty() => {
-                        let outcome = match how {
-                            0 => Outcome::Served(Payload::from_bytes(b"yes")),
-                            1 => Outcome::Rejected {
-                                retry_after: Span(0),
-                                is_final: false,
-                            },
-                            2 => Outcome::Failed(Failure::GivenUp),
-                            _ => Outcome::Failed(Failure::MayHaveRun),
-                        };
-                        let tag = model.in_hand.swap_remove(which % model.in_hand.len());
-                        model.answered += 1;
-                        let answer = Answer {
-                            outcome,
-                            capacity_hint: None,
-                        };
-                        consumer.answer(tag, &answer, &mut out);
-                        // A second answer to the same delivery changes nothing.
-                        consumer.answer(tag, &answer, &mut out);
-                    }
-                    Queue::Confirm(which, taken) if !model.publishes.is_empty() => {
-                        let delivery_tag = model.publishes.remove(which % model.publishes.len());
-                        let method = if taken {
-                            Basic::Ack(basic::Ack {
-                                delivery_tag,
-                                multiple: false,
-                            })
-                        } else {
-                            Basic::Nack(basic::Nack {
-                                delivery_tag,
-                                multiple: false,
-                                requeue: false,
-                            })
-                        };
-                        consumer
-                            .handle_frame(AMQPFrame::Method(1, AMQPClass::Basic(method)), &mut out);
-                    }
-                    Queue::Leave => consumer.begin_shutdown(&mut out),
-                    _ => {}
+        let mut effects = Vec::new();
+        let consumer = Consumer::new(settings, &mut effects);
+        CheckedConsumer {
+            consumer,
+            effects,
+            model: Model::default(),
+        }
+    }
+
+    fn handle_method(&mut self, method: AMQPClass) {
+        let frame = AMQPFrame::Method(1, method);
+        self.consumer.handle_frame(frame, &mut self.effects);
+    }
+
+    fn run_step(&mut self, step: ChannelStep) {
+        match step {
+            ChannelStep::BrokerAnswer => {
+                if let Some(answer) = self.model.next_broker_answer() {
+                    self.handle_method(answer);
                 }
-                let rules = model.take(&mut out) && consumer.unsettled_count() == model.owed.len();
-                // One answer, or one copy, is published for a delivery at most.
-                let rules = rules && model.published <= model.answered;
-                rules && (consumer.channel_state() != ChannelState::Closed || model.owed.is_empty())
+            }
+            ChannelStep::Deliver { has_reply_to } if self.model.is_active => {
+                self.deliver(has_reply_to);
+            }
+            ChannelStep::NodeAnswer { outcome, index } if !self.model.in_flight.is_empty() => {
+                self.answer(outcome, index);
+            }
+            ChannelStep::Confirm { index, is_accepted } if !self.model.unconfirmed.is_empty() => {
+                self.confirm(index, is_accepted);
+            }
+            ChannelStep::Shutdown => self.consumer.begin_shutdown(&mut self.effects),
+            _ => {}
+        }
+    }
+
+    fn deliver(&mut self, has_reply_to: bool) {
+        self.model.delivered += 1;
+        self.model.unsettled.insert(self.model.delivered);
+        let mut properties = AMQPProperties::default().with_message_id(short_string("k"));
+        if has_reply_to {
+            properties = properties.with_reply_to(short_string("k"));
+        }
+        let deliver = basic::Deliver {
+            consumer_tag: short_string("k"),
+            delivery_tag: self.model.delivered,
+            redelivered: false,
+            exchange: short_string("k"),
+            routing_key: short_string("k"),
+        };
+        self.handle_method(AMQPClass::Basic(Basic::Deliver(deliver)));
+        let header = AMQPContentHeader {
+            class_id: 60,
+            body_size: 2,
+            properties,
+        };
+        for frame in [
+            AMQPFrame::Header(1, header),
+            AMQPFrame::Body(1, b"hi".to_vec()),
+        ] {
+            self.consumer.handle_frame(frame, &mut self.effects);
+        }
+    }
+
+    fn answer(&mut self, outcome: u8, index: usize) {
+        let outcome = match outcome {
+            0 => Outcome::Served(Payload::from_bytes(b"yes")),
+            1 => Outcome::Rejected {
+                retry_after: Span(0),
+                is_final: false,
+            },
+            2 => Outcome::Failed(Failure::GivenUp),
+            _ => Outcome::Failed(Failure::MayHaveRun),
+        };
+        let index = index % self.model.in_flight.len();
+        let tag = self.model.in_flight.swap_remove(index);
+        self.model.answered += 1;
+        let answer = Answer {
+            outcome,
+            capacity_hint: None,
+        };
+        self.consumer.answer(tag, &answer, &mut self.effects);
+        // A second answer to the same delivery changes nothing.
+        self.consumer.answer(tag, &answer, &mut self.effects);
+    }
+
+    fn confirm(&mut self, index: usize, is_accepted: bool) {
+        let index = index % self.model.unconfirmed.len();
+        let delivery_tag = self.model.unconfirmed.remove(index);
+        let method = if is_accepted {
+            Basic::Ack(basic::Ack {
+                delivery_tag,
+                multiple: false,
+            })
+        } else {
+            Basic::Nack(basic::Nack {
+                delivery_tag,
+                multiple: false,
+                requeue: false,
+            })
+        };
+        self.handle_method(AMQPClass::Basic(method));
+    }
+
+    /// Whether the consumer agrees with the model after its effects.
+    fn agrees(&mut self) -> bool {
+        let is_valid = self.model.apply_effects(&mut self.effects);
+        let is_closed = self.consumer.channel_state() == ChannelState::Closed;
+        is_valid
+            && self.consumer.unsettled_count() == self.model.unsettled.len()
+            // One answer, or one copy, is published for a delivery at most.
+            && self.model.published <= self.model.answered
+            && (!is_closed || self.model.unsettled.is_empty())
+    }
+}
+
+/// Every delivery is settled exactly once, after its answer, and a channel closes only when all are settled.
+#[test]
+fn consumer_settles_as_its_model_does() {
+    fn check(steps: Vec<ChannelStep>) -> bool {
+        let mut checked = CheckedConsumer::new(!steps.len().is_multiple_of(2));
+        checked.model.apply_effects(&mut checked.effects)
+            && steps.into_iter().all(|step| {
+                checked.run_step(step);
+                checked.agrees()
             })
     }
     check_steps(check);
--- a/tests/amqp_frames.rs
+++ b/tests/amqp_frames.rs
@@ -1,4 +1,4 @@
-//! Frames as the specification writes them: both sides of the other tests share a codec, so it is pinned here.
+//! AMQP frames as the specification writes them. Both sides of the other tests share a codec, so its bytes are checked here.
 
 use amq_protocol::frame::{AMQPContentHeader, AMQPFrame, ProtocolVersion};
 use amq_protocol::protocol::basic::{self, AMQPMethod as Basic, AMQPProperties};
@@ -7,21 +7,23 @@
 use amq_protocol::types::{AMQPValue, FieldTable, ShortString};
 use protocol_gateway::amqp::codec;
 
-fn short(text: &str) -> ShortString {
+fn short_string(text: &str) -> ShortString {
     ShortString::try_new(text).expect("short")
 }
 
-fn same(frame: &AMQPFrame, bytes: &[u8]) {
+/// Checks that the frame is written as these bytes, and read from them.
+fn check_frame(frame: &AMQPFrame, bytes: &[u8]) {
     assert_eq!(codec::encode(frame).expect("a frame"), bytes);
     assert_eq!(&codec::read(bytes, 4096).expect("a frame"), frame);
 }
 
-fn basic(method: Basic, bytes: &[u8]) {
-    same(&AMQPFrame::Method(1, AMQPClass::Basic(method)), bytes);
+/// Checks a `basic` method on channel 1.
+fn check_basic(method: Basic, bytes: &[u8]) {
+    check_frame(&AMQPFrame::Method(1, AMQPClass::Basic(method)), bytes);
 }
 
 #[test]
-fn protocol_header() {
+fn protocol_header_has_its_bytes() {
     let header = AMQPFrame::ProtocolHeader(ProtocolVersion::amqp_0_9_1());
     assert_eq!(
         codec::encode(&header).expect("a header"),
@@ -30,50 +32,50 @@
 }
 
 #[test]
-fn heartbeat() {
-    same(&AMQPFrame::Heartbeat, b"\x08\x00\x00\x00\x00\x00\x00\xce");
+fn heartbeat_has_its_bytes() {
+    check_frame(&AMQPFrame::Heartbeat, b"\x08\x00\x00\x00\x00\x00\x00\xce");
 }
 
 #[test]
-fn connection_methods() {
+fn connection_methods_have_their_bytes() {
     // class 10, method 31: channel-max, frame-max, heartbeat
     let tune_ok = connection::TuneOk {
         channel_max: 2,
         frame_max: 8192,
         heartbeat: 10,
     };
-    same(
+    check_frame(
         &AMQPFrame::Method(0, AMQPClass::Connection(Method::TuneOk(tune_ok))),
         b"\x01\x00\x00\x00\x00\x00\x0c\x00\x0a\x00\x1f\x00\x02\x00\x00\x20\x00\x00\x0a\xce",
     );
     // class 10, method 40: the virtual host and two reserved fields
     let open = connection::Open {
-        virtual_host: short("/"),
+        virtual_host: short_string("/"),
     };
-    same(
+    check_frame(
         &AMQPFrame::Method(0, AMQPClass::Connection(Method::Open(open))),
         b"\x01\x00\x00\x00\x00\x00\x08\x00\x0a\x00\x28\x01/\x00\x00\xce",
     );
 }
 
 #[test]
-fn settlements() {
+fn settlements_have_their_bytes() {
     let (delivery_tag, multiple, requeue) = (5, false, true);
-    basic(
+    check_basic(
         Basic::Ack(basic::Ack {
             delivery_tag,
             multiple,
         }),
         b"\x01\x00\x01\x00\x00\x00\x0d\x00\x3c\x00\x50\x00\x00\x00\x00\x00\x00\x00\x05\x00\xce",
     );
-    basic(
+    check_basic(
         Basic::Reject(basic::Reject {
             delivery_tag,
             requeue: false,
         }),
         b"\x01\x00\x01\x00\x00\x00\x0d\x00\x3c\x00\x5a\x00\x00\x00\x00\x00\x00\x00\x05\x00\xce",
     );
-    basic(
+    check_basic(
         Basic::Nack(basic::Nack {
             delivery_tag,
             multiple,
@@ -84,62 +86,62 @@
 }
 
 #[test]
-fn consuming() {
-    basic(
+fn consumer_methods_have_their_bytes() {
+    check_basic(
         Basic::Qos(basic::Qos {
             prefetch_count: 16,
             global: false,
         }),
         b"\x01\x00\x01\x00\x00\x00\x0b\x00\x3c\x00\x0a\x00\x00\x00\x00\x00\x10\x00\xce",
     );
-    basic(
+    check_basic(
         Basic::Cancel(basic::Cancel {
-            consumer_tag: short("c"),
+            consumer_tag: short_string("c"),
             nowait: false,
         }),
         b"\x01\x00\x01\x00\x00\x00\x07\x00\x3c\x00\x1e\x01c\x00\xce",
     );
     let deliver = basic::Deliver {
-        consumer_tag: short("c"),
+        consumer_tag: short_string("c"),
         delivery_tag: 7,
         redelivered: true,
-        exchange: short(""),
-        routing_key: short("q"),
+        exchange: short_string(""),
+        routing_key: short_string("q"),
     };
-    basic(
+    check_basic(
         Basic::Deliver(deliver),
         b"\x01\x00\x01\x00\x00\x00\x12\x00\x3c\x00\x3c\x01c\x00\x00\x00\x00\x00\x00\x00\x07\x01\x00\x01q\xce",
     );
 }
 
 #[test]
-fn content() {
+fn content_frames_have_their_bytes() {
     let mut headers = FieldTable::default();
-    headers.insert(short("a"), AMQPValue::LongLongInt(1));
+    headers.insert(short_string("a"), AMQPValue::LongLongInt(1));
     let properties = AMQPProperties::default()
         .with_headers(headers)
-        .with_correlation_id(short("x"))
-        .with_reply_to(short("r"));
+        .with_correlation_id(short_string("x"))
+        .with_reply_to(short_string("r"));
     let header = AMQPContentHeader {
         class_id: 60,
         body_size: 3,
         properties,
     };
     // class, weight, size; flags for headers (13), correlation-id (10) and reply-to (9); the table; the strings
-    same(
+    check_frame(
         &AMQPFrame::Header(1, header),
         b"\x02\x00\x01\x00\x00\x00\x21\x00\x3c\x00\x00\x00\x00\x00\x00\x00\x00\x00\x03\x26\x00\
           \x00\x00\x00\x0b\x01al\x00\x00\x00\x00\x00\x00\x00\x01\x01x\x01r\xce",
     );
-    same(
+    check_frame(
         &AMQPFrame::Body(1, b"abc".to_vec()),
         b"\x03\x00\x01\x00\x00\x00\x03abc\xce",
     );
 }
 
-/// Guards our memory and our parser: lengths are bounded before anything is read for them.
+/// Guards the node's memory and its parser: lengths are checked before anything is read for them.
 #[test]
-fn what_is_no_frame_is_an_error() {
+fn invalid_frames_are_errors() {
     for bytes in [
         &b"AMQP\x00\x00\x09\x01"[..],
         b"\x01\x00\x01\xff\xff\xff\xff",
--- a/tests/common/steps.rs
+++ b/tests/common/steps.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 
-/// Runs `check` on sequences of steps, from a fixed seed: the same verdict every time. A failing sequence shrinks.
+/// Runs `check` on sequences of steps, from a fixed seed: the same result every time. A failing sequence is shrunk.
 pub(crate) fn check_steps<S: Arbitrary + std::fmt::Debug>(check: fn(Vec<S>) -> bool)
 where
     fn(Vec<S>) -> bool: Testable,
--- a/tests/database_calls.rs
+++ b/tests/database_calls.rs
@@ -1,6 +1,6 @@
 //! The database's call pool, responders and line readers, in this process and with limits of the test's own.
 
-use std::net::TcpListener;
+use std::net::{SocketAddr, TcpListener};
 use std::sync::{mpsc, Arc};
 use std::time::Duration;
 
@@ -76,7 +76,7 @@
     }
 }
 
-const LONG: Duration = Duration::from_secs(20);
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[test]
 fn each_reply_has_the_meaning_of_the_protocol() {
@@ -90,24 +90,24 @@
         ("break", "unknown"),
         ("ok#2", "rows for ok#2"),
     ] {
-        assert_eq!(pool.call(body, LONG), end, "{body}");
+        assert_eq!(pool.call(body, LONG_TIMEOUT), end, "{body}");
         assert_eq!(database.call_count(body), 1, "{body}");
     }
 }
 
 #[test]
-fn a_call_that_takes_too_long_is_given_up_and_its_connection_closed() {
+fn call_that_times_out_closes_its_connection() {
     let database = FakeDatabase::start();
     let pool = TestPool::start(database.address, |limits| limits.database.connections = 1);
     assert_eq!(pool.call("silent", Duration::from_millis(30)), "unknown");
     wait_until("its connection is closed", || {
         database.open_connections() == 0
     });
-    assert_eq!(pool.call("ok", LONG), "rows for ok");
+    assert_eq!(pool.call("ok", LONG_TIMEOUT), "rows for ok");
 }
 
-/// Guards against a reply taken for a call that it does not belong to: a 1xx answer before the reply, and a copy of it
-/// or noise behind it, which used to be given to the next call on the connection.
+/// Guards against a reply being given to the wrong call: a 1xx response before the reply, and a copy of it or noise after
+/// it, which used to be given to the next call on the connection.
 #[test]
 fn surplus_bytes_of_a_reply_are_not_given_to_the_next_call() {
     let database = FakeDatabase::start();
@@ -122,11 +122,11 @@
             (before, reply),
         ] {
             assert_eq!(
-                pool.call(&format!("raw#{early}{reply}{late}"), LONG),
+                pool.call(&format!("raw#{early}{reply}{late}"), LONG_TIMEOUT),
                 "rows"
             );
             assert_eq!(
-                pool.call(&format!("ok#{n}"), LONG),
+                pool.call(&format!("ok#{n}"), LONG_TIMEOUT),
                 format!("rows for ok#{n}")
             );
         }
@@ -159,26 +159,26 @@
         "raw#HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n".into(),
     ];
     for body in invalid_replies {
-        let begun = unix_ms();
-        assert_eq!(pool.call(&body, LONG), "unknown", "{body:?}");
+        let started_at = unix_ms();
+        assert_eq!(pool.call(&body, LONG_TIMEOUT), "unknown", "{body:?}");
         assert!(
-            unix_ms() - begun < 5000,
+            unix_ms() - started_at < 5000,
             "{body:?} took {} ms of 20 s",
-            unix_ms() - begun
+            unix_ms() - started_at
         );
     }
-    assert_eq!(pool.call("ok", LONG), "rows for ok");
+    assert_eq!(pool.call("ok", LONG_TIMEOUT), "rows for ok");
 }
 
 #[test]
-fn a_refused_connection_proves_that_no_call_ran() {
+fn refused_connection_proves_that_no_call_ran() {
     // No other test listens at this address, so the port stays closed.
     let address = TcpListener::bind("127.0.0.77:0")
         .expect("loopback")
         .local_addr()
         .expect("bound");
     let pool = TestPool::start(address, |limits| limits.database.connections = 1);
-    assert_eq!(pool.call("ok", LONG), "never ran");
+    assert_eq!(pool.call("ok", LONG_TIMEOUT), "never ran");
 }
 
 /// Guards "exactly one answer": a responder that is dropped on some path answers by itself.
