--- a/tests/database_calls.rs
+++ b/tests/database_calls.rs
@@ -1,6 +1,6 @@
 //! The database's call pool, responders and line readers, in this process and with limits of the test's own.
 
-use std::net::{SocketAddr, TcpListener};
+use std::net::TcpListener;
 use std::sync::{mpsc, Arc};
 use std::time::Duration;
 
