--- a/tests/amqp_consumer_model.rs
+++ b/tests/amqp_consumer_model.rs
@@ -18,7 +18,7 @@
 use steps::check_steps;
 
 /// A step of the broker or of the node around the consumer.
-#[derive(Clone, Debug)]
+#[derive(Clone, Copy, Debug)]
 enum ChannelStep {
     /// The broker answers the last request of the consumer.
     BrokerAnswer,
--- a/tests/doubles/broker/connection.rs
+++ b/tests/doubles/broker/connection.rs
@@ -244,7 +244,7 @@
             is_other_queue
         });
         for message in on_the_way {
-            self.deliver(id, message);
+            self.deliver(id, &message);
         }
         if let Some(channel) = self.channels.get_mut(&id) {
             channel.is_active = false;
@@ -274,7 +274,7 @@
         }
     }
 
-    fn deliver(&mut self, id: u16, message: Message) {
+    fn deliver(&mut self, id: u16, message: &Message) {
         let Some(channel) = self.channels.get_mut(&id) else {
             return;
         };
@@ -289,7 +289,7 @@
         state.unacked += 1;
         state.most_unacked = state.most_unacked.max(channel.unacked.len());
         drop(state);
-        self.send_content(id, Basic::Deliver(deliver), &message);
+        self.send_content(id, Basic::Deliver(deliver), message);
     }
 
     /// Delivers waiting messages to each consumer, up to its prefetch.
@@ -297,7 +297,7 @@
         let ids: Vec<u16> = self.channels.keys().copied().collect();
         for id in ids {
             while let Some(message) = self.take_ready(id) {
-                self.deliver(id, message);
+                self.deliver(id, &message);
             }
         }
     }
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -279,6 +279,10 @@
         assert!(kill.expect("a shell").success());
     }
 
+    #[allow(
+        clippy::too_many_lines,
+        reason = "one arm for each verb of the scripts"
+    )]
     fn step(&mut self, verb: &str, peer: &str, text: &str) {
         match verb {
             "set" => {
--- a/tests/jsonrpc_errors.rs
+++ b/tests/jsonrpc_errors.rs
@@ -42,7 +42,7 @@
     }
 }
 
-fn error_line(id: Value, code: i64, message: &str) -> String {
+fn error_line(id: &Value, code: i64, message: &str) -> String {
     let error = json!({"code": code, "message": message});
     json!({"jsonrpc": "2.0", "id": id, "error": error}).to_string() + "\n"
 }
@@ -89,7 +89,7 @@
             "missing field `rid`",
         ),
     ] {
-        assert_eq!(answer_to(line), error_line(id, code, message), "{line}");
+        assert_eq!(answer_to(line), error_line(&id, code, message), "{line}");
     }
 }
 
@@ -114,7 +114,7 @@
         let line = json!({"jsonrpc": "2.0", "id": 3, "method": "statement-read", "params": params});
         assert_eq!(
             answer_to(&line.to_string()),
-            error_line(json!(3), -32602, message)
+            error_line(&json!(3), -32602, message)
         );
     }
 }
--- a/tests/node_requests.rs
+++ b/tests/node_requests.rs
@@ -167,7 +167,7 @@
     let node = Node::start();
     let mut front = node.connect();
     // The node may close while this is still being written.
-    let _ = front.stream.write_all(&[b'x'; 64 * 1024]);
+    let _ = front.stream.write_all(&vec![b'x'; 64 * 1024]);
     let answer = front.read_message();
     assert!(
         answer.is_null() || error_code(&answer) == -32600,
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -16,7 +16,7 @@
     })
 }
 
-fn batch(t: f64, id: u64, events: Value) -> String {
+fn batch(t: f64, id: u64, events: &Value) -> String {
     json!({"t": t, "backends": [{"backendId": id, "events": events}]}).to_string()
 }
 
@@ -25,7 +25,7 @@
     let reply = host.handle_line(&batch(
         1.0,
         3,
-        json!([{"Spawn": {"nonce64": 9, "facts": facts()}}]),
+        &json!([{"Spawn": {"nonce64": 9, "facts": facts()}}]),
     ));
     assert!(reply.expect("starts").contains("\"backendId\":3"));
     host
@@ -52,11 +52,11 @@
     .into_iter()
     .enumerate()
     {
-        let reply = host.handle_line(&batch(2.0 + n as f64, 3, json!([{"Query": query}]))).expect("is read");
+        let reply = host.handle_line(&batch(2.0 + n as f64, 3, &json!([{"Query": query}]))).expect("is read");
         assert!(reply.contains(r#"{"Admit":{"msgId":"#), "{reply}");
     }
     let end = json!([{"Finished": {"msgId": id, "outcome": "GOOD", "duration": 3.0}}]);
-    assert!(host.handle_line(&batch(9.0, 3, end)).is_ok());
+    assert!(host.handle_line(&batch(9.0, 3, &end)).is_ok());
 }
 
 #[test]
@@ -64,26 +64,30 @@
     for (line, words) in [
         ("no json".to_string(), "expected"),
         (
-            batch(2.0, 8, json!([{"Left": {"msgId": 1}}])),
+            batch(2.0, 8, &json!([{"Left": {"msgId": 1}}])),
             "backend 8: event for an instance never started",
         ),
         (
-            batch(2.0, 3, json!([{"Nonsense": {}}])),
+            batch(2.0, 3, &json!([{"Nonsense": {}}])),
             "backend 3: unknown variant",
         ),
         (
-            batch(2.0, 3, json!([{"Left": {}}])),
+            batch(2.0, 3, &json!([{"Left": {}}])),
             "backend 3: missing field `msgId`",
         ),
         (
-            batch(2.0, 3, json!([{"Finished": {"msgId": 1, "outcome": "HM"}}])),
+            batch(
+                2.0,
+                3,
+                &json!([{"Finished": {"msgId": 1, "outcome": "HM"}}]),
+            ),
             "unknown variant `HM`",
         ),
         (
             batch(
                 2.0,
                 3,
-                json!([{"Finished": {"msgId": 1, "outcome": "FULL"}}]),
+                &json!([{"Finished": {"msgId": 1, "outcome": "FULL"}}]),
             ),
             "backend 3: a run can't end",
         ),
@@ -93,7 +97,7 @@
     }
     let mut none = facts();
     none["specifics"]["cores"] = json!(0);
-    let spawn = batch(1.0, 2, json!([{"Spawn": {"nonce64": 1, "facts": none}}]));
+    let spawn = batch(1.0, 2, &json!([{"Spawn": {"nonce64": 1, "facts": none}}]));
     assert_eq!(
         Host::default().handle_line(&spawn),
         Err("backend 2: settings name no cores".into())
@@ -106,22 +110,22 @@
     host.handle_line(&batch(
         2.0,
         3,
-        json!([{"Query": {"msgId": 7, "type": "look"}}]),
+        &json!([{"Query": {"msgId": 7, "type": "look"}}]),
     ))
     .expect("is read");
     let spawn = json!({"Spawn": {"nonce64": 9, "facts": facts()}});
     let reply = host
-        .handle_line(&batch(3.0, 3, json!([{"Retire": {}}, spawn])))
+        .handle_line(&batch(3.0, 3, &json!([{"Retire": {}}, spawn])))
         .expect("starts anew");
     assert!(
         !reply.contains("\"msgId\":7") && reply.contains("Readiness"),
         "{reply}"
     );
     assert!(host
-        .handle_line(&batch(4.0, 3, json!([{"Retire": {}}])))
+        .handle_line(&batch(4.0, 3, &json!([{"Retire": {}}])))
         .is_ok());
     assert!(host
-        .handle_line(&batch(5.0, 3, json!([{"Left": {"msgId": 7}}])))
+        .handle_line(&batch(5.0, 3, &json!([{"Left": {"msgId": 7}}])))
         .is_err());
 }
 
@@ -132,7 +136,7 @@
         let queries: Vec<Value> = (1..40)
             .map(|id| json!({"Query": {"msgId": id, "type": "look", "userGroup": "a"}}))
             .collect();
-        host.handle_line(&batch(2.0, 3, Value::Array(queries)))
+        host.handle_line(&batch(2.0, 3, &Value::Array(queries)))
     };
     assert_eq!(play(), play());
 }
