--- a/examples/repeat.rs
+++ b/examples/repeat.rs
@@ -2,7 +2,7 @@
 //! same key with another body. Build the program first: `cargo build && cargo run --example repeat`.
 
 use serde_json::{json, Value};
-use test_doubles::{unbase64, Node};
+use test_doubles::{decode_base64, Node};
 
 const TOKEN: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
@@ -21,16 +21,16 @@
         ("repeat", "serve:scan 7"),
         ("other body", "serve:scan 8"),
     ] {
-        let mut front = node.front();
-        front.send_with("version-submit", body, json!({"token": TOKEN}));
-        println!("{what}: {}", told(&front.answer()));
+        let mut front = node.connect();
+        front.send_with_fields("version-submit", body, &json!({"token": TOKEN}));
+        println!("{what}: {}", told(&front.read_answer()));
     }
-    println!("the executor ran {} of them", node.executor.all_runs());
+    println!("the executor ran {} of them", node.executor.total_runs());
 }
 
 fn told(answer: &Value) -> String {
     match answer["result"]["body"].as_str() {
-        Some(body) => format!("served, {:?}", unbase64(body)),
+        Some(body) => format!("served, {:?}", decode_base64(body)),
         None => format!(
             "error {}, {}",
             answer["error"]["code"], answer["error"]["message"]
--- a/tests/admin_commands.rs
+++ b/tests/admin_commands.rs
@@ -19,27 +19,27 @@
 #[test]
 fn quiesced_node_serves_requests_and_resumes_on_command() {
     let node = start_node_with_admin();
-    let admin = node.door();
-    let mut front = node.front();
+    let admin = node.admin_address();
+    let mut front = node.connect();
     assert_eq!(send_command(admin, b"health\n"), "ok serving");
-    assert_eq!(front.alive()["result"]["ready"], true);
+    assert_eq!(front.query_alive()["result"]["ready"], true);
     // Once the command is answered no health check succeeds, on an old connection or a new one.
     assert_eq!(send_command(admin, b"quiesce\n"), "ok quiesced");
-    assert_eq!(front.alive()["result"]["ready"], false);
-    assert_eq!(node.front().alive()["result"]["ready"], false);
-    until("the endpoint list has the report", || {
-        node.list.heard("HB n3 OUT")
+    assert_eq!(front.query_alive()["result"]["ready"], false);
+    assert_eq!(node.connect().query_alive()["result"]["ready"], false);
+    wait_until("the endpoint list has the report", || {
+        node.endpoint_list.has_report("HB n3 OUT")
     });
     // Quiesce is no shutdown: a request after the drain grace of 500 ms is still served.
     std::thread::sleep(Duration::from_millis(700));
     assert_eq!(
-        result_body(&front.ask(READ, "serve:quiesced")),
+        result_body(&front.request(READ, "serve:quiesced")),
         "done serve:quiesced"
     );
     assert_eq!(send_command(admin, b"health\n"), "ok quiesced");
     assert_eq!(send_command(admin, b" quiesce \r\n"), "ok quiesced");
     assert_eq!(send_command(admin, b"resume\n"), "ok serving");
-    assert_eq!(front.alive()["result"]["ready"], true);
+    assert_eq!(front.query_alive()["result"]["ready"], true);
     assert_eq!(send_command(admin, b"resume\n"), "ok serving");
 }
 
@@ -50,35 +50,35 @@
         config["admin"] = json!("127.0.0.1:0");
         config["stop_ms"] = json!(4000);
     });
-    let admin = node.door();
-    let mut front = node.front();
+    let admin = node.admin_address();
+    let mut front = node.connect();
     assert_eq!(send_command(admin, b"quiesce\n"), "ok quiesced");
     node.reload(
-        &config(
+        &node_config(
             node.executor.address,
             node.database.address,
-            node.list.address,
+            node.endpoint_list.address,
         )
         .to_string(),
     );
-    until("the file is read again", || {
+    wait_until("the file is read again", || {
         node.log().contains("configuration read again")
     });
-    assert_eq!(front.alive()["result"]["ready"], false);
+    assert_eq!(front.query_alive()["result"]["ready"], false);
     // A run that hangs keeps the process alive until all commands are sent.
     front.send("settlement-post", "hang");
-    until("it runs", || node.executor.runs("hang") == 1);
+    wait_until("it runs", || node.executor.run_count("hang") == 1);
     node.terminate();
-    assert_eq!(front.next()["method"], "farewell");
+    assert_eq!(front.read_message()["method"], "farewell");
     assert_eq!(send_command(admin, b"resume\n"), "fail leaving");
     assert_eq!(send_command(admin, b"health\n"), "fail leaving");
     assert_eq!(send_command(admin, b"quiesce\n"), "ok leaving");
-    assert_eq!(node.front().alive()["result"]["ready"], false);
-    assert!(front.next()["error"]["code"]
+    assert_eq!(node.connect().query_alive()["result"]["ready"], false);
+    assert!(front.read_message()["error"]["code"]
         .as_i64()
         .is_some_and(|code| code != REJECTED));
     drop(front);
-    assert_eq!(node.exit().code(), Some(0));
+    assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
 /// Before its executor is up a process accepts no clients, since another process may serve at its address. A quiesce
@@ -92,40 +92,43 @@
         config["executor"] = json!(executor_address);
     });
     let (mut link, _) = executor.accept().expect("a link");
-    until("the admin server listens", || {
-        node.logged("admin").is_some()
+    wait_until("the admin server listens", || {
+        node.logged_address("admin").is_some()
     });
-    let admin = node.door();
+    let admin = node.admin_address();
     assert_eq!(send_command(admin, b"health\n"), "fail starting");
     assert_eq!(
         send_command(admin, b"quiesce\n"),
         "ok starting, to be quiesced"
     );
     assert!(
-        node.logged("listening").is_none(),
+        node.logged_address("listening").is_none(),
         "it accepts no clients yet"
     );
     link.write_all(b"{\"action\":\"WELCOME\",\"code\":\"WARM\",\"wall_ms\":5}\n")
         .expect("written");
-    until("it is up", || {
+    wait_until("it is up", || {
         send_command(admin, b"health\n") == "ok quiesced"
     });
     // A thread of the test reads the log and may lag behind the admin server's reply.
-    until("the log names the address", || {
-        node.logged("listening").is_some()
+    wait_until("the log names the address", || {
+        node.logged_address("listening").is_some()
     });
-    let address = node.logged("listening").expect("it listens");
-    assert_eq!(Front::connect(address).alive()["result"]["ready"], false);
+    let address = node.logged_address("listening").expect("it listens");
+    assert_eq!(
+        TestClient::connect(address).query_alive()["result"]["ready"],
+        false
+    );
     assert_eq!(send_command(admin, b"resume\n"), "ok serving");
-    until("the policy has started", || {
-        Front::connect(address).alive()["result"]["ready"] == true
+    wait_until("the policy has started", || {
+        TestClient::connect(address).query_alive()["result"]["ready"] == true
     });
 }
 
 #[test]
 fn unknown_long_and_truncated_commands_fail() {
     let node = start_node_with_admin();
-    let admin = node.door();
+    let admin = node.admin_address();
     for line in [
         &b"drain\n"[..],
         b"\n",
@@ -154,16 +157,16 @@
 #[test]
 fn admin_server_answers_within_a_second_under_load() {
     let node = start_node_with_admin();
-    let admin = node.door();
+    let admin = node.admin_address();
     let end = Instant::now() + Duration::from_secs(2);
     let slowest = std::thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| {
-                let mut front = node.front();
+                let mut front = node.connect();
                 while Instant::now() < end {
                     let sent: Vec<u64> = (0..16).map(|_| front.send(READ, "serve")).collect();
                     for _ in sent {
-                        front.next();
+                        front.read_message();
                     }
                 }
             });
@@ -207,10 +210,10 @@
             "configuration: PROXY_ADMIN is no address",
         ),
     ] {
-        let mut config = config(unused, unused, unused);
+        let mut config = node_config(unused, unused, unused);
         config["admin"] = admin;
-        let file = Scratch::new("admin.json", &config.to_string());
-        let output = command(&file)
+        let file = ScratchFile::new("admin.json", &config.to_string());
+        let output = node_command(&file)
             .envs(variable.map(|value| ("PROXY_ADMIN", value)))
             .output()
             .expect("it starts");
@@ -230,8 +233,9 @@
 fn requests_sent_around_quiesce_are_all_answered() {
     let node = start_node_with_admin();
     for round in 0..10 {
-        let mut fronts: Vec<Front> = (0..4).map(|_| node.front()).collect();
-        let mut command = TcpStream::connect(node.door()).expect("the admin server accepts");
+        let mut fronts: Vec<TestClient> = (0..4).map(|_| node.connect()).collect();
+        let mut command =
+            TcpStream::connect(node.admin_address()).expect("the admin server accepts");
         let before: Vec<u64> = fronts
             .iter_mut()
             .map(|f| f.send("settlement-post", "serve"))
@@ -239,7 +243,7 @@
         command.write_all(b"quiesce\n").expect("written");
         let after: Vec<u64> = fronts.iter_mut().map(|f| f.send(READ, "serve")).collect();
         for ((front, first), second) in fronts.iter_mut().zip(before).zip(after) {
-            let mut answers = [front.answer(), front.answer()];
+            let mut answers = [front.read_answer(), front.read_answer()];
             answers.sort_unstable_by_key(|answer| answer["id"].as_u64());
             assert_eq!(
                 answers.each_ref().map(|a| a["id"].as_u64()),
@@ -252,7 +256,10 @@
             );
         }
         assert_eq!(read_reply(command), "ok quiesced");
-        assert_eq!(node.front().alive()["result"]["ready"], false);
-        assert_eq!(send_command(node.door(), b"resume\n"), "ok serving");
+        assert_eq!(node.connect().query_alive()["result"]["ready"], false);
+        assert_eq!(
+            send_command(node.admin_address(), b"resume\n"),
+            "ok serving"
+        );
     }
 }
--- a/tests/cancellation.rs
+++ b/tests/cancellation.rs
@@ -13,43 +13,46 @@
 #[test]
 fn cancelled_request_gets_no_answer_and_its_run_serves_the_retry() {
     let mut node = start_keyed_node();
-    let mut front = node.front();
+    let mut front = node.connect();
     // Of an unknown request, and of one that is answered.
     front.cancel(99);
     assert_eq!(
-        result_body(&front.ask("statement-read", "serve")),
+        result_body(&front.request("statement-read", "serve")),
         "done serve"
     );
     front.cancel(1);
     let cancelled = submit(&mut front, "hang:a", TOKEN);
-    until("it runs", || node.executor.runs("hang:a") == 1);
+    wait_until("it runs", || node.executor.run_count("hang:a") == 1);
     front.cancel(cancelled);
     assert_eq!(
-        result_body(&front.ask("settlement-post", "serve")),
+        result_body(&front.request("settlement-post", "serve")),
         "done serve"
     );
     let second = submit(&mut front, "hang:a", TOKEN);
     assert_eq!(
-        result_body(&front.ask("statement-read", "serve")),
+        result_body(&front.request("statement-read", "serve")),
         "done serve"
     );
-    node.executor.finish("hang:a");
-    let answer = front.answer();
+    node.executor.finish_run("hang:a");
+    let answer = front.read_answer();
     assert_eq!(
         (answer["id"].as_u64(), result_body(&answer).as_str()),
         (Some(second), "late result")
     );
     assert_eq!(
-        (node.executor.runs("hang:a"), node.executor.killed()),
+        (
+            node.executor.run_count("hang:a"),
+            node.executor.kill_count()
+        ),
         (1, 0)
     );
     // A read that nobody waits for is stopped, and cancelled requests do not delay the shutdown.
     let read = front.send("statement-read", "hang:b");
-    until("it runs", || node.executor.runs("hang:b") == 1);
+    wait_until("it runs", || node.executor.run_count("hang:b") == 1);
     front.cancel(read);
-    until("it is stopped", || node.executor.killed() == 1);
+    wait_until("it is stopped", || node.executor.kill_count() == 1);
     node.terminate();
-    assert_eq!(node.exit().code(), Some(0));
+    assert_eq!(node.wait_for_exit().code(), Some(0));
     assert!(
         node.log().contains("shut down, ms: ") && node.log().contains("unanswered: 0"),
         "{}",
@@ -62,30 +65,32 @@
 #[test]
 fn request_and_its_cancellation_in_one_write() {
     let mut node = start_keyed_node();
-    let mut front = node.front();
+    let mut front = node.connect();
     for n in 0..20 {
         let token = format!("{n:032x}");
-        let (id, line) = front.line(
+        let (id, line) = front.format_request(
             "version-submit",
             &format!("hang:{n}"),
-            json!({"token": token}),
+            &json!({"token": token}),
         );
         let cancel = json!({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": id}});
-        front.raw(&format!("{line}\n{cancel}"));
+        front.send_line(&format!("{line}\n{cancel}"));
         // The key is free again, or the run is joined: never two runs, and the second request is answered in any case.
         let id = submit(&mut front, &format!("hang:{n}"), &token);
-        assert_eq!(front.alive()["result"]["ready"], true);
-        until("it runs", || node.executor.runs(&format!("hang:{n}")) == 1);
-        node.executor.finish(&format!("hang:{n}"));
-        let answer = front.answer();
+        assert_eq!(front.query_alive()["result"]["ready"], true);
+        wait_until("it runs", || {
+            node.executor.run_count(&format!("hang:{n}")) == 1
+        });
+        node.executor.finish_run(&format!("hang:{n}"));
+        let answer = front.read_answer();
         assert_eq!(
             (answer["id"].as_u64(), result_body(&answer).as_str()),
             (Some(id), "late result")
         );
-        assert_eq!(node.executor.runs(&format!("hang:{n}")), 1);
+        assert_eq!(node.executor.run_count(&format!("hang:{n}")), 1);
     }
     node.terminate();
-    assert_eq!(node.exit().code(), Some(0));
+    assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
 /// A cancellation crosses the end of the run that it would stop: one answer at most, under its own id, and the run's core
@@ -93,18 +98,18 @@
 #[test]
 fn cancellation_may_cross_the_end_of_its_run() {
     let mut node = start_keyed_node();
-    let mut front = node.front();
+    let mut front = node.connect();
     for n in 0..20 {
         let name = format!("hang:{n}");
         let cancelled = front.send("statement-read", &name);
-        until("it runs", || node.executor.runs(&name) == 1);
+        wait_until("it runs", || node.executor.run_count(&name) == 1);
         // Either may reach the node first, and the stop may come after the end.
         front.cancel(cancelled);
-        node.executor.finish(&name);
+        node.executor.finish_run(&name);
         let id = front.send("settlement-post", "serve");
-        let mut answer = front.answer();
+        let mut answer = front.read_answer();
         if answer["id"].as_u64() == Some(cancelled) {
-            answer = front.answer();
+            answer = front.read_answer();
         }
         assert_eq!(
             (answer["id"].as_u64(), result_body(&answer).as_str()),
@@ -112,7 +117,7 @@
         );
     }
     node.terminate();
-    assert_eq!(node.exit().code(), Some(0));
+    assert_eq!(node.wait_for_exit().code(), Some(0));
     assert!(node.log().contains("unanswered: 0"), "{}", node.log());
 }
 
@@ -123,16 +128,16 @@
     let node = start_keyed_node();
     for n in 0..10 {
         let (name, token) = (format!("hang:{n}"), format!("{n:032x}"));
-        let mut cancelling = node.front();
+        let mut cancelling = node.connect();
         let id = submit(&mut cancelling, &name, &token);
-        until("it runs", || node.executor.runs(&name) == 1);
+        wait_until("it runs", || node.executor.run_count(&name) == 1);
         cancelling.cancel(id);
         drop(cancelling);
-        let mut next = node.front();
+        let mut next = node.connect();
         submit(&mut next, &name, &token);
-        assert_eq!(next.alive()["result"]["ready"], true);
-        node.executor.finish(&name);
-        assert_eq!(result_body(&next.answer()), "late result");
-        assert_eq!(node.executor.runs(&name), 1);
+        assert_eq!(next.query_alive()["result"]["ready"], true);
+        node.executor.finish_run(&name);
+        assert_eq!(result_body(&next.read_answer()), "late result");
+        assert_eq!(node.executor.run_count(&name), 1);
     }
 }
--- a/tests/common/keyed_node.rs
+++ b/tests/common/keyed_node.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use serde_json::{json, Value};
-use test_doubles::{Front, Node};
+use test_doubles::{Node, TestClient};
 
 /// An idempotency key, and another one.
 pub(crate) const TOKEN: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
@@ -34,6 +34,6 @@
 }
 
 /// Sends a request of the class under a key and returns its id.
-pub(crate) fn submit(front: &mut Front, body: &str, token: &str) -> u64 {
-    front.send_with("version-submit", body, json!({"token": token}))
+pub(crate) fn submit(front: &mut TestClient, body: &str, token: &str) -> u64 {
+    front.send_with_fields("version-submit", body, &json!({"token": token}))
 }
--- a/tests/connection_races.rs
+++ b/tests/connection_races.rs
@@ -28,7 +28,7 @@
 
 impl SteppedServer {
     fn new(change: impl FnOnce(&mut Limits)) -> SteppedServer {
-        let site = Arc::new(Site::from_json(&settings()).expect("settings"));
+        let site = Arc::new(Site::from_json(&small_site_settings()).expect("settings"));
         let mut limits = Limits::new(512);
         change(&mut limits);
         let (policy, mailbox) = bounded(limits.policy.mailbox);
@@ -58,9 +58,9 @@
                 .expect("a step");
         }
     }
-    fn connect(&mut self) -> Front {
+    fn connect(&mut self) -> TestClient {
         let before = self.server.connection_count();
-        let peer = Front::connect(self.address);
+        let peer = TestClient::connect(self.address);
         self.step_until("it is accepted", |stepped| {
             stepped.server.connection_count() == before + 1
         });
@@ -79,10 +79,10 @@
         }
     }
     /// The next answer on this connection; a goodbye before it is skipped.
-    fn next_answer(&mut self, peer: &mut Front) -> Value {
+    fn next_answer(&mut self, peer: &mut TestClient) -> Value {
         loop {
             self.step_until("a message comes", |_| has_input(peer));
-            let message = peer.next();
+            let message = peer.read_message();
             if message["method"] != "farewell" {
                 return message;
             }
@@ -102,7 +102,7 @@
 }
 
 /// Whether a message or the end of the connection has come for this peer; reads nothing.
-fn has_input(peer: &Front) -> bool {
+fn has_input(peer: &TestClient) -> bool {
     peer.stream.set_nonblocking(true).expect("an option");
     let is_readable = peer.stream.peek(&mut [0]).is_ok();
     peer.stream.set_nonblocking(false).expect("an option");
@@ -115,10 +115,10 @@
 fn input_received_before_a_close_is_still_answered() {
     let mut stepped = SteppedServer::new(|_| {});
     let mut peer = stepped.connect();
-    peer.raw("{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"alive\"}");
+    peer.send_line("{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"alive\"}");
     stepped.server.begin_close_all(Instant::now());
-    assert_eq!(peer.next()["id"], 5);
-    assert_eq!(peer.next(), Value::Null);
+    assert_eq!(peer.read_message()["id"], 5);
+    assert_eq!(peer.read_message(), Value::Null);
     drop(peer);
     stepped.step_until("it is closed", |stepped| {
         stepped.server.connection_count() == 0
@@ -147,14 +147,14 @@
 fn partial_line_at_a_close_causes_no_reset() {
     let mut stepped = SteppedServer::new(|_| {});
     let mut peer = stepped.connect();
-    peer.raw("{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"alive\"}");
+    peer.send_line("{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"alive\"}");
     peer.stream
         .write_all(b"{\"jsonrpc\":\"2.0\",\"id\":6,")
         .expect("written");
     stepped.server.begin_close_all(Instant::now());
     // More of the line comes when the writing side is shut already.
     peer.stream.write_all(b"\"method\":").expect("written");
-    assert_eq!(peer.next()["id"], 5);
+    assert_eq!(peer.read_message()["id"], 5);
     let mut rest = [0; 16];
     assert_eq!(peer.stream.read(&mut rest).expect("an end, no reset"), 0);
     drop(peer);
@@ -173,7 +173,7 @@
     let flood = [b"nonsense\n".as_slice(), &[b'x'; 16 * 1024]].concat();
     peer.stream.write_all(&flood).expect("written");
     stepped.step_until("its writing side is shut", |_| has_input(&peer));
-    assert_eq!(peer.next()["error"]["code"], -32700);
+    assert_eq!(peer.read_message()["error"]["code"], -32700);
     let mut rest = [0; 16];
     assert_eq!(peer.stream.read(&mut rest).expect("an end, no reset"), 0);
     // A peer that goes on and never closes is disconnected by a limit of bytes or of time.
@@ -202,15 +202,15 @@
         limits.front.linger_timeout = Duration::from_secs(60);
         limits.front.silence_grace = Duration::ZERO;
     });
-    let mut open: Vec<Front> = Vec::new();
+    let mut open: Vec<TestClient> = Vec::new();
     for _ in 0..120 {
-        let mut newcomer = Front::connect(stepped.address);
+        let mut newcomer = TestClient::connect(stepped.address);
         let id = newcomer.send("statement-read", "serve");
         SteppedServer::reject(stepped.next_arrival());
         assert_eq!(stepped.next_answer(&mut newcomer)["id"].as_u64(), Some(id));
         // It stays open, and so do two more that send nothing.
         open.push(newcomer);
-        open.extend((0..2).map(|_| Front::connect(stepped.address)));
+        open.extend((0..2).map(|_| TestClient::connect(stepped.address)));
     }
 }
 
@@ -242,7 +242,7 @@
     stepped.step_until("it is closed", |stepped| {
         stepped.server.connection_count() == 0
     });
-    let answer = peer.next();
+    let answer = peer.read_message();
     assert_eq!(
         (answer["id"].as_u64(), error_code(&answer)),
         (Some(id), REJECTED)
@@ -274,13 +274,13 @@
     // No idle timeout: the goodbye follows the first answer in the same step.
     let mut stepped = SteppedServer::new(|limits| limits.listener.idle_timeout = Duration::ZERO);
     let mut peer = stepped.connect();
-    peer.raw("{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"alive\"}");
+    peer.send_line("{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"alive\"}");
     stepped.step_until("the answer has come", |_| has_input(&peer));
-    assert_eq!(peer.next()["id"], 5);
+    assert_eq!(peer.read_message()["id"], 5);
     // Written before the peer reads the goodbye, which has come already.
     let id = peer.send("settlement-post", "serve");
     let arrival = stepped.next_arrival();
-    assert_eq!(peer.next()["method"], "farewell");
+    assert_eq!(peer.read_message()["method"], "farewell");
     SteppedServer::reject(arrival);
     assert_eq!(stepped.next_answer(&mut peer)["id"].as_u64(), Some(id));
 }
@@ -295,11 +295,11 @@
     });
     let mut peer = stepped.connect();
     // The second one is unread as the first is answered and the timeouts expire.
-    let (first, one) = peer.line("statement-read", "serve", json!({}));
-    let (second, two) = peer.line("settlement-post", "serve", json!({}));
-    peer.raw(&one);
+    let (first, one) = peer.format_request("statement-read", "serve", &json!({}));
+    let (second, two) = peer.format_request("settlement-post", "serve", &json!({}));
+    peer.send_line(&one);
     SteppedServer::reject(stepped.next_arrival());
-    peer.raw(&two);
+    peer.send_line(&two);
     SteppedServer::reject(stepped.next_arrival());
     for id in [first, second] {
         assert_eq!(stepped.next_answer(&mut peer)["id"].as_u64(), Some(id));
@@ -341,7 +341,7 @@
     let reader = std::thread::spawn(move || {
         let mut answered: Vec<u64> = Vec::new();
         loop {
-            let answer = peer.next();
+            let answer = peer.read_message();
             if answer.is_null() {
                 return answered;
             }
@@ -362,7 +362,9 @@
 #[test]
 fn connections_in_the_accept_queue_are_served_when_the_listener_closes() {
     let mut stepped = SteppedServer::new(|_| {});
-    let mut waiting: Vec<Front> = (0..40).map(|_| Front::connect(stepped.address)).collect();
+    let mut waiting: Vec<TestClient> = (0..40)
+        .map(|_| TestClient::connect(stepped.address))
+        .collect();
     let ids: Vec<u64> = waiting
         .iter_mut()
         .map(|peer| peer.send("statement-read", "serve"))
@@ -385,7 +387,7 @@
 #[test]
 fn flood_of_protocol_violations_does_not_delay_a_valid_request() {
     let mut stepped = SteppedServer::new(|_| {});
-    let mut flood: Vec<Front> = (0..60).map(|_| stepped.connect()).collect();
+    let mut flood: Vec<TestClient> = (0..60).map(|_| stepped.connect()).collect();
     let mut valid = stepped.connect();
     for peer in &mut flood {
         peer.stream
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -15,22 +15,22 @@
 #[test]
 fn repeat_gets_the_first_result_without_another_run() {
     let node = start_keyed_node();
-    let mut front = node.front();
+    let mut front = node.connect();
     submit(&mut front, "serve", TOKEN);
-    assert_eq!(result_body(&front.answer()), "done serve");
-    let mut another = node.front();
+    assert_eq!(result_body(&front.read_answer()), "done serve");
+    let mut another = node.connect();
     submit(&mut another, "serve", TOKEN);
-    assert_eq!(result_body(&another.answer()), "done serve");
+    assert_eq!(result_body(&another.read_answer()), "done serve");
     // Another key is another request; a failed run is not repeated either.
     submit(&mut front, "serve", OTHER_TOKEN);
-    assert_eq!(result_body(&front.answer()), "done serve");
-    assert_eq!(node.executor.runs("serve"), 2);
+    assert_eq!(result_body(&front.read_answer()), "done serve");
+    assert_eq!(node.executor.run_count("serve"), 2);
     let token = TOKEN.replace('5', "6");
     for _ in 0..2 {
         submit(&mut front, "fail", &token);
-        assert!(!matches!(error_code(&front.answer()), 0 | REJECTED));
+        assert!(!matches!(error_code(&front.read_answer()), 0 | REJECTED));
     }
-    assert_eq!(node.executor.runs("fail"), 1);
+    assert_eq!(node.executor.run_count("fail"), 1);
 }
 
 /// The window counts from the arrival of the request that ran, and the arrival of the repeat decides: both sides of the
@@ -38,52 +38,56 @@
 #[test]
 fn idempotency_window_counts_from_the_arrival_of_the_first_request() {
     let node = start_keyed_node();
-    let mut front = node.front();
+    let mut front = node.connect();
     let t0 = unix_ms();
-    front.send_with("version-submit", "serve", json!({"token": TOKEN, "t0": t0}));
-    assert_eq!(result_body(&front.answer()), "done serve");
-    front.send_with(
+    front.send_with_fields(
         "version-submit",
         "serve",
-        json!({"token": TOKEN, "t0": t0 + WINDOW_MS}),
+        &json!({"token": TOKEN, "t0": t0}),
     );
-    assert_eq!(result_body(&front.answer()), "done serve");
-    assert_eq!(node.executor.runs("serve"), 1);
-    front.send_with(
+    assert_eq!(result_body(&front.read_answer()), "done serve");
+    front.send_with_fields(
         "version-submit",
         "serve",
-        json!({"token": TOKEN, "t0": t0 + WINDOW_MS + 10 * ANSWER_SLACK_MS}),
+        &json!({"token": TOKEN, "t0": t0 + WINDOW_MS}),
     );
-    assert_eq!(result_body(&front.answer()), "done serve");
-    assert_eq!(node.executor.runs("serve"), 2);
+    assert_eq!(result_body(&front.read_answer()), "done serve");
+    assert_eq!(node.executor.run_count("serve"), 1);
+    front.send_with_fields(
+        "version-submit",
+        "serve",
+        &json!({"token": TOKEN, "t0": t0 + WINDOW_MS + 10 * ANSWER_SLACK_MS}),
+    );
+    assert_eq!(result_body(&front.read_answer()), "done serve");
+    assert_eq!(node.executor.run_count("serve"), 2);
     // A request that arrived before that and was read late is still a repeat.
-    front.send_with(
+    front.send_with_fields(
         "version-submit",
         "serve",
-        json!({"token": TOKEN, "t0": t0 + WINDOW_MS - 1}),
+        &json!({"token": TOKEN, "t0": t0 + WINDOW_MS - 1}),
     );
-    let answer = front.answer();
+    let answer = front.read_answer();
     assert_ne!(error_code(&answer), REJECTED, "{answer}");
-    assert_eq!(node.executor.runs("serve"), 2);
+    assert_eq!(node.executor.run_count("serve"), 2);
 }
 
 #[test]
 fn repeat_joins_the_run_from_any_connection() {
     let node = start_keyed_node();
-    let (mut first, mut second) = (node.front(), node.front());
+    let (mut first, mut second) = (node.connect(), node.connect());
     submit(&mut first, "hang:a", TOKEN);
-    until("it runs", || node.executor.runs("hang:a") == 1);
+    wait_until("it runs", || node.executor.run_count("hang:a") == 1);
     submit(&mut second, "hang:a", TOKEN);
     // Read after the repeat, so the repeat has been read once this is answered.
     assert_eq!(
-        result_body(&second.ask("statement-read", "serve")),
+        result_body(&second.request("statement-read", "serve")),
         "done serve"
     );
     // The first connection closes; the run goes on, and the repeat gets its result.
     drop(first);
-    node.executor.finish("hang:a");
-    assert_eq!(result_body(&second.answer()), "late result");
-    assert_eq!(node.executor.runs("hang:a"), 1);
+    node.executor.finish_run("hang:a");
+    assert_eq!(result_body(&second.read_answer()), "late result");
+    assert_eq!(node.executor.run_count("hang:a"), 1);
 }
 
 /// A repeat written on another connection at the moment in which the first run ends: it joins the run or finds its
@@ -91,57 +95,57 @@
 #[test]
 fn repeat_at_the_moment_of_the_first_answer_gets_the_same_result() {
     let node = start_keyed_node();
-    let (mut first, mut second) = (node.front(), node.front());
+    let (mut first, mut second) = (node.connect(), node.connect());
     for n in 0..20 {
         let (name, token) = (format!("hang:{n}"), format!("{n:032x}"));
         submit(&mut first, &name, &token);
-        until("it runs", || node.executor.runs(&name) == 1);
-        let (_, line) = second.line("version-submit", &name, json!({"token": token}));
-        node.executor.finish(&name);
-        second.raw(&line);
-        assert_eq!(result_body(&first.answer()), "late result");
-        assert_eq!(result_body(&second.answer()), "late result");
-        assert_eq!(node.executor.runs(&name), 1);
+        wait_until("it runs", || node.executor.run_count(&name) == 1);
+        let (_, line) = second.format_request("version-submit", &name, &json!({"token": token}));
+        node.executor.finish_run(&name);
+        second.send_line(&line);
+        assert_eq!(result_body(&first.read_answer()), "late result");
+        assert_eq!(result_body(&second.read_answer()), "late result");
+        assert_eq!(node.executor.run_count(&name), 1);
     }
 }
 
 #[test]
 fn command_lost_with_its_link_is_not_resent_and_its_repeat_fails_too() {
     let node = start_keyed_node();
-    let mut front = node.front();
-    node.executor.lose_next();
+    let mut front = node.connect();
+    node.executor.lose_next_command();
     let first = submit(&mut front, "serve", TOKEN);
-    until("the link is open again", || {
-        node.executor.joins().len() == 2
+    wait_until("the link is open again", || {
+        node.executor.join_positions().len() == 2
     });
     let second = submit(&mut front, "serve", TOKEN);
     let mut answered: Vec<u64> = Vec::new();
     for _ in 0..2 {
-        let answer = front.answer();
+        let answer = front.read_answer();
         assert!(!matches!(error_code(&answer), 0 | REJECTED), "{answer}");
         answered.push(answer["id"].as_u64().expect("an id"));
     }
     answered.sort_unstable();
     assert_eq!(answered, vec![first, second]);
-    assert_eq!(node.executor.runs("serve"), 0);
+    assert_eq!(node.executor.run_count("serve"), 0);
 }
 
 #[test]
 fn run_end_reported_after_a_reconnect_answers_all_that_joined() {
     let node = start_keyed_node();
-    let (mut front, mut another) = (node.front(), node.front());
+    let (mut front, mut another) = (node.connect(), node.connect());
     submit(&mut front, "hang:a", TOKEN);
-    until("it runs", || node.executor.runs("hang:a") == 1);
+    wait_until("it runs", || node.executor.run_count("hang:a") == 1);
     submit(&mut another, "hang:a", TOKEN);
     assert_eq!(
-        result_body(&another.ask("statement-read", "serve")),
+        result_body(&another.request("statement-read", "serve")),
         "done serve"
     );
     node.executor.break_link();
-    node.executor.finish("hang:a");
-    assert_eq!(result_body(&front.answer()), "late result");
-    assert_eq!(result_body(&another.answer()), "late result");
-    assert_eq!(node.executor.runs("hang:a"), 1);
+    node.executor.finish_run("hang:a");
+    assert_eq!(result_body(&front.read_answer()), "late result");
+    assert_eq!(result_body(&another.read_answer()), "late result");
+    assert_eq!(node.executor.run_count("hang:a"), 1);
 }
 
 #[test]
@@ -151,26 +155,26 @@
         config["settings"]["invariants"]["drainGrace"] = json!(5000.0);
         config["settings"]["lanes"][2]["window"] = json!(8000.0);
     });
-    let mut front = node.front();
+    let mut front = node.connect();
     submit(&mut front, "serve", TOKEN);
-    assert_eq!(result_body(&front.answer()), "done serve");
+    assert_eq!(result_body(&front.read_answer()), "done serve");
     node.terminate();
-    until("it shuts down", || node.log().contains("shutting down"));
+    wait_until("it shuts down", || node.log().contains("shutting down"));
     submit(&mut front, "serve", TOKEN);
-    assert_eq!(result_body(&front.answer()), "done serve");
-    assert_eq!(node.executor.runs("serve"), 1);
+    assert_eq!(result_body(&front.read_answer()), "done serve");
+    assert_eq!(node.executor.run_count("serve"), 1);
     drop(front);
-    assert_eq!(node.exit().code(), Some(0));
+    assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
 #[test]
 fn same_key_with_another_body_is_an_error() {
     let node = start_keyed_node();
-    let mut front = node.front();
+    let mut front = node.connect();
     submit(&mut front, "serve", TOKEN);
-    assert_eq!(result_body(&front.answer()), "done serve");
+    assert_eq!(result_body(&front.read_answer()), "done serve");
     submit(&mut front, "serve:other", TOKEN);
-    let answer = front.answer();
+    let answer = front.read_answer();
     assert!(!matches!(error_code(&answer), 0 | REJECTED), "{answer}");
     assert!(
         answer["error"]["message"]
@@ -180,10 +184,10 @@
     );
     // The connection stays open.
     assert_eq!(
-        result_body(&front.ask("statement-read", "serve")),
+        result_body(&front.request("statement-read", "serve")),
         "done serve"
     );
-    assert_eq!(node.executor.runs("serve:other"), 0);
+    assert_eq!(node.executor.run_count("serve:other"), 0);
 }
 
 #[test]
@@ -194,20 +198,23 @@
         config["limits"]["memory_mb"] = json!(0.05);
         config["settings"]["lanes"][2]["window"] = json!(60_000.0);
     });
-    let (mut front, mut another) = (node.front(), node.front());
+    let (mut front, mut another) = (node.connect(), node.connect());
     submit(&mut front, "hang:a", TOKEN);
-    until("it runs", || node.executor.runs("hang:a") == 1);
+    wait_until("it runs", || node.executor.run_count("hang:a") == 1);
     submit(&mut another, "serve", OTHER_TOKEN);
-    assert_eq!(error_code(&another.answer()), REJECTED);
-    assert_eq!(node.executor.runs("serve"), 0);
-    node.executor.finish("hang:a");
-    assert_eq!(result_body(&front.answer()), "late result");
+    assert_eq!(error_code(&another.read_answer()), REJECTED);
+    assert_eq!(node.executor.run_count("serve"), 0);
+    node.executor.finish_run("hang:a");
+    assert_eq!(result_body(&front.read_answer()), "late result");
     submit(&mut another, "serve", OTHER_TOKEN);
-    assert_eq!(result_body(&another.answer()), "done serve");
+    assert_eq!(result_body(&another.read_answer()), "done serve");
     submit(&mut front, "hang:a", TOKEN);
-    assert_eq!(result_body(&front.answer()), "late result");
+    assert_eq!(result_body(&front.read_answer()), "late result");
     assert_eq!(
-        (node.executor.runs("hang:a"), node.executor.runs("serve")),
+        (
+            node.executor.run_count("hang:a"),
+            node.executor.run_count("serve")
+        ),
         (1, 1)
     );
 }
@@ -220,10 +227,10 @@
         json!("5c0f"),
         json!("zc0f6e1a2b3d4c59a8b7c6d5e4f30211"),
     ] {
-        let mut front = node.front();
-        front.send_with("version-submit", "serve", json!({"token": token}));
-        assert_eq!(error_code(&front.next()), -32602);
-        assert_eq!(front.next(), Value::Null);
+        let mut front = node.connect();
+        front.send_with_fields("version-submit", "serve", &json!({"token": token}));
+        assert_eq!(error_code(&front.read_message()), -32602);
+        assert_eq!(front.read_message(), Value::Null);
     }
-    assert_eq!(node.executor.all_runs(), 0);
+    assert_eq!(node.executor.total_runs(), 0);
 }
--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -1,22 +1,25 @@
-//! Inventories as configuration tools keep them: what is read, and what stops the start.
-
-mod doubles;
+//! Inventories in YAML and CSV: what is read from them, and which errors stop the start of a node.
 
 use std::path::Path;
 use std::process::Command;
 
-use doubles::{command, config, settings, Scratch};
-use protocol_gateway::inventory::{read, InventoryError, Queue};
+use protocol_gateway::inventory::{read, BrokerQueue, InventoryError};
 use protocol_gateway::node::Limits;
 use protocol_gateway::wire::Site;
+use test_doubles::{node_command, node_config, small_site_settings, ScratchFile};
 
 fn env(name: &str) -> Option<String> {
     (name == "PW").then(|| "secret".into())
 }
 
-fn load(name: &str, text: &str) -> Result<Vec<Queue>, InventoryError> {
-    let site = Site::from_json(&settings()).expect("settings");
-    read(&Scratch::new(name, text).0, &site, &Limits::new(1024), env)
+fn load(name: &str, text: &str) -> Result<Vec<BrokerQueue>, InventoryError> {
+    let site = Site::from_json(&small_site_settings()).expect("settings");
+    read(
+        ScratchFile::new(name, text).path(),
+        &site,
+        &Limits::new(1024),
+        env,
+    )
 }
 
 const YAML: &str = "\
@@ -46,22 +49,22 @@
 ";
 
 #[test]
-fn yaml_groups_hosts_and_vars() {
+fn yaml_groups_hosts_and_vars_become_queues() {
     let queues = load("i.yaml", YAML).expect("an inventory");
-    let of: Vec<_> = queues
+    let addresses: Vec<_> = queues
         .iter()
         .map(|q| {
             (
                 q.host.as_str(),
                 q.port,
                 q.vhost.as_str(),
-                q.queue.as_str(),
+                q.name.as_str(),
                 q.prefetch,
             )
         })
         .collect();
     assert_eq!(
-        of,
+        addresses,
         [
             ("127.0.0.2", 5673, "billing", "posts", 2),
             ("127.0.0.3", 5672, "/", "reads", 16),
@@ -69,8 +72,8 @@
         ]
     );
     assert_eq!(
-        queues.iter().map(|q| q.once).collect::<Vec<_>>(),
-        [true, false, false]
+        queues.iter().map(|q| q.is_idempotent).collect::<Vec<_>>(),
+        [false, true, true]
     );
     assert_eq!(queues[1].tenant.as_deref(), Some("alpenergia"));
     assert!(queues
@@ -80,129 +83,165 @@
 }
 
 #[test]
-fn csv_rows() {
+fn csv_rows_become_queues() {
     let text = "queue,class,host,username,password_env,prefetch,tenant,colour\n\
                 # the near one\n\
                 reads,statement-read,127.0.0.3,guest,PW,16,alpenergia,blue\n\
                 posts, settlement-post ,127.0.0.2,guest,PW,2,,\n";
     let queues = load("i.csv", text).expect("an inventory");
     assert_eq!(queues.len(), 2);
+    assert_eq!((queues[0].name.as_str(), queues[0].prefetch), ("reads", 16));
     assert_eq!(
-        (queues[0].queue.as_str(), queues[0].prefetch),
-        ("reads", 16)
-    );
-    assert_eq!(
-        (queues[1].once, queues[1].tenant.as_deref(), queues[1].port),
-        (true, None, 5672)
+        (
+            queues[1].is_idempotent,
+            queues[1].tenant.as_deref(),
+            queues[1].port
+        ),
+        (false, None, 5672)
     );
 }
 
-/// Every fault names the line and the field.
+const CSV_HEADER: &str = "queue,class,host,username,password_env,prefetch\n";
+
+/// The error of an inventory that can't be used.
+fn load_error(name: &str, text: &str) -> String {
+    load(name, text).expect_err("an error").to_string()
+}
+
+/// The error of the YAML inventory with one text replaced.
+fn yaml_error(from: &str, to: &str) -> String {
+    assert!(YAML.contains(from));
+    load_error("i.yaml", &YAML.replacen(from, to, 1))
+}
+
+/// The error of a CSV inventory with these rows.
+fn csv_error(rows: &str) -> String {
+    load_error("i.csv", &format!("{CSV_HEADER}{rows}\n"))
+}
+
+/// Checks that each error contains the text that is expected of it.
+fn check_errors(cases: &[(String, &str)]) {
+    for (error, expected) in cases {
+        assert!(error.contains(expected), "got {error}, expected {expected}");
+    }
+}
+
+/// Each error in a variable names the line and the field.
 #[test]
-fn faults_name_the_line_and_the_field() {
-    let swap = |from: &str, to: &str| {
-        assert!(YAML.contains(from));
-        load("i.yaml", &YAML.replacen(from, to, 1))
-            .expect_err("a fault")
-            .to_string()
-    };
-    let head = "queue,class,host,username,password_env,prefetch\n";
-    let row = |row: &str| {
-        load("i.csv", &format!("{head}{row}\n"))
-            .expect_err("a fault")
-            .to_string()
-    };
-    let cases = [
-        (swap("          queue: posts\n", ""), ":12: queue: missing"),
-        (swap("username: guest\n    ", ""), ": username: missing"),
-        (
-            swap("port: 5673", "port: 70000"),
+fn errors_in_yaml_values_name_the_line_and_the_field() {
+    check_errors(&[
+        (
+            yaml_error("          queue: posts\n", ""),
+            ":12: queue: missing",
+        ),
+        (
+            yaml_error("username: guest\n    ", ""),
+            ": username: missing",
+        ),
+        (
+            yaml_error("port: 5673", "port: 70000"),
             ":14: port: not a number from 1 to 65535",
         ),
         (
-            swap("'16'", "0"),
+            yaml_error("'16'", "0"),
             ":22: prefetch: not a number from 1 to 65535",
         ),
-        (swap("'16'", "2000"), ":22: prefetch: more than 1024"),
+        (yaml_error("'16'", "2000"), ":22: prefetch: more than 1024"),
         (
-            swap("class: settlement-post", "class: nonsense"),
+            yaml_error("class: settlement-post", "class: nonsense"),
             ":9: class: no class named nonsense",
         ),
         (
-            swap("tenant: alpenergia", "tenant: nobody"),
+            yaml_error("tenant: alpenergia", "tenant: nobody"),
             ":21: tenant: no tenant named nobody",
         ),
         (
-            swap("password_env: PW", "password_env: OTHER"),
+            yaml_error("password_env: PW", "password_env: OTHER"),
             ":4: password_env: OTHER is not set",
         ),
         (
-            swap("queue: posts", "queue: 007"),
+            yaml_error("queue: posts", "queue: 007"),
             ":12: queue: not a text; quote it",
         ),
         (
-            swap("vhost: billing", "queue: posts"),
+            yaml_error("127.0.0.4", "127.0.0.3"),
+            ":23: queue: there twice",
+        ),
+    ]);
+}
+
+/// What is not valid YAML or has another structure is reported.
+#[test]
+fn errors_in_the_structure_of_yaml_are_reported() {
+    check_errors(&[
+        (
+            yaml_error("vhost: billing", "queue: posts"),
             ":13: malformed: duplicated key",
         ),
         (
-            swap("        far:", "        near:"),
+            yaml_error("        far:", "        near:"),
             "malformed: duplicated key",
         ),
-        (swap("127.0.0.4", "127.0.0.3"), ":23: queue: there twice"),
-        (swap("all:", "all: ["), "malformed"),
+        (yaml_error("all:", "all: ["), "malformed"),
         (
-            swap(
+            yaml_error(
                 "    reads:\n      hosts:\n        near:",
                 "    reads:\n      hosts: [x]\n      vars:\n        near:",
             ),
             "not a mapping",
         ),
-        (row("reads,statement-read,h,guest,PW"), ":2: malformed"),
-        (
-            row("reads,statement-read,h,guest,PW,many"),
-            ":2: prefetch: not a number",
-        ),
-        (row("reads,statement-read,h,,PW,4"), ":2: username: missing"),
+    ]);
+}
+
+/// Each error in a row names the line and, where there is one, the field.
+#[test]
+fn errors_in_csv_rows_name_the_line_and_the_field() {
+    check_errors(&[
         (
-            row("a,statement-read,h,u,PW,4\na,statement-read,h,u,PW,4"),
-            ":3: queue: there twice",
+            csv_error("reads,statement-read,h,guest,PW"),
+            ":2: malformed",
         ),
         (
-            load("i.csv", "queue,queue\n")
-                .expect_err("a fault")
-                .to_string(),
-            ":1: queue: there twice",
+            csv_error("reads,statement-read,h,guest,PW,many"),
+            ":2: prefetch: not a number",
         ),
         (
-            load("i.csv", head).expect_err("a fault").to_string(),
-            "names no queue",
+            csv_error("reads,statement-read,h,,PW,4"),
+            ":2: username: missing",
         ),
         (
-            load("i.txt", "").expect_err("a fault").to_string(),
-            "not named .csv, .yaml or .yml",
+            csv_error("a,statement-read,h,u,PW,4\na,statement-read,h,u,PW,4"),
+            ":3: queue: there twice",
         ),
+    ]);
+}
+
+/// Files without queues, with a repeated column or with an unknown extension are reported.
+#[test]
+fn errors_in_the_whole_file_are_reported() {
+    check_errors(&[
         (
-            load("i.yaml", "all:\n").expect_err("a fault").to_string(),
-            "names no queue",
+            load_error("i.csv", "queue,queue\n"),
+            ":1: queue: there twice",
         ),
-    ];
-    for (said, want) in cases {
-        assert!(said.contains(want), "said {said}, wanted {want}");
-    }
+        (load_error("i.csv", CSV_HEADER), "names no queue"),
+        (load_error("i.txt", ""), "not named .csv, .yaml or .yml"),
+        (load_error("i.yaml", "all:\n"), "names no queue"),
+    ]);
 }
 
 #[test]
-fn the_example_under_deploy_fits_the_site() {
-    let mut settings = settings();
-    let lane = settings["lanes"][0].clone();
-    settings["lanes"].as_array_mut().expect("lanes").push(lane);
+fn the_example_under_deploy_is_valid_for_its_site() {
+    let mut settings = small_site_settings();
+    let class = settings["lanes"][0].clone();
+    settings["lanes"].as_array_mut().expect("lanes").push(class);
     settings["lanes"][2]["name"] = "meter-refresh".into();
     for tenant in ["solpiana", "luce-brianza"] {
-        let told = serde_json::json!({"name": tenant, "allowancePerS": 10.0});
+        let tenant = serde_json::json!({"name": tenant, "allowancePerS": 10.0});
         settings["tenants"]
             .as_array_mut()
             .expect("tenants")
-            .push(told);
+            .push(tenant);
     }
     let site = Site::from_json(&settings).expect("settings");
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/inventory.yaml");
@@ -214,22 +253,25 @@
     );
 }
 
-/// A bad inventory is one line on standard error and no start; so are arguments that are none.
+/// An invalid inventory stops the start with one line on standard error, and unknown arguments stop it as well.
 #[test]
-fn a_bad_inventory_stops_the_start() {
+fn an_invalid_inventory_or_argument_stops_the_start() {
     let unused = "127.0.0.1:9".parse().expect("an address");
-    let config = Scratch::new("config.json", &config(unused, unused, unused).to_string());
-    let inventory = Scratch::new("i.yaml", "all: {hosts: {a: {queue: q}}}");
-    let output = command(&config)
+    let config = ScratchFile::new(
+        "config.json",
+        &node_config(unused, unused, unused).to_string(),
+    );
+    let inventory = ScratchFile::new("i.yaml", "all: {hosts: {a: {queue: q}}}");
+    let output = node_command(&config)
         .arg("--inventory")
-        .arg(&inventory.0)
+        .arg(inventory.path())
         .output()
         .expect("the program starts");
-    let said = String::from_utf8_lossy(&output.stderr);
+    let stderr = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        said.contains("i.yaml:1: class: missing") && said.lines().count() == 1,
-        "{said}"
+        stderr.contains("i.yaml:1: class: missing") && stderr.lines().count() == 1,
+        "{stderr}"
     );
     let output = Command::new(env!("CARGO_BIN_EXE_protocol-gateway"))
         .arg("--nonsense")
--- a/tests/shared_quotas.rs
+++ b/tests/shared_quotas.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use fault_testbed::{Plan, Rig};
-use test_doubles::until;
+use test_doubles::wait_until;
 use testbed::{
     node_names, plan_nodes, start_nodes, start_settled, ClientLoad, LoadClients, SETTLE_TIMEOUT,
 };
@@ -65,9 +65,9 @@
     let mut sum = 0;
     let mut samples = 0;
     while Instant::now() < end {
-        let held = rig.database().held();
-        max_in_flight = held.most.max(max_in_flight);
-        sum += held.now;
+        let held = rig.database().read_delayed_calls();
+        max_in_flight = held.peak.max(max_in_flight);
+        sum += held.in_flight;
         samples += 1;
         thread::sleep(Duration::from_millis(5));
     }
@@ -96,7 +96,9 @@
 fn calls_in_flight_never_exceed_the_total() {
     let mut rig = start_fleet(5, true);
     let mut clients = start_clients_of_all(&rig, 12);
-    until("calls are made", || rig.database().held().all > 50);
+    wait_until("calls are made", || {
+        rig.database().read_delayed_calls().total > 50
+    });
     rig.wait("most of the total is used", SETTLE_TIMEOUT, is_mostly_used)
         .expect("it is used");
     let leader = rig.granter("n4").expect("there is a leader");
@@ -155,7 +157,7 @@
     assert!(max_in_flight_for(&rig, 1) <= TOTAL);
     let first_before = first.served();
     let second_before = second.served();
-    until("both are served", || {
+    wait_until("both are served", || {
         first.served() > first_before + 20 && second.served() > second_before + 20
     });
 }
@@ -176,7 +178,7 @@
     let _clients = start_clients(&rig, "n2", 6);
     wait_until_lease_expired(&rig, "n2");
     thread::sleep(Duration::from_millis(100));
-    rig.database().held();
+    rig.database().read_delayed_calls();
     assert_eq!(max_in_flight_for(&rig, 2), 1);
     assert_eq!(rig.look("n2").expect("it answers").leader, None);
 }
@@ -185,26 +187,26 @@
 #[test]
 fn guaranteed_quota_is_spent_by_one_process_during_a_replacement() {
     let mut rig = start_fleet(3, true);
-    let fleet_address = rig.node("n2").logged("fleet").expect("logged");
+    let fleet_address = rig.node("n2").logged_address("fleet").expect("logged");
     rig.kill("n0");
     rig.kill("n1");
     let first_clients = start_clients(&rig, "n2", 6);
     wait_until_lease_expired(&rig, "n2");
-    until("it spends its guaranteed quota", || {
+    wait_until("it spends its guaranteed quota", || {
         first_clients.served() > 0
     });
     let second = rig.successor("n2", fleet_address);
-    until("the second accepts clients", || {
-        second.logged("listening").is_some()
+    wait_until("the second accepts clients", || {
+        second.logged_address("listening").is_some()
     });
     let _second_clients = start_clients(&rig, "n2", 6);
-    rig.database().held();
+    rig.database().read_delayed_calls();
     assert_eq!(max_in_flight_for(&rig, 2), 1, "both live");
     rig.end("n2");
-    let before = rig.database().held().all;
+    let before = rig.database().read_delayed_calls().total;
     assert!(max_in_flight_for(&rig, 4) <= 1);
-    until("the second spends it", || {
-        rig.database().held().all > before
+    wait_until("the second spends it", || {
+        rig.database().read_delayed_calls().total > before
     });
     drop(second);
 }
@@ -265,7 +267,7 @@
         rig.hangup(&name);
     }
     report_case(rig, "the total is cut under full use, first 8 s", 8, TOTAL);
-    rig.database().held();
+    rig.database().read_delayed_calls();
     report_case(rig, "the total is cut, after that", 5, new_total);
 }
 
