--- a/tests/amqp_consumer_model.rs
+++ b/tests/amqp_consumer_model.rs
@@ -1,4 +1,4 @@
-//! The consumer of a queue against a model of its channel, by random steps.
+//! A model of an AMQP channel's consumer, against which random steps are checked.
 
 #[path = "common/steps.rs"]
 mod steps;
@@ -17,91 +17,88 @@
 use quickcheck::{Arbitrary, Gen};
 use steps::check_steps;
 
-const CHANNEL: u16 = 1;
-const BASIC_CLASS: u16 = 60;
-
-/// One event at the consumer.
+/// A step of the broker or of the node around the consumer.
 #[derive(Clone, Debug)]
-enum Step {
-    /// The broker answers the last method that was sent to it.
-    BrokerReply,
-    /// The broker delivers a message, with a reply queue or without.
+enum ChannelStep {
+    /// The broker answers the last request of the consumer.
+    BrokerAnswer,
+    /// The broker delivers a message, with or without a reply queue.
     Deliver { has_reply_to: bool },
-    /// The policy answers one of the unanswered deliveries.
-    Answer { outcome: u8, selector: usize },
+    /// The node answers one of the deliveries in flight.
+    NodeAnswer { outcome: u8, index: usize },
     /// The broker confirms one of the publishes, or rejects it.
-    Confirm { selector: usize, is_accepted: bool },
-    /// The node shuts down.
-    BeginShutdown,
+    Confirm { index: usize, is_accepted: bool },
+    /// The node begins to shut down.
+    Shutdown,
 }
 
-impl Arbitrary for Step {
-    fn arbitrary(g: &mut Gen) -> Step {
+impl Arbitrary for ChannelStep {
+    fn arbitrary(g: &mut Gen) -> ChannelStep {
         match u8::arbitrary(g) % 16 {
-            0..=4 => Step::BrokerReply,
-            5..=8 => Step::Deliver {
+            0..=4 => ChannelStep::BrokerAnswer,
+            5..=8 => ChannelStep::Deliver {
                 has_reply_to: bool::arbitrary(g),
             },
-            9..=11 => Step::Answer {
+            9..=11 => ChannelStep::NodeAnswer {
                 outcome: u8::arbitrary(g) % 4,
-                selector: usize::arbitrary(g),
+                index: usize::arbitrary(g),
             },
-            12..=14 => Step::Confirm {
-                selector: usize::arbitrary(g),
+            12..=14 => ChannelStep::Confirm {
+                index: usize::arbitrary(g),
                 is_accepted: bool::arbitrary(g),
             },
-            _ => Step::BeginShutdown,
+            _ => ChannelStep::Shutdown,
         }
     }
 }
 
-/// The broker's and the policy's side of one channel.
+/// What the broker and the node know of one channel.
 #[derive(Default)]
 struct Model {
-    /// Methods that the broker has not answered.
-    unanswered_methods: Vec<AMQPClass>,
-    /// Deliveries that are not settled.
+    /// The consumer's requests without an answer of the broker.
+    requests: Vec<AMQPClass>,
+    /// Tags that were delivered and not settled.
     unsettled: BTreeSet<u64>,
-    /// Deliveries that the policy has not answered.
-    unanswered: Vec<u64>,
-    /// Publishes that the broker has not confirmed.
+    /// Tags that the node has not answered.
+    in_flight: Vec<u64>,
+    /// Publishes without a confirm.
     unconfirmed: Vec<u64>,
     published: u64,
     delivered: u64,
     answered: u64,
-    is_subscribed: bool,
+    is_active: bool,
 }
 
 impl Model {
-    /// Applies the consumer's effects; false if one breaks a rule.
-    fn apply(&mut self, effects: &mut Vec<ConsumerEffect>) -> bool {
+    /// Applies what the consumer wants done; returns false if that breaks a rule.
+    fn apply_effects(&mut self, effects: &mut Vec<ConsumerEffect>) -> bool {
         effects.drain(..).all(|effect| match effect {
             ConsumerEffect::Deliver(delivery) => {
-                self.unanswered.push(delivery.tag);
+                self.in_flight.push(delivery.tag);
                 true
             }
             ConsumerEffect::MessageRejected(_) => true,
             ConsumerEffect::ChannelFailed(_) => false,
-            ConsumerEffect::Send(frame) => self.receive_frame(*frame),
+            ConsumerEffect::Send(frame) => self.apply_frame(*frame),
         })
     }
 
-    fn receive_frame(&mut self, frame: AMQPFrame) -> bool {
+    fn apply_frame(&mut self, frame: AMQPFrame) -> bool {
         match frame {
-            AMQPFrame::Method(_, AMQPClass::Basic(method)) => self.receive_basic(method),
+            AMQPFrame::Method(_, AMQPClass::Basic(method)) => self.apply_basic(method),
             AMQPFrame::Method(_, method) => {
-                // No channel is closed while a delivery on it is not settled.
-                let is_close = matches!(method, AMQPClass::Channel(Channel::Close(_)));
-                self.unanswered_methods.push(method);
-                !is_close || self.unsettled.is_empty()
+                // No channel is closed while a delivery is unsettled.
+                let is_closing = matches!(method, AMQPClass::Channel(Channel::Close(_)));
+                self.requests.push(method);
+                !is_closing || self.unsettled.is_empty()
             }
             _ => true,
         }
     }
 
-    fn receive_basic(&mut self, method: Basic) -> bool {
+    fn apply_basic(&mut self, method: Basic) -> bool {
         match method {
-            // Settled once, and only after the policy has answered.
+            // Settled once, and only after the node has answered.
             Basic::Ack(basic::Ack {
                 delivery_tag: tag,
                 multiple: false,
@@ -113,23 +110,23 @@
             })
             | Basic::Reject(basic::Reject {
                 delivery_tag: tag, ..
-            }) => self.unsettled.remove(&tag) && !self.unanswered.contains(&tag),
+            }) => self.unsettled.remove(&tag) && !self.in_flight.contains(&tag),
             Basic::Publish(_) => {
                 self.published += 1;
                 self.unconfirmed.push(self.published);
                 true
             }
             other => {
-                self.unanswered_methods.push(AMQPClass::Basic(other));
+                self.requests.push(AMQPClass::Basic(other));
                 true
             }
         }
     }
 
-    /// The broker's reply to the last unanswered method.
-    fn reply(&mut self) -> Option<AMQPClass> {
+    /// The broker's answer to the last request of the consumer.
+    fn next_broker_answer(&mut self) -> Option<AMQPClass> {
         let consumer_tag = ShortString::default();
-        Some(match self.unanswered_methods.pop()? {
+        Some(match self.requests.pop()? {
             AMQPClass::Channel(Channel::Open(_)) => {
                 AMQPClass::Channel(Channel::OpenOk(channel::OpenOk {}))
             }
@@ -139,11 +136,11 @@
             AMQPClass::Confirm(_) => AMQPClass::Confirm(Confirm::SelectOk(confirm::SelectOk {})),
             AMQPClass::Basic(Basic::Qos(_)) => AMQPClass::Basic(Basic::QosOk(basic::QosOk {})),
             AMQPClass::Basic(Basic::Consume(_)) => {
-                self.is_subscribed = true;
+                self.is_active = true;
                 AMQPClass::Basic(Basic::ConsumeOk(basic::ConsumeOk { consumer_tag }))
             }
             AMQPClass::Basic(Basic::Cancel(_)) => {
-                self.is_subscribed = false;
+                self.is_active = false;
                 AMQPClass::Basic(Basic::CancelOk(basic::CancelOk { consumer_tag }))
             }
             _ => return None,
@@ -151,17 +148,21 @@
     }
 }
 
-/// The consumer with the model beside it.
-struct Harness {
+fn short_string(text: &str) -> ShortString {
+    ShortString::try_new(text).expect("short")
+}
+
+/// A consumer, its effects, and the model beside it.
+struct CheckedConsumer {
     consumer: Consumer,
     effects: Vec<ConsumerEffect>,
     model: Model,
 }
 
-impl Harness {
-    fn new(is_idempotent: bool) -> Harness {
+impl CheckedConsumer {
+    fn new(is_idempotent: bool) -> CheckedConsumer {
         let settings = ConsumerSettings {
-            channel: CHANNEL,
+            channel: 1,
             queue: short_string("q"),
             prefetch: 9,
             is_idempotent,
@@ -169,53 +170,38 @@
             max_frame_bytes: 4096,
         };
         let mut effects = Vec::new();
-        Harness {
-            consumer: Consumer::new(settings, &mut effects),
+        let consumer = Consumer::new(settings, &mut effects);
+        CheckedConsumer {
+            consumer,
             effects,
             model: Model::default(),
         }
     }
 
-    /// Carries out a step; whether the consumer kept the rules.
-    fn step(&mut self, step: &Step) -> bool {
-        match *step {
-            Step::BrokerReply => {
-                if let Some(reply) = self.model.reply() {
-                    self.receive_method(reply);
+    fn handle_method(&mut self, method: AMQPClass) {
+        let frame = AMQPFrame::Method(1, method);
+        self.consumer.handle_frame(frame, &mut self.effects);
+    }
+
+    fn run_step(&mut self, step: ChannelStep) {
+        match step {
+            ChannelStep::BrokerAnswer => {
+                if let Some(answer) = self.model.next_broker_answer() {
+                    self.handle_method(answer);
                 }
             }
-            Step::Deliver { has_reply_to } if self.model.is_subscribed => {
+            ChannelStep::Deliver { has_reply_to } if self.model.is_active => {
                 self.deliver(has_reply_to);
             }
-            Step::Answer { outcome, selector } if !self.model.unanswered.is_empty() => {
-                self.answer(outcome, selector);
+            ChannelStep::NodeAnswer { outcome, index } if !self.model.in_flight.is_empty() => {
+                self.answer(outcome, index);
+            }
+            ChannelStep::Confirm { index, is_accepted } if !self.model.unconfirmed.is_empty() => {
+                self.confirm(index, is_accepted);
             }
-            Step::Confirm {
-                selector,
-                is_accepted,
-            } if !self.model.unconfirmed.is_empty() => self.confirm(selector, is_accepted),
-            Step::BeginShutdown => self.consumer.begin_shutdown(&mut self.effects),
+            ChannelStep::Shutdown => self.consumer.begin_shutdown(&mut self.effects),
             _ => {}
         }
-        self.check()
-    }
-
-    fn check(&mut self) -> bool {
-        let model = &mut self.model;
-        model.apply(&mut self.effects)
-            && self.consumer.unsettled_count() == model.unsettled.len()
-            // One reply, or one copy, is published for a delivery at most.
-            && model.published <= model.answered
-            && (self.consumer.channel_state() != ChannelState::Closed
-                || model.unsettled.is_empty())
-    }
-
-    fn receive(&mut self, frame: AMQPFrame) {
-        self.consumer.handle_frame(frame, &mut self.effects);
-    }
-
-    fn receive_method(&mut self, method: AMQPClass) {
-        self.receive(AMQPFrame::Method(CHANNEL, method));
     }
 
     fn deliver(&mut self, has_reply_to: bool) {
@@ -232,17 +218,21 @@
             exchange: short_string("k"),
             routing_key: short_string("k"),
         };
-        self.receive_method(AMQPClass::Basic(Basic::Deliver(deliver)));
+        self.handle_method(AMQPClass::Basic(Basic::Deliver(deliver)));
         let header = AMQPContentHeader {
-            class_id: BASIC_CLASS,
+            class_id: 60,
             body_size: 2,
             properties,
         };
-        self.receive(AMQPFrame::Header(CHANNEL, header));
-        self.receive(AMQPFrame::Body(CHANNEL, b"hi".to_vec()));
+        for frame in [
+            AMQPFrame::Header(1, header),
+            AMQPFrame::Body(1, b"hi".to_vec()),
+        ] {
+            self.consumer.handle_frame(frame, &mut self.effects);
+        }
     }
 
-    fn answer(&mut self, outcome: u8, selector: usize) {
+    fn answer(&mut self, outcome: u8, index: usize) {
         let outcome = match outcome {
             0 => Outcome::Served(Payload::from_bytes(b"yes")),
             1 => Outcome::Rejected {
@@ -252,8 +242,8 @@
             2 => Outcome::Failed(Failure::GivenUp),
             _ => Outcome::Failed(Failure::MayHaveRun),
         };
-        let index = selector % self.model.unanswered.len();
-        let tag = self.model.unanswered.swap_remove(index);
+        let index = index % self.model.in_flight.len();
+        let tag = self.model.in_flight.swap_remove(index);
         self.model.answered += 1;
         let answer = Answer {
             outcome,
@@ -264,8 +254,8 @@
         self.consumer.answer(tag, &answer, &mut self.effects);
     }
 
-    fn confirm(&mut self, selector: usize, is_accepted: bool) {
-        let index = selector % self.model.unconfirmed.len();
+    fn confirm(&mut self, index: usize, is_accepted: bool) {
+        let index = index % self.model.unconfirmed.len();
         let delivery_tag = self.model.unconfirmed.remove(index);
         let method = if is_accepted {
             Basic::Ack(basic::Ack {
@@ -279,21 +269,31 @@
                 requeue: false,
             })
         };
-        self.receive_method(AMQPClass::Basic(method));
+        self.handle_method(AMQPClass::Basic(method));
     }
-}
-
-fn short_string(text: &str) -> ShortString {
-    ShortString::try_new(text).expect("short")
-}
 
-fn consumer_keeps_the_rules(steps: Vec<Step>) -> bool {
-    let mut harness = Harness::new(!steps.len().is_multiple_of(2));
-    harness.model.apply(&mut harness.effects) && steps.into_iter().all(|step| harness.step(&step))
+    /// Whether the consumer agrees with the model after its effects.
+    fn agrees(&mut self) -> bool {
+        let is_valid = self.model.apply_effects(&mut self.effects);
+        let is_closed = self.consumer.channel_state() == ChannelState::Closed;
+        is_valid
+            && self.consumer.unsettled_count() == self.model.unsettled.len()
+            // One answer, or one copy, is published for a delivery at most.
+            && self.model.published <= self.model.answered
+            && (!is_closed || self.model.unsettled.is_empty())
+    }
 }
 
 /// Every delivery is settled exactly once, after its answer, and a channel closes only when all are settled.
 #[test]
-fn a_consumer_settles_as_the_model_does() {
-    check_steps(consumer_keeps_the_rules);
+fn consumer_settles_as_its_model_does() {
+    fn check(steps: Vec<ChannelStep>) -> bool {
+        let mut checked = CheckedConsumer::new(!steps.len().is_multiple_of(2));
+        checked.model.apply_effects(&mut checked.effects)
+            && steps.into_iter().all(|step| {
+                checked.run_step(step);
+                checked.agrees()
+            })
+    }
+    check_steps(check);
 }
