--- a/src/net/database/mod.rs
+++ b/src/net/database/mod.rs
@@ -71,7 +71,7 @@
     }
     let is_woken = Arc::new(AtomicBool::new(false));
     let (sender, inbox) = bounded(limits.database.connections * MAILBOX_CALLS_PER_CONNECTION);
-    let pool = CallPool::new(
+    let call_pool = CallPool::new(
         address.clone(),
         budget,
         limits.clone(),
@@ -83,7 +83,7 @@
         policy.clone(),
         log.clone(),
     );
-    spawn("database", limits.stack_bytes, move || pool.run())?;
+    spawn("database", limits.stack_bytes, move || call_pool.run())?;
     Ok(CallSender {
         sender,
         waker,
--- a/tests/common/admin.rs
+++ b/tests/common/admin.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use test_doubles::{until, Node};
+use test_doubles::{wait_until, Node};
 
 /// Starts a node with an admin server at a free port.
 pub(crate) fn start_node_with_admin() -> Node {
@@ -35,10 +35,10 @@
 
 /// Waits until the node accepts clients.
 pub(crate) fn wait_until_accepting_clients(node: &Node) {
-    until("the admin server listens", || {
-        node.logged("admin").is_some()
+    wait_until("the admin server listens", || {
+        node.logged_address("admin").is_some()
     });
-    until("it accepts clients", || {
-        send_command(node.door(), b"health\n").starts_with("ok")
+    wait_until("it accepts clients", || {
+        send_command(node.admin_address(), b"health\n").starts_with("ok")
     });
 }
--- a/tests/common/answers.rs
+++ b/tests/common/answers.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use serde_json::Value;
-use test_doubles::unbase64;
+use test_doubles::decode_base64;
 
 /// The error code of a request that was rejected before it ran.
 pub(crate) const REJECTED: i64 = -32002;
@@ -17,5 +17,5 @@
     let body = answer["result"]["body"]
         .as_str()
         .unwrap_or_else(|| panic!("no result: {answer}"));
-    unbase64(body)
+    decode_base64(body)
 }
--- a/tests/connection_races.rs
+++ b/tests/connection_races.rs
@@ -3,111 +3,18 @@
 
 #[path = "common/answers.rs"]
 mod answers;
+#[path = "common/stepped_server.rs"]
+mod stepped_server;
 
 use std::io::{ErrorKind, Read, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::sync::Arc;
+use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
 use answers::{error_code, result_body, REJECTED};
-use crossbeam_channel::{bounded, Receiver};
-use protocol_gateway::net::jsonrpc::{NodeContext, ServerLoop};
-use protocol_gateway::node::{Answer, Arrival, Limits, Outcome, Payload, PolicyMessage};
-use protocol_gateway::wire::Site;
-use protocol_gateway::Span;
+use protocol_gateway::node::{Answer, Arrival, Outcome, Payload};
 use serde_json::{json, Value};
-use slog::{o, Discard, Logger};
-use test_doubles::*;
-
-/// A server that the test steps, and the policy's mailbox.
-struct SteppedServer {
-    server: ServerLoop,
-    mailbox: Receiver<PolicyMessage>,
-    address: SocketAddr,
-}
-
-impl SteppedServer {
-    fn new(change: impl FnOnce(&mut Limits)) -> SteppedServer {
-        let site = Arc::new(Site::from_json(&settings()).expect("settings"));
-        let mut limits = Limits::new(512);
-        change(&mut limits);
-        let (policy, mailbox) = bounded(limits.policy.mailbox);
-        let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-        let address = listener.local_addr().expect("bound");
-        let context = NodeContext {
-            site,
-            node_status: Arc::default(),
-            policy,
-        };
-        let mut server =
-            ServerLoop::new(context, &limits, &Logger::root(Discard, o!())).expect("a server");
-        server.listen(listener, Instant::now()).expect("it listens");
-        SteppedServer {
-            server,
-            mailbox,
-            address,
-        }
-    }
-    /// Steps the server until the condition holds.
-    fn step_until(&mut self, what: &str, mut holds: impl FnMut(&mut SteppedServer) -> bool) {
-        let end = Instant::now() + Duration::from_secs(20);
-        while !holds(self) {
-            assert!(Instant::now() < end, "waited in vain: {what}");
-            self.server
-                .step(Some(Duration::from_millis(1)))
-                .expect("a step");
-        }
-    }
-    fn connect(&mut self) -> Front {
-        let before = self.server.connection_count();
-        let peer = Front::connect(self.address);
-        self.step_until("it is accepted", |stepped| {
-            stepped.server.connection_count() == before + 1
-        });
-        peer
-    }
-    /// The next request that reaches the policy.
-    fn next_arrival(&mut self) -> Arrival {
-        let mut got = None;
-        self.step_until("a request is read", |stepped| {
-            got = stepped.mailbox.try_recv().ok();
-            got.is_some()
-        });
-        match got {
-            Some(PolicyMessage::RequestArrived(arrival)) => *arrival,
-            _ => panic!("something else came"),
-        }
-    }
-    /// The next answer on this connection; a goodbye before it is skipped.
-    fn next_answer(&mut self, peer: &mut Front) -> Value {
-        loop {
-            self.step_until("a message comes", |_| has_input(peer));
-            let message = peer.next();
-            if message["method"] != "farewell" {
-                return message;
-            }
-        }
-    }
-    /// Answers a request as rejected.
-    fn reject(arrival: Arrival) {
-        let outcome = Outcome::Rejected {
-            retry_after: Span(0),
-            is_final: false,
-        };
-        arrival.responder.answer(Answer {
-            outcome,
-            capacity_hint: None,
-        });
-    }
-}
-
-/// Whether a message or the end of the connection has come for this peer; reads nothing.
-fn has_input(peer: &Front) -> bool {
-    peer.stream.set_nonblocking(true).expect("an option");
-    let is_readable = peer.stream.peek(&mut [0]).is_ok();
-    peer.stream.set_nonblocking(false).expect("an option");
-    is_readable
-}
+use stepped_server::{has_input, SteppedServer};
+use test_doubles::TestClient;
 
 /// Input that the kernel has received counts as the node's when the server closes a connection, even if the server was too
 /// slow to read it before.
@@ -115,10 +22,10 @@
 fn input_received_before_a_close_is_still_answered() {
     let mut stepped = SteppedServer::new(|_| {});
     let mut peer = stepped.connect();
-    peer.raw("{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"alive\"}");
+    peer.send_line("{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"alive\"}");
     stepped.server.begin_close_all(Instant::now());
-    assert_eq!(peer.next()["id"], 5);
-    assert_eq!(peer.next(), Value::Null);
+    assert_eq!(peer.read_message()["id"], 5);
+    assert_eq!(peer.read_message(), Value::Null);
     drop(peer);
     stepped.step_until("it is closed", |stepped| {
         stepped.server.connection_count() == 0
@@ -147,14 +54,14 @@
 fn partial_line_at_a_close_causes_no_reset() {
     let mut stepped = SteppedServer::new(|_| {});
     let mut peer = stepped.connect();
-    peer.raw("{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"alive\"}");
+    peer.send_line("{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"alive\"}");
     peer.stream
         .write_all(b"{\"jsonrpc\":\"2.0\",\"id\":6,")
         .expect("written");
     stepped.server.begin_close_all(Instant::now());
     // More of the line comes when the writing side is shut already.
     peer.stream.write_all(b"\"method\":").expect("written");
-    assert_eq!(peer.next()["id"], 5);
+    assert_eq!(peer.read_message()["id"], 5);
     let mut rest = [0; 16];
     assert_eq!(peer.stream.read(&mut rest).expect("an end, no reset"), 0);
     drop(peer);
@@ -173,7 +80,7 @@
     let flood = [b"nonsense\n".as_slice(), &[b'x'; 16 * 1024]].concat();
     peer.stream.write_all(&flood).expect("written");
     stepped.step_until("its writing side is shut", |_| has_input(&peer));
-    assert_eq!(peer.next()["error"]["code"], -32700);
+    assert_eq!(peer.read_message()["error"]["code"], -32700);
     let mut rest = [0; 16];
     assert_eq!(peer.stream.read(&mut rest).expect("an end, no reset"), 0);
     // A peer that goes on and never closes is disconnected by a limit of bytes or of time.
@@ -202,15 +109,15 @@
         limits.front.linger_timeout = Duration::from_secs(60);
         limits.front.silence_grace = Duration::ZERO;
     });
-    let mut open: Vec<Front> = Vec::new();
+    let mut open: Vec<TestClient> = Vec::new();
     for _ in 0..120 {
-        let mut newcomer = Front::connect(stepped.address);
+        let mut newcomer = TestClient::connect(stepped.address);
         let id = newcomer.send("statement-read", "serve");
         SteppedServer::reject(stepped.next_arrival());
         assert_eq!(stepped.next_answer(&mut newcomer)["id"].as_u64(), Some(id));
         // It stays open, and so do two more that send nothing.
         open.push(newcomer);
-        open.extend((0..2).map(|_| Front::connect(stepped.address)));
+        open.extend((0..2).map(|_| TestClient::connect(stepped.address)));
     }
 }
 
@@ -242,7 +149,7 @@
     stepped.step_until("it is closed", |stepped| {
         stepped.server.connection_count() == 0
     });
-    let answer = peer.next();
+    let answer = peer.read_message();
     assert_eq!(
         (answer["id"].as_u64(), error_code(&answer)),
         (Some(id), REJECTED)
@@ -274,13 +181,13 @@
     // No idle timeout: the goodbye follows the first answer in the same step.
     let mut stepped = SteppedServer::new(|limits| limits.listener.idle_timeout = Duration::ZERO);
     let mut peer = stepped.connect();
-    peer.raw("{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"alive\"}");
+    peer.send_line("{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"alive\"}");
     stepped.step_until("the answer has come", |_| has_input(&peer));
-    assert_eq!(peer.next()["id"], 5);
+    assert_eq!(peer.read_message()["id"], 5);
     // Written before the peer reads the goodbye, which has come already.
     let id = peer.send("settlement-post", "serve");
     let arrival = stepped.next_arrival();
-    assert_eq!(peer.next()["method"], "farewell");
+    assert_eq!(peer.read_message()["method"], "farewell");
     SteppedServer::reject(arrival);
     assert_eq!(stepped.next_answer(&mut peer)["id"].as_u64(), Some(id));
 }
@@ -295,11 +202,11 @@
     });
     let mut peer = stepped.connect();
     // The second one is unread as the first is answered and the timeouts expire.
-    let (first, one) = peer.line("statement-read", "serve", json!({}));
-    let (second, two) = peer.line("settlement-post", "serve", json!({}));
-    peer.raw(&one);
+    let (first, one) = peer.format_request("statement-read", "serve", &json!({}));
+    let (second, two) = peer.format_request("settlement-post", "serve", &json!({}));
+    peer.send_line(&one);
     SteppedServer::reject(stepped.next_arrival());
-    peer.raw(&two);
+    peer.send_line(&two);
     SteppedServer::reject(stepped.next_arrival());
     for id in [first, second] {
         assert_eq!(stepped.next_answer(&mut peer)["id"].as_u64(), Some(id));
@@ -341,7 +248,7 @@
     let reader = std::thread::spawn(move || {
         let mut answered: Vec<u64> = Vec::new();
         loop {
-            let answer = peer.next();
+            let answer = peer.read_message();
             if answer.is_null() {
                 return answered;
             }
@@ -362,7 +269,9 @@
 #[test]
 fn connections_in_the_accept_queue_are_served_when_the_listener_closes() {
     let mut stepped = SteppedServer::new(|_| {});
-    let mut waiting: Vec<Front> = (0..40).map(|_| Front::connect(stepped.address)).collect();
+    let mut waiting: Vec<TestClient> = (0..40)
+        .map(|_| TestClient::connect(stepped.address))
+        .collect();
     let ids: Vec<u64> = waiting
         .iter_mut()
         .map(|peer| peer.send("statement-read", "serve"))
@@ -385,7 +294,7 @@
 #[test]
 fn flood_of_protocol_violations_does_not_delay_a_valid_request() {
     let mut stepped = SteppedServer::new(|_| {});
-    let mut flood: Vec<Front> = (0..60).map(|_| stepped.connect()).collect();
+    let mut flood: Vec<TestClient> = (0..60).map(|_| stepped.connect()).collect();
     let mut valid = stepped.connect();
     for peer in &mut flood {
         peer.stream
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -92,7 +92,7 @@
         let found = |rig: &Rig| {
             // The member that grants knows the holders of the budget.
             let name = rig.granter("n0")?;
-            let at = rig.node(&name).logged("fleet")?.to_string();
+            let at = rig.node(&name).logged_address("fleet")?.to_string();
             let file = rig.fleet_file_of(&name).display().to_string();
             let args = words
                 .split(' ')
@@ -203,7 +203,7 @@
 fn each_admin_command_has_its_answer_to_the_byte() {
     let node = Node::start_with(None, |config| config["admin"] = json!("127.0.0.1:0"));
     for (line, want) in data::<Vec<(String, String)>>("admin.json") {
-        assert_eq!(ask(node.door(), &line), want, "{line:?}");
+        assert_eq!(ask(node.admin_address(), &line), want, "{line:?}");
     }
 }
 
--- a/tests/node_requests.rs
+++ b/tests/node_requests.rs
@@ -17,16 +17,16 @@
 #[test]
 fn first_request_is_served_with_the_executors_result() {
     let node = Node::start();
-    let mut front = node.front();
-    let answer = front.ask(READ, "serve:first");
+    let mut front = node.connect();
+    let answer = front.request(READ, "serve:first");
     assert_eq!(result_body(&answer), "done serve:first");
-    assert_eq!(node.executor.runs("serve:first"), 1);
+    assert_eq!(node.executor.run_count("serve:first"), 1);
 }
 
 #[test]
 fn failed_run_is_answered_as_failed_not_rejected() {
     let node = Node::start();
-    let answer = node.front().ask(POST, "fail");
+    let answer = node.connect().request(POST, "fail");
     assert!(
         error_code(&answer) != 0 && error_code(&answer) != REJECTED,
         "{answer}"
@@ -37,38 +37,38 @@
 #[test]
 fn command_declined_by_the_executor_fails_at_once() {
     let node = Node::start();
-    let mut front = node.front();
-    let answer = front.ask(READ, "bad");
+    let mut front = node.connect();
+    let answer = front.request(READ, "bad");
     assert!(
         error_code(&answer) != 0 && error_code(&answer) != REJECTED,
         "{answer}"
     );
-    assert_eq!(result_body(&front.ask(READ, "serve")), "done serve");
-    assert_eq!(node.executor.joins(), [0], "the link stayed open");
+    assert_eq!(result_body(&front.request(READ, "serve")), "done serve");
+    assert_eq!(node.executor.join_positions(), [0], "the link stayed open");
 }
 
 #[test]
 fn database_reply_is_passed_back_unchanged() {
     let node = Node::start();
-    let answer = node.front().ask(POST, "call:ok#1");
+    let answer = node.connect().request(POST, "call:ok#1");
     assert_eq!(result_body(&answer), "rows for ok#1");
-    assert_eq!(node.database.calls("ok#1"), 1);
+    assert_eq!(node.database.call_count("ok#1"), 1);
 }
 
 /// A connection that breaks during a call proves nothing about it, so a call of a post is not retried.
 #[test]
 fn broken_call_is_retried_for_reads_only() {
     let node = Node::start();
-    let mut front = node.front();
-    let answer = front.ask(POST, "call:break#post");
+    let mut front = node.connect();
+    let answer = front.request(POST, "call:break#post");
     assert!(
         error_code(&answer) != 0 && error_code(&answer) != REJECTED,
         "{answer}"
     );
-    assert_eq!(node.database.calls("break#post"), 1);
+    assert_eq!(node.database.call_count("break#post"), 1);
     front.send(READ, "call:break#read");
-    until("the read's call is repeated", || {
-        node.database.calls("break#read") > 1
+    wait_until("the read's call is repeated", || {
+        node.database.call_count("break#read") > 1
     });
 }
 
@@ -76,15 +76,17 @@
 fn call_that_never_ran_is_retried_also_for_posts() {
     let node = Node::start();
     for body in ["busy#post", "gone#post"] {
-        node.front().send(POST, &format!("call:{body}"));
-        until("the call is repeated", || node.database.calls(body) > 1);
+        node.connect().send(POST, &format!("call:{body}"));
+        wait_until("the call is repeated", || {
+            node.database.call_count(body) > 1
+        });
     }
 }
 
 /// Invalid lines, each with the error code and the id of its answer.
 fn malformed_lines() -> Vec<(String, i64, Value)> {
     let valid = json!({"rid": "0123456789abcdef", "t0": unix_ms(), "peer": 1, "mem": 1.0, "prio": 0.1,
-                      "acct": "alpenergia", "body": base64("serve:malformed")});
+                      "acct": "alpenergia", "body": encode_base64("serve:malformed")});
     let with = |key: &str, value: Value| {
         let mut params = valid.clone();
         params[key] = value;
@@ -130,7 +132,7 @@
         (with("obj", json!("x")), -32602, json!(7)),
         (with("body", json!("not base64!")), -32602, json!(7)),
         (
-            with("body", json!(base64(&"x".repeat(2049)))),
+            with("body", json!(encode_base64(&"x".repeat(2049)))),
             -32602,
             json!(7),
         ),
@@ -143,64 +145,72 @@
 fn malformed_input_gets_a_standard_error_and_a_close() {
     let node = Node::start();
     for (line, expected_code, id) in malformed_lines() {
-        let mut front = node.front();
-        front.raw(&line);
-        let answer = front.next();
+        let mut front = node.connect();
+        front.send_line(&line);
+        let answer = front.read_message();
         assert_eq!(
             (error_code(&answer), &answer["id"]),
             (expected_code, &id),
             "{line}"
         );
-        assert_eq!(front.next(), Value::Null, "closed after {line}");
+        assert_eq!(front.read_message(), Value::Null, "closed after {line}");
     }
-    assert_eq!(node.executor.runs("serve:malformed"), 0);
-    let mut front = node.front();
-    front.raw("{\"jsonrpc\":\"2.0\",\"method\":\"statement-read\"}");
-    assert_eq!(result_body(&front.ask(READ, "serve")), "done serve");
+    assert_eq!(node.executor.run_count("serve:malformed"), 0);
+    let mut front = node.connect();
+    front.send_line("{\"jsonrpc\":\"2.0\",\"method\":\"statement-read\"}");
+    assert_eq!(result_body(&front.request(READ, "serve")), "done serve");
 }
 
 /// Guards the node's memory: a line without an end must not grow without bound.
 #[test]
 fn endless_line_closes_the_connection() {
     let node = Node::start();
-    let mut front = node.front();
+    let mut front = node.connect();
     // The node may close while this is still being written.
-    let _ = front.stream.write_all(&[b'x'; 64 * 1024]);
-    let answer = front.next();
+    let _ = front.stream.write_all(&vec![b'x'; 64 * 1024]);
+    let answer = front.read_message();
     assert!(
         answer.is_null() || error_code(&answer) == -32600,
         "{answer}"
     );
-    assert!(answer.is_null() || front.next().is_null());
-    assert_eq!(result_body(&node.front().ask(READ, "serve")), "done serve");
+    assert!(answer.is_null() || front.read_message().is_null());
+    assert_eq!(
+        result_body(&node.connect().request(READ, "serve")),
+        "done serve"
+    );
 }
 
 #[test]
 fn health_answer_has_the_capacity_hint_and_the_node_is_listed() {
     let node = Node::start();
-    let mut front = node.front();
-    front.ask(READ, "serve");
+    let mut front = node.connect();
+    front.request(READ, "serve");
     let mut answer = Value::Null;
-    until("the answer has a hint", || {
-        answer = front.alive();
+    wait_until("the answer has a hint", || {
+        answer = front.query_alive();
         answer["result"]["hint"].is_number()
     });
     assert_eq!(answer["result"]["ready"], true);
-    until("it is on the list", || node.list.heard("HB n3 UP"));
+    wait_until("it is on the list", || {
+        node.endpoint_list.has_report("HB n3 UP")
+    });
 }
 
 /// The requests of a connection that closes go on: the policy and the executor still count them.
 #[test]
 fn closed_connection_does_not_end_its_requests() {
     let node = Node::start();
-    let mut front = node.front();
+    let mut front = node.connect();
     front.send(POST, "hang");
-    until("it runs", || node.executor.runs("hang") == 1);
+    wait_until("it runs", || node.executor.run_count("hang") == 1);
     drop(front);
-    until("it is stopped at its deadline", || {
-        node.executor.killed() == 1
+    wait_until("it is stopped at its deadline", || {
+        node.executor.kill_count() == 1
     });
-    assert_eq!(result_body(&node.front().ask(READ, "serve")), "done serve");
+    assert_eq!(
+        result_body(&node.connect().request(READ, "serve")),
+        "done serve"
+    );
 }
 
 /// Guards against two answers under one id: the peer gets the error without an id, and its connection closes with nothing
@@ -208,20 +218,21 @@
 #[test]
 fn id_in_use_closes_the_connection() {
     let node = Node::start();
-    let mut front = node.front();
+    let mut front = node.connect();
     for n in 0..2 {
         let params = json!({"rid": format!("{n:016x}"), "t0": unix_ms(), "peer": 1, "mem": 1.0, "prio": 0.1,
-                            "body": base64("hang")});
-        front
-            .raw(&json!({"jsonrpc": "2.0", "id": 1, "method": POST, "params": params}).to_string());
+                            "body": encode_base64("hang")});
+        front.send_line(
+            &json!({"jsonrpc": "2.0", "id": 1, "method": POST, "params": params}).to_string(),
+        );
     }
-    let answer = front.next();
+    let answer = front.read_message();
     assert_eq!(
         (error_code(&answer), &answer["id"]),
         (-32600, &Value::Null),
         "{answer}"
     );
-    assert_eq!(front.next(), Value::Null);
+    assert_eq!(front.read_message(), Value::Null);
 }
 
 /// Guards front ends that have given up requests without a cancellation: those stay open here beside the 32 that the front
@@ -230,9 +241,9 @@
 #[test]
 fn requests_beyond_the_connections_limit_are_rejected_and_it_stays_open() {
     let node = Node::start();
-    let mut front = node.front();
+    let mut front = node.connect();
     let ids: Vec<u64> = (0..70).map(|_| front.send(POST, "hang")).collect();
-    let answers: Vec<Value> = ids.iter().map(|_| front.next()).collect();
+    let answers: Vec<Value> = ids.iter().map(|_| front.read_message()).collect();
     assert!(answers.iter().all(|a| a["error"].is_object()));
     let is_over_limit = |a: &&Value| {
         a["error"]["message"]
@@ -245,8 +256,8 @@
         .filter_map(|a| a["id"].as_u64())
         .collect();
     assert_eq!(rejected, ids[64..]);
-    until("the connection serves", || {
-        front.ask(READ, "serve")["result"].is_object()
+    wait_until("the connection serves", || {
+        front.request(READ, "serve")["result"].is_object()
     });
 }
 
@@ -260,35 +271,44 @@
                nodes: {{ n3: {{ site: 'x', cell: 'a' }}, n4: {{ site: 'y', cell: 'b' }} }} }}"
         )
     };
-    let file = Scratch::new("cells.json5", &cells_file("b"));
-    let node = Node::start_as(None, Some(&file), |_| {});
-    let mut front = node.front();
-    let answer = front.ask(POST, "serve:elsewhere");
+    let file = ScratchFile::new("cells.json5", &cells_file("b"));
+    let node = Node::start_with_cells(None, Some(&file), |_| {});
+    let mut front = node.connect();
+    let answer = front.request(POST, "serve:elsewhere");
     assert_eq!(
         (error_code(&answer), &answer["error"]["data"]["epoch"]),
         (REJECTED, &json!(1))
     );
-    assert_eq!(node.executor.runs("serve:elsewhere"), 0);
-    let config = config(
+    assert_eq!(node.executor.run_count("serve:elsewhere"), 0);
+    let config = node_config(
         node.executor.address,
         node.database.address,
-        node.list.address,
+        node.endpoint_list.address,
     );
-    std::fs::write(&file.0, &cells_file("a")[..60]).expect("a file");
+    std::fs::write(file.path(), &cells_file("a")[..60]).expect("a file");
     node.reload(&config.to_string());
-    until("the broken file is rejected", || {
+    wait_until("the broken file is rejected", || {
         node.log().contains("the new cells are not used")
     });
-    assert_eq!(error_code(&front.ask(POST, "serve:elsewhere")), REJECTED);
+    assert_eq!(
+        error_code(&front.request(POST, "serve:elsewhere")),
+        REJECTED
+    );
     // A file migrates nobody: the tenant stays in b until a migration is committed.
-    std::fs::write(&file.0, cells_file("a")).expect("a file");
+    std::fs::write(file.path(), cells_file("a")).expect("a file");
     node.reload(&config.to_string());
-    until("the good one is read", || {
+    wait_until("the good one is read", || {
         node.log().contains("cells read again")
     });
-    assert_eq!(error_code(&front.ask(POST, "serve:elsewhere")), REJECTED);
-    assert_eq!(node.executor.runs("serve:elsewhere"), 0);
+    assert_eq!(
+        error_code(&front.request(POST, "serve:elsewhere")),
+        REJECTED
+    );
+    assert_eq!(node.executor.run_count("serve:elsewhere"), 0);
     // A node started with the new file serves the tenant.
-    let node = Node::start_as(None, Some(&file), |_| {});
-    assert_eq!(result_body(&node.front().ask(POST, "serve")), "done serve");
+    let node = Node::start_with_cells(None, Some(&file), |_| {});
+    assert_eq!(
+        result_body(&node.connect().request(POST, "serve")),
+        "done serve"
+    );
 }
--- a/tests/process_replacement.rs
+++ b/tests/process_replacement.rs
@@ -36,17 +36,17 @@
 fn send_until_stopped(address: SocketAddr, name: &str, stop: &AtomicBool) -> Served {
     let mut served = Served::default();
     let mut sent = 0;
-    let mut kept: Option<Front> = None;
+    let mut kept: Option<TestClient> = None;
     while !stop.load(SeqCst) {
         sent += 1;
         let body = format!("serve:{name}-{sent}");
-        let mut front = kept.take().unwrap_or_else(|| Front::connect(address));
+        let mut front = kept.take().unwrap_or_else(|| TestClient::connect(address));
         let id = front.send("settlement-post", &body);
         let mut is_closing = false;
-        let mut answer = front.next();
+        let mut answer = front.read_message();
         while answer["method"] == "farewell" {
             is_closing = true;
-            answer = front.next();
+            answer = front.read_message();
         }
         if answer.is_null() {
             served.dropped += 1;
@@ -77,22 +77,22 @@
             })
             .collect();
         for _ in 0..2 {
-            let next = node.successor();
+            let next = node.start_replacement();
             wait_until_accepting_clients(&next);
             executors.push(next.executor.clone());
-            let mut watcher = node.front();
+            let mut watcher = node.connect();
             node.terminate();
-            until("the old process knows that it is replaced", || {
+            wait_until("the old process knows that it is replaced", || {
                 node.log().contains("replaced")
             });
-            let health = watcher.alive();
+            let health = watcher.query_alive();
             assert!(
                 health["method"] == "farewell" || health["result"]["ready"] == true,
                 "{health}"
             );
             drop(watcher);
-            assert_eq!(node.exit().code(), Some(0));
-            assert!(!node.list.heard("HB n3 OUT"));
+            assert_eq!(node.wait_for_exit().code(), Some(0));
+            assert!(!node.endpoint_list.has_report("HB n3 OUT"));
             node = next;
         }
         stop.store(true, SeqCst);
@@ -107,7 +107,7 @@
         assert_eq!(
             executors
                 .iter()
-                .map(|executor| executor.runs(body))
+                .map(|executor| executor.run_count(body))
                 .sum::<usize>(),
             1,
             "{body}"
@@ -120,16 +120,16 @@
 #[test]
 fn both_processes_reload_during_a_replacement() {
     let mut first = start_node_with_admin();
-    let mut runs = first.front();
+    let mut runs = first.connect();
     let run = runs.send("settlement-post", "hang:first");
-    until("it runs", || first.executor.runs("hang:first") == 1);
-    let second = first.successor();
+    wait_until("it runs", || first.executor.run_count("hang:first") == 1);
+    let second = first.start_replacement();
     wait_until_accepting_clients(&second);
     let config_with_moved_executor = |node: &Node| {
-        let mut moved = config(
-            node.executor.elsewhere(),
+        let mut moved = node_config(
+            node.executor.open_second_address(),
             node.database.address,
-            node.list.address,
+            node.endpoint_list.address,
         );
         moved["listen"] = json!(first.address);
         moved.to_string()
@@ -138,38 +138,38 @@
     let second_config = config_with_moved_executor(&second);
     first.reload(&first_config);
     second.reload(&second_config);
-    until("both are connected to the new address", || {
+    wait_until("both are connected to the new address", || {
         [&first, &second]
             .iter()
-            .all(|node| node.executor.joins().len() == 2)
+            .all(|node| node.executor.join_positions().len() == 2)
     });
     first.terminate();
-    until("the old process knows that it is replaced", || {
+    wait_until("the old process knows that it is replaced", || {
         first.log().contains("replaced")
     });
     // Once more while the old process shuts down.
     first.reload(&first_config);
     second.reload(&second_config);
-    first.executor.finish("hang:first");
-    let answer = runs.answer();
+    first.executor.finish_run("hang:first");
+    let answer = runs.read_answer();
     assert_eq!(
         (answer["id"].as_u64(), result_body(&answer).as_str()),
         (Some(run), "late result")
     );
     drop(runs);
-    assert_eq!(first.exit().code(), Some(0));
+    assert_eq!(first.wait_for_exit().code(), Some(0));
     assert_eq!(
-        result_body(&second.front().ask(READ, "serve:after")),
+        result_body(&second.connect().request(READ, "serve:after")),
         "done serve:after"
     );
     assert_eq!(
         (
-            first.executor.runs("hang:first"),
-            second.executor.runs("hang:first")
+            first.executor.run_count("hang:first"),
+            second.executor.run_count("hang:first")
         ),
         (1, 0)
     );
-    assert!(!second.list.heard("HB n3 OUT"));
+    assert!(!second.endpoint_list.has_report("HB n3 OUT"));
 }
 
 /// Two processes of one node divide its limits: the share of the first falls as the second starts to serve, and a process
@@ -178,24 +178,27 @@
 fn two_processes_divide_the_resources_of_their_node() {
     let logged_share = |node: &Node, shares: u32| node.log().contains(&format!("held: {shares}"));
     let mut first = start_node_with_admin();
-    until("the first holds all", || logged_share(&first, 8));
-    let mut second = first.successor();
+    wait_until("the first holds all", || logged_share(&first, 8));
+    let mut second = first.start_replacement();
     wait_until_accepting_clients(&second);
-    until("each holds half", || {
+    wait_until("each holds half", || {
         logged_share(&first, 4) && logged_share(&second, 4)
     });
     assert!(!logged_share(&second, 8));
     second.kill();
-    until("the first holds all again", || {
+    wait_until("the first holds all again", || {
         first.log().matches("held: 8").count() == 2
     });
-    let third = first.successor();
+    let third = first.start_replacement();
     wait_until_accepting_clients(&third);
-    until("each holds half again", || logged_share(&third, 4));
+    wait_until("each holds half again", || logged_share(&third, 4));
     first.kill();
-    until("the last one holds all", || logged_share(&third, 8));
-    let mut front = third.front();
-    assert_eq!(result_body(&front.ask(READ, "serve:all")), "done serve:all");
+    wait_until("the last one holds all", || logged_share(&third, 8));
+    let mut front = third.connect();
+    assert_eq!(
+        result_body(&front.request(READ, "serve:all")),
+        "done serve:all"
+    );
 }
 
 /// A process killed in the middle of a replacement: the other serves on, and the next process finds a free lock.
@@ -203,25 +206,28 @@
 fn killing_either_process_leaves_the_other_serving() {
     let mut first = start_node_with_admin();
     // A successor that was killed has replaced nobody: the first process does not count as replaced.
-    let mut second = first.successor();
+    let mut second = first.start_replacement();
     wait_until_accepting_clients(&second);
     second.kill();
-    assert_eq!(first.front().alive()["result"]["ready"], true);
-    let mut third = first.successor();
+    assert_eq!(first.connect().query_alive()["result"]["ready"], true);
+    let mut third = first.start_replacement();
     wait_until_accepting_clients(&third);
     // Two processes are the most: another one waits until one of them ends, and accepts clients then.
-    let fourth = first.successor();
-    until("its executor is up and the admin server listens", || {
-        fourth.log().contains("executor connected") && fourth.logged("admin").is_some()
+    let fourth = first.start_replacement();
+    wait_until("its executor is up and the admin server listens", || {
+        fourth.log().contains("executor connected") && fourth.logged_address("admin").is_some()
     });
-    assert_eq!(send_command(fourth.door(), b"health\n"), "fail starting");
+    assert_eq!(
+        send_command(fourth.admin_address(), b"health\n"),
+        "fail starting"
+    );
     first.kill();
     wait_until_accepting_clients(&fourth);
     third.terminate();
-    assert_eq!(third.exit().code(), Some(0));
-    assert!(third.log().contains("replaced") && !third.list.heard("HB n3 OUT"));
+    assert_eq!(third.wait_for_exit().code(), Some(0));
+    assert!(third.log().contains("replaced") && !third.endpoint_list.has_report("HB n3 OUT"));
     assert_eq!(
-        result_body(&Front::connect(first.address).ask(READ, "serve:after")),
+        result_body(&TestClient::connect(first.address).request(READ, "serve:after")),
         "done serve:after"
     );
 }
@@ -229,14 +235,15 @@
 /// Lock files left behind by others do not count as a sibling process: alone, the node reports that it is out.
 #[test]
 fn stale_lock_files_are_ignored() {
-    let stale = [0, 1].map(|n| Scratch::new(&format!("mothwinch-n3.seat{n}"), "taking clients \n"));
+    let stale =
+        [0, 1].map(|n| ScratchFile::new(&format!("mothwinch-n3.seat{n}"), "taking clients \n"));
     let mut node = start_node_with_admin();
     node.terminate();
-    until("it shuts down", || node.log().contains("shutting down"));
+    wait_until("it shuts down", || node.log().contains("shutting down"));
     assert!(!node.log().contains("replaced"));
-    until("the endpoint list has the report", || {
-        node.list.heard("HB n3 OUT")
+    wait_until("the endpoint list has the report", || {
+        node.endpoint_list.has_report("HB n3 OUT")
     });
-    assert_eq!(node.exit().code(), Some(0));
+    assert_eq!(node.wait_for_exit().code(), Some(0));
     drop(stale);
 }
