--- a/crates/fleet-runtime/src/actor/spawn.rs
+++ b/crates/fleet-runtime/src/actor/spawn.rs
@@ -68,17 +68,17 @@
     let started_at = Instant::now();
     let membership = new_membership(&config, &identity, address, member.client_address);
     let budgets = BudgetSharing::new(&config, &identity, started_at, &waker);
+    let quotas = budgets
+        .as_ref()
+        .map_or_else(Vec::new, |budgets| budgets.quotas().to_vec());
+    let snapshot = MembershipSnapshot::capture(&membership);
     let (command_sender, commands) = bounded(COMMAND_CAPACITY);
     let handle = FleetHandle {
         address,
-        snapshot: Arc::new(ArcSwap::from_pointee(MembershipSnapshot::capture(
-            &membership,
-        ))),
+        snapshot: Arc::new(ArcSwap::from_pointee(snapshot)),
         commands: command_sender,
         waker,
-        quotas: budgets
-            .as_ref()
-            .map_or_else(Vec::new, |budgets| budgets.quotas().to_vec()),
+        quotas,
     };
     let actor = FleetActor {
         partition_status: membership.partition_status(),
--- a/crates/fleet-runtime/src/config/mod.rs
+++ b/crates/fleet-runtime/src/config/mod.rs
@@ -61,12 +61,18 @@
 
 impl Config {
     /// Reads a fleet file.
+    ///
+    /// # Errors
+    /// The file can't be read, or has an error.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
         let text = read_text(path)?;
         Ok(Config::parse(&path.display().to_string(), &text)?)
     }
 
     /// Parses the text of a fleet file; errors call the file `file_name`.
+    ///
+    /// # Errors
+    /// The first field that can't be used, with its line where that is known.
     pub fn parse(file_name: &str, text: &str) -> Result<Config, ConfigFileError> {
         let file: FleetFile = json5::from_str(text)
             .map_err(|error| ConfigFileError::from_json5(file_name, &error))?;
@@ -132,6 +138,7 @@
     let mut settings = Settings::default();
     if let Some(ms) = file.period_ms {
         settings.probe_interval = Duration::from_millis(ms);
+        // The proportions of the defaults.
         settings.gossip_interval = settings.probe_interval / 5;
         settings.probe_timeout = settings.probe_interval * 6 / 25;
     }
--- a/crates/fleet-runtime/src/shared_counters.rs
+++ b/crates/fleet-runtime/src/shared_counters.rs
@@ -1,5 +1,5 @@
-//! Counts of requests in flight and observations of the ledger: what this node contributes, and what the fleet as a
-//! whole has. Threads that serve requests write and read here without waiting for the fleet actor.
+//! Counts of requests in flight and observations of the ledger: what this node contributes, and the sums over
+//! the fleet. Threads that serve requests write and read here without waiting for the fleet actor.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
--- a/crates/fleet-simulation/src/aggregation/delivery.rs
+++ b/crates/fleet-simulation/src/aggregation/delivery.rs
@@ -78,7 +78,8 @@
             return;
         };
         if self.checks_estimates() {
-            let (version, names) = aggregation.own_sum();
+            let version = aggregation.own_sum_version();
+            let names = aggregation.nodes_in_own_sum();
             let contributors = names.filter_map(|name| node_named(name)).collect();
             self.sum_contributors.insert(version, contributors);
         }
--- a/crates/membership/src/member_state.rs
+++ b/crates/membership/src/member_state.rs
@@ -189,17 +189,26 @@
     pub suspected_by: u32,
 }
 
+/// Most bytes of an IPv4 address and its port in a datagram: a tag, 4 bytes, and a port of at most 3.
+const MAX_IPV4_ADDRESS_LEN: usize = 8;
+/// Most bytes of an IPv6 address and its port in a datagram: a tag, 16 bytes, and a port of at most 3.
+const MAX_IPV6_ADDRESS_LEN: usize = 20;
+/// Most bytes of the other fields of a record: two lengths, the incarnation at most 10, the version and the suspecting
+/// member at most 5 each, three tags.
+const MAX_FIXED_FIELDS_LEN: usize = 2 + 10 + 5 + 5 + 3;
+
 impl MemberRecord {
     /// An upper bound of the record's size in a datagram, in bytes.
     pub fn max_encoded_len(&self) -> usize {
-        let address_len = |address: &SocketAddr| if address.is_ipv4() { 8 } else { 20 };
-        // Two length bytes, the incarnation at most 10, the version and the suspecting member at most 5 each, three tags.
-        let fixed = 2 + 10 + 5 + 5 + 3;
+        let address_len = |address: &SocketAddr| match address {
+            SocketAddr::V4(_) => MAX_IPV4_ADDRESS_LEN,
+            SocketAddr::V6(_) => MAX_IPV6_ADDRESS_LEN,
+        };
         self.name.len()
             + self.site.len()
             + address_len(&self.address)
             + self.client_address.as_ref().map_or(0, address_len)
-            + fixed
+            + MAX_FIXED_FIELDS_LEN
     }
 
     /// Whether new requests may be sent to the member.
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -45,6 +45,13 @@
     pub max_relayed_probes: usize,
 }
 
+/// Fewest times that an update is sent, however small the fleet is.
+const MIN_TRANSMISSIONS: f64 = 2.0;
+/// Most times that an update is sent, however large the fleet is.
+const MAX_TRANSMISSIONS: f64 = 60.0;
+/// A fleet with fewer members has the suspicion timeout of one with this many.
+const MIN_SUSPICION_MEMBERS: usize = 10;
+
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
@@ -87,12 +94,13 @@
     pub(crate) fn update_transmissions(&self, member_count: usize) -> u8 {
         ((member_count.max(2) as f64).log2() * self.retransmit_multiplier)
             .ceil()
-            .clamp(2.0, 60.0) as u8
+            .clamp(MIN_TRANSMISSIONS, MAX_TRANSMISSIONS) as u8
     }
 
     /// The shortest suspicion timeout in a fleet of this size.
     pub(crate) fn min_suspicion_timeout(&self, member_count: usize) -> Duration {
-        self.probe_interval
-            .mul_f64(self.suspicion_multiplier * (member_count.max(10) as f64).log10())
+        self.probe_interval.mul_f64(
+            self.suspicion_multiplier * (member_count.max(MIN_SUSPICION_MEMBERS) as f64).log10(),
+        )
     }
 }
--- a/crates/membership/src/view/anti_entropy.rs
+++ b/crates/membership/src/view/anti_entropy.rs
@@ -16,7 +16,7 @@
 /// How many comparisons are answered in a window: a sender that exceeds this is not a member of ours.
 const MAX_REPLIES_PER_WINDOW: u32 = 64;
 /// Steps of the random part of a wait.
-pub(super) const JITTER_STEPS: usize = 256;
+const JITTER_STEPS: usize = 256;
 
 /// Limits how many comparisons are answered.
 #[derive(Clone, Copy, Debug)]
@@ -43,6 +43,11 @@
     }
 }
 
+/// A random fraction of a wait, from 0 to a half, which keeps nodes that started together from acting together.
+pub(super) fn random_jitter(random: RandomIndex) -> f64 {
+    random(JITTER_STEPS) as f64 / (2 * JITTER_STEPS) as f64
+}
+
 impl MembershipView {
     /// Begins a comparison with another member.
     pub(super) fn begin_comparison(
@@ -57,7 +62,7 @@
             return;
         }
         let wait = interval.min(MAX_COMPARISON_WAIT);
-        let jitter = wait.mul_f64(random(JITTER_STEPS) as f64 / 512.0);
+        let jitter = wait.mul_f64(random_jitter(random));
         self.next_comparison_at = now + wait + jitter;
         self.has_learned_since_comparison = false;
         self.send_checksums(to, false, effects);
--- a/crates/membership/src/view/packets.rs
+++ b/crates/membership/src/view/packets.rs
@@ -19,7 +19,8 @@
 }
 
 impl MembershipView {
-    /// Processes a datagram that came from this address.
+    /// Processes a datagram that came from `source`: merges its sender's record and the piggybacked updates, then handles the
+    /// message itself. What is to be done is added to `effects`.
     pub fn handle_packet(
         &mut self,
         packet: Packet,
@@ -37,12 +38,12 @@
         let mut is_sender_current = true;
         if let Some(sender) = &sender {
             if self.is_own_record(sender) {
-                // Our own datagram, sent back.
+                // This node's own datagram, sent back.
                 return;
             }
             is_sender_current = self.merge_sender(sender, now, effects);
         }
-        // A page holds what the other has known for a while: what is new to us need not be spread in the fleet.
+        // A page of anti-entropy holds what its sender has known for a while: it is not disseminated again.
         let is_page = matches!(body, Body::RecordPage);
         for update in &updates {
             if update.name == self.own.name {
@@ -96,6 +97,8 @@
         known.is_present() && is_same_incarnation
     }
 
+    /// Handles the message of a datagram. Application messages are handled by the caller; a ping for another member and a
+    /// reply to a query need nothing here.
     fn handle_body(
         &mut self,
         body: Body,
--- a/crates/membership/src/view/reconnect.rs
+++ b/crates/membership/src/view/reconnect.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::anti_entropy::JITTER_STEPS;
+use super::anti_entropy::random_jitter;
 use super::{Effect, MembershipView};
 use crate::packet::Body;
 use crate::RandomIndex;
@@ -13,6 +13,8 @@
 const MAX_WAIT_WHILE_ALONE: Duration = Duration::from_millis(500);
 /// Upper bound of the time between two attempts.
 const MAX_WAIT: Duration = Duration::from_secs(3600);
+/// The least fraction of the wait that passes between two attempts; the jitter comes on top.
+const MIN_WAIT_FRACTION: f64 = 0.75;
 
 impl MembershipView {
     /// Forgets old tombstones, then pings one dead member and contacts one seed that is not a member.
@@ -34,8 +36,8 @@
         } else {
             self.settings.reconnect_interval.min(MAX_WAIT)
         };
-        let jitter = random(JITTER_STEPS) as f64 / 512.0;
-        self.next_reconnect_at = now + wait.mul_f64(0.75 + jitter);
+        // From three quarters of the wait to one and a quarter: the wait itself on average.
+        self.next_reconnect_at = now + wait.mul_f64(MIN_WAIT_FRACTION + random_jitter(random));
         if self.settings.reconnect_interval == Duration::MAX && self.has_met_others {
             return;
         }
--- a/crates/shared-state/src/aggregation/node.rs
+++ b/crates/shared-state/src/aggregation/node.rs
@@ -101,12 +101,14 @@
         self.sessions.iter().map(ReportingSession::aggregator)
     }
 
-    /// The sum of the reports received here, and the nodes whose counts are in it with a known age.
-    pub fn own_sum(&self) -> (SumVersion, impl Iterator<Item = &Name>) {
-        (
-            self.aggregator.sum_version(),
-            self.aggregator.covered_nodes(),
-        )
+    /// The version of the sum of the reports received here.
+    pub fn own_sum_version(&self) -> SumVersion {
+        self.aggregator.sum_version()
+    }
+
+    /// The nodes whose counts are in the sum of the reports received here, with a known age.
+    pub fn nodes_in_own_sum(&self) -> impl Iterator<Item = &Name> {
+        self.aggregator.covered_nodes()
     }
 
     /// A copy of what this node knows, for tools. The caller has the health of the shared database and the calls of it.
--- a/crates/shared-state/src/aggregation/reporter.rs
+++ b/crates/shared-state/src/aggregation/reporter.rs
@@ -146,7 +146,22 @@
             stamp: reply.stamp,
             received_at: now,
         });
+        self.held = own
+            .clone()
+            .map_or_else(HeldReport::default, |counters| HeldReport {
+                seq: reply.held_seq,
+                counters,
+            });
+        let held_seq = self.held.seq;
+        self.unanswered.retain(|sent| sent.seq > held_seq);
         let oldest_age = Duration::from_millis(u64::from(reply.coverage.oldest_age_ms));
+        let as_of = sent_at.saturating_sub(settings.upper_bound(oldest_age));
+        self.replace_sum(reply, own.unwrap_or_default(), as_of);
+        true
+    }
+
+    /// Replaces the sum by that of a reply, which holds all of it or what has changed since the sum held here.
+    fn replace_sum(&mut self, reply: AggregateReply, own: SketchCounters, as_of: Duration) {
         let mut counters = if reply.base_version == 0 {
             SketchCounters::default()
         } else {
@@ -159,19 +174,12 @@
                 version: reply.version,
             },
             counters,
-            own: own.clone().unwrap_or_default(),
-            as_of: sent_at.saturating_sub(settings.upper_bound(oldest_age)),
+            own,
+            as_of,
             covered_nodes: reply.coverage.nodes,
             present_nodes: reply.present_nodes,
             tallies: reply.tallies,
         };
-        self.held = own.map_or_else(HeldReport::default, |counters| HeldReport {
-            seq: reply.held_seq,
-            counters,
-        });
-        let held_seq = self.held.seq;
-        self.unanswered.retain(|sent| sent.seq > held_seq);
-        true
     }
 
     /// Whether a reply is newer than the sum held here, and is based on it or complete.
--- a/crates/shared-state/src/aggregation/settings.rs
+++ b/crates/shared-state/src/aggregation/settings.rs
@@ -17,6 +17,11 @@
     pub max_drift_ppm: u32,
 }
 
+/// Parts per million in a whole.
+const PPM: u32 = 1_000_000;
+/// Report intervals after which a report is too old: one more than the reports in a row that may be lost.
+const MAX_AGE_INTERVALS: u32 = 5;
+
 impl Default for ReportingSettings {
     fn default() -> ReportingSettings {
         ReportingSettings {
@@ -38,16 +43,17 @@
 
     /// Age past which reports and sums are not used in a fleet of this size: four reports in a row may be lost.
     pub fn max_age(&self, members: usize) -> Duration {
-        self.base_max_age.max(self.interval(members) * 5)
+        self.base_max_age
+            .max(self.interval(members) * MAX_AGE_INTERVALS)
     }
 
     /// The longest that one clock shows while another shows `time`.
     pub(super) fn upper_bound(&self, time: Duration) -> Duration {
-        time + time * self.max_drift_ppm / 1_000_000
+        time + time * self.max_drift_ppm / PPM
     }
 
     /// The shortest that one clock shows while another shows `time`.
     pub(super) fn lower_bound(&self, time: Duration) -> Duration {
-        time - time * self.max_drift_ppm / 1_000_000
+        time - time * self.max_drift_ppm / PPM
     }
 }
--- a/crates/shared-state/src/budgets/mod.rs
+++ b/crates/shared-state/src/budgets/mod.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Another process of this node runs: it has the guaranteed quotas, and the node's vote. Two processes that voted under
+    /// Leaves the guaranteed quotas and the node's vote to another process of this node. Two processes that voted under
     /// one name, each by its own memory, could make two majorities.
     pub fn yield_to_sibling(&mut self) {
         self.election.abstain_until(Duration::MAX);
@@ -119,7 +119,8 @@
         }
     }
 
-    /// The other process has ended: its calls have after the longest call, and its votes expire after one leadership.
+    /// The other process of this node has ended. Its calls have ended after the longest call, and its votes have expired after
+    /// one leadership; from then on this process has the guaranteed quotas and the vote.
     pub fn resume_after_sibling(&mut self, now: Duration) {
         let leadership = self.timings.upper_bound(self.timings.leadership_duration);
         self.election.abstain_until(now + leadership);
--- a/crates/shared-state/src/election.rs
+++ b/crates/shared-state/src/election.rs
@@ -10,6 +10,11 @@
 use crate::budgets::Outgoing;
 use crate::LeaseTimings;
 
+/// How often a leader renews its leadership within the duration of one: a renewal may be lost without a change of leader.
+const RENEWALS_PER_LEADERSHIP: u32 = 3;
+/// The least time between two candidacies of a voter, as a fraction of the renewal interval; the random draw comes on top.
+const MIN_CANDIDACY_WAIT: f64 = 0.5;
+
 /// Number of a candidacy. Each voter numbers its own, so no two are equal.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
@@ -81,7 +86,7 @@
     pub term: Term,
 }
 
-/// A leader that another node spoke for or of.
+/// A leader that this node learned of from a message of the leader or of another node.
 #[derive(Clone, Debug)]
 struct ObservedLeader {
     name: Name,
@@ -95,7 +100,9 @@
     timings: LeaseTimings,
     name: Name,
     voters: Vec<Name>,
+    /// Until then it neither votes nor becomes a candidate.
     abstains_until: Duration,
+    /// The highest term that it has promised.
     promised: Term,
     accepted: Option<AcceptedLease>,
     candidacy: Option<Candidacy>,
@@ -190,12 +197,12 @@
         if !is_leader {
             self.leadership = None;
         }
-        let renewal_interval = self.timings.leadership_duration / 3;
+        let renewal_interval = self.timings.leadership_duration / RENEWALS_PER_LEADERSHIP;
         self.next_candidacy_at = now
             + if is_leader {
                 renewal_interval
             } else {
-                renewal_interval.mul_f64(0.5 + draw)
+                renewal_interval.mul_f64(MIN_CANDIDACY_WAIT + draw)
             };
         if !is_leader && self.leader(now).is_some() {
             // Another node leads. This is checked again until that one has been silent for long enough.
--- a/crates/shared-state/src/lease_timings.rs
+++ b/crates/shared-state/src/lease_timings.rs
@@ -2,6 +2,9 @@
 
 use std::time::Duration;
 
+/// Parts per million in a whole.
+const PPM: u32 = 1_000_000;
+
 /// Timings of quota leases and of leadership. They must be equal on all nodes of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTimings {
@@ -36,8 +39,8 @@
 impl LeaseTimings {
     /// The longest this node's clock can show while another node's clock shows `time`.
     pub(crate) fn upper_bound(&self, time: Duration) -> Duration {
-        let slowest_rate = 1_000_000u32.saturating_sub(self.max_drift_ppm).max(1);
-        let fastest_rate = 1_000_000 + self.max_drift_ppm;
+        let slowest_rate = PPM.saturating_sub(self.max_drift_ppm).max(1);
+        let fastest_rate = PPM + self.max_drift_ppm;
         time * fastest_rate / slowest_rate
     }
 
--- a/src/run_loop.rs
+++ b/src/run_loop.rs
@@ -1,4 +1,4 @@
-//! The main thread of a node: serves until it is told to shut down, then drains what is open and ends.
+//! The main thread of a node: serves until the signal to shut down, then drains what is open and ends.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -20,6 +20,10 @@
 use crate::signals::Signals;
 use crate::startup::StartError;
 
+/// The process ends a fourth of the stop margin before the platform kills it. The policy answers everything by the whole
+/// margin before that, so that three fourths are left to write the last answers.
+const EXIT_MARGIN_DIVISOR: u32 = 4;
+
 /// A node whose actors run.
 pub(crate) struct Node {
     pub(crate) config: Config,
@@ -38,14 +42,22 @@
 
 /// Why the node stopped serving.
 enum ServeEnd {
-    /// It was told to shut down.
+    /// The signal to shut down has arrived.
     ShutDown,
     /// The policy's thread ended.
     PolicyEnded,
 }
 
+/// A shutdown that has begun.
+struct Shutdown {
+    /// Another process of the node accepts clients.
+    is_replaced: bool,
+    /// Time from the beginning until the platform kills the process.
+    time_left: Duration,
+}
+
 impl Node {
-    /// Serves until the node is told to shut down and everything is answered, or the time for that is over.
+    /// Serves until the signal to shut down has arrived and everything is answered, or the time for that is over.
     pub(crate) fn run(mut self) -> Result<ExitCode, StartError> {
         let mut poll = self.next_poll();
         match self.serve(&mut poll)? {
@@ -156,8 +168,11 @@
     /// Drains the node: what is open is answered, as far as time allows.
     fn shut_down(&mut self, poll: &mut Receiver<Instant>) -> ExitCode {
         let began_at = Instant::now();
-        let (is_replaced, time_left) = self.begin_shutdown();
-        let deadline = time_left.saturating_sub(self.limits.stop_margin / 4);
+        let Shutdown {
+            is_replaced,
+            time_left,
+        } = self.begin_shutdown();
+        let deadline = time_left.saturating_sub(self.limits.stop_margin / EXIT_MARGIN_DIVISOR);
         let mut is_closed = is_replaced;
         loop {
             let is_idle = self.is_idle();
@@ -185,8 +200,8 @@
         }
     }
 
-    /// Notifies all actors of the shutdown. Whether another process has taken over, and how long this one has left.
-    fn begin_shutdown(&mut self) -> (bool, Duration) {
+    /// Notifies all actors of the shutdown.
+    fn begin_shutdown(&mut self) -> Shutdown {
         let sibling = self.instance_lock.sibling();
         let is_replaced = sibling == SiblingProcess::AcceptingClients;
         let _ = self.status.apply_transition(sibling.shutdown_transition());
@@ -197,7 +212,7 @@
                 "unanswered" => self.status.unanswered());
             (time_left, PolicyMessage::Replaced(time_left))
         } else {
-            // The fleet is not notified where the node goes on in another process.
+            // Where another process of the node takes over, the member stays in the fleet and nothing is advertised.
             self.member.advertise_state(self.status.process_state());
             (self.config.shutdown_timeout, PolicyMessage::ShutDown)
         };
@@ -209,7 +224,10 @@
         }
         self.actors.json_rpc.say_goodbye();
         self.actors.amqp.begin_shutdown();
-        (is_replaced, time_left)
+        Shutdown {
+            is_replaced,
+            time_left,
+        }
     }
 
     /// How long after the notice to shut down requests are still accepted.
