--- a/src/amqp/consumer/settlement.rs
+++ b/src/amqp/consumer/settlement.rs
@@ -206,7 +206,7 @@
             delivery_tag: tag,
             multiple: false,
         };
-        self.settle(tag, Basic::Ack(ack), effects);
+        self.send_settlement(tag, Basic::Ack(ack), effects);
     }
 
     /// Requeues a delivery or dead-letters it.
@@ -223,11 +223,11 @@
                 requeue,
             })
         };
-        self.settle(tag, method, effects);
+        self.send_settlement(tag, method, effects);
     }
 
     /// Sends the settlement of a delivery, unless it is settled.
-    fn settle(&mut self, tag: u64, method: Basic, effects: &mut Vec<ConsumerEffect>) {
+    fn send_settlement(&mut self, tag: u64, method: Basic, effects: &mut Vec<ConsumerEffect>) {
         if self.unsettled.remove(&tag).is_some() {
             self.send_basic(method, effects);
             self.close_if_settled(effects);
