--- a/crates/fault-testbed/src/links.rs
+++ b/crates/fault-testbed/src/links.rs
@@ -1,5 +1,5 @@
-//! The links between processes, one for each directed pair, and what each does to what goes over it. Nothing here acts or
-//! reads a clock; each link draws from a stream of its own, so that a fault on one does not shift another's.
+//! The links between processes, one for each directed pair, and what each does to the traffic over it. Nothing here acts or
+//! reads a clock; each link draws from a random stream of its own, so that a fault on one does not change another's draws.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,68 +8,66 @@
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What a link does.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Link {
-    /// Part of the datagrams that is lost.
+/// The faults of a link. The default has none.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct LinkFaults {
+    /// The fraction of datagrams that is lost.
     pub loss: f64,
-    /// Part of them that comes twice.
-    pub double: f64,
-    /// Part of them of which one byte is changed on the way.
-    pub garble: f64,
-    /// Time on the way, drawn evenly between these: datagrams overtake each other, bytes of a stream don't.
+    /// The fraction of datagrams that arrives twice.
+    pub duplication: f64,
+    /// The fraction of datagrams of which one byte is changed on the way.
+    pub corruption: f64,
+    /// The shortest and the longest time on the way, drawn uniformly between them: datagrams overtake each other, bytes of a
+    /// stream do not.
     pub delay: (Duration, Duration),
-    /// Nothing comes through, and nobody is told: datagrams are lost, streams stall.
-    pub silent: bool,
+    /// Nothing passes, and no end is notified: datagrams are lost, streams stall.
+    pub is_blocked: bool,
     /// Streams stall, datagrams pass.
-    pub stalled: bool,
+    pub stalls_streams: bool,
 }
 
-impl Default for Link {
-    fn default() -> Link {
-        Link {
-            loss: 0.0,
-            double: 0.0,
-            garble: 0.0,
-            delay: (Duration::ZERO, Duration::ZERO),
-            silent: false,
-            stalled: false,
-        }
-    }
+/// One copy of a datagram that arrives.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DatagramCopy {
+    /// The time on the way.
+    pub delay: Duration,
+    /// The change of one byte, if any.
+    pub corruption: Option<Corruption>,
 }
 
-/// One copy of a datagram that comes through.
+/// The change of one byte of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Copy {
-    /// After so long.
-    pub after: Duration,
-    /// With the byte at this place, counted around, changed by this.
-    pub garbled: Option<(usize, u8)>,
+pub struct Corruption {
+    /// The position of the byte, modulo the datagram's length.
+    pub position: usize,
+    /// The bits that are flipped; not 0.
+    pub mask: u8,
 }
 
-/// What becomes of bytes of a stream.
+/// What happens to the next bytes of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stream {
-    /// They go on after so long.
-    Pass(Duration),
+pub enum StreamAction {
+    /// They are forwarded after this time.
+    Forward(Duration),
     /// They wait; ask again.
     Stall,
-    /// The stream is cut.
-    Cut,
+    /// The stream is closed.
+    Close,
 }
 
-struct State {
-    link: Link,
+struct LinkState {
+    faults: LinkFaults,
     rng: ChaCha8Rng,
-    /// Streams that began before this many cuts are cut.
+    /// How often the streams of this link were cut; streams that were opened before the last cut are closed.
     cuts: u64,
 }
 
-/// All links of a rig.
+/// All links of a testbed.
 pub struct Links {
     seed: u64,
-    usual: Link,
-    links: BTreeMap<(String, String), State>,
+    /// The faults of links that have no state yet.
+    default_faults: LinkFaults,
+    states: BTreeMap<(String, String), LinkState>,
 }
 
 impl Links {
@@ -77,84 +75,99 @@
     pub fn new(seed: u64) -> Links {
         Links {
             seed,
-            usual: Link::default(),
-            links: BTreeMap::new(),
+            default_faults: LinkFaults::default(),
+            states: BTreeMap::new(),
         }
     }
-    fn state(&mut self, from: &str, to: &str) -> &mut State {
-        let (seed, usual) = (self.seed, &self.usual);
-        self.links
+
+    fn state(&mut self, from: &str, to: &str) -> &mut LinkState {
+        let (seed, default_faults) = (self.seed, &self.default_faults);
+        self.states
             .entry((from.into(), to.into()))
             .or_insert_with(|| {
-                let own = xxh3_64_with_seed(format!("{from}\n{to}").as_bytes(), seed);
-                State {
-                    link: usual.clone(),
-                    rng: ChaCha8Rng::seed_from_u64(own),
+                let link_seed = xxh3_64_with_seed(format!("{from}\n{to}").as_bytes(), seed);
+                LinkState {
+                    faults: default_faults.clone(),
+                    rng: ChaCha8Rng::seed_from_u64(link_seed),
                     cuts: 0,
                 }
             })
     }
-    /// Changes one link.
-    pub fn change(&mut self, from: &str, to: &str, change: impl FnOnce(&mut Link)) {
-        change(&mut self.state(from, to).link);
+
+    /// Changes the faults of one link.
+    pub fn change_link(&mut self, from: &str, to: &str, change: impl FnOnce(&mut LinkFaults)) {
+        change(&mut self.state(from, to).faults);
     }
-    /// Changes all links, those to come as well.
-    pub fn change_all(&mut self, change: impl Fn(&mut Link)) {
-        change(&mut self.usual);
-        self.links.values_mut().for_each(|s| change(&mut s.link));
+
+    /// Changes the faults of all links, also of those that are not used yet.
+    pub fn change_all(&mut self, change: impl Fn(&mut LinkFaults)) {
+        change(&mut self.default_faults);
+        for state in self.states.values_mut() {
+            change(&mut state.faults);
+        }
     }
-    /// Cuts the streams that are open over a link; later ones pass.
-    pub fn cut(&mut self, from: &str, to: &str) {
+
+    /// Closes the streams that are open over a link; later ones pass.
+    pub fn cut_streams(&mut self, from: &str, to: &str) {
         self.state(from, to).cuts += 1;
     }
-    /// Whether anything comes through from one to another.
-    pub fn passes(&self, from: &str, to: &str) -> bool {
-        !self
-            .links
-            .get(&(from.to_string(), to.to_string()))
-            .map_or(&self.usual, |s| &s.link)
-            .silent
+
+    /// Whether anything passes over a link.
+    pub fn is_open(&self, from: &str, to: &str) -> bool {
+        let state = self.states.get(&(from.to_string(), to.to_string()));
+        let faults = state.map_or(&self.default_faults, |state| &state.faults);
+        !faults.is_blocked
     }
 
-    /// The copies of a datagram that come through.
-    pub fn datagram(&mut self, from: &str, to: &str) -> Vec<Copy> {
-        let State { link, rng, .. } = self.state(from, to);
-        // Drawn whether they are used or not: what a link does next does not hang on what it did to this one.
-        let (lost, doubled) = (
-            rng.random::<f64>() < link.loss,
-            rng.random::<f64>() < link.double,
-        );
-        let mut copy = || {
-            let (least, most) = link.delay;
-            let after = least + most.saturating_sub(least).mul_f64(rng.random::<f64>());
-            let place = (rng.random::<u32>() as usize, rng.random_range(1..=u8::MAX));
-            Copy {
-                after,
-                garbled: (rng.random::<f64>() < link.garble).then_some(place),
-            }
-        };
-        let copies = [copy(), copy()];
-        match (lost || link.silent, doubled) {
-            (true, _) => vec![],
-            (false, false) => vec![copies[0]],
-            (false, true) => copies.to_vec(),
+    /// Returns the copies of a datagram that arrive.
+    pub fn transmit_datagram(&mut self, from: &str, to: &str) -> Vec<DatagramCopy> {
+        let LinkState { faults, rng, .. } = self.state(from, to);
+        // All is drawn whether it is used or not: the next draws of a link do not depend on the faults of this datagram.
+        let is_lost = rng.random::<f64>() < faults.loss;
+        let is_duplicated = rng.random::<f64>() < faults.duplication;
+        let copies = [draw_copy(faults, rng), draw_copy(faults, rng)];
+        if is_lost || faults.is_blocked {
+            return vec![];
+        }
+        if is_duplicated {
+            copies.to_vec()
+        } else {
+            vec![copies[0]]
         }
     }
 
-    /// The number of cuts so far, kept by a stream that begins.
-    pub fn begin(&mut self, from: &str, to: &str) -> u64 {
+    /// Opens a stream, and returns the number of cuts so far, which [`Links::transmit_bytes`] needs.
+    pub fn open_stream(&mut self, from: &str, to: &str) -> u64 {
         self.state(from, to).cuts
     }
-    /// What becomes of the next bytes of a stream that began after so many cuts.
-    pub fn stream(&mut self, from: &str, to: &str, began: u64) -> Stream {
-        let State { link, rng, cuts } = self.state(from, to);
-        if *cuts > began {
-            return Stream::Cut;
+
+    /// What happens to the next bytes of a stream that was opened after `cuts_at_open` cuts.
+    pub fn transmit_bytes(&mut self, from: &str, to: &str, cuts_at_open: u64) -> StreamAction {
+        let LinkState { faults, rng, cuts } = self.state(from, to);
+        if *cuts > cuts_at_open {
+            return StreamAction::Close;
         }
-        if link.silent || link.stalled {
-            return Stream::Stall;
+        if faults.is_blocked || faults.stalls_streams {
+            return StreamAction::Stall;
         }
-        let (least, most) = link.delay;
-        Stream::Pass(least + most.saturating_sub(least).mul_f64(rng.random::<f64>()))
+        StreamAction::Forward(draw_delay(faults, rng))
+    }
+}
+
+fn draw_delay(faults: &LinkFaults, rng: &mut ChaCha8Rng) -> Duration {
+    let (min, max) = faults.delay;
+    min + max.saturating_sub(min).mul_f64(rng.random::<f64>())
+}
+
+fn draw_copy(faults: &LinkFaults, rng: &mut ChaCha8Rng) -> DatagramCopy {
+    let delay = draw_delay(faults, rng);
+    let corruption = Corruption {
+        position: rng.random::<u32>() as usize,
+        mask: rng.random_range(1..=u8::MAX),
+    };
+    let is_corrupted = rng.random::<f64>() < faults.corruption;
+    DatagramCopy {
+        delay,
+        corruption: is_corrupted.then_some(corruption),
     }
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -42,7 +42,7 @@
         file: PathBuf,
     },
     /// Run a router and a few nodes with test doubles on loopback, and print how they see each other.
-    Demo(fault_testbed::demo::Demo),
+    Demo(fault_testbed::demo::DemoOptions),
     /// Forward requests to the nodes of each tenant's cell. SIGHUP reloads the file of cells.
     Route {
         /// The router's file, in JSON5.
--- a/src/main.rs
+++ b/src/main.rs
@@ -44,8 +44,8 @@
         Command::Cells(command) => print!("{}", cells_cli::run(command)?),
         Command::Fleet(command) => print!("{}", fleet_cli::run(command)?),
         Command::Faults { file } => {
-            let script = fault_testbed::script::Script::read(file)?;
-            script.play(true)?;
+            let scenario = fault_testbed::scenario::Scenario::read(file)?;
+            scenario.run(true)?;
         }
         Command::Demo(demo) => run_demo(demo)?,
         Command::Route { file } => route::run_router(file)?,
@@ -53,7 +53,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn run_demo(demo: &fault_testbed::demo::Demo) -> Result<(), Box<dyn Error>> {
+fn run_demo(demo: &fault_testbed::demo::DemoOptions) -> Result<(), Box<dyn Error>> {
     let limits = Limits::new(COMMAND_DESCRIPTORS);
     let signals = Signals::listen(limits.stack_bytes)?;
     let is_stopped = || signals.shut_down.try_recv().is_ok();
