--- a/tests/common/golden.rs
+++ b/tests/common/golden.rs
@@ -26,7 +26,7 @@
 }
 
 /// The file name of a program.
-pub(crate) fn name_of(program: &str) -> &str {
+pub(crate) fn program_name(program: &str) -> &str {
     Path::new(program)
         .file_name()
         .and_then(|name| name.to_str())
@@ -40,7 +40,7 @@
     serde_json::from_str(&text).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
-/// A temporary folder that goes with the value.
+/// A temporary folder that is removed with the value.
 pub(crate) struct Folder(pub PathBuf);
 
 impl Folder {
@@ -63,19 +63,23 @@
     }
 }
 
-/// How a run of the program ended.
+/// The exit code and the output of a run of the program.
 #[derive(Debug, PartialEq)]
-pub(crate) struct Ended {
+pub(crate) struct ProgramOutcome {
     pub code: Option<i32>,
     pub out: String,
     pub err: String,
 }
 
-/// The longest that a run may take: a node that starts where an error was due is killed, and its run has no exit code.
-const LONGEST: Duration = Duration::from_secs(20);
+/// The longest that a run may take: a node that starts where an error is expected is killed, and has no exit code.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs the program in a folder and without variables of its own but these; the program's name reads `PROGRAM` afterwards.
-pub(crate) fn run(folder: &Path, args: &[String], env: &BTreeMap<String, String>) -> Ended {
+pub(crate) fn run(
+    folder: &Path,
+    args: &[String],
+    env: &BTreeMap<String, String>,
+) -> ProgramOutcome {
     let mut command = Command::new(PROGRAM);
     command.args(args).current_dir(folder).stdin(Stdio::null());
     command
@@ -88,41 +92,41 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program starts");
-    let (tell, closed) = channel();
-    let out = read(child.stdout.take().expect("a pipe"), tell.clone());
-    let err = read(child.stderr.take().expect("a pipe"), tell);
-    if (0..2).any(|_| closed.recv_timeout(LONGEST).is_err()) {
+    let (done, closed) = channel();
+    let out = read(child.stdout.take().expect("a pipe"), done.clone());
+    let err = read(child.stderr.take().expect("a pipe"), done);
+    if (0..2).any(|_| closed.recv_timeout(TIMEOUT).is_err()) {
         child.kill().expect("it is killed");
     }
     let code = child.wait().expect("it ends").code();
     let text = |bytes: Vec<u8>| {
         let text = String::from_utf8(bytes).expect("text");
         let own = |text: &str| {
-            text.strip_prefix(name_of(PROGRAM))
+            text.strip_prefix(program_name(PROGRAM))
                 .map(|rest| format!("PROGRAM{rest}"))
         };
         own(&text).unwrap_or(text)
     };
     let all = |reader: JoinHandle<Vec<u8>>| text(reader.join().expect("a reader"));
-    Ended {
+    ProgramOutcome {
         code,
         out: all(out),
         err: all(err),
     }
 }
 
-/// Reads a stream to its end in a thread, and tells when it is there.
-fn read(mut from: impl Read + Send + 'static, tell: Sender<()>) -> JoinHandle<Vec<u8>> {
+/// Reads a stream to its end in a thread, and sends a message then.
+fn read(mut from: impl Read + Send + 'static, done: Sender<()>) -> JoinHandle<Vec<u8>> {
     spawn(move || {
         let mut bytes = Vec::new();
         let _ = from.read_to_end(&mut bytes);
-        let _ = tell.send(());
+        let _ = done.send(());
         bytes
     })
 }
 
-/// Files that a command accepts, and changes to one of them that it doesn't. `TAKEN` stands for an address that is in use,
-/// `ROOT` for the repository.
+/// Files that a command accepts, and changes to one of them that it doesn't. `TAKEN` is replaced by an address that
+/// is in use, `ROOT` by the repository.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Group {
@@ -150,8 +154,8 @@
     pub error: String,
 }
 
-/// Whether the program failed with this one line and nothing else. `...` stands for words that are not frozen.
-fn failed_with(ended: &Ended, want: &str) -> bool {
+/// Whether the program failed with this one line and nothing else. `...` matches words that are not frozen.
+fn failed_with(ended: &ProgramOutcome, want: &str) -> bool {
     let Some(line) = ended
         .err
         .strip_suffix('\n')
@@ -169,12 +173,12 @@
 }
 
 impl Group {
-    /// Runs the files as they are and each change; tells what differs.
+    /// Runs the files as they are and with each change; returns what differs.
     pub(crate) fn check(&self) -> Vec<String> {
-        let taken = TcpListener::bind("127.0.0.1:0").expect("loopback");
-        let at = taken.local_addr().expect("bound").to_string();
+        let socket = TcpListener::bind("127.0.0.1:0").expect("loopback");
+        let address_in_use = socket.local_addr().expect("bound").to_string();
         let real = |text: &str| {
-            text.replace("TAKEN", &at)
+            text.replace("TAKEN", &address_in_use)
                 .replace("ROOT", &root().display().to_string())
         };
         let args: Vec<String> = self.args.iter().map(|a| real(a)).collect();
@@ -197,7 +201,7 @@
         };
         let mut differ = Vec::new();
         let found = ended(None);
-        let nothing = Ended {
+        let nothing = ProgramOutcome {
             code: Some(0),
             out: String::new(),
             err: String::new(),
--- a/tests/golden_amqp.rs
+++ b/tests/golden_amqp.rs
@@ -17,7 +17,7 @@
     let node = Node::start_with(Some(&broker.inventory(8)), |config| {
         config["settings"]["specifics"]["say"] = "off".into();
     });
-    wait_until("it consumes", || broker.with(|seen| seen.consumers) == 2);
+    wait_until("it consumes", || broker.with(|state| state.consumers) == 2);
     (broker, node)
 }
 
@@ -29,10 +29,11 @@
         .join("tests/golden/wire/amqp")
         .join(name);
     let want = std::fs::read_to_string(path).expect("a golden file");
-    let got = broker.with(|seen| {
-        assert_eq!(seen.violations, Vec::<String>::new());
+    let got = broker.with(|state| {
+        assert_eq!(state.violations, Vec::<String>::new());
         let ready = |queue: &str| {
-            seen.ready
+            state
+                .ready
                 .get(queue)
                 .into_iter()
                 .flatten()
@@ -40,8 +41,8 @@
                 .collect::<Vec<_>>()
         };
         let places = [
-            ("reply", seen.replies.clone()),
-            ("dead", seen.dead.clone()),
+            ("reply", state.replies.clone()),
+            ("dead", state.dead.clone()),
             (READS, ready(READS)),
             (POSTS, ready(POSTS)),
         ];
@@ -52,7 +53,7 @@
         });
         let mut lines: Vec<String> = lines.collect();
         lines.sort();
-        lines.concat() + &format!("acked: {}\n", seen.acked)
+        lines.concat() + &format!("acked: {}\n", state.acked)
     });
     assert_eq!(got, want, "got:\n{got}");
 }
@@ -93,7 +94,7 @@
     let (broker, mut node) = start();
     let answered = |count: usize| {
         wait_until("all are answered", || {
-            broker.with(|seen| seen.acked + seen.dead.len()) == count
+            broker.with(|state| state.acked + state.dead.len()) == count
         });
     };
     for (queue, name) in [(READS, "read"), (POSTS, "post")] {
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn what_never_ran_is_refused_with_a_time_to_stay_away() {
+fn rejected_messages_get_a_retry_after() {
     let broker = FakeBroker::start();
     // A tenant of another cell is refused on whatever comes.
     let cells = ScratchFile::new(
@@ -126,12 +127,14 @@
     });
     broker.publish(READS, Message::new("serve:read"));
     broker.publish(POSTS, Message::new("serve:post"));
-    wait_until("both are answered", || broker.with(|seen| seen.acked) == 2);
+    wait_until("both are answered", || {
+        broker.with(|state| state.acked) == 2
+    });
     check(&broker, &mut node, "refused.txt");
 }
 
 #[test]
-fn what_is_malformed_or_unheard_is_rejected_without_an_answer() {
+fn malformed_messages_and_failures_without_a_reply_queue_are_rejected() {
     let (broker, mut node) = start();
     broker.publish(
         POSTS,
@@ -150,25 +153,27 @@
     broker.publish(READS, Message::without_reply("fail"));
     broker.publish(READS, Message::without_reply("serve"));
     wait_until("all are settled", || {
-        broker.with(|seen| seen.acked + seen.dead.len()) == 4
+        broker.with(|state| state.acked + state.dead.len()) == 4
     });
     check(&broker, &mut node, "rejected.txt");
 }
 
 #[test]
-fn what_comes_while_leaving_is_handed_back_with_its_marks() {
+fn messages_during_shutdown_are_handed_back_with_their_marks() {
     let (broker, mut node) = start();
-    broker.with(|seen| {
+    broker.with(|state| {
         let mut again = Message::new("serve:again");
         let mut headers = amq_protocol::types::FieldTable::default();
         headers.insert("x-mothwinch-handed-back".into(), AMQPValue::LongLongInt(4));
         headers.insert("x-mothwinch-copy".into(), AMQPValue::LongLongInt(9));
         headers.insert("trace".into(), AMQPValue::LongLongInt(7));
         again.properties = again.properties.with_headers(headers);
-        seen.push_on_cancel
+        state
+            .push_on_cancel
             .push((POSTS.into(), Message::new("serve:post")));
-        seen.push_on_cancel.push((POSTS.into(), again));
-        seen.push_on_cancel
+        state.push_on_cancel.push((POSTS.into(), again));
+        state
+            .push_on_cancel
             .push((READS.into(), Message::new("serve:read")));
     });
     check(&broker, &mut node, "handed_back.txt");
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn states_and_conclusions_have_their_names_in_the_json() {
+fn states_and_partition_statuses_have_their_names_in_the_json() {
     let state = |said, standing| {
         let member_state = MemberState {
             incarnation: 1,
--- a/tests/golden_config.rs
+++ b/tests/golden_config.rs
@@ -10,12 +10,12 @@
 use test_doubles::{node_command, wait_until, FakePeers, Node, ScratchFile};
 
 #[test]
-fn each_key_of_the_configuration_is_read_and_each_fault_is_one_line() {
+fn each_key_of_the_configuration_is_read_and_each_error_is_one_line() {
     check_groups("config.json");
 }
 
 #[test]
-fn each_variable_of_the_inventory_is_read_and_each_fault_names_line_and_field() {
+fn each_variable_of_the_inventory_is_read_and_each_error_names_line_and_field() {
     check_groups("inventory.json");
 }
 
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -7,32 +7,34 @@
 use std::collections::BTreeMap;
 
 use fault_testbed::script::Script;
-use golden::{check_groups, data, name_of, root, run, Ended, Folder, ADAPTER, PROGRAM};
+use golden::{
+    check_groups, data, program_name, root, run, Folder, ProgramOutcome, ADAPTER, PROGRAM,
+};
 use serde_json::Value;
 
 #[test]
-fn each_key_of_a_fleet_file_is_read_and_each_fault_names_the_line() {
+fn each_key_of_a_fleet_file_is_read_and_each_error_names_the_line() {
     check_groups("fleet_file.json");
 }
 
 #[test]
-fn each_key_of_a_cells_file_is_read_and_each_fault_names_line_and_field() {
+fn each_key_of_a_cells_file_is_read_and_each_error_names_line_and_field() {
     check_groups("cells_file.json");
 }
 
 #[test]
-fn each_key_of_a_router_file_is_read_and_each_fault_names_line_or_field() {
+fn each_key_of_a_router_file_is_read_and_each_error_names_line_or_field() {
     check_groups("router_file.json");
 }
 
 #[test]
-fn each_step_of_a_play_is_read() {
+fn each_step_of_a_scenario_is_read() {
     let lines: Vec<String> = data("play.json");
     Script::parse("play.json5", &lines.join("\n")).unwrap_or_else(|e| panic!("{e}"));
 }
 
 #[test]
-fn each_fault_of_a_play_names_line_or_step() {
+fn each_error_in_a_scenario_names_line_or_step() {
     check_groups("play_faults.json");
 }
 
@@ -49,14 +51,14 @@
             args[1].into(),
             deploy.join(file).display().to_string(),
         ];
-        let well = Ended {
+        let success = ProgramOutcome {
             code: Some(0),
             out: String::new(),
             err: String::new(),
         };
-        assert_eq!(run(&folder.0, &args, &BTreeMap::new()), well, "{file}");
+        assert_eq!(run(&folder.0, &args, &BTreeMap::new()), success, "{file}");
         // Without an argument the same file is read, beside the working folder.
-        assert_eq!(run(root(), &args[..2], &BTreeMap::new()), well, "{file}");
+        assert_eq!(run(root(), &args[..2], &BTreeMap::new()), success, "{file}");
     }
     let router = router::Config::read(&deploy.join("router.json5"));
     assert!(router.is_ok(), "{router:?}");
@@ -93,8 +95,8 @@
             // `run` and `sim` name the programs that the workspace builds.
             Some(text) => {
                 let text = text
-                    .replace("PROGRAM", name_of(PROGRAM))
-                    .replace("ADAPTER", name_of(ADAPTER));
+                    .replace("PROGRAM", program_name(PROGRAM))
+                    .replace("ADAPTER", program_name(ADAPTER));
                 assert_eq!(found[key], text, "{key}");
             }
             None if key == "packages" => assert_eq!(found[key], *value),
--- a/tests/golden_locks.rs
+++ b/tests/golden_locks.rs
@@ -9,7 +9,7 @@
 use protocol_gateway::instance_lock::{InstanceLock, ResourceShareLocks};
 use slog::{o, Discard, Logger};
 
-/// A folder of this test's own that goes with the value.
+/// A folder of this test that is removed with the value.
 struct TestFolder(PathBuf);
 impl TestFolder {
     fn new(name: &str) -> TestFolder {
--- a/tests/golden_simulator.rs
+++ b/tests/golden_simulator.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_is_malformed_ends_the_program_with_the_recorded_error() {
+fn malformed_line_ends_the_program_with_the_recorded_error() {
     for name in [
         "error_not_json",
         "error_not_started",
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -154,7 +154,7 @@
     text.starts_with("{\"action\":\"METER\"") && !text.contains("quiet")
 }
 
-struct Play {
+struct ScriptRun {
     config: Value,
     cells: Option<PathBuf>,
     executor: Receiver<TcpStream>,
@@ -167,8 +167,8 @@
     reported: String,
 }
 
-impl Play {
-    fn new(name: &str) -> Play {
+impl ScriptRun {
+    fn new(name: &str) -> ScriptRun {
         let ((executor_at, executor), (database_at, database)) = (listen(), listen());
         let list = UdpSocket::bind("127.0.0.1:0").expect("loopback");
         list.set_read_timeout(Some(PATIENCE)).expect("an option");
@@ -182,7 +182,7 @@
         std::fs::create_dir_all(&folder).expect("a folder");
         let (peers, reported) = (HashMap::new(), String::new());
         let (cells, process, address) = (None, None, None);
-        Play {
+        ScriptRun {
             config,
             cells,
             executor,
@@ -351,7 +351,7 @@
     }
 }
 
-impl Drop for Play {
+impl Drop for ScriptRun {
     fn drop(&mut self) {
         if let Some(process) = &mut self.process {
             let _ = process.kill();
@@ -361,9 +361,9 @@
     }
 }
 
-fn play(name: &str) {
+fn run_script(name: &str) {
     let script = std::fs::read_to_string(data().join("node").join(name)).expect("a script");
-    let mut play = Play::new(name);
+    let mut play = ScriptRun::new(name);
     for (number, line) in script.lines().enumerate() {
         if line.is_empty() || line.starts_with("# ") {
             continue;
@@ -376,56 +376,56 @@
 }
 
 #[test]
-fn served_failed_and_refused_requests_have_their_lines() {
-    play("outcomes.txt");
+fn served_failed_and_rejected_requests_have_their_lines() {
+    run_script("outcomes.txt");
 }
 
 #[test]
 fn malformed_lines_get_their_errors_and_a_close() {
-    play("malformed.txt");
+    run_script("malformed.txt");
 }
 
 #[test]
 fn keyed_requests_and_repeats_have_their_lines() {
-    play("keyed.txt");
+    run_script("keyed.txt");
 }
 
 #[test]
-fn the_free_value_goes_with_health_and_answers() {
-    play("hint.txt");
+fn capacity_hint_is_in_health_and_answers() {
+    run_script("hint.txt");
 }
 
 #[test]
-fn a_caller_that_waits_no_more_has_its_run_stopped() {
-    play("cancel.txt");
+fn cancelled_request_has_its_run_stopped() {
+    run_script("cancel.txt");
 }
 
 #[test]
-fn a_caller_that_must_tell_its_budget_and_a_connection_that_is_full() {
-    play("bounds.txt");
+fn missing_budgets_and_full_connections_have_their_errors() {
+    run_script("bounds.txt");
 }
 
 #[test]
 fn calls_and_replies_of_the_database_have_their_bytes() {
-    play("calls.txt");
+    run_script("calls.txt");
 }
 
 #[test]
-fn a_link_that_breaks_is_joined_again_behind_the_last_notice() {
-    play("links.txt");
+fn broken_link_is_resumed_after_the_last_notice() {
+    run_script("links.txt");
 }
 
 #[test]
-fn a_node_that_leaves_says_goodbye_and_is_reported_out() {
-    play("leaving.txt");
+fn node_that_shuts_down_sends_goodbye_and_is_reported_out() {
+    run_script("leaving.txt");
 }
 
 #[test]
-fn a_tenant_of_another_cell_is_refused_with_the_epoch() {
-    play("cells.txt");
+fn tenant_of_another_cell_is_rejected_with_the_epoch() {
+    run_script("cells.txt");
 }
 
 #[test]
-fn a_call_that_would_come_too_late_is_bypassed() {
-    play("bypass.txt");
+fn call_that_would_end_too_late_is_skipped() {
+    run_script("bypass.txt");
 }
