--- a/tests/doubles/broker/connection.rs
+++ b/tests/doubles/broker/connection.rs
@@ -222,13 +222,13 @@
                 channel.partial_publish = Some(PartialPublish::new(publish));
             }
             Basic::Ack(ack) => {
-                self.settle_delivery(id, ack.delivery_tag, |state, _, _| state.acked += 1)
+                self.settle_delivery(id, ack.delivery_tag, |state, _, _| state.acked += 1);
             }
             Basic::Reject(reject) => {
                 self.settle_delivery(id, reject.delivery_tag, return_message(reject.requeue));
             }
             Basic::Nack(nack) => {
-                self.settle_delivery(id, nack.delivery_tag, return_message(nack.requeue))
+                self.settle_delivery(id, nack.delivery_tag, return_message(nack.requeue));
             }
             other => self.record_violation(format!("unexpected {other:?}")),
         }
