--- a/crates/fault-testbed/tests/links.rs
+++ b/crates/fault-testbed/tests/links.rs
@@ -2,22 +2,22 @@
 
 use std::time::Duration;
 
-use fault_testbed::links::Stream;
-use fault_testbed::script::Script;
-use fault_testbed::{Links, Switch};
+use fault_testbed::links::StreamAction;
+use fault_testbed::scenario::Scenario;
+use fault_testbed::{Links, NetworkProxy};
 use proptest::prelude::*;
 
 proptest! {
     /// Guards plays: what happens on one link does not change what another does, and equal seeds do the same.
     #[test]
     fn links_draw_for_themselves(seed in any::<u64>(), others in 0usize..20) {
-        let lossy = |links: &mut Links| links.change_all(|l| (l.loss, l.double) = (0.3, 0.3));
+        let lossy = |links: &mut Links| links.change_all(|l| (l.loss, l.duplication) = (0.3, 0.3));
         let (mut one, mut two) = (Links::new(seed), Links::new(seed));
         lossy(&mut one);
         lossy(&mut two);
-        (0..others).for_each(|_| drop(two.datagram("c", "a")));
+        (0..others).for_each(|_| drop(two.transmit_datagram("c", "a")));
         for _ in 0..50 {
-            prop_assert_eq!(one.datagram("a", "b"), two.datagram("a", "b"));
+            prop_assert_eq!(one.transmit_datagram("a", "b"), two.transmit_datagram("a", "b"));
         }
     }
 
@@ -25,9 +25,9 @@
     fn delays_stay_within_their_bounds(least in 0u64..50, more in 0u64..50) {
         let mut links = Links::new(1);
         let (least, most) = (Duration::from_millis(least), Duration::from_millis(least + more));
-        links.change("a", "b", |l| l.delay = (least, most));
-        for copy in (0..50).flat_map(|_| links.datagram("a", "b")) {
-            prop_assert!((least..=most).contains(&copy.after));
+        links.change_link("a", "b", |l| l.delay = (least, most));
+        for copy in (0..50).flat_map(|_| links.transmit_datagram("a", "b")) {
+            prop_assert!((least..=most).contains(&copy.delay));
         }
     }
 }
@@ -35,28 +35,37 @@
 #[test]
 fn silence_is_one_way_and_cuts_end_only_what_is_open() {
     let mut links = Links::new(1);
-    links.change("a", "b", |l| l.silent = true);
-    assert!(links.datagram("a", "b").is_empty() && links.datagram("b", "a").len() == 1);
-    let began = links.begin("b", "a");
-    assert_eq!(links.stream("a", "b", 0), Stream::Stall);
-    assert_eq!(links.stream("b", "a", began), Stream::Pass(Duration::ZERO));
-    links.cut("b", "a");
-    assert_eq!(links.stream("b", "a", began), Stream::Cut);
-    let later = links.begin("b", "a");
-    assert_eq!(links.stream("b", "a", later), Stream::Pass(Duration::ZERO));
+    links.change_link("a", "b", |l| l.is_blocked = true);
+    assert!(
+        links.transmit_datagram("a", "b").is_empty()
+            && links.transmit_datagram("b", "a").len() == 1
+    );
+    let began = links.open_stream("b", "a");
+    assert_eq!(links.transmit_bytes("a", "b", 0), StreamAction::Stall);
+    assert_eq!(
+        links.transmit_bytes("b", "a", began),
+        StreamAction::Forward(Duration::ZERO)
+    );
+    links.cut_streams("b", "a");
+    assert_eq!(links.transmit_bytes("b", "a", began), StreamAction::Close);
+    let later = links.open_stream("b", "a");
+    assert_eq!(
+        links.transmit_bytes("b", "a", later),
+        StreamAction::Forward(Duration::ZERO)
+    );
 }
 
 #[test]
 fn places_off_this_machine_are_refused() {
-    let switch = Switch::new(1).expect("sockets");
+    let switch = NetworkProxy::new(1).expect("sockets");
     assert!(switch
-        .hears("n0", "192.0.2.1:7946".parse().expect("an address"))
+        .set_datagram_target("n0", "192.0.2.1:7946".parse().expect("an address"))
         .is_err());
     assert!(switch
-        .serves("n0", "0.0.0.0:80".parse().expect("an address"))
+        .set_stream_target("n0", "0.0.0.0:80".parse().expect("an address"))
         .is_err());
     assert!(switch
-        .hears("n0", "127.0.0.1:7946".parse().expect("an address"))
+        .set_datagram_target("n0", "127.0.0.1:7946".parse().expect("an address"))
         .is_ok());
 }
 
@@ -64,7 +73,7 @@
 fn plays_that_can_not_be_used_are_told_with_their_place() {
     let good = "{ version: 1, nodes: 2, steps: [{ start: [\"*\"] }, { settled: 1000 }, \"heal\", { links: { loss: 0.5 } }] }";
     assert_eq!(
-        Script::parse("f", good)
+        Scenario::parse("f", good)
             .expect("it can be used")
             .steps
             .len(),
@@ -90,13 +99,13 @@
     ];
     for (from, to, says) in cases {
         assert_eq!(
-            Script::parse("f", &good.replace(from, to))
+            Scenario::parse("f", &good.replace(from, to))
                 .expect_err(to)
                 .to_string(),
             says
         );
     }
-    let error = Script::parse("f", &good.replace("start", "begin"))
+    let error = Scenario::parse("f", &good.replace("start", "begin"))
         .expect_err("unknown")
         .to_string();
     assert!(
@@ -110,13 +119,13 @@
 fn streams_stall_go_on_and_are_cut() {
     use std::io::{Read, Write};
     use std::net::{TcpListener, TcpStream};
-    let switch = Switch::new(1).expect("sockets");
-    let (_, before) = switch.connect("server").expect("sockets");
+    let switch = NetworkProxy::new(1).expect("sockets");
+    let (_, before) = switch.add_process("server").expect("sockets");
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
     switch
-        .serves("server", listener.local_addr().expect("bound"))
+        .set_stream_target("server", listener.local_addr().expect("bound"))
         .expect("on loopback");
-    switch.runs("client", std::process::id());
+    switch.set_pid("client", std::process::id());
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             std::thread::spawn(move || {
@@ -143,7 +152,7 @@
     };
     let stream = connect();
     assert_eq!(echo(&stream, b"one.").expect("an echo"), *b"one.");
-    switch.links(|links| links.change("server", "client", |l| l.stalled = true));
+    switch.with_links(|links| links.change_link("server", "client", |l| l.stalls_streams = true));
     stream
         .set_read_timeout(Some(Duration::from_millis(300)))
         .expect("an option");
@@ -155,7 +164,7 @@
         ),
         "{error}"
     );
-    switch.links(|links| links.change("server", "client", |l| l.stalled = false));
+    switch.with_links(|links| links.change_link("server", "client", |l| l.stalls_streams = false));
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("an option");
@@ -164,7 +173,7 @@
         .read_exact(&mut back)
         .expect("it goes on where it stopped");
     assert_eq!(back, *b"two.");
-    switch.links(|links| links.cut("client", "server"));
+    switch.with_links(|links| links.cut_streams("client", "server"));
     assert!(echo(&stream, b"last").is_err(), "cut");
     assert_eq!(
         echo(&connect(), b"new.").expect("later ones pass"),
--- a/tests/aggregation.rs
+++ b/tests/aggregation.rs
@@ -6,15 +6,15 @@
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::time::Duration;
 
-use fault_testbed::Rig;
+use fault_testbed::Testbed;
 use shared_state::{AggregateSnapshot, DependencyHealth};
 use testbed::{node_names, plan_nodes, start_settled, ClientLoad, LoadClients, SETTLE_TIMEOUT};
 
 /// Starts nodes at three sites in turn that share counts and dependency health, and reach the database over links of their
 /// own.
-fn start_fleet(count: usize) -> Rig {
-    let mut rig = Rig::new(11).expect("sockets");
-    rig.ledger_by_links().expect("sockets");
+fn start_fleet(count: usize) -> Testbed {
+    let mut rig = Testbed::new(11).expect("sockets");
+    rig.proxy_database().expect("sockets");
     plan_nodes(
         &mut rig,
         0..count,
@@ -24,17 +24,17 @@
     rig
 }
 
-fn aggregate(rig: &Rig, name: &str) -> Option<AggregateSnapshot> {
-    rig.look(name)?.aggregate
+fn aggregate(rig: &Testbed, name: &str) -> Option<AggregateSnapshot> {
+    rig.query_shared_state(name)?.aggregate
 }
 
 /// The health of the database as this node evaluates it.
-fn database_health(rig: &Rig, name: &str) -> DependencyHealth {
+fn database_health(rig: &Testbed, name: &str) -> DependencyHealth {
     aggregate(rig, name).map_or(DependencyHealth::Unknown, |snapshot| snapshot.ledger.health)
 }
 
 /// Whether the node calls the database freely. A busy machine may make it slow for everybody, which limits no calls.
-fn is_database_usable(rig: &Rig, name: &str) -> bool {
+fn is_database_usable(rig: &Testbed, name: &str) -> bool {
     matches!(
         database_health(rig, name),
         DependencyHealth::Sound | DependencyHealth::Slow
@@ -42,8 +42,8 @@
 }
 
 /// The state of a member as another one sees it.
-fn member_state(rig: &Rig, observer: &str, member: &str) -> Option<&'static str> {
-    let reply = rig.told(observer)?;
+fn member_state(rig: &Testbed, observer: &str, member: &str) -> Option<&'static str> {
+    let reply = rig.query_members(observer)?;
     reply
         .members
         .iter()
@@ -53,7 +53,7 @@
 
 /// Starts clients that send a call of this body again 60 ms after each answer. Without the pause each new connection costs
 /// the testbed's proxy a scan of all sockets of the machine.
-fn start_clients(rig: &Rig, name: &str, count: usize, body: &'static str) -> LoadClients {
+fn start_clients(rig: &Testbed, name: &str, count: usize, body: &'static str) -> LoadClients {
     let pause = Duration::from_millis(60);
     let load = ClientLoad {
         body,
@@ -64,7 +64,7 @@
 }
 
 fn start_clients_of_all(
-    rig: &Rig,
+    rig: &Testbed,
     names: &[String],
     count: usize,
     body: &'static str,
@@ -75,8 +75,8 @@
         .collect()
 }
 
-fn wait_until_all_up(rig: &Rig, names: &[String]) {
-    rig.wait("all call it and are up", SETTLE_TIMEOUT, |rig| {
+fn wait_until_all_up(rig: &Testbed, names: &[String]) {
+    rig.wait_for("all call it and are up", SETTLE_TIMEOUT, |rig| {
         names.iter().all(|n| is_database_usable(rig, n))
             && names
                 .iter()
@@ -87,11 +87,11 @@
 
 /// Breaks the database links of some nodes: they find that only they are affected and quiesce, while the others go on
 /// calling and nobody takes the database for down.
-fn check_broken_links_of(rig: &mut Rig, all: &[String], broken: &[String]) {
+fn check_broken_links_of(rig: &mut Testbed, all: &[String], broken: &[String]) {
     let others: Vec<&String> = all.iter().filter(|n| !broken.contains(n)).collect();
-    rig.silence(broken, &["ledger".to_string()]);
+    rig.block(broken, &["ledger".to_string()]);
     let was_misjudged = AtomicBool::new(false);
-    let broken_know = |rig: &Rig| {
+    let broken_know = |rig: &Testbed| {
         let is_misjudged = others
             .iter()
             .any(|n| database_health(rig, n).should_limit_calls())
@@ -103,13 +103,13 @@
             .iter()
             .all(|n| database_health(rig, n) == DependencyHealth::OnlyHere)
     };
-    rig.wait(
+    rig.wait_for(
         "those that can't reach it know",
         SETTLE_TIMEOUT,
         broken_know,
     )
     .expect("they do");
-    rig.wait("they are quiesced", SETTLE_TIMEOUT, |rig| {
+    rig.wait_for("they are quiesced", SETTLE_TIMEOUT, |rig| {
         broken
             .iter()
             .all(|n| member_state(rig, "n0", n) == Some("quiesced"))
@@ -131,14 +131,14 @@
     let mut rig = start_fleet(6);
     let all = node_names(0..6);
     let _clients = start_clients_of_all(&rig, &all, 3, "call:hold#5");
-    let all_call = |rig: &Rig| all.iter().all(|n| is_database_usable(rig, n));
-    rig.wait("all find it usable", SETTLE_TIMEOUT, all_call)
+    let all_call = |rig: &Testbed| all.iter().all(|n| is_database_usable(rig, n));
+    rig.wait_for("all find it usable", SETTLE_TIMEOUT, all_call)
         .expect("it is");
     for broken in [node_names([1]), node_names([1, 4])] {
         check_broken_links_of(&mut rig, &all, &broken);
     }
-    rig.silence(&all, &["ledger".to_string()]);
-    rig.wait("all know that it is down", SETTLE_TIMEOUT, |rig| {
+    rig.block(&all, &["ledger".to_string()]);
+    rig.wait_for("all know that it is down", SETTLE_TIMEOUT, |rig| {
         all.iter()
             .all(|n| database_health(rig, n) == DependencyHealth::Down)
     })
@@ -149,7 +149,7 @@
         "nobody quiesces for that"
     );
     rig.heal();
-    rig.wait("all call it again", SETTLE_TIMEOUT, all_call)
+    rig.wait_for("all call it again", SETTLE_TIMEOUT, all_call)
         .expect("they do");
 }
 
@@ -160,33 +160,38 @@
     let mut rig = start_fleet(3);
     let all = node_names(0..3);
     let _clients = start_clients_of_all(&rig, &all, 3, "call:hold#5");
-    rig.wait("it finds the database usable", SETTLE_TIMEOUT, |rig| {
+    rig.wait_for("it finds the database usable", SETTLE_TIMEOUT, |rig| {
         is_database_usable(rig, "n1")
     })
     .expect("it does");
-    rig.silence(&node_names([1]), &["ledger".to_string()]);
-    rig.wait("it knows that only it is affected", SETTLE_TIMEOUT, |rig| {
+    rig.block(&node_names([1]), &["ledger".to_string()]);
+    rig.wait_for("it knows that only it is affected", SETTLE_TIMEOUT, |rig| {
         database_health(rig, "n1") == DependencyHealth::OnlyHere
     })
     .expect("it does");
-    let file = rig.fleet_file_of("n1");
+    let file = rig.fleet_file_path("n1");
     let text = std::fs::read_to_string(&file).expect("a file");
     assert!(text.contains("judgements: true,"));
     std::fs::write(&file, text.replace("judgements: true,", "")).expect("written");
-    rig.hangup("n1");
-    rig.wait("it has read the file", SETTLE_TIMEOUT, |rig| {
+    rig.reload("n1");
+    rig.wait_for("it has read the file", SETTLE_TIMEOUT, |rig| {
         rig.node("n1").log().contains("with a restart only")
     })
     .expect("it has");
     rig.heal();
-    rig.wait("it goes on", SETTLE_TIMEOUT, |rig| {
+    rig.wait_for("it goes on", SETTLE_TIMEOUT, |rig| {
         is_database_usable(rig, "n1") && member_state(rig, "n0", "n1") == Some("up")
     })
     .expect("it does");
 }
 
 /// Whether the node's aggregate is recent, covers this many nodes, and counts a number in flight in the range.
-fn is_counted(rig: &Rig, name: &str, nodes: u32, in_flight: std::ops::RangeInclusive<u32>) -> bool {
+fn is_counted(
+    rig: &Testbed,
+    name: &str,
+    nodes: u32,
+    in_flight: std::ops::RangeInclusive<u32>,
+) -> bool {
     aggregate(rig, name).is_some_and(|snapshot| {
         snapshot.aggregator.is_some()
             && snapshot.coverage.covered == nodes
@@ -203,11 +208,11 @@
     let all = node_names(0..4);
     // Calls of 700 ms, one after the other: mostly as many in flight at each node as it has clients.
     let mut clients = start_clients_of_all(&rig, &all, 4, "call:hold#700");
-    let all_counted = |rig: &Rig| all.iter().all(|n| is_counted(rig, n, 4, 9..=12));
-    rig.wait("all are counted", SETTLE_TIMEOUT, all_counted)
+    let all_counted = |rig: &Testbed| all.iter().all(|n| is_counted(rig, n, 4, 9..=12));
+    rig.wait_for("all are counted", SETTLE_TIMEOUT, all_counted)
         .expect("they are");
-    rig.weather(serde_json::json!({"loss": 0.2}), |link| link.loss = 0.2);
-    rig.wait(
+    rig.change_all_links(serde_json::json!({"loss": 0.2}), |link| link.loss = 0.2);
+    rig.wait_for(
         "all are counted though some is lost",
         SETTLE_TIMEOUT,
         all_counted,
@@ -215,14 +220,14 @@
     .expect("they are");
     rig.heal();
     rig.kill("n3");
-    rig.wait("the dead node's counts are gone", SETTLE_TIMEOUT, |rig| {
+    rig.wait_for("the dead node's counts are gone", SETTLE_TIMEOUT, |rig| {
         node_names(0..3)
             .iter()
             .all(|n| is_counted(rig, n, 3, 6..=8))
     })
     .expect("they go");
     rig.partition(&[node_names([0, 1]), node_names([2])]);
-    rig.wait("each side counts its own", SETTLE_TIMEOUT, |rig| {
+    rig.wait_for("each side counts its own", SETTLE_TIMEOUT, |rig| {
         node_names([0, 1])
             .iter()
             .all(|n| is_counted(rig, n, 2, 3..=4))
@@ -231,12 +236,12 @@
     .expect("they do");
     rig.heal();
     rig.start("n3");
-    rig.up(&["n3"]);
+    rig.wait_until_up(&["n3"]);
     clients.push(start_clients(&rig, "n3", 4, "call:hold#700"));
-    rig.wait("all are counted again", SETTLE_TIMEOUT, all_counted)
+    rig.wait_for("all are counted again", SETTLE_TIMEOUT, all_counted)
         .expect("they are");
     drop(clients);
-    rig.wait("nothing is in flight", SETTLE_TIMEOUT, |rig| {
+    rig.wait_for("nothing is in flight", SETTLE_TIMEOUT, |rig| {
         all.iter().all(|n| is_counted(rig, n, 4, 0..=0))
     })
     .expect("all were answered");
--- a/tests/common/membership_scenarios.rs
+++ b/tests/common/membership_scenarios.rs
@@ -5,46 +5,51 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use fault_testbed::{Plan, Rig};
+use fault_testbed::{ProcessPlan, Testbed};
 use membership::{Liveness, MemberRecord};
 use serde_json::json;
 
 use crate::testbed::{node_names, start_nodes, SETTLE_TIMEOUT};
 
 /// Starts nodes at once that have not met yet. `is_open` leaves out the testbed's proxy before them.
-pub(crate) fn start_unsettled(count: usize, period_ms: u64, seeds: &[&str], is_open: bool) -> Rig {
-    let mut rig = Rig::new(7).expect("sockets");
+pub(crate) fn start_unsettled(
+    count: usize,
+    period_ms: u64,
+    seeds: &[&str],
+    is_open: bool,
+) -> Testbed {
+    let mut rig = Testbed::new(7).expect("sockets");
     for number in 0..count {
-        rig.plan(Plan {
-            fleet: format!("period_ms: {period_ms},"),
-            open: is_open,
-            ..Plan::node(number)
+        rig.add_process(ProcessPlan {
+            fleet_fields: format!("period_ms: {period_ms},"),
+            bypasses_proxy: is_open,
+            ..ProcessPlan::node(number)
         })
         .expect("sockets");
     }
-    rig.seeds(seeds);
+    rig.set_seeds(seeds);
     let all = rig.names();
     start_nodes(&mut rig, &all);
     rig
 }
 
 /// Starts nodes with two seeds and waits until they agree on who is there.
-pub(crate) fn start_fleet(count: usize, period_ms: u64) -> Rig {
+pub(crate) fn start_fleet(count: usize, period_ms: u64) -> Testbed {
     let rig = start_unsettled(count, period_ms, &["n0", "n1"], false);
-    rig.settle(SETTLE_TIMEOUT);
+    rig.wait_until_converged(SETTLE_TIMEOUT);
     rig
 }
 
 /// What a member says about the partition that it is in.
-pub(crate) fn partition_status(rig: &Rig, name: &str) -> String {
-    rig.told(name).map_or("silent".into(), |reply| {
+pub(crate) fn partition_status(rig: &Testbed, name: &str) -> String {
+    rig.query_members(name).map_or("silent".into(), |reply| {
         reply.summary.partition_status.to_string()
     })
 }
 
 /// Whether this member holds the other one as present.
-fn holds_as_present(rig: &Rig, observer: &str, member: &str) -> Option<bool> {
-    let reply = rig.told(observer)?;
+fn holds_as_present(rig: &Testbed, observer: &str, member: &str) -> Option<bool> {
+    let reply = rig.query_members(observer)?;
     Some(
         reply
             .members
@@ -54,10 +59,10 @@
 }
 
 /// Whether all other running members answer and hold none of these as present.
-fn are_given_up(rig: &Rig, members: &[String]) -> bool {
+fn are_given_up(rig: &Testbed, members: &[String]) -> bool {
     rig.names()
         .iter()
-        .filter(|name| rig.runs(name) && !members.contains(name))
+        .filter(|name| rig.is_running(name) && !members.contains(name))
         .all(|observer| {
             members
                 .iter()
@@ -66,11 +71,14 @@
 }
 
 /// The members that any of these observers holds as dead.
-fn held_as_dead(rig: &Rig, observers: &[String]) -> BTreeSet<String> {
-    let members = |name: &String| rig.told(name).map_or(vec![], |reply| reply.members);
+fn held_as_dead(rig: &Testbed, observers: &[String]) -> BTreeSet<String> {
+    let members = |name: &String| {
+        rig.query_members(name)
+            .map_or(vec![], |reply| reply.members)
+    };
     let records: Vec<MemberRecord> = observers
         .iter()
-        .filter(|name| rig.runs(name))
+        .filter(|name| rig.is_running(name))
         .flat_map(members)
         .collect();
     records
@@ -81,13 +89,13 @@
 }
 
 /// The members that any running member holds as dead.
-fn held_as_dead_by_anyone(rig: &Rig) -> BTreeSet<String> {
+fn held_as_dead_by_anyone(rig: &Testbed) -> BTreeSet<String> {
     held_as_dead(rig, &rig.names())
 }
 
 /// A fleet starts while one of its two seeds is down.
 pub(crate) fn start_with_a_seed_down(count: usize, period_ms: u64) -> Duration {
-    start_unsettled(count, period_ms, &["n0", "nobody"], false).settle(SETTLE_TIMEOUT)
+    start_unsettled(count, period_ms, &["n0", "nobody"], false).wait_until_converged(SETTLE_TIMEOUT)
 }
 
 /// A third of the nodes is killed.
@@ -96,7 +104,7 @@
     for name in node_names((0..count).filter(|n| n % 3 == 2)) {
         rig.kill(&name);
     }
-    rig.settle(SETTLE_TIMEOUT)
+    rig.wait_until_converged(SETTLE_TIMEOUT)
 }
 
 /// The fleet is partitioned until each side has given up the others, then the partition heals.
@@ -114,13 +122,13 @@
     // An isolated member knows that it is long before it has given up each of the others.
     match sides.iter().find(|side| side.len() == 1) {
         Some(isolated) => {
-            rig.wait("it is given up", SETTLE_TIMEOUT, |rig| {
+            rig.wait_for("it is given up", SETTLE_TIMEOUT, |rig| {
                 are_given_up(rig, isolated) && partition_status(rig, &isolated[0]) == "alone"
             })
             .expect("it is given up, and knows");
         }
         None => {
-            rig.settle(SETTLE_TIMEOUT);
+            rig.wait_until_converged(SETTLE_TIMEOUT);
         }
     }
     for side in &sides {
@@ -138,7 +146,7 @@
         );
     }
     rig.heal();
-    let took = rig.settle(SETTLE_TIMEOUT);
+    let took = rig.wait_until_converged(SETTLE_TIMEOUT);
     assert_eq!(partition_status(&rig, "n0"), "whole");
     took
 }
@@ -149,16 +157,16 @@
     let silenced = node_names([1]);
     let others = node_names((0..count).filter(|n| *n != 1));
     if is_deaf {
-        rig.silence(&others, &silenced);
+        rig.block(&others, &silenced);
     } else {
-        rig.silence(&silenced, &others);
+        rig.block(&silenced, &others);
     }
-    rig.wait("it is given up", SETTLE_TIMEOUT, |rig| {
+    rig.wait_for("it is given up", SETTLE_TIMEOUT, |rig| {
         are_given_up(rig, &silenced)
     })
     .expect("it is given up");
     if is_deaf {
-        rig.wait("it knows that it is isolated", SETTLE_TIMEOUT, |rig| {
+        rig.wait_for("it knows that it is isolated", SETTLE_TIMEOUT, |rig| {
             partition_status(rig, "n1") == "alone"
         })
         .expect("it receives nothing");
@@ -169,7 +177,7 @@
         "nobody else is given up"
     );
     rig.heal();
-    rig.settle(SETTLE_TIMEOUT)
+    rig.wait_until_converged(SETTLE_TIMEOUT)
 }
 
 /// Nodes on both sides of a partition are replaced before it heals.
@@ -179,23 +187,23 @@
         node_names((0..count).filter(|n| n % 2 == 0)),
         node_names((0..count).filter(|n| n % 2 == 1)),
     ]);
-    rig.settle(SETTLE_TIMEOUT);
+    rig.wait_until_converged(SETTLE_TIMEOUT);
     for name in node_names(2..4) {
         rig.kill(&name);
         rig.start(&name);
-        rig.up(&[&name]);
+        rig.wait_until_up(&[&name]);
     }
-    rig.settle(SETTLE_TIMEOUT);
+    rig.wait_until_converged(SETTLE_TIMEOUT);
     rig.heal();
-    rig.settle(SETTLE_TIMEOUT)
+    rig.wait_until_converged(SETTLE_TIMEOUT)
 }
 
 /// A fifth of the datagrams is lost and the others are delayed for this long; nobody may be given up.
 pub(crate) fn lose_a_fifth(count: usize, period_ms: u64, duration: Duration) {
     let mut rig = start_fleet(count, period_ms);
-    rig.weather(json!("a fifth lost, up to 20 ms"), |link| {
+    rig.change_all_links(json!("a fifth lost, up to 20 ms"), |link| {
         link.loss = 0.2;
-        link.double = 0.05;
+        link.duplication = 0.05;
         link.delay = (Duration::from_millis(1), Duration::from_millis(20));
     });
     let end = Instant::now() + duration;
@@ -203,21 +211,21 @@
         assert_eq!(held_as_dead_by_anyone(&rig), BTreeSet::new());
     }
     rig.heal();
-    rig.settle(SETTLE_TIMEOUT);
+    rig.wait_until_converged(SETTLE_TIMEOUT);
 }
 
 /// A process is stopped until it is given up, and resumes; it may suspect nobody for what it missed.
 pub(crate) fn stop_and_resume(count: usize, period_ms: u64) -> Duration {
     let mut rig = start_fleet(count, period_ms);
-    rig.stop("n1");
-    rig.wait("it is given up", SETTLE_TIMEOUT, |rig| {
+    rig.pause("n1");
+    rig.wait_for("it is given up", SETTLE_TIMEOUT, |rig| {
         node_names((0..count).filter(|n| *n != 1))
             .iter()
             .all(|observer| holds_as_present(rig, observer, "n1") == Some(false))
     })
     .expect("it is given up");
-    rig.resume("n1");
-    let took = rig.settle(SETTLE_TIMEOUT);
+    rig.unpause("n1");
+    let took = rig.wait_until_converged(SETTLE_TIMEOUT);
     assert_eq!(held_as_dead_by_anyone(&rig), BTreeSet::new());
     took
 }
@@ -225,14 +233,14 @@
 /// A node is killed and starts again under its name, as a later incarnation.
 pub(crate) fn restart_one(count: usize, period_ms: u64) -> Duration {
     let mut rig = start_fleet(count, period_ms);
-    let reply = rig.told("n1").expect("it answers");
+    let reply = rig.query_members("n1").expect("it answers");
     let incarnation = reply.responder.state.incarnation;
     rig.kill("n1");
     rig.start("n1");
-    rig.up(&["n1"]);
-    let took = rig.settle(SETTLE_TIMEOUT);
+    rig.wait_until_up(&["n1"]);
+    let took = rig.wait_until_converged(SETTLE_TIMEOUT);
     let held = rig
-        .told("n0")
+        .query_members("n0")
         .expect("it answers")
         .members
         .into_iter()
@@ -245,14 +253,14 @@
 pub(crate) fn restart_all_in_turn(count: usize, period_ms: u64) -> Duration {
     let mut rig = start_fleet(count, period_ms);
     for name in rig.names() {
-        rig.end(&name);
+        rig.shut_down(&name);
         rig.start(&name);
-        rig.up(&[&name]);
-        rig.wait("it is back", SETTLE_TIMEOUT, |rig| {
-            rig.told(&name)
+        rig.wait_until_up(&[&name]);
+        rig.wait_for("it is back", SETTLE_TIMEOUT, |rig| {
+            rig.query_members(&name)
                 .is_some_and(|reply| reply.summary.present == count as u32)
         })
         .expect("it is back");
     }
-    rig.settle(SETTLE_TIMEOUT)
+    rig.wait_until_converged(SETTLE_TIMEOUT)
 }
--- a/tests/common/testbed.rs
+++ b/tests/common/testbed.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use fault_testbed::{Plan, Rig};
+use fault_testbed::{ProcessPlan, Testbed};
 use test_doubles::TestClient;
 
 /// The longest that a fleet may take to reach a state.
@@ -25,33 +25,33 @@
 
 /// Adds nodes to the testbed, each with these fields in its fleet file.
 pub(crate) fn plan_nodes(
-    rig: &mut Rig,
+    rig: &mut Testbed,
     numbers: impl IntoIterator<Item = usize>,
     fleet_fields: &str,
 ) {
     for number in numbers {
-        rig.plan(Plan {
-            fleet: fleet_fields.to_string(),
-            ..Plan::node(number)
+        rig.add_process(ProcessPlan {
+            fleet_fields: fleet_fields.to_string(),
+            ..ProcessPlan::node(number)
         })
         .expect("sockets");
     }
 }
 
 /// Starts these nodes at once and waits until they run.
-pub(crate) fn start_nodes(rig: &mut Rig, names: &[String]) {
+pub(crate) fn start_nodes(rig: &mut Testbed, names: &[String]) {
     for name in names {
         rig.start(name);
     }
-    rig.up(&as_strs(names));
+    rig.wait_until_up(&as_strs(names));
 }
 
 /// Starts all planned nodes with two of them as seeds, and waits until they agree on who is there.
-pub(crate) fn start_settled(rig: &mut Rig) {
-    rig.seeds(&["n0", "n1"]);
+pub(crate) fn start_settled(rig: &mut Testbed) {
+    rig.set_seeds(&["n0", "n1"]);
     let all = rig.names();
     start_nodes(rig, &all);
-    rig.settle(SETTLE_TIMEOUT);
+    rig.wait_until_converged(SETTLE_TIMEOUT);
 }
 
 /// What each client of a group sends, and how long it waits before it sends again.
@@ -70,7 +70,7 @@
 
 impl LoadClients {
     /// Starts `count` clients of a node.
-    pub(crate) fn start(rig: &Rig, name: &str, count: usize, load: ClientLoad) -> LoadClients {
+    pub(crate) fn start(rig: &Testbed, name: &str, count: usize, load: ClientLoad) -> LoadClients {
         let clients = LoadClients {
             stop: Arc::default(),
             served: Arc::default(),
--- a/tests/fleet_membership.rs
+++ b/tests/fleet_membership.rs
@@ -10,7 +10,7 @@
 use std::net::UdpSocket;
 use std::time::Duration;
 
-use fault_testbed::Rig;
+use fault_testbed::Testbed;
 use membership::{AdvertisedStatus, Body, Liveness, MemberRecord, MemberState, Packet};
 use membership_scenarios::*;
 use serde_json::json;
@@ -58,7 +58,7 @@
     let is_n3 = |n: usize| usize::from(n == 3);
     let cases: [(&str, &dyn Fn() -> Duration); 11] = [
         ("start at once, one seed", &|| {
-            start_unsettled(24, 500, &["n0"], false).settle(SETTLE_TIMEOUT)
+            start_unsettled(24, 500, &["n0"], false).wait_until_converged(SETTLE_TIMEOUT)
         }),
         ("start at once, a seed down", &|| {
             start_with_a_seed_down(24, 500)
@@ -99,8 +99,8 @@
 }
 
 /// The record of a member as another one holds it.
-fn held_record(rig: &Rig, observer: &str, member: &str) -> MemberRecord {
-    rig.told(observer)
+fn held_record(rig: &Testbed, observer: &str, member: &str) -> MemberRecord {
+    rig.query_members(observer)
         .expect("it answers")
         .members
         .into_iter()
@@ -141,8 +141,8 @@
     let mut rig = start_fleet(4, 200);
     rig.kill("n2");
     rig.start("n2");
-    rig.up(&["n2"]);
-    rig.settle(SETTLE_TIMEOUT);
+    rig.wait_until_up(&["n2"]);
+    rig.wait_until_converged(SETTLE_TIMEOUT);
     let held = held_record(&rig, "n0", "n2");
     let socket = UdpSocket::bind("127.0.0.1:0").expect("loopback");
     let fleet_address = rig.node("n0").logged_address("fleet").expect("logged");
@@ -164,17 +164,17 @@
         sent += usize::from(socket.send_to(&garbled, fleet_address).is_ok());
         if i % 64 == 0 {
             // The socket's buffer holds a few hundred datagrams: they are sent as fast as they are read, no faster.
-            let reply = rig.told("n0").expect("it answers in the flood");
+            let reply = rig.query_members("n0").expect("it answers in the flood");
             assert_eq!((reply.summary.present, reply.summary.lost), (4, 0));
         }
     }
-    let dropped = rig.told("n0").expect("it answers").summary.dropped;
+    let dropped = rig.query_members("n0").expect("it answers").summary.dropped;
     assert!(
         dropped > 1000 && dropped <= sent as u64,
         "{dropped} of {sent}"
     );
     assert_eq!(held_record(&rig, "n0", "n2").state, held.state);
-    let mut client = rig.front("n0");
+    let mut client = rig.connect("n0");
     assert_eq!(
         client.request("statement-read", "serve:flood")["error"],
         serde_json::Value::Null
@@ -186,10 +186,10 @@
 #[test]
 fn process_and_its_successor_are_one_member() {
     let mut rig = start_unsettled(3, 200, &["n0"], true);
-    rig.settle(SETTLE_TIMEOUT);
+    rig.wait_until_converged(SETTLE_TIMEOUT);
     let fleet_address = rig.node("n1").logged_address("fleet").expect("logged");
-    let held = |rig: &Rig| {
-        let reply = rig.told("n0").expect("it answers");
+    let held = |rig: &Testbed| {
+        let reply = rig.query_members("n0").expect("it answers");
         assert_eq!(reply.summary.present, 3);
         reply
             .members
@@ -198,7 +198,7 @@
             .expect("held")
     };
     let before = held(&rig);
-    let mut second = rig.successor("n1", fleet_address);
+    let mut second = rig.start_replacement("n1", fleet_address);
     wait_until("the second is a member", || {
         second.logged_address("fleet").is_some()
     });
@@ -208,7 +208,7 @@
     });
     assert_ne!(held(&rig).address, fleet_address, "the address is in use");
     // The first process ends by the platform's signal and sends nothing about the name.
-    rig.end("n1");
+    rig.shut_down("n1");
     wait_until("the second takes the address over", || {
         held(&rig).address == fleet_address
     });
@@ -216,7 +216,7 @@
     second.terminate();
     second.wait_for_exit();
     wait_until("it has left", || {
-        let reply = rig.told("n0").expect("it answers");
+        let reply = rig.query_members("n0").expect("it answers");
         reply
             .members
             .iter()
@@ -229,8 +229,8 @@
 fn successor_at_an_advertised_address_waits_for_it() {
     let mut rig = start_fleet(3, 200);
     let fleet_address = rig.node("n1").logged_address("fleet").expect("logged");
-    let held = |rig: &Rig| {
-        let reply = rig.told("n0").expect("it answers");
+    let held = |rig: &Testbed| {
+        let reply = rig.query_members("n0").expect("it answers");
         assert_eq!((reply.summary.present, reply.summary.lost), (3, 0));
         reply
             .members
@@ -239,12 +239,12 @@
             .expect("held")
     };
     let before = held(&rig);
-    let second = rig.successor("n1", fleet_address);
+    let second = rig.start_replacement("n1", fleet_address);
     wait_until("the second accepts clients", || {
         second.logged_address("listening").is_some()
     });
     assert_eq!(held(&rig).state.incarnation, before.state.incarnation);
-    rig.end("n1");
+    rig.shut_down("n1");
     wait_until("the second has the name", || {
         held(&rig).state.incarnation > before.state.incarnation
             && held(&rig).state.status == AdvertisedStatus::Up
@@ -255,9 +255,9 @@
 #[test]
 fn status_command_shows_the_views_and_their_differences() {
     let mut rig = start_unsettled(4, 200, &["n0"], true);
-    rig.settle(SETTLE_TIMEOUT);
-    let status = |rig: &Rig, options: &[&str]| {
-        let file = rig.fleet_file_of("n0");
+    rig.wait_until_converged(SETTLE_TIMEOUT);
+    let status = |rig: &Testbed, options: &[&str]| {
+        let file = rig.fleet_file_path("n0");
         let address = rig
             .node("n0")
             .logged_address("fleet")
@@ -276,8 +276,8 @@
         );
         String::from_utf8(out.stdout).expect("text")
     };
-    assert_eq!(rig.call("n3", "quiesce"), "ok quiesced");
-    rig.wait("n0 is informed", SETTLE_TIMEOUT, |rig| {
+    assert_eq!(rig.call_admin("n3", "quiesce"), "ok quiesced");
+    rig.wait_for("n0 is informed", SETTLE_TIMEOUT, |rig| {
         status(rig, &[]).contains("quiesced")
     })
     .expect("it is informed");
@@ -286,10 +286,10 @@
         text.starts_with("n0 sees 4 present, 0 lost; it concludes: whole"),
         "{text}"
     );
-    rig.settle(SETTLE_TIMEOUT);
+    rig.wait_until_converged(SETTLE_TIMEOUT);
     assert!(status(&rig, &["--all"]).contains("all that answered see the same"));
     rig.kill("n2");
-    rig.settle(SETTLE_TIMEOUT);
+    rig.wait_until_converged(SETTLE_TIMEOUT);
     let all: serde_json::Value =
         serde_json::from_str(&status(&rig, &["--all", "--json"])).expect("JSON");
     assert_eq!(
@@ -300,11 +300,11 @@
         serde_json::from_str(&status(&rig, &["--all", "--json"])).expect("JSON");
     assert_eq!(all["views"]["n3"]["members"]["n3"]["state"], "quiesced");
     // A member that does not answer is listed as such, and not as one that sees the same.
-    rig.stop("n1");
+    rig.pause("n1");
     assert!(status(&rig, &["--all"])
         .lines()
         .any(|line| line.starts_with("n1") && line.ends_with("no answer")));
-    rig.resume("n1");
+    rig.unpause("n1");
 }
 
 /// Guards `run` on the platform: without a fleet file there is no thread, socket or log line of the fleet.
--- a/tests/fleet_router.rs
+++ b/tests/fleet_router.rs
@@ -10,8 +10,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use fault_testbed::script::Script;
-use fault_testbed::{Plan, Rig};
+use fault_testbed::scenario::Scenario;
+use fault_testbed::{ProcessPlan, Testbed};
 use membership::AdvertisedStatus;
 use membership_scenarios::partition_status;
 use serde_json::json;
@@ -19,15 +19,15 @@
 use testbed::{as_strs, node_names, plan_nodes, SETTLE_TIMEOUT};
 
 /// Starts nodes and a router in front of them, and waits until the router uses all nodes.
-fn start_fleet_with_router(count: usize, uses_membership: bool) -> Rig {
-    let mut rig = Rig::new(11).expect("sockets");
+fn start_fleet_with_router(count: usize, uses_membership: bool) -> Testbed {
+    let mut rig = Testbed::new(11).expect("sockets");
     plan_nodes(&mut rig, 0..count, "period_ms: 200,");
-    rig.seeds(&["n0"]);
-    rig.plan(Plan {
+    rig.set_seeds(&["n0"]);
+    rig.add_process(ProcessPlan {
         name: "r0".into(),
         site: "milano-lambrate".into(),
-        fleet: "period_ms: 200,".into(),
-        open: false,
+        fleet_fields: "period_ms: 200,".into(),
+        bypasses_proxy: false,
     })
     .expect("sockets");
     let nodes = node_names(0..count);
@@ -35,10 +35,10 @@
         rig.start(name);
     }
     rig.start_router("r0", uses_membership);
-    rig.up(&as_strs(&nodes));
-    rig.up(&["r0"]);
-    rig.settle(SETTLE_TIMEOUT);
-    let mut client = rig.front("r0");
+    rig.wait_until_up(&as_strs(&nodes));
+    rig.wait_until_up(&["r0"]);
+    rig.wait_until_converged(SETTLE_TIMEOUT);
+    let mut client = rig.connect("r0");
     wait_until("the router has all nodes", || {
         let body = format!("serve:{:?}", Instant::now());
         client.request("statement-read", &body);
@@ -56,8 +56,8 @@
 }
 
 /// Sends one request after the other to the router for this long.
-fn send_requests_for(rig: &Rig, duration: Duration) -> Vec<SentRequest> {
-    let mut client = rig.front("r0");
+fn send_requests_for(rig: &Testbed, duration: Duration) -> Vec<SentRequest> {
+    let mut client = rig.connect("r0");
     let end = Instant::now() + duration;
     let mut requests = Vec::new();
     while Instant::now() < end {
@@ -79,9 +79,9 @@
 fn router_uses_the_nodes_of_the_membership_view() {
     let mut rig = start_fleet_with_router(3, true);
     // A quiesced node gets no request once the router has the update.
-    assert_eq!(rig.call("n1", "quiesce"), "ok quiesced");
-    let update = rig.wait("the router has the update", SETTLE_TIMEOUT, |rig| {
-        rig.told("r0").is_some_and(|reply| {
+    assert_eq!(rig.call_admin("n1", "quiesce"), "ok quiesced");
+    let update = rig.wait_for("the router has the update", SETTLE_TIMEOUT, |rig| {
+        rig.query_members("r0").is_some_and(|reply| {
             reply
                 .members
                 .iter()
@@ -95,7 +95,7 @@
         .iter()
         .all(|request| request.is_served));
     assert_eq!(rig.executor("n1").total_runs(), before);
-    assert_eq!(rig.call("n1", "resume"), "ok serving");
+    assert_eq!(rig.call_admin("n1", "resume"), "ok serving");
     wait_until("it gets requests again", || {
         send_requests_for(&rig, Duration::from_millis(50));
         rig.executor("n1").total_runs() > before
@@ -114,7 +114,7 @@
 #[test]
 fn isolated_router_serves_on_with_the_nodes_it_knows() {
     let mut rig = start_fleet_with_router(3, true);
-    rig.weather(json!("all datagrams lost"), |link| link.loss = 1.0);
+    rig.change_all_links(json!("all datagrams lost"), |link| link.loss = 1.0);
     let mut served = Vec::new();
     wait_until("the router knows that it is isolated", || {
         served.extend(send_requests_for(&rig, Duration::from_millis(100)));
@@ -126,14 +126,14 @@
         "of {} not all were served",
         served.len()
     );
-    assert_eq!(rig.call("n1", "quiesce"), "ok quiesced");
+    assert_eq!(rig.call_admin("n1", "quiesce"), "ok quiesced");
     let before = Cell::new(rig.executor("n1").total_runs());
     wait_until("a check finds that one is quiesced", || {
         send_requests_for(&rig, Duration::from_millis(100));
         before.replace(rig.executor("n1").total_runs()) == rig.executor("n1").total_runs()
     });
     rig.heal();
-    rig.settle(SETTLE_TIMEOUT);
+    rig.wait_until_converged(SETTLE_TIMEOUT);
     assert_eq!(partition_status(&rig, "r0"), "whole");
 }
 
@@ -146,7 +146,7 @@
         for _ in 0..10 {
             let mut rig = start_fleet_with_router(4, uses_membership);
             let from = Instant::now();
-            assert_eq!(rig.call("n1", "quiesce"), "ok quiesced");
+            assert_eq!(rig.call_admin("n1", "quiesce"), "ok quiesced");
             let asked = send_requests_for(&rig, Duration::from_millis(800));
             let routed_there = asked
                 .iter()
@@ -189,8 +189,8 @@
 #[test]
 fn scenario_from_a_file_cuts_and_stalls_streams() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/plays/streams.json5");
-    let scenario = Script::read(&file).expect("it can be used");
-    let rig = scenario.play(false).unwrap_or_else(|e| panic!("{e}"));
+    let scenario = Scenario::read(&file).expect("it can be used");
+    let rig = scenario.run(false).unwrap_or_else(|e| panic!("{e}"));
     let timeline = rig.timeline();
     for event in ["\"cut\"", "\"stall\"", "\"served\""] {
         assert!(timeline.contains(event), "{event} is missing: {timeline}");
@@ -198,6 +198,6 @@
     let text = std::fs::read_to_string(&file)
         .expect("readable")
         .replace("router: true", "router: false");
-    let error = Script::parse("play", &text).expect_err("nobody to ask");
+    let error = Scenario::parse("play", &text).expect_err("nobody to ask");
     assert!(error.to_string().contains("steps[2]"), "{error}");
 }
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use fault_testbed::script::Script;
+use fault_testbed::scenario::Scenario;
 use golden::{
     check_groups, data, program_name, root, run, Folder, ProgramOutcome, ADAPTER, PROGRAM,
 };
@@ -30,7 +30,7 @@
 #[test]
 fn each_step_of_a_scenario_is_read() {
     let lines: Vec<String> = data("play.json");
-    Script::parse("play.json5", &lines.join("\n")).unwrap_or_else(|e| panic!("{e}"));
+    Scenario::parse("play.json5", &lines.join("\n")).unwrap_or_else(|e| panic!("{e}"));
 }
 
 #[test]
@@ -65,7 +65,7 @@
     let plays = std::fs::read_dir(deploy.join("plays")).expect("plays");
     let mut count = 0;
     for play in plays.map(|entry| entry.expect("a file").path()) {
-        Script::read(&play).unwrap_or_else(|e| panic!("{e}"));
+        Scenario::read(&play).unwrap_or_else(|e| panic!("{e}"));
         count += 1;
     }
     assert!(count >= 2);
--- a/tests/shared_quotas.rs
+++ b/tests/shared_quotas.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use fault_testbed::{Plan, Rig};
+use fault_testbed::{ProcessPlan, Testbed};
 use test_doubles::wait_until;
 use testbed::{
     node_names, plan_nodes, start_nodes, start_settled, ClientLoad, LoadClients, SETTLE_TIMEOUT,
@@ -24,8 +24,8 @@
 };
 
 /// Starts nodes that share the quota; the first three are voters, and each may have one unit guaranteed.
-fn start_fleet(count: usize, has_guaranteed_quota: bool) -> Rig {
-    let mut rig = Rig::new(5).expect("sockets");
+fn start_fleet(count: usize, has_guaranteed_quota: bool) -> Testbed {
+    let mut rig = Testbed::new(5).expect("sockets");
     let guaranteed: Vec<String> = node_names(0..count)
         .iter()
         .filter(|_| has_guaranteed_quota)
@@ -40,11 +40,11 @@
     rig
 }
 
-fn start_clients(rig: &Rig, name: &str, count: usize) -> LoadClients {
+fn start_clients(rig: &Testbed, name: &str, count: usize) -> LoadClients {
     LoadClients::start(rig, name, count, SHORT_CALLS)
 }
 
-fn start_clients_of_all(rig: &Rig, count: usize) -> Vec<LoadClients> {
+fn start_clients_of_all(rig: &Testbed, count: usize) -> Vec<LoadClients> {
     rig.names()
         .iter()
         .map(|name| start_clients(rig, name, count))
@@ -59,7 +59,7 @@
 }
 
 /// Watches the calls in flight at the database.
-fn watch_database(rig: &Rig, duration: Duration) -> DatabaseUse {
+fn watch_database(rig: &Testbed, duration: Duration) -> DatabaseUse {
     let end = Instant::now() + duration;
     let mut max_in_flight = 0;
     let mut sum = 0;
@@ -77,16 +77,16 @@
     }
 }
 
-fn max_in_flight_for(rig: &Rig, seconds: u64) -> usize {
+fn max_in_flight_for(rig: &Testbed, seconds: u64) -> usize {
     watch_database(rig, Duration::from_secs(seconds)).max_in_flight
 }
 
-fn is_mostly_used(rig: &Rig) -> bool {
+fn is_mostly_used(rig: &Testbed) -> bool {
     watch_database(rig, Duration::from_millis(300)).mean_fraction > 0.7
 }
 
-fn leased_units(rig: &Rig, name: &str) -> Option<u64> {
-    rig.look(name)
+fn leased_units(rig: &Testbed, name: &str) -> Option<u64> {
+    rig.query_shared_state(name)
         .map(|snapshot| snapshot.budgets[0].leased.units)
 }
 
@@ -99,24 +99,24 @@
     wait_until("calls are made", || {
         rig.database().read_delayed_calls().total > 50
     });
-    rig.wait("most of the total is used", SETTLE_TIMEOUT, is_mostly_used)
+    rig.wait_for("most of the total is used", SETTLE_TIMEOUT, is_mostly_used)
         .expect("it is used");
-    let leader = rig.granter("n4").expect("there is a leader");
+    let leader = rig.leader("n4").expect("there is a leader");
     rig.kill(&leader);
     assert!(max_in_flight_for(&rig, 5) <= TOTAL);
     rig.start(&leader);
-    rig.up(&[&leader]);
+    rig.wait_until_up(&[&leader]);
     clients.push(start_clients(&rig, &leader, 12));
     assert!(max_in_flight_for(&rig, 2) <= TOTAL);
-    rig.stop("n3");
+    rig.pause("n3");
     assert!(max_in_flight_for(&rig, 7) <= TOTAL);
-    rig.resume("n3");
+    rig.unpause("n3");
     assert!(max_in_flight_for(&rig, 3) <= TOTAL);
     // Partitioned, two nodes go on with their guaranteed quota once their leases have expired.
     rig.partition(&[node_names([0, 1, 2]), node_names([3, 4])]);
     assert!(max_in_flight_for(&rig, 9) <= TOTAL);
     for name in node_names([3, 4]) {
-        let snapshot = rig.look(&name).expect("it answers");
+        let snapshot = rig.query_shared_state(&name).expect("it answers");
         assert_eq!(
             (
                 snapshot.budgets[0].leased.units,
@@ -127,7 +127,7 @@
         );
     }
     rig.heal();
-    rig.wait("the total is used again", SETTLE_TIMEOUT, is_mostly_used)
+    rig.wait_for("the total is used again", SETTLE_TIMEOUT, is_mostly_used)
         .expect("it is used");
     assert!(max_in_flight_for(&rig, 1) <= TOTAL);
 }
@@ -137,8 +137,8 @@
 fn leases_move_to_the_nodes_with_demand() {
     let rig = start_fleet(3, false);
     let first = start_clients(&rig, "n2", 24);
-    let leased = |rig: &Rig, name: &str| leased_units(rig, name).unwrap_or(0) as usize;
-    rig.wait("one has nearly all", SETTLE_TIMEOUT, |rig| {
+    let leased = |rig: &Testbed, name: &str| leased_units(rig, name).unwrap_or(0) as usize;
+    rig.wait_for("one has nearly all", SETTLE_TIMEOUT, |rig| {
         leased(rig, "n2") * 10 >= TOTAL * 8
     })
     .expect("it moves");
@@ -150,7 +150,7 @@
         used.mean_fraction
     );
     let second = start_clients(&rig, "n1", 24);
-    rig.wait("both have about half", SETTLE_TIMEOUT, |rig| {
+    rig.wait_for("both have about half", SETTLE_TIMEOUT, |rig| {
         leased(rig, "n1") >= TOTAL / 3 && leased(rig, "n2") <= TOTAL * 2 / 3
     })
     .expect("it moves back");
@@ -162,8 +162,8 @@
     });
 }
 
-fn wait_until_lease_expired(rig: &Rig, name: &str) {
-    rig.wait("no lease is left", SETTLE_TIMEOUT, |rig| {
+fn wait_until_lease_expired(rig: &Testbed, name: &str) {
+    rig.wait_for("no lease is left", SETTLE_TIMEOUT, |rig| {
         leased_units(rig, name) == Some(0)
     })
     .expect("leases expire");
@@ -180,7 +180,10 @@
     thread::sleep(Duration::from_millis(100));
     rig.database().read_delayed_calls();
     assert_eq!(max_in_flight_for(&rig, 2), 1);
-    assert_eq!(rig.look("n2").expect("it answers").leader, None);
+    assert_eq!(
+        rig.query_shared_state("n2").expect("it answers").leader,
+        None
+    );
 }
 
 /// Two processes have one name during a replacement; only one of them spends the guaranteed quota of the name.
@@ -195,14 +198,14 @@
     wait_until("it spends its guaranteed quota", || {
         first_clients.served() > 0
     });
-    let second = rig.successor("n2", fleet_address);
+    let second = rig.start_replacement("n2", fleet_address);
     wait_until("the second accepts clients", || {
         second.logged_address("listening").is_some()
     });
     let _second_clients = start_clients(&rig, "n2", 6);
     rig.database().read_delayed_calls();
     assert_eq!(max_in_flight_for(&rig, 2), 1, "both live");
-    rig.end("n2");
+    rig.shut_down("n2");
     let before = rig.database().read_delayed_calls().total;
     assert!(max_in_flight_for(&rig, 4) <= 1);
     wait_until("the second spends it", || {
@@ -212,7 +215,7 @@
 }
 
 /// Prints how much was in flight in a case, and checks that it was never more than `total`.
-fn report_case(rig: &Rig, case: &str, seconds: u64, total: usize) {
+fn report_case(rig: &Testbed, case: &str, seconds: u64, total: usize) {
     let used = watch_database(rig, Duration::from_secs(seconds));
     println!(
         "| {case} | {} of {total} | {:.2} |",
@@ -227,9 +230,9 @@
 }
 
 /// Prints how long it takes until nearly all of the total is used.
-fn report_time_to_full_use(rig: &Rig, case: &str) {
+fn report_time_to_full_use(rig: &Testbed, case: &str) {
     let took = rig
-        .wait(case, SETTLE_TIMEOUT, |rig| {
+        .wait_for(case, SETTLE_TIMEOUT, |rig| {
             watch_database(rig, Duration::from_millis(300)).mean_fraction > 0.95
         })
         .expect("used again");
@@ -237,8 +240,8 @@
 }
 
 /// Twelve more nodes join under load and are killed at once.
-fn join_and_kill_twelve_nodes(rig: &mut Rig, clients: &mut Vec<LoadClients>) {
-    let text = std::fs::read_to_string(rig.fleet_file_of("n0")).expect("a file");
+fn join_and_kill_twelve_nodes(rig: &mut Testbed, clients: &mut Vec<LoadClients>) {
+    let text = std::fs::read_to_string(rig.fleet_file_path("n0")).expect("a file");
     let from = text.find("period_ms").expect("fields of this test");
     let fleet_fields = text[from..].split(" advertise").next().expect("a part");
     let joining = node_names(12..24);
@@ -246,7 +249,7 @@
         plan_nodes(rig, [number], fleet_fields);
         rig.start(&format!("n{number}"));
     }
-    rig.up(&testbed::as_strs(&joining));
+    rig.wait_until_up(&testbed::as_strs(&joining));
     clients.extend(joining.iter().map(|name| start_clients(rig, name, 4)));
     report_case(rig, "12 more join under load", 10, TOTAL);
     for name in &joining {
@@ -257,14 +260,14 @@
 }
 
 /// Cuts the total by a third in the files of twelve nodes, under full use.
-fn cut_the_total(rig: &mut Rig) {
+fn cut_the_total(rig: &mut Testbed) {
     let new_total = TOTAL * 2 / 3;
     for name in node_names(0..12) {
-        let file = rig.fleet_file_of(&name);
+        let file = rig.fleet_file_path(&name);
         let text = std::fs::read_to_string(&file).expect("a file");
         let changed = text.replace(&format!("total: {TOTAL}"), &format!("total: {new_total}"));
         std::fs::write(&file, changed).expect("written");
-        rig.hangup(&name);
+        rig.reload(&name);
     }
     report_case(rig, "the total is cut under full use, first 8 s", 8, TOTAL);
     rig.database().read_delayed_calls();
@@ -280,11 +283,11 @@
     let mut clients = start_clients_of_all(&rig, 4);
     println!("| case | most in hand | mean part used |\n| --- | --- | --- |");
     report_time_to_full_use(&rig, "start");
-    rig.weather(
+    rig.change_all_links(
         serde_json::json!({"loss": 0.2, "double": 1.0, "delay_ms": [0, 300]}),
         |link| {
             link.loss = 0.2;
-            link.double = 1.0;
+            link.duplication = 1.0;
             link.delay = (Duration::ZERO, Duration::from_millis(300));
         },
     );
@@ -309,27 +312,27 @@
 const RETRIES: u64 = 10;
 
 /// Starts three nodes and two routers that share a quota of retries.
-fn start_fleet_with_routers() -> Rig {
-    let mut rig = Rig::new(9).expect("sockets");
+fn start_fleet_with_routers() -> Testbed {
+    let mut rig = Testbed::new(9).expect("sockets");
     let fleet_fields = format!(
         "period_ms: 200, keepers: ['n0', 'n1', 'n2'], budgets: {{ tries: {{ total: {RETRIES} }} }},"
     );
     plan_nodes(&mut rig, 0..3, &fleet_fields);
     for name in ["r0", "r1"] {
-        rig.plan(Plan {
+        rig.add_process(ProcessPlan {
             name: name.into(),
-            fleet: fleet_fields.clone(),
-            ..Plan::node(0)
+            fleet_fields: fleet_fields.clone(),
+            ..ProcessPlan::node(0)
         })
         .expect("sockets");
     }
-    rig.seeds(&["n0", "n1"]);
+    rig.set_seeds(&["n0", "n1"]);
     start_nodes(&mut rig, &node_names(0..3));
     for router in ["r0", "r1"] {
         rig.start_router(router, true);
     }
-    rig.up(&["r0", "r1"]);
-    rig.settle(SETTLE_TIMEOUT);
+    rig.wait_until_up(&["r0", "r1"]);
+    rig.wait_until_converged(SETTLE_TIMEOUT);
     rig
 }
 
@@ -341,9 +344,10 @@
     // Streams of one router are cut now and then: what was in flight is lost, and retried within the quota.
     let _many = start_clients(&rig, "r0", 12);
     let _few = start_clients(&rig, "r1", 2);
-    let quota = |rig: &Rig, name: &str| rig.look(name).map(|s| s.budgets[0].clone());
+    let quota =
+        |rig: &Testbed, name: &str| rig.query_shared_state(name).map(|s| s.budgets[0].clone());
     let last_cut = Cell::new(Instant::now());
-    let both_have_leases = |rig: &Rig| {
+    let both_have_leases = |rig: &Testbed| {
         let (Some(first), Some(second)) = (quota(rig, "r0"), quota(rig, "r1")) else {
             return false;
         };
@@ -353,23 +357,23 @@
         );
         if last_cut.get().elapsed() > Duration::from_millis(200) {
             last_cut.set(Instant::now());
-            rig.switch().links(|links| {
+            rig.proxy().with_links(|links| {
                 for name in node_names(0..3) {
-                    links.cut("r0", &name);
+                    links.cut_streams("r0", &name);
                 }
             });
         }
         first.leased.units > 0 && second.leased.units > 0
     };
-    rig.wait("both have leases", SETTLE_TIMEOUT, both_have_leases)
+    rig.wait_for("both have leases", SETTLE_TIMEOUT, both_have_leases)
         .expect("they do");
-    let leader = rig.granter("r0").expect("there is a leader");
+    let leader = rig.leader("r0").expect("there is a leader");
     rig.kill(&leader);
-    rig.wait("another node leads", SETTLE_TIMEOUT, |rig| {
+    rig.wait_for("another node leads", SETTLE_TIMEOUT, |rig| {
         both_have_leases(rig);
-        rig.granter("r0").is_some_and(|now| now != leader)
+        rig.leader("r0").is_some_and(|now| now != leader)
     })
     .expect("one does");
-    rig.wait("both have leases", SETTLE_TIMEOUT, both_have_leases)
+    rig.wait_for("both have leases", SETTLE_TIMEOUT, both_have_leases)
         .expect("they do");
 }
