--- a/crates/fault-testbed/tests/links.rs
+++ b/crates/fault-testbed/tests/links.rs
@@ -162,8 +162,8 @@
 }
 
 /// Sends four bytes and reads four back.
-fn exchange(mut stream: &TcpStream, text: &[u8; 4]) -> io::Result<[u8; 4]> {
-    stream.write_all(text).expect("written");
+fn exchange(mut stream: &TcpStream, text: [u8; 4]) -> io::Result<[u8; 4]> {
+    stream.write_all(&text).expect("written");
     read_four(stream)
 }
 
@@ -184,10 +184,10 @@
         });
     };
     let stream = connect(server);
-    assert_eq!(exchange(&stream, b"one.").expect("an echo"), *b"one.");
+    assert_eq!(exchange(&stream, *b"one.").expect("an echo"), *b"one.");
     set_stalled(true);
     set_read_timeout(&stream, STALL_TIMEOUT);
-    let error = exchange(&stream, b"two.").expect_err("nothing comes back, and nothing is closed");
+    let error = exchange(&stream, *b"two.").expect_err("nothing comes back, and nothing is closed");
     assert!(
         matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut),
         "{error}"
@@ -197,10 +197,10 @@
     let continued = read_four(&stream).expect("it continues where it stopped");
     assert_eq!(continued, *b"two.");
     proxy.with_links(|links| links.cut_streams("client", "server"));
-    assert!(exchange(&stream, b"last").is_err(), "cut");
+    assert!(exchange(&stream, *b"last").is_err(), "cut");
     let reopened = connect(server);
     assert_eq!(
-        exchange(&reopened, b"new.").expect("later ones pass"),
+        exchange(&reopened, *b"new.").expect("later ones pass"),
         *b"new."
     );
 }
