--- a/tests/common/answers.rs
+++ b/tests/common/answers.rs
@@ -19,3 +19,10 @@
         .unwrap_or_else(|| panic!("no result: {answer}"));
     decode_base64(body)
 }
+
+/// Checks that a request failed, and was not rejected before it ran.
+#[track_caller]
+pub(crate) fn assert_failed(answer: &Value) {
+    let code = error_code(answer);
+    assert!(code != 0 && code != REJECTED, "{answer}");
+}
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -5,7 +5,7 @@
 #[path = "common/keyed_node.rs"]
 mod keyed_node;
 
-use answers::{error_code, result_body, REJECTED};
+use answers::{assert_failed, error_code, result_body, REJECTED};
 use keyed_node::{add_keyed_class, start_keyed_node, ANSWER_SLACK_MS};
 use serde_json::{json, Value};
 use test_doubles::*;
@@ -19,10 +19,7 @@
     let started_at = unix_ms();
     let answer = node.connect().request(POST, "hang");
     let took_ms = unix_ms() - started_at;
-    assert!(
-        error_code(&answer) != 0 && error_code(&answer) != REJECTED,
-        "{answer}"
-    );
+    assert_failed(&answer);
     assert!(
         took_ms >= 1300,
         "due after 1500 ms, answered after {took_ms}"
--- a/tests/executor_link.rs
+++ b/tests/executor_link.rs
@@ -6,7 +6,7 @@
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpListener;
 
-use answers::{error_code, result_body, REJECTED};
+use answers::{assert_failed, error_code, result_body, REJECTED};
 use serde_json::json;
 use test_doubles::*;
 
@@ -42,10 +42,7 @@
     );
     node.executor.lose_next_command();
     let answer = node.connect().request(POST, "serve:post");
-    assert!(
-        error_code(&answer) != 0 && error_code(&answer) != REJECTED,
-        "{answer}"
-    );
+    assert_failed(&answer);
     assert_eq!(
         (
             node.executor.run_count("serve:read"),
--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -5,7 +5,7 @@
 #[path = "common/keyed_node.rs"]
 mod keyed_node;
 
-use answers::{error_code, result_body, REJECTED};
+use answers::{assert_failed, error_code, result_body, REJECTED};
 use keyed_node::{
     add_keyed_class, start_keyed_node, submit, ANSWER_SLACK_MS, OTHER_TOKEN, TOKEN, WINDOW_MS,
 };
@@ -28,7 +28,7 @@
     let token = TOKEN.replace('5', "6");
     for _ in 0..2 {
         submit(&mut client, "fail", &token);
-        assert!(!matches!(error_code(&client.read_answer()), 0 | REJECTED));
+        assert_failed(&client.read_answer());
     }
     assert_eq!(node.executor.run_count("fail"), 1);
 }
@@ -122,7 +122,7 @@
     let mut answered: Vec<u64> = Vec::new();
     for _ in 0..2 {
         let answer = client.read_answer();
-        assert!(!matches!(error_code(&answer), 0 | REJECTED), "{answer}");
+        assert_failed(&answer);
         answered.push(answer["id"].as_u64().expect("an id"));
     }
     answered.sort_unstable();
@@ -175,7 +175,7 @@
     assert_eq!(result_body(&client.read_answer()), "done serve");
     submit(&mut client, "serve:other", TOKEN);
     let answer = client.read_answer();
-    assert!(!matches!(error_code(&answer), 0 | REJECTED), "{answer}");
+    assert_failed(&answer);
     assert!(
         answer["error"]["message"]
             .as_str()
--- a/tests/node_requests.rs
+++ b/tests/node_requests.rs
@@ -5,7 +5,7 @@
 
 use std::io::Write;
 
-use answers::{error_code, result_body, REJECTED};
+use answers::{assert_failed, error_code, result_body, REJECTED};
 use serde_json::{json, Value};
 use test_doubles::*;
 
@@ -27,10 +27,7 @@
 fn failed_run_is_answered_as_failed_not_rejected() {
     let node = Node::start();
     let answer = node.connect().request(POST, "fail");
-    assert!(
-        error_code(&answer) != 0 && error_code(&answer) != REJECTED,
-        "{answer}"
-    );
+    assert_failed(&answer);
 }
 
 /// A command that the executor declines is answered at once, and notices about unknown runs are ignored.
@@ -39,10 +36,7 @@
     let node = Node::start();
     let mut client = node.connect();
     let answer = client.request(READ, "bad");
-    assert!(
-        error_code(&answer) != 0 && error_code(&answer) != REJECTED,
-        "{answer}"
-    );
+    assert_failed(&answer);
     assert_eq!(result_body(&client.request(READ, "serve")), "done serve");
     assert_eq!(node.executor.join_positions(), [0], "the link stayed open");
 }
@@ -61,10 +55,7 @@
     let node = Node::start();
     let mut client = node.connect();
     let answer = client.request(POST, "call:break#post");
-    assert!(
-        error_code(&answer) != 0 && error_code(&answer) != REJECTED,
-        "{answer}"
-    );
+    assert_failed(&answer);
     assert_eq!(node.database.call_count("break#post"), 1);
     client.send(READ, "call:break#read");
     wait_until("the read's call is repeated", || {
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -5,7 +5,7 @@
 
 use std::io::Write;
 
-use answers::{error_code, result_body, REJECTED};
+use answers::{assert_failed, error_code, result_body, REJECTED};
 use serde_json::json;
 use test_doubles::*;
 
@@ -40,10 +40,7 @@
     assert_eq!(error_code(&answer), REJECTED);
     assert_eq!(node.executor.run_count("serve:late"), 0);
     let answer = client.read_message();
-    assert!(
-        error_code(&answer) != 0 && error_code(&answer) != REJECTED,
-        "{answer}"
-    );
+    assert_failed(&answer);
     drop((client, early));
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
@@ -58,10 +55,7 @@
     node.terminate();
     assert_eq!(client.read_message()["method"], "farewell");
     let answer = client.read_message();
-    assert!(
-        error_code(&answer) != 0 && error_code(&answer) != REJECTED,
-        "{answer}"
-    );
+    assert_failed(&answer);
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
