--- a/tests/doubles/broker/connection.rs
+++ b/tests/doubles/broker/connection.rs
@@ -221,11 +221,15 @@
             Basic::Publish(publish) => {
                 channel.partial_publish = Some(PartialPublish::new(publish));
             }
-            Basic::Ack(ack) => self.settle(id, ack.delivery_tag, |state, _, _| state.acked += 1),
+            Basic::Ack(ack) => {
+                self.settle_delivery(id, ack.delivery_tag, |state, _, _| state.acked += 1);
+            }
             Basic::Reject(reject) => {
-                self.settle(id, reject.delivery_tag, return_message(reject.requeue));
+                self.settle_delivery(id, reject.delivery_tag, return_message(reject.requeue));
+            }
+            Basic::Nack(nack) => {
+                self.settle_delivery(id, nack.delivery_tag, return_message(nack.requeue));
             }
-            Basic::Nack(nack) => self.settle(id, nack.delivery_tag, return_message(nack.requeue)),
             other => self.record_violation(format!("unexpected {other:?}")),
         }
     }
@@ -244,7 +248,7 @@
             is_other_queue
         });
         for message in on_the_way {
-            self.deliver(id, message);
+            self.deliver(id, &message);
         }
         if let Some(channel) = self.channels.get_mut(&id) {
             channel.is_active = false;
@@ -253,7 +257,7 @@
         self.reply(id, AMQPClass::Basic(cancel_ok));
     }
 
-    fn settle(
+    fn settle_delivery(
         &mut self,
         id: u16,
         delivery_tag: u64,
@@ -274,7 +278,7 @@
         }
     }
 
-    fn deliver(&mut self, id: u16, message: Message) {
+    fn deliver(&mut self, id: u16, message: &Message) {
         let Some(channel) = self.channels.get_mut(&id) else {
             return;
         };
@@ -289,7 +293,7 @@
         state.unacked += 1;
         state.most_unacked = state.most_unacked.max(channel.unacked.len());
         drop(state);
-        self.send_content(id, Basic::Deliver(deliver), &message);
+        self.send_content(id, Basic::Deliver(deliver), message);
     }
 
     /// Delivers waiting messages to each consumer, up to its prefetch.
@@ -297,7 +301,7 @@
         let ids: Vec<u16> = self.channels.keys().copied().collect();
         for id in ids {
             while let Some(message) = self.take_ready(id) {
-                self.deliver(id, message);
+                self.deliver(id, &message);
             }
         }
     }
