--- a/tests/common/testbed.rs
+++ b/tests/common/testbed.rs
@@ -25,33 +25,34 @@
 
 /// Adds nodes to the testbed, each with these fields in its fleet file.
 pub(crate) fn plan_nodes(
-    rig: &mut Testbed,
+    testbed: &mut Testbed,
     numbers: impl IntoIterator<Item = usize>,
     fleet_fields: &str,
 ) {
     for number in numbers {
-        rig.add_process(ProcessPlan {
-            fleet_fields: fleet_fields.to_string(),
-            ..ProcessPlan::node(number)
-        })
-        .expect("sockets");
+        testbed
+            .add_process(ProcessPlan {
+                fleet_fields: fleet_fields.to_string(),
+                ..ProcessPlan::node(number)
+            })
+            .expect("sockets");
     }
 }
 
 /// Starts these nodes at once and waits until they run.
-pub(crate) fn start_nodes(rig: &mut Testbed, names: &[String]) {
+pub(crate) fn start_nodes(testbed: &mut Testbed, names: &[String]) {
     for name in names {
-        rig.start(name);
+        testbed.start(name);
     }
-    rig.wait_until_up(&as_strs(names));
+    testbed.wait_until_up(&as_strs(names));
 }
 
 /// Starts all planned nodes with two of them as seeds, and waits until they agree on who is there.
-pub(crate) fn start_settled(rig: &mut Testbed) {
-    rig.set_seeds(&["n0", "n1"]);
-    let all = rig.names();
-    start_nodes(rig, &all);
-    rig.wait_until_converged(SETTLE_TIMEOUT);
+pub(crate) fn start_settled(testbed: &mut Testbed) {
+    testbed.set_seeds(&["n0", "n1"]);
+    let all = testbed.names();
+    start_nodes(testbed, &all);
+    testbed.wait_until_converged(SETTLE_TIMEOUT);
 }
 
 /// What each client of a group sends, and how long it waits before it sends again.
@@ -70,12 +71,17 @@
 
 impl LoadClients {
     /// Starts `count` clients of a node.
-    pub(crate) fn start(rig: &Testbed, name: &str, count: usize, load: ClientLoad) -> LoadClients {
+    pub(crate) fn start(
+        testbed: &Testbed,
+        name: &str,
+        count: usize,
+        load: ClientLoad,
+    ) -> LoadClients {
         let clients = LoadClients {
             stop: Arc::default(),
             served: Arc::default(),
         };
-        let address = rig.node(name).address;
+        let address = testbed.node(name).address;
         for _ in 0..count {
             let stop = clients.stop.clone();
             let served = clients.served.clone();
--- a/tests/demo.rs
+++ b/tests/demo.rs
@@ -52,14 +52,6 @@
         }
     }
 
-    /// Sends SIGTERM to `target`, a process id or minus the id of a group.
-    fn terminate(&self, target: &str) {
-        let kill = Command::new("/bin/sh")
-            .args(["-c", &format!("kill -TERM {target}")])
-            .status();
-        assert!(kill.expect("a shell").success());
-    }
-
     fn wait(mut self) -> Outcome {
         let mut errors = self.process.stderr.take().expect("it is piped");
         let reader = thread::spawn(move || {
@@ -89,6 +81,14 @@
     }
 }
 
+/// Sends SIGTERM to `target`, a process id or minus the id of a group.
+fn terminate(target: &str) {
+    let kill = Command::new("/bin/sh")
+        .args(["-c", &format!("kill -TERM {target}")])
+        .status();
+    assert!(kill.expect("a shell").success());
+}
+
 fn assert_ended_with_table(outcome: &Outcome) {
     let Outcome {
         status,
@@ -110,7 +110,7 @@
     demo.read_until_line_starting_with("member ");
     demo.read_until_line_starting_with("r1 ");
     let pid = demo.process.id().to_string();
-    demo.terminate(&pid);
+    terminate(&pid);
     assert_ended_with_table(&demo.wait());
 }
 
@@ -121,6 +121,21 @@
     demo.read_until_line_starting_with("member ");
     demo.read_until_line_starting_with("r1 ");
     let group = format!("-{}", demo.process.id());
-    demo.terminate(&group);
+    terminate(&group);
     assert_ended_with_table(&demo.wait());
 }
+
+#[test]
+fn a_demo_with_an_unknown_node_fails_with_one_line() {
+    let output = Command::new(env!("CARGO_BIN_EXE_protocol-gateway"))
+        .args(["demo", "--nodes", "2", "--kill", "n3"])
+        .env_remove("PROXY_CONFIG")
+        .output()
+        .expect("the program starts");
+    let stderr = String::from_utf8(output.stderr).expect("text");
+    assert_eq!(output.status.code(), Some(1), "{stderr}");
+    assert_eq!(
+        stderr,
+        "protocol-gateway: there is no node n3; they are called n1, n2, ...\n"
+    );
+}
--- a/tests/fleet_membership.rs
+++ b/tests/fleet_membership.rs
@@ -99,8 +99,9 @@
 }
 
 /// The record of a member as another one holds it.
-fn held_record(rig: &Testbed, observer: &str, member: &str) -> MemberRecord {
-    rig.query_members(observer)
+fn held_record(testbed: &Testbed, observer: &str, member: &str) -> MemberRecord {
+    testbed
+        .query_members(observer)
         .expect("it answers")
         .members
         .into_iter()
@@ -138,14 +139,14 @@
 /// counted and dropped, and the node serves on.
 #[test]
 fn late_forged_and_garbled_datagrams_do_no_harm() {
-    let mut rig = start_fleet(4, 200);
-    rig.kill("n2");
-    rig.start("n2");
-    rig.wait_until_up(&["n2"]);
-    rig.wait_until_converged(SETTLE_TIMEOUT);
-    let held = held_record(&rig, "n0", "n2");
+    let mut testbed = start_fleet(4, 200);
+    testbed.kill("n2");
+    testbed.start("n2");
+    testbed.wait_until_up(&["n2"]);
+    testbed.wait_until_converged(SETTLE_TIMEOUT);
+    let held = held_record(&testbed, "n0", "n2");
     let socket = UdpSocket::bind("127.0.0.1:0").expect("loopback");
-    let fleet_address = rig.node("n0").logged_address("fleet").expect("logged");
+    let fleet_address = testbed.node("n0").logged_address("fleet").expect("logged");
     for status in [
         AdvertisedStatus::Left,
         AdvertisedStatus::Quiesced,
@@ -164,32 +165,38 @@
         sent += usize::from(socket.send_to(&garbled, fleet_address).is_ok());
         if i % 64 == 0 {
             // The socket's buffer holds a few hundred datagrams: they are sent as fast as they are read, no faster.
-            let reply = rig.query_members("n0").expect("it answers in the flood");
+            let reply = testbed
+                .query_members("n0")
+                .expect("it answers in the flood");
             assert_eq!((reply.summary.present, reply.summary.lost), (4, 0));
         }
     }
-    let dropped = rig.query_members("n0").expect("it answers").summary.dropped;
+    let dropped = testbed
+        .query_members("n0")
+        .expect("it answers")
+        .summary
+        .dropped;
     assert!(
         dropped > 1000 && dropped <= sent as u64,
         "{dropped} of {sent}"
     );
-    assert_eq!(held_record(&rig, "n0", "n2").state, held.state);
-    let mut client = rig.connect("n0");
+    assert_eq!(held_record(&testbed, "n0", "n2").state, held.state);
+    let mut client = testbed.connect("n0");
     assert_eq!(
         client.request("statement-read", "serve:flood")["error"],
         serde_json::Value::Null
     );
-    assert!(rig.node("n0").log().contains("datagram dropped"));
+    assert!(testbed.node("n0").log().contains("datagram dropped"));
 }
 
 /// During a replacement two processes have one name: they are one member, and membership loses no request to it.
 #[test]
 fn process_and_its_successor_are_one_member() {
-    let mut rig = start_unsettled(3, 200, &["n0"], true);
-    rig.wait_until_converged(SETTLE_TIMEOUT);
-    let fleet_address = rig.node("n1").logged_address("fleet").expect("logged");
-    let held = |rig: &Testbed| {
-        let reply = rig.query_members("n0").expect("it answers");
+    let mut testbed = start_unsettled(3, 200, &["n0"], true);
+    testbed.wait_until_converged(SETTLE_TIMEOUT);
+    let fleet_address = testbed.node("n1").logged_address("fleet").expect("logged");
+    let held = |testbed: &Testbed| {
+        let reply = testbed.query_members("n0").expect("it answers");
         assert_eq!(reply.summary.present, 3);
         reply
             .members
@@ -197,26 +204,30 @@
             .find(|r| &*r.name == "n1")
             .expect("held")
     };
-    let before = held(&rig);
-    let mut second = rig.start_replacement("n1", fleet_address);
+    let before = held(&testbed);
+    let mut second = testbed.start_replacement("n1", fleet_address);
     wait_until("the second is a member", || {
         second.logged_address("fleet").is_some()
     });
     wait_until("it has the name", || {
-        held(&rig).state.incarnation > before.state.incarnation
-            && held(&rig).state.status == AdvertisedStatus::Up
+        held(&testbed).state.incarnation > before.state.incarnation
+            && held(&testbed).state.status == AdvertisedStatus::Up
     });
-    assert_ne!(held(&rig).address, fleet_address, "the address is in use");
+    assert_ne!(
+        held(&testbed).address,
+        fleet_address,
+        "the address is in use"
+    );
     // The first process ends by the platform's signal and sends nothing about the name.
-    rig.shut_down("n1");
+    testbed.shut_down("n1");
     wait_until("the second takes the address over", || {
-        held(&rig).address == fleet_address
+        held(&testbed).address == fleet_address
     });
-    assert!(held(&rig).state.is_present());
+    assert!(held(&testbed).state.is_present());
     second.terminate();
     second.wait_for_exit();
     wait_until("it has left", || {
-        let reply = rig.query_members("n0").expect("it answers");
+        let reply = testbed.query_members("n0").expect("it answers");
         reply
             .members
             .iter()
@@ -227,10 +238,10 @@
 /// Where the file advertises one address to the others, the second process joins once the first has ended.
 #[test]
 fn successor_at_an_advertised_address_waits_for_it() {
-    let mut rig = start_fleet(3, 200);
-    let fleet_address = rig.node("n1").logged_address("fleet").expect("logged");
-    let held = |rig: &Testbed| {
-        let reply = rig.query_members("n0").expect("it answers");
+    let mut testbed = start_fleet(3, 200);
+    let fleet_address = testbed.node("n1").logged_address("fleet").expect("logged");
+    let held = |testbed: &Testbed| {
+        let reply = testbed.query_members("n0").expect("it answers");
         assert_eq!((reply.summary.present, reply.summary.lost), (3, 0));
         reply
             .members
@@ -238,27 +249,27 @@
             .find(|r| &*r.name == "n1")
             .expect("held")
     };
-    let before = held(&rig);
-    let second = rig.start_replacement("n1", fleet_address);
+    let before = held(&testbed);
+    let second = testbed.start_replacement("n1", fleet_address);
     wait_until("the second accepts clients", || {
         second.logged_address("listening").is_some()
     });
-    assert_eq!(held(&rig).state.incarnation, before.state.incarnation);
-    rig.shut_down("n1");
+    assert_eq!(held(&testbed).state.incarnation, before.state.incarnation);
+    testbed.shut_down("n1");
     wait_until("the second has the name", || {
-        held(&rig).state.incarnation > before.state.incarnation
-            && held(&rig).state.status == AdvertisedStatus::Up
+        held(&testbed).state.incarnation > before.state.incarnation
+            && held(&testbed).state.status == AdvertisedStatus::Up
     });
-    assert_eq!(held(&rig).address, before.address);
+    assert_eq!(held(&testbed).address, before.address);
 }
 
 #[test]
 fn status_command_shows_the_views_and_their_differences() {
-    let mut rig = start_unsettled(4, 200, &["n0"], true);
-    rig.wait_until_converged(SETTLE_TIMEOUT);
-    let status = |rig: &Testbed, options: &[&str]| {
-        let file = rig.fleet_file_path("n0");
-        let address = rig
+    let mut testbed = start_unsettled(4, 200, &["n0"], true);
+    testbed.wait_until_converged(SETTLE_TIMEOUT);
+    let status = |testbed: &Testbed, options: &[&str]| {
+        let file = testbed.fleet_file_path("n0");
+        let address = testbed
             .node("n0")
             .logged_address("fleet")
             .expect("logged")
@@ -276,35 +287,36 @@
         );
         String::from_utf8(out.stdout).expect("text")
     };
-    assert_eq!(rig.call_admin("n3", "quiesce"), "ok quiesced");
-    rig.wait_for("n0 is informed", SETTLE_TIMEOUT, |rig| {
-        status(rig, &[]).contains("quiesced")
-    })
-    .expect("it is informed");
-    let text = status(&rig, &[]);
+    assert_eq!(testbed.call_admin("n3", "quiesce"), "ok quiesced");
+    testbed
+        .wait_for("n0 is informed", SETTLE_TIMEOUT, |testbed| {
+            status(testbed, &[]).contains("quiesced")
+        })
+        .expect("it is informed");
+    let text = status(&testbed, &[]);
     assert!(
         text.starts_with("n0 sees 4 present, 0 lost; it concludes: whole"),
         "{text}"
     );
-    rig.wait_until_converged(SETTLE_TIMEOUT);
-    assert!(status(&rig, &["--all"]).contains("all that answered see the same"));
-    rig.kill("n2");
-    rig.wait_until_converged(SETTLE_TIMEOUT);
+    testbed.wait_until_converged(SETTLE_TIMEOUT);
+    assert!(status(&testbed, &["--all"]).contains("all that answered see the same"));
+    testbed.kill("n2");
+    testbed.wait_until_converged(SETTLE_TIMEOUT);
     let all: serde_json::Value =
-        serde_json::from_str(&status(&rig, &["--all", "--json"])).expect("JSON");
+        serde_json::from_str(&status(&testbed, &["--all", "--json"])).expect("JSON");
     assert_eq!(
         (&all["same"], &all["views"]["n1"]["members"]["n2"]["state"]),
         (&json!(true), &json!("gone"))
     );
     let all: serde_json::Value =
-        serde_json::from_str(&status(&rig, &["--all", "--json"])).expect("JSON");
+        serde_json::from_str(&status(&testbed, &["--all", "--json"])).expect("JSON");
     assert_eq!(all["views"]["n3"]["members"]["n3"]["state"], "quiesced");
     // A member that does not answer is listed as such, and not as one that sees the same.
-    rig.pause("n1");
-    assert!(status(&rig, &["--all"])
+    testbed.pause("n1");
+    assert!(status(&testbed, &["--all"])
         .lines()
         .any(|line| line.starts_with("n1") && line.ends_with("no answer")));
-    rig.unpause("n1");
+    testbed.unpause("n1");
 }
 
 /// Guards `run` on the platform: without a fleet file there is no thread, socket or log line of the fleet.
--- a/tests/fleet_router.rs
+++ b/tests/fleet_router.rs
@@ -20,31 +20,32 @@
 
 /// Starts nodes and a router in front of them, and waits until the router uses all nodes.
 fn start_fleet_with_router(count: usize, uses_membership: bool) -> Testbed {
-    let mut rig = Testbed::new(11).expect("sockets");
-    plan_nodes(&mut rig, 0..count, "period_ms: 200,");
-    rig.set_seeds(&["n0"]);
-    rig.add_process(ProcessPlan {
-        name: "r0".into(),
-        site: "milano-lambrate".into(),
-        fleet_fields: "period_ms: 200,".into(),
-        bypasses_proxy: false,
-    })
-    .expect("sockets");
+    let mut testbed = Testbed::new(11).expect("sockets");
+    plan_nodes(&mut testbed, 0..count, "period_ms: 200,");
+    testbed.set_seeds(&["n0"]);
+    testbed
+        .add_process(ProcessPlan {
+            name: "r0".into(),
+            site: "milano-lambrate".into(),
+            fleet_fields: "period_ms: 200,".into(),
+            bypasses_proxy: false,
+        })
+        .expect("sockets");
     let nodes = node_names(0..count);
     for name in &nodes {
-        rig.start(name);
+        testbed.start(name);
     }
-    rig.start_router("r0", uses_membership);
-    rig.wait_until_up(&as_strs(&nodes));
-    rig.wait_until_up(&["r0"]);
-    rig.wait_until_converged(SETTLE_TIMEOUT);
-    let mut client = rig.connect("r0");
+    testbed.start_router("r0", uses_membership);
+    testbed.wait_until_up(&as_strs(&nodes));
+    testbed.wait_until_up(&["r0"]);
+    testbed.wait_until_converged(SETTLE_TIMEOUT);
+    let mut client = testbed.connect("r0");
     wait_until("the router has all nodes", || {
         let body = format!("serve:{:?}", Instant::now());
         client.request("statement-read", &body);
-        nodes.iter().all(|n| rig.executor(n).total_runs() > 0)
+        nodes.iter().all(|n| testbed.executor(n).total_runs() > 0)
     });
-    rig
+    testbed
 }
 
 /// A request to the router and its end.
@@ -56,8 +57,8 @@
 }
 
 /// Sends one request after the other to the router for this long.
-fn send_requests_for(rig: &Testbed, duration: Duration) -> Vec<SentRequest> {
-    let mut client = rig.connect("r0");
+fn send_requests_for(testbed: &Testbed, duration: Duration) -> Vec<SentRequest> {
+    let mut client = testbed.connect("r0");
     let end = Instant::now() + duration;
     let mut requests = Vec::new();
     while Instant::now() < end {
@@ -77,11 +78,11 @@
 
 #[test]
 fn router_uses_the_nodes_of_the_membership_view() {
-    let mut rig = start_fleet_with_router(3, true);
+    let mut testbed = start_fleet_with_router(3, true);
     // A quiesced node gets no request once the router has the update.
-    assert_eq!(rig.call_admin("n1", "quiesce"), "ok quiesced");
-    let update = rig.wait_for("the router has the update", SETTLE_TIMEOUT, |rig| {
-        rig.query_members("r0").is_some_and(|reply| {
+    assert_eq!(testbed.call_admin("n1", "quiesce"), "ok quiesced");
+    let update = testbed.wait_for("the router has the update", SETTLE_TIMEOUT, |testbed| {
+        testbed.query_members("r0").is_some_and(|reply| {
             reply
                 .members
                 .iter()
@@ -90,19 +91,19 @@
     });
     update.expect("it has");
     thread::sleep(Duration::from_millis(50));
-    let before = rig.executor("n1").total_runs();
-    assert!(send_requests_for(&rig, Duration::from_millis(500))
+    let before = testbed.executor("n1").total_runs();
+    assert!(send_requests_for(&testbed, Duration::from_millis(500))
         .iter()
         .all(|request| request.is_served));
-    assert_eq!(rig.executor("n1").total_runs(), before);
-    assert_eq!(rig.call_admin("n1", "resume"), "ok serving");
+    assert_eq!(testbed.executor("n1").total_runs(), before);
+    assert_eq!(testbed.call_admin("n1", "resume"), "ok serving");
     wait_until("it gets requests again", || {
-        send_requests_for(&rig, Duration::from_millis(50));
-        rig.executor("n1").total_runs() > before
+        send_requests_for(&testbed, Duration::from_millis(50));
+        testbed.executor("n1").total_runs() > before
     });
     // A killed node costs no read: another node serves it.
-    rig.kill("n2");
-    let asked = send_requests_for(&rig, Duration::from_secs(2));
+    testbed.kill("n2");
+    let asked = send_requests_for(&testbed, Duration::from_secs(2));
     assert!(
         asked.len() > 20 && asked.iter().all(|request| request.is_served),
         "{} asked",
@@ -113,28 +114,28 @@
 /// A router that receives nothing of the fleet goes on with the nodes that it knew, and finds their state by health checks.
 #[test]
 fn isolated_router_serves_on_with_the_nodes_it_knows() {
-    let mut rig = start_fleet_with_router(3, true);
-    rig.change_all_links(json!("all datagrams lost"), |link| link.loss = 1.0);
+    let mut testbed = start_fleet_with_router(3, true);
+    testbed.change_all_links(json!("all datagrams lost"), |link| link.loss = 1.0);
     let mut served = Vec::new();
     wait_until("the router knows that it is isolated", || {
-        served.extend(send_requests_for(&rig, Duration::from_millis(100)));
-        partition_status(&rig, "r0") == "alone"
+        served.extend(send_requests_for(&testbed, Duration::from_millis(100)));
+        partition_status(&testbed, "r0") == "alone"
     });
-    served.extend(send_requests_for(&rig, Duration::from_secs(1)));
+    served.extend(send_requests_for(&testbed, Duration::from_secs(1)));
     assert!(
         served.iter().all(|request| request.is_served),
         "of {} not all were served",
         served.len()
     );
-    assert_eq!(rig.call_admin("n1", "quiesce"), "ok quiesced");
-    let before = Cell::new(rig.executor("n1").total_runs());
+    assert_eq!(testbed.call_admin("n1", "quiesce"), "ok quiesced");
+    let before = Cell::new(testbed.executor("n1").total_runs());
     wait_until("a check finds that one is quiesced", || {
-        send_requests_for(&rig, Duration::from_millis(100));
-        before.replace(rig.executor("n1").total_runs()) == rig.executor("n1").total_runs()
+        send_requests_for(&testbed, Duration::from_millis(100));
+        before.replace(testbed.executor("n1").total_runs()) == testbed.executor("n1").total_runs()
     });
-    rig.heal();
-    rig.wait_until_converged(SETTLE_TIMEOUT);
-    assert_eq!(partition_status(&rig, "r0"), "whole");
+    testbed.heal();
+    testbed.wait_until_converged(SETTLE_TIMEOUT);
+    assert_eq!(partition_status(&testbed, "r0"), "whole");
 }
 
 #[test]
@@ -144,13 +145,13 @@
     for uses_membership in [true, false] {
         let (mut quiesced, mut killed) = (Vec::new(), Vec::new());
         for _ in 0..10 {
-            let mut rig = start_fleet_with_router(4, uses_membership);
+            let mut testbed = start_fleet_with_router(4, uses_membership);
             let from = Instant::now();
-            assert_eq!(rig.call_admin("n1", "quiesce"), "ok quiesced");
-            let asked = send_requests_for(&rig, Duration::from_millis(800));
+            assert_eq!(testbed.call_admin("n1", "quiesce"), "ok quiesced");
+            let asked = send_requests_for(&testbed, Duration::from_millis(800));
             let routed_there = asked
                 .iter()
-                .filter(|request| rig.executor("n1").run_count(&request.body) > 0);
+                .filter(|request| testbed.executor("n1").run_count(&request.body) > 0);
             quiesced.push(
                 routed_there
                     .map(|request| request.sent_at.duration_since(from).as_millis())
@@ -158,8 +159,8 @@
                     .unwrap_or(0),
             );
             let from = Instant::now();
-            rig.kill("n2");
-            let asked = send_requests_for(&rig, Duration::from_secs(4));
+            testbed.kill("n2");
+            let asked = send_requests_for(&testbed, Duration::from_secs(4));
             let harmed = asked
                 .iter()
                 .filter(|request| !request.is_served || request.took.as_millis() > 50);
@@ -190,8 +191,8 @@
 fn scenario_from_a_file_cuts_and_stalls_streams() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/plays/streams.json5");
     let scenario = Scenario::read(&file).expect("it can be used");
-    let rig = scenario.run(false).unwrap_or_else(|e| panic!("{e}"));
-    let timeline = rig.timeline();
+    let testbed = scenario.run(false).unwrap_or_else(|e| panic!("{e}"));
+    let timeline = testbed.timeline();
     for event in ["\"cut\"", "\"stall\"", "\"served\""] {
         assert!(timeline.contains(event), "{event} is missing: {timeline}");
     }
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -72,28 +72,29 @@
 #[test]
 fn the_json_of_the_fleet_commands_has_its_fields_and_types() {
     const MOST: Duration = Duration::from_secs(40);
-    let mut rig = Testbed::new(3).expect("sockets");
+    let mut testbed = Testbed::new(3).expect("sockets");
     for n in 0..3 {
         let fleet = "period_ms: 200, keepers: ['n0', 'n1', 'n2'], counts: true, judgements: true, \
                      budgets: { ledger: { total: 18, floors: { n0: 1, n1: 1, n2: 1 } } },";
-        rig.add_process(ProcessPlan {
-            fleet_fields: fleet.into(),
-            bypasses_proxy: true,
-            ..ProcessPlan::node(n)
-        })
-        .expect("sockets");
+        testbed
+            .add_process(ProcessPlan {
+                fleet_fields: fleet.into(),
+                bypasses_proxy: true,
+                ..ProcessPlan::node(n)
+            })
+            .expect("sockets");
     }
-    rig.set_seeds(&["n0"]);
-    rig.names().iter().for_each(|name| rig.start(name));
-    rig.wait_until_up(&["n0", "n1", "n2"]);
-    rig.wait_until_converged(MOST);
+    testbed.set_seeds(&["n0"]);
+    testbed.names().iter().for_each(|name| testbed.start(name));
+    testbed.wait_until_up(&["n0", "n1", "n2"]);
+    testbed.wait_until_converged(MOST);
     let want: BTreeMap<String, Value> = data("fleet_json.json");
     for (words, want) in &want {
-        let found = |rig: &Testbed| {
+        let found = |testbed: &Testbed| {
             // The member that grants knows the holders of the budget.
-            let name = rig.leader("n0")?;
-            let at = rig.node(&name).logged_address("fleet")?.to_string();
-            let file = rig.fleet_file_path(&name).display().to_string();
+            let name = testbed.leader("n0")?;
+            let at = testbed.node(&name).logged_address("fleet")?.to_string();
+            let file = testbed.fleet_file_path(&name).display().to_string();
             let args = words
                 .split(' ')
                 .map(String::from)
@@ -104,11 +105,11 @@
                 .ok()
                 .map(|value: Value| shape(&value))
         };
-        let fits = rig.wait_for(words, MOST, |rig| found(rig).as_ref() == Some(want));
+        let fits = testbed.wait_for(words, MOST, |testbed| found(testbed).as_ref() == Some(want));
         assert!(
             fits.is_some(),
             "{words}: found {:?}",
-            found(&rig).map(|v| v.to_string())
+            found(&testbed).map(|v| v.to_string())
         );
     }
 }
--- a/tests/shared_quotas.rs
+++ b/tests/shared_quotas.rs
@@ -25,7 +25,7 @@
 
 /// Starts nodes that share the quota; the first three are voters, and each may have one unit guaranteed.
 fn start_fleet(count: usize, has_guaranteed_quota: bool) -> Testbed {
-    let mut rig = Testbed::new(5).expect("sockets");
+    let mut testbed = Testbed::new(5).expect("sockets");
     let guaranteed: Vec<String> = node_names(0..count)
         .iter()
         .filter(|_| has_guaranteed_quota)
@@ -35,19 +35,20 @@
         "period_ms: 200, keepers: ['n0', 'n1', 'n2'], budgets: {{ ledger: {{ total: {TOTAL}, floors: {{ {} }} }} }},",
         guaranteed.join(", ")
     );
-    plan_nodes(&mut rig, 0..count, &fleet_fields);
-    start_settled(&mut rig);
-    rig
+    plan_nodes(&mut testbed, 0..count, &fleet_fields);
+    start_settled(&mut testbed);
+    testbed
 }
 
-fn start_clients(rig: &Testbed, name: &str, count: usize) -> LoadClients {
-    LoadClients::start(rig, name, count, SHORT_CALLS)
+fn start_clients(testbed: &Testbed, name: &str, count: usize) -> LoadClients {
+    LoadClients::start(testbed, name, count, SHORT_CALLS)
 }
 
-fn start_clients_of_all(rig: &Testbed, count: usize) -> Vec<LoadClients> {
-    rig.names()
+fn start_clients_of_all(testbed: &Testbed, count: usize) -> Vec<LoadClients> {
+    testbed
+        .names()
         .iter()
-        .map(|name| start_clients(rig, name, count))
+        .map(|name| start_clients(testbed, name, count))
         .collect()
 }
 
@@ -59,13 +60,13 @@
 }
 
 /// Watches the calls in flight at the database.
-fn watch_database(rig: &Testbed, duration: Duration) -> DatabaseUse {
+fn watch_database(testbed: &Testbed, duration: Duration) -> DatabaseUse {
     let end = Instant::now() + duration;
     let mut max_in_flight = 0;
     let mut sum = 0;
     let mut samples = 0;
     while Instant::now() < end {
-        let held = rig.database().read_delayed_calls();
+        let held = testbed.database().read_delayed_calls();
         max_in_flight = held.peak.max(max_in_flight);
         sum += held.in_flight;
         samples += 1;
@@ -77,16 +78,17 @@
     }
 }
 
-fn max_in_flight_for(rig: &Testbed, seconds: u64) -> usize {
-    watch_database(rig, Duration::from_secs(seconds)).max_in_flight
+fn max_in_flight_for(testbed: &Testbed, seconds: u64) -> usize {
+    watch_database(testbed, Duration::from_secs(seconds)).max_in_flight
 }
 
-fn is_mostly_used(rig: &Testbed) -> bool {
-    watch_database(rig, Duration::from_millis(300)).mean_fraction > 0.7
+fn is_mostly_used(testbed: &Testbed) -> bool {
+    watch_database(testbed, Duration::from_millis(300)).mean_fraction > 0.7
 }
 
-fn leased_units(rig: &Testbed, name: &str) -> Option<u64> {
-    rig.query_shared_state(name)
+fn leased_units(testbed: &Testbed, name: &str) -> Option<u64> {
+    testbed
+        .query_shared_state(name)
         .map(|snapshot| snapshot.budgets[0].leased.units)
 }
 
@@ -94,29 +96,30 @@
 /// resumes, one restarts under its name, and the fleet is partitioned.
 #[test]
 fn calls_in_flight_never_exceed_the_total() {
-    let mut rig = start_fleet(5, true);
-    let mut clients = start_clients_of_all(&rig, 12);
+    let mut testbed = start_fleet(5, true);
+    let mut clients = start_clients_of_all(&testbed, 12);
     wait_until("calls are made", || {
-        rig.database().read_delayed_calls().total > 50
+        testbed.database().read_delayed_calls().total > 50
     });
-    rig.wait_for("most of the total is used", SETTLE_TIMEOUT, is_mostly_used)
+    testbed
+        .wait_for("most of the total is used", SETTLE_TIMEOUT, is_mostly_used)
         .expect("it is used");
-    let leader = rig.leader("n4").expect("there is a leader");
-    rig.kill(&leader);
-    assert!(max_in_flight_for(&rig, 5) <= TOTAL);
-    rig.start(&leader);
-    rig.wait_until_up(&[&leader]);
-    clients.push(start_clients(&rig, &leader, 12));
-    assert!(max_in_flight_for(&rig, 2) <= TOTAL);
-    rig.pause("n3");
-    assert!(max_in_flight_for(&rig, 7) <= TOTAL);
-    rig.unpause("n3");
-    assert!(max_in_flight_for(&rig, 3) <= TOTAL);
+    let leader = testbed.leader("n4").expect("there is a leader");
+    testbed.kill(&leader);
+    assert!(max_in_flight_for(&testbed, 5) <= TOTAL);
+    testbed.start(&leader);
+    testbed.wait_until_up(&[&leader]);
+    clients.push(start_clients(&testbed, &leader, 12));
+    assert!(max_in_flight_for(&testbed, 2) <= TOTAL);
+    testbed.pause("n3");
+    assert!(max_in_flight_for(&testbed, 7) <= TOTAL);
+    testbed.unpause("n3");
+    assert!(max_in_flight_for(&testbed, 3) <= TOTAL);
     // Partitioned, two nodes go on with their guaranteed quota once their leases have expired.
-    rig.partition(&[node_names([0, 1, 2]), node_names([3, 4])]);
-    assert!(max_in_flight_for(&rig, 9) <= TOTAL);
+    testbed.partition(&[node_names([0, 1, 2]), node_names([3, 4])]);
+    assert!(max_in_flight_for(&testbed, 9) <= TOTAL);
     for name in node_names([3, 4]) {
-        let snapshot = rig.query_shared_state(&name).expect("it answers");
+        let snapshot = testbed.query_shared_state(&name).expect("it answers");
         assert_eq!(
             (
                 snapshot.budgets[0].leased.units,
@@ -126,35 +129,38 @@
             "{name}"
         );
     }
-    rig.heal();
-    rig.wait_for("the total is used again", SETTLE_TIMEOUT, is_mostly_used)
+    testbed.heal();
+    testbed
+        .wait_for("the total is used again", SETTLE_TIMEOUT, is_mostly_used)
         .expect("it is used");
-    assert!(max_in_flight_for(&rig, 1) <= TOTAL);
+    assert!(max_in_flight_for(&testbed, 1) <= TOTAL);
 }
 
 /// A node with nearly all of the demand gets nearly all of the quota in seconds, and gives it back when another needs it.
 #[test]
 fn leases_move_to_the_nodes_with_demand() {
-    let rig = start_fleet(3, false);
-    let first = start_clients(&rig, "n2", 24);
-    let leased = |rig: &Testbed, name: &str| leased_units(rig, name).unwrap_or(0) as usize;
-    rig.wait_for("one has nearly all", SETTLE_TIMEOUT, |rig| {
-        leased(rig, "n2") * 10 >= TOTAL * 8
-    })
-    .expect("it moves");
-    let used = watch_database(&rig, Duration::from_secs(1));
+    let testbed = start_fleet(3, false);
+    let first = start_clients(&testbed, "n2", 24);
+    let leased = |testbed: &Testbed, name: &str| leased_units(testbed, name).unwrap_or(0) as usize;
+    testbed
+        .wait_for("one has nearly all", SETTLE_TIMEOUT, |testbed| {
+            leased(testbed, "n2") * 10 >= TOTAL * 8
+        })
+        .expect("it moves");
+    let used = watch_database(&testbed, Duration::from_secs(1));
     assert!(
         used.max_in_flight <= TOTAL && used.mean_fraction > 0.5,
         "{} at most, {:.2} used",
         used.max_in_flight,
         used.mean_fraction
     );
-    let second = start_clients(&rig, "n1", 24);
-    rig.wait_for("both have about half", SETTLE_TIMEOUT, |rig| {
-        leased(rig, "n1") >= TOTAL / 3 && leased(rig, "n2") <= TOTAL * 2 / 3
-    })
-    .expect("it moves back");
-    assert!(max_in_flight_for(&rig, 1) <= TOTAL);
+    let second = start_clients(&testbed, "n1", 24);
+    testbed
+        .wait_for("both have about half", SETTLE_TIMEOUT, |testbed| {
+            leased(testbed, "n1") >= TOTAL / 3 && leased(testbed, "n2") <= TOTAL * 2 / 3
+        })
+        .expect("it moves back");
+    assert!(max_in_flight_for(&testbed, 1) <= TOTAL);
     let first_before = first.served();
     let second_before = second.served();
     wait_until("both are served", || {
@@ -162,26 +168,27 @@
     });
 }
 
-fn wait_until_lease_expired(rig: &Testbed, name: &str) {
-    rig.wait_for("no lease is left", SETTLE_TIMEOUT, |rig| {
-        leased_units(rig, name) == Some(0)
-    })
-    .expect("leases expire");
+fn wait_until_lease_expired(testbed: &Testbed, name: &str) {
+    testbed
+        .wait_for("no lease is left", SETTLE_TIMEOUT, |testbed| {
+            leased_units(testbed, name) == Some(0)
+        })
+        .expect("leases expire");
 }
 
 /// A node that no leader answers makes no call beyond its guaranteed quota, and none without one.
 #[test]
 fn without_a_leader_a_node_spends_only_its_guaranteed_quota() {
-    let mut rig = start_fleet(3, true);
-    rig.kill("n0");
-    rig.kill("n1");
-    let _clients = start_clients(&rig, "n2", 6);
-    wait_until_lease_expired(&rig, "n2");
+    let mut testbed = start_fleet(3, true);
+    testbed.kill("n0");
+    testbed.kill("n1");
+    let _clients = start_clients(&testbed, "n2", 6);
+    wait_until_lease_expired(&testbed, "n2");
     thread::sleep(Duration::from_millis(100));
-    rig.database().read_delayed_calls();
-    assert_eq!(max_in_flight_for(&rig, 2), 1);
+    testbed.database().read_delayed_calls();
+    assert_eq!(max_in_flight_for(&testbed, 2), 1);
     assert_eq!(
-        rig.query_shared_state("n2").expect("it answers").leader,
+        testbed.query_shared_state("n2").expect("it answers").leader,
         None
     );
 }
@@ -189,34 +196,34 @@
 /// Two processes have one name during a replacement; only one of them spends the guaranteed quota of the name.
 #[test]
 fn guaranteed_quota_is_spent_by_one_process_during_a_replacement() {
-    let mut rig = start_fleet(3, true);
-    let fleet_address = rig.node("n2").logged_address("fleet").expect("logged");
-    rig.kill("n0");
-    rig.kill("n1");
-    let first_clients = start_clients(&rig, "n2", 6);
-    wait_until_lease_expired(&rig, "n2");
+    let mut testbed = start_fleet(3, true);
+    let fleet_address = testbed.node("n2").logged_address("fleet").expect("logged");
+    testbed.kill("n0");
+    testbed.kill("n1");
+    let first_clients = start_clients(&testbed, "n2", 6);
+    wait_until_lease_expired(&testbed, "n2");
     wait_until("it spends its guaranteed quota", || {
         first_clients.served() > 0
     });
-    let second = rig.start_replacement("n2", fleet_address);
+    let second = testbed.start_replacement("n2", fleet_address);
     wait_until("the second accepts clients", || {
         second.logged_address("listening").is_some()
     });
-    let _second_clients = start_clients(&rig, "n2", 6);
-    rig.database().read_delayed_calls();
-    assert_eq!(max_in_flight_for(&rig, 2), 1, "both live");
-    rig.shut_down("n2");
-    let before = rig.database().read_delayed_calls().total;
-    assert!(max_in_flight_for(&rig, 4) <= 1);
+    let _second_clients = start_clients(&testbed, "n2", 6);
+    testbed.database().read_delayed_calls();
+    assert_eq!(max_in_flight_for(&testbed, 2), 1, "both live");
+    testbed.shut_down("n2");
+    let before = testbed.database().read_delayed_calls().total;
+    assert!(max_in_flight_for(&testbed, 4) <= 1);
     wait_until("the second spends it", || {
-        rig.database().read_delayed_calls().total > before
+        testbed.database().read_delayed_calls().total > before
     });
     drop(second);
 }
 
 /// Prints how much was in flight in a case, and checks that it was never more than `total`.
-fn report_case(rig: &Testbed, case: &str, seconds: u64, total: usize) {
-    let used = watch_database(rig, Duration::from_secs(seconds));
+fn report_case(testbed: &Testbed, case: &str, seconds: u64, total: usize) {
+    let used = watch_database(testbed, Duration::from_secs(seconds));
     println!(
         "| {case} | {} of {total} | {:.2} |",
         used.max_in_flight,
@@ -230,48 +237,53 @@
 }
 
 /// Prints how long it takes until nearly all of the total is used.
-fn report_time_to_full_use(rig: &Testbed, case: &str) {
-    let took = rig
-        .wait_for(case, SETTLE_TIMEOUT, |rig| {
-            watch_database(rig, Duration::from_millis(300)).mean_fraction > 0.95
+fn report_time_to_full_use(testbed: &Testbed, case: &str) {
+    let took = testbed
+        .wait_for(case, SETTLE_TIMEOUT, |testbed| {
+            watch_database(testbed, Duration::from_millis(300)).mean_fraction > 0.95
         })
         .expect("used again");
     println!("| {case}: 95% used | | after {:.1} s |", took.as_secs_f64());
 }
 
 /// Twelve more nodes join under load and are killed at once.
-fn join_and_kill_twelve_nodes(rig: &mut Testbed, clients: &mut Vec<LoadClients>) {
-    let text = std::fs::read_to_string(rig.fleet_file_path("n0")).expect("a file");
+fn join_and_kill_twelve_nodes(testbed: &mut Testbed, clients: &mut Vec<LoadClients>) {
+    let text = std::fs::read_to_string(testbed.fleet_file_path("n0")).expect("a file");
     let from = text.find("period_ms").expect("fields of this test");
     let fleet_fields = text[from..].split(" advertise").next().expect("a part");
     let joining = node_names(12..24);
     for number in 12..24 {
-        plan_nodes(rig, [number], fleet_fields);
-        rig.start(&format!("n{number}"));
+        plan_nodes(testbed, [number], fleet_fields);
+        testbed.start(&format!("n{number}"));
     }
-    rig.wait_until_up(&testbed::as_strs(&joining));
-    clients.extend(joining.iter().map(|name| start_clients(rig, name, 4)));
-    report_case(rig, "12 more join under load", 10, TOTAL);
+    testbed.wait_until_up(&testbed::as_strs(&joining));
+    clients.extend(joining.iter().map(|name| start_clients(testbed, name, 4)));
+    report_case(testbed, "12 more join under load", 10, TOTAL);
     for name in &joining {
-        rig.kill(name);
+        testbed.kill(name);
     }
-    report_case(rig, "those are killed in one instant", 10, TOTAL);
-    report_time_to_full_use(rig, "12 left");
+    report_case(testbed, "those are killed in one instant", 10, TOTAL);
+    report_time_to_full_use(testbed, "12 left");
 }
 
 /// Cuts the total by a third in the files of twelve nodes, under full use.
-fn cut_the_total(rig: &mut Testbed) {
+fn cut_the_total(testbed: &mut Testbed) {
     let new_total = TOTAL * 2 / 3;
     for name in node_names(0..12) {
-        let file = rig.fleet_file_path(&name);
+        let file = testbed.fleet_file_path(&name);
         let text = std::fs::read_to_string(&file).expect("a file");
         let changed = text.replace(&format!("total: {TOTAL}"), &format!("total: {new_total}"));
         std::fs::write(&file, changed).expect("written");
-        rig.reload(&name);
+        testbed.reload(&name);
     }
-    report_case(rig, "the total is cut under full use, first 8 s", 8, TOTAL);
-    rig.database().read_delayed_calls();
-    report_case(rig, "the total is cut, after that", 5, new_total);
+    report_case(
+        testbed,
+        "the total is cut under full use, first 8 s",
+        8,
+        TOTAL,
+    );
+    testbed.database().read_delayed_calls();
+    report_case(testbed, "the total is cut, after that", 5, new_total);
 }
 
 /// The hard cases with processes, one after the other, printed as rows: `cargo test --release --test shared_quotas --
@@ -279,11 +291,11 @@
 #[test]
 #[ignore = "takes three minutes"]
 fn hard_cases() {
-    let mut rig = start_fleet(12, true);
-    let mut clients = start_clients_of_all(&rig, 4);
+    let mut testbed = start_fleet(12, true);
+    let mut clients = start_clients_of_all(&testbed, 4);
     println!("| case | most in hand | mean part used |\n| --- | --- | --- |");
-    report_time_to_full_use(&rig, "start");
-    rig.change_all_links(
+    report_time_to_full_use(&testbed, "start");
+    testbed.change_all_links(
         serde_json::json!({"loss": 0.2, "double": 1.0, "delay_ms": [0, 300]}),
         |link| {
             link.loss = 0.2;
@@ -292,20 +304,25 @@
         },
     );
     report_case(
-        &rig,
+        &testbed,
         "all doubled, a fifth lost, reordered by up to 0.3 s",
         20,
         TOTAL,
     );
-    rig.heal();
-    report_time_to_full_use(&rig, "that healed");
-    rig.partition(&[node_names(0..6), node_names(6..12)]);
-    report_case(&rig, "half hears nothing, first 10 s", 10, TOTAL);
-    report_case(&rig, "half hears nothing, the rest of a minute", 50, TOTAL);
-    rig.heal();
-    report_time_to_full_use(&rig, "that healed");
-    join_and_kill_twelve_nodes(&mut rig, &mut clients);
-    cut_the_total(&mut rig);
+    testbed.heal();
+    report_time_to_full_use(&testbed, "that healed");
+    testbed.partition(&[node_names(0..6), node_names(6..12)]);
+    report_case(&testbed, "half hears nothing, first 10 s", 10, TOTAL);
+    report_case(
+        &testbed,
+        "half hears nothing, the rest of a minute",
+        50,
+        TOTAL,
+    );
+    testbed.heal();
+    report_time_to_full_use(&testbed, "that healed");
+    join_and_kill_twelve_nodes(&mut testbed, &mut clients);
+    cut_the_total(&mut testbed);
 }
 
 /// The fleet's quota of retries.
@@ -313,42 +330,46 @@
 
 /// Starts three nodes and two routers that share a quota of retries.
 fn start_fleet_with_routers() -> Testbed {
-    let mut rig = Testbed::new(9).expect("sockets");
+    let mut testbed = Testbed::new(9).expect("sockets");
     let fleet_fields = format!(
         "period_ms: 200, keepers: ['n0', 'n1', 'n2'], budgets: {{ tries: {{ total: {RETRIES} }} }},"
     );
-    plan_nodes(&mut rig, 0..3, &fleet_fields);
+    plan_nodes(&mut testbed, 0..3, &fleet_fields);
     for name in ["r0", "r1"] {
-        rig.add_process(ProcessPlan {
-            name: name.into(),
-            fleet_fields: fleet_fields.clone(),
-            ..ProcessPlan::node(0)
-        })
-        .expect("sockets");
+        testbed
+            .add_process(ProcessPlan {
+                name: name.into(),
+                fleet_fields: fleet_fields.clone(),
+                ..ProcessPlan::node(0)
+            })
+            .expect("sockets");
     }
-    rig.set_seeds(&["n0", "n1"]);
-    start_nodes(&mut rig, &node_names(0..3));
+    testbed.set_seeds(&["n0", "n1"]);
+    start_nodes(&mut testbed, &node_names(0..3));
     for router in ["r0", "r1"] {
-        rig.start_router(router, true);
+        testbed.start_router(router, true);
     }
-    rig.wait_until_up(&["r0", "r1"]);
-    rig.wait_until_converged(SETTLE_TIMEOUT);
-    rig
+    testbed.wait_until_up(&["r0", "r1"]);
+    testbed.wait_until_converged(SETTLE_TIMEOUT);
+    testbed
 }
 
 /// Both routers lease a part of the retry quota and never spend more than the total together, also while streams are cut
 /// under load, and they hold leases again under a new leader.
 #[test]
 fn routers_share_one_quota_of_retries() {
-    let mut rig = start_fleet_with_routers();
+    let mut testbed = start_fleet_with_routers();
     // Streams of one router are cut now and then: what was in flight is lost, and retried within the quota.
-    let _many = start_clients(&rig, "r0", 12);
-    let _few = start_clients(&rig, "r1", 2);
-    let quota =
-        |rig: &Testbed, name: &str| rig.query_shared_state(name).map(|s| s.budgets[0].clone());
+    let _many = start_clients(&testbed, "r0", 12);
+    let _few = start_clients(&testbed, "r1", 2);
+    let quota = |testbed: &Testbed, name: &str| {
+        testbed
+            .query_shared_state(name)
+            .map(|s| s.budgets[0].clone())
+    };
     let last_cut = Cell::new(Instant::now());
-    let both_have_leases = |rig: &Testbed| {
-        let (Some(first), Some(second)) = (quota(rig, "r0"), quota(rig, "r1")) else {
+    let both_have_leases = |testbed: &Testbed| {
+        let (Some(first), Some(second)) = (quota(testbed, "r0"), quota(testbed, "r1")) else {
             return false;
         };
         assert!(
@@ -357,7 +378,7 @@
         );
         if last_cut.get().elapsed() > Duration::from_millis(200) {
             last_cut.set(Instant::now());
-            rig.proxy().with_links(|links| {
+            testbed.proxy().with_links(|links| {
                 for name in node_names(0..3) {
                     links.cut_streams("r0", &name);
                 }
@@ -365,15 +386,18 @@
         }
         first.leased.units > 0 && second.leased.units > 0
     };
-    rig.wait_for("both have leases", SETTLE_TIMEOUT, both_have_leases)
+    testbed
+        .wait_for("both have leases", SETTLE_TIMEOUT, both_have_leases)
         .expect("they do");
-    let leader = rig.leader("r0").expect("there is a leader");
-    rig.kill(&leader);
-    rig.wait_for("another node leads", SETTLE_TIMEOUT, |rig| {
-        both_have_leases(rig);
-        rig.leader("r0").is_some_and(|now| now != leader)
-    })
-    .expect("one does");
-    rig.wait_for("both have leases", SETTLE_TIMEOUT, both_have_leases)
+    let leader = testbed.leader("r0").expect("there is a leader");
+    testbed.kill(&leader);
+    testbed
+        .wait_for("another node leads", SETTLE_TIMEOUT, |testbed| {
+            both_have_leases(testbed);
+            testbed.leader("r0").is_some_and(|now| now != leader)
+        })
+        .expect("one does");
+    testbed
+        .wait_for("both have leases", SETTLE_TIMEOUT, both_have_leases)
         .expect("they do");
 }
