--- a/tests/common/testbed.rs
+++ b/tests/common/testbed.rs
@@ -63,6 +63,15 @@
     pub pause_after_error: Duration,
 }
 
+impl ClientLoad {
+    /// Calls of 60 ms, sent again as soon as they are answered.
+    pub(crate) const SHORT_CALLS: ClientLoad = ClientLoad {
+        body: "call:hold#60",
+        pause_after_result: Duration::ZERO,
+        pause_after_error: Duration::from_millis(20),
+    };
+}
+
 /// Clients of one node that send one request after the other until the value is dropped.
 pub(crate) struct LoadClients {
     stop: Arc<AtomicBool>,
