--- a/crates/cells-cli/src/lib.rs
+++ b/crates/cells-cli/src/lib.rs
@@ -5,7 +5,7 @@
 
 use std::path::{Path, PathBuf};
 
-use cells::{CellMap, Layout, LayoutError, PendingMigration};
+use cells::{AppliedLayout, CellMap, Layout, LayoutError};
 use clap::{Args, Subcommand};
 use json5_errors::{read_text, ConfigFileError, UnreadableFile};
 
@@ -91,8 +91,13 @@
         }
         CellsCommand::Plan { now, changed, all } => {
             let before = read_map(now)?;
-            let (after, migrations) = apply_file(&before, changed)?;
-            Ok(plan::format_plan(&before, &after, &migrations, *all))
+            let after = apply_file(&before, changed)?;
+            Ok(plan::format_plan(
+                &before,
+                &after.map,
+                &after.migrations,
+                *all,
+            ))
         }
     }
 }
@@ -103,15 +108,11 @@
 }
 
 fn read_map(path: &Path) -> Result<CellMap, CellsCommandError> {
-    let (map, _) = apply_file(&CellMap::default(), path)?;
-    Ok(map)
+    Ok(apply_file(&CellMap::default(), path)?.map)
 }
 
 /// Applies the layout of a file to a map.
-fn apply_file(
-    map: &CellMap,
-    path: &Path,
-) -> Result<(CellMap, Vec<PendingMigration>), CellsCommandError> {
+fn apply_file(map: &CellMap, path: &Path) -> Result<AppliedLayout, CellsCommandError> {
     let layout = read_layout(path)?;
     map.apply_layout(&layout)
         .map_err(|source| CellsCommandError::Layout {
--- a/crates/cells/benches/lookup.rs
+++ b/crates/cells/benches/lookup.rs
@@ -52,7 +52,7 @@
     for tenants in [1_000, 10_000, 100_000, 1_000_000] {
         let layout = layout(tenants);
         let before = resident_kb();
-        let Ok((map, _)) = CellMap::default().apply_layout(&layout) else {
+        let Ok(map) = CellMap::from_layout(&layout) else {
             continue;
         };
         println!(
--- a/crates/cells/src/health.rs
+++ b/crates/cells/src/health.rs
@@ -24,7 +24,7 @@
 }
 
 impl CellHealth {
-    /// Assesses a cell. `sees_fleet` tells whether the observer concludes that it is not in a minority partition,
+    /// Assesses a cell. `sees_fleet` is whether the observer concludes that it is not in a minority partition,
     /// `is_available` which members its view holds to be available. A cell of which less than half is available is
     /// degraded if more than half of the other cells is available; otherwise the observer may be cut off, and must decide
     /// nothing. A fleet of one cell can't tell the two apart and assumes the latter, which is the safe choice.
--- a/crates/cells/src/layout_file.rs
+++ b/crates/cells/src/layout_file.rs
@@ -12,6 +12,8 @@
 
 /// The version of the file format.
 const VERSION: u32 = 1;
+/// The slack of a file that names none.
+const DEFAULT_SLACK: f64 = 0.25;
 /// The largest slack that can be asked for.
 const MAX_SLACK: f64 = 10.0;
 /// The largest weight of a node.
@@ -61,7 +63,7 @@
 }
 
 fn default_slack() -> f64 {
-    0.25
+    DEFAULT_SLACK
 }
 
 fn default_weight() -> f64 {
@@ -70,6 +72,9 @@
 
 impl Layout {
     /// Reads the text of a file; errors name the file as `file`.
+    ///
+    /// # Errors
+    /// The first field that can't be used, or a layout under which nodes and tenants can't be assigned.
     pub fn parse(file: &str, text: &str) -> Result<Layout, ConfigFileError> {
         let source = Source {
             file,
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -15,7 +15,9 @@
 
 pub use health::CellHealth;
 pub use layout::{CellSpec, Layout, LayoutError, NodeSpec, Placement, TenantSpec};
-pub use map::{AssignedCells, Assignment, Cell, CellMap, Node, PendingMigration, PublishedMap};
+pub use map::{
+    AppliedLayout, AssignedCells, Assignment, Cell, CellMap, Node, PendingMigration, PublishedMap,
+};
 pub use migration::{Fence, Migration, MigrationPhase};
 
 /// The name of a node, cell, site or tenant.
--- a/crates/cells/src/map/mod.rs
+++ b/crates/cells/src/map/mod.rs
@@ -112,6 +112,15 @@
     pub to: AssignedCells,
 }
 
+/// The result of [`CellMap::apply_layout`].
+#[derive(Clone, Debug)]
+pub struct AppliedLayout {
+    /// The map that follows.
+    pub map: CellMap,
+    /// The tenants that have to migrate for the layout.
+    pub migrations: Vec<PendingMigration>,
+}
+
 /// One epoch of the map.
 #[derive(Clone, Debug)]
 pub struct CellMap {
@@ -139,9 +148,11 @@
 
 impl CellMap {
     /// The first map of a layout.
+    ///
+    /// # Errors
+    /// The layout has no cells, or contradicts itself.
     pub fn from_layout(layout: &Layout) -> Result<CellMap, LayoutError> {
-        let (map, _) = CellMap::default().apply_layout(layout)?;
-        Ok(map)
+        Ok(CellMap::default().apply_layout(layout)?.map)
     }
 
     /// The number of this state of the map; it rises with each change.
@@ -229,10 +240,10 @@
     /// the layout asks; nodes that it assigns nowhere stay in their cell. No tenant moves by this: one that is assigned
     /// stays until its migration is committed, a new one is assigned as the layout asks. The same map and layout always
     /// lead to the same next map, and a layout that changes nothing keeps the epoch.
-    pub fn apply_layout(
-        &self,
-        layout: &Layout,
-    ) -> Result<(CellMap, Vec<PendingMigration>), LayoutError> {
+    ///
+    /// # Errors
+    /// The layout has no cells, contradicts itself, or removes a cell to which a tenant is still assigned.
+    pub fn apply_layout(&self, layout: &Layout) -> Result<AppliedLayout, LayoutError> {
         if layout.cells.is_empty() {
             return Err(LayoutError::NoCells);
         }
@@ -249,7 +260,10 @@
         if !next.has_same_content(self) {
             next.epoch += 1;
         }
-        Ok((next, migrations))
+        Ok(AppliedLayout {
+            map: next,
+            migrations,
+        })
     }
 
     /// Replaces the cells; those that did not change stay shared with the earlier map.
@@ -331,6 +345,9 @@
 
     /// The map in which the tenant is assigned to these cells, as a migration commits it that created the epoch `since`;
     /// without one, as of the map's next epoch.
+    ///
+    /// # Errors
+    /// The map has no cell of one of these names.
     pub fn with_assignment(
         &self,
         tenant: &str,
--- a/crates/cells/src/map/published.rs
+++ b/crates/cells/src/map/published.rs
@@ -6,8 +6,8 @@
 
 use super::CellMap;
 
-/// The map in force, for readers that must never block: they load the present map, and a newer epoch replaces it as a
-/// whole.
+/// The map in force, for readers that must never block: they load the present map, and a newer epoch replaces it at
+/// once.
 #[derive(Default)]
 pub struct PublishedMap(ArcSwap<CellMap>);
 
--- a/crates/cells/src/migration/fence.rs
+++ b/crates/cells/src/migration/fence.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The fence of a node that has just started: it knows nothing and serves nobody until it is told to.
+    /// The fence of a node that has just started: it knows nothing and serves nobody until a command has it serve.
     pub fn started(incarnation: Incarnation) -> Fence {
         Fence {
             incarnation,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Decides on a request of the tenant. `key` is its idempotency key, `is_retry` tells whether an earlier attempt may
+    /// Decides on a request of the tenant. `key` is its idempotency key, `is_retry` whether an earlier attempt may
     /// have been sent, `epoch` is the one that the sender knows. The key of an admitted request is recorded as sent.
     pub fn admit(&mut self, key: Option<KeyHash>, is_retry: bool, epoch: Epoch) -> FenceDecision {
         if let Some(known) = key.and_then(|key| self.keys.get(&key)) {
@@ -198,7 +198,7 @@
         self.migration = command.migration;
     }
 
-    /// The node's state as the coordinator is told of it.
+    /// The node's state, as it is reported to the coordinator.
     fn report(&self) -> MigrationReport {
         MigrationReport {
             incarnation: self.incarnation,
--- a/crates/cells/src/migration/state.rs
+++ b/crates/cells/src/migration/state.rs
@@ -68,6 +68,9 @@
 
 impl Migration {
     /// Creates a migration from the nodes of one cell to those of another. It creates the map's epoch `epoch`.
+    ///
+    /// # Errors
+    /// There is no node to migrate to, or a node is on both sides.
     pub fn new(
         id: MigrationId,
         epoch: Epoch,
--- a/crates/cells/tests/map.rs
+++ b/crates/cells/tests/map.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use cells::map::{AssignedCells, CellMap, PublishedMap};
-use cells::{CellSpec, NodeSpec, Placement, TenantSpec};
+use cells::{AppliedLayout, CellSpec, NodeSpec, Placement, TenantSpec};
 use cells::{Layout, LayoutError};
 use quickcheck::{Gen, QuickCheck};
 
@@ -60,7 +60,10 @@
             cell: None,
         },
     );
-    let (next, moves) = first.apply_layout(&layout).expect("a map");
+    let AppliedLayout {
+        map: next,
+        migrations: moves,
+    } = first.apply_layout(&layout).expect("a map");
     let ideal = 10_000.0 / 65.0;
     println!("{} of 10,000 tenants move, ideal {ideal:.0}", moves.len());
     assert!(
@@ -89,7 +92,10 @@
         .cells()
         .flat_map(|c| &c.nodes)
         .all(|n| next.node(&n.name).is_some_and(|m| m.cell == n.cell)));
-    let (again, none) = next.apply_layout(&layout).expect("a map");
+    let AppliedLayout {
+        map: again,
+        migrations: none,
+    } = next.apply_layout(&layout).expect("a map");
     assert_eq!((again.epoch(), none.len()), (next.epoch(), moves.len()));
 }
 
@@ -238,7 +244,11 @@
         .with_assignment(tenant, AssignedCells::One(to.clone()), None, true)
         .expect("migrated");
     assert_eq!(migrated.epoch(), first.epoch() + 1);
-    assert!(migrated.apply_layout(&layout).expect("a map").1.is_empty());
+    assert!(migrated
+        .apply_layout(&layout)
+        .expect("a map")
+        .migrations
+        .is_empty());
     let elsewhere = layout
         .cells
         .keys()
@@ -246,7 +256,14 @@
         .expect("another")
         .clone();
     pin(&mut layout, tenant, Placement::Cell(elsewhere));
-    assert_eq!(migrated.apply_layout(&layout).expect("a map").1.len(), 1);
+    assert_eq!(
+        migrated
+            .apply_layout(&layout)
+            .expect("a map")
+            .migrations
+            .len(),
+        1
+    );
     // A cell with tenants is not removed.
     let mut smaller = layout.clone();
     smaller.cells.remove("cell-00");
@@ -306,13 +323,17 @@
             } else if layout.nodes.len() > 4 {
                 layout.nodes.remove(name.as_str());
             }
-            let Ok((next, migrations)) = map.apply_layout(&layout) else {
+            let Ok(AppliedLayout {
+                map: next,
+                migrations,
+            }) = map.apply_layout(&layout)
+            else {
                 // A cell would be left empty or at one site: the last map stays in force.
                 return true;
             };
-            let same = map
-                .apply_layout(&layout)
-                .is_ok_and(|(again, also)| again.epoch() == next.epoch() && also == migrations);
+            let same = map.apply_layout(&layout).is_ok_and(|again| {
+                again.map.epoch() == next.epoch() && again.migrations == migrations
+            });
             let held = next.assignments().all(|(t, assignment)| {
                 map.assignment(t) == Some(assignment) && next.cell_for(t, None).is_some()
             });
@@ -327,7 +348,7 @@
             }
             let settled = done
                 .apply_layout(&layout)
-                .is_ok_and(|(_, left)| left.is_empty());
+                .is_ok_and(|applied| applied.migrations.is_empty());
             map = done;
             same && held && settled
         })
--- a/crates/fleet-runtime/src/query.rs
+++ b/crates/fleet-runtime/src/query.rs
@@ -46,6 +46,9 @@
 }
 
 /// Asks the member at `address` for its view of the fleet, page by page, for at most `timeout`.
+///
+/// # Errors
+/// No answer came in time, or the socket failed.
 pub fn query_members(
     address: SocketAddr,
     fleet: &str,
@@ -80,6 +83,9 @@
 }
 
 /// Asks the member at `address` for its shared state, for at most `timeout`.
+///
+/// # Errors
+/// No answer came in time, or the socket failed.
 pub fn query_shared_state(
     address: SocketAddr,
     fleet: &str,
--- a/crates/lifecycle/src/process_state.rs
+++ b/crates/lifecycle/src/process_state.rs
@@ -16,7 +16,7 @@
     Quiesced,
     /// It ends, after the platform's signal.
     ShuttingDown {
-        /// A successor serves: the node goes on, only this process ends.
+        /// A successor serves: the node stays in service, only this process ends.
         replaced: bool,
         /// It was quiesced before.
         quiesced: bool,
@@ -63,6 +63,9 @@
 
 impl ProcessState {
     /// The state after a transition. Repeating a transition has no effect.
+    ///
+    /// # Errors
+    /// The process is shutting down, and the transition would end that or belongs to its successor.
     pub fn apply(self, transition: Transition) -> Result<ProcessState, TransitionError> {
         match transition {
             Transition::AcceptClients => Ok(self.accept_clients()),
@@ -125,7 +128,7 @@
         )
     }
 
-    /// Whether health checks succeed, as far as this state goes. On a node that goes on under a successor they succeed until
+    /// Whether health checks succeed, as far as this state goes. On a node that a successor serves they succeed until
     /// the end: a failure would take the node off the endpoint lists.
     pub fn is_healthy(self) -> bool {
         matches!(
--- a/crates/membership/src/view/probing.rs
+++ b/crates/membership/src/view/probing.rs
@@ -171,10 +171,10 @@
             return;
         };
         // A target that has sent anything since is alive. Then the path to it is at fault, which others will find.
-        let was_heard_since = entry
+        let has_contact_since = entry
             .last_contact_at
             .is_some_and(|last_contact_at| last_contact_at >= probe.started_at);
-        if probe.is_answered || was_heard_since {
+        if probe.is_answered || has_contact_since {
             return;
         }
         let record = entry.record.clone();
--- a/crates/migration-coordinator/src/coordinator.rs
+++ b/crates/migration-coordinator/src/coordinator.rs
@@ -16,6 +16,9 @@
 /// The epochs that each migration reserves: its own, and the one that aborting it creates.
 const EPOCHS_PER_MIGRATION: Epoch = 2;
 
+/// The position of the run's number in the numbers of its migrations: above the count of migrations in the run.
+const RUN_SHIFT: u32 = 32;
+
 /// The decisions of one run of a coordinator. Each method returns the effects that the caller must carry out in order.
 pub struct Coordinator {
     timeouts: Timeouts,
@@ -30,7 +33,10 @@
 
 impl Coordinator {
     /// Resumes from a journal, over the map that the layout leads to. `run` is a number that no other run of a
-    /// coordinator has, such as a random one: it tells the migrations of different runs apart.
+    /// coordinator has, such as a random one: it keeps the migrations of different runs apart.
+    ///
+    /// # Errors
+    /// The map has no longer a cell that the journal assigns a tenant to.
     pub fn recover(
         timeouts: Timeouts,
         map: CellMap,
@@ -59,7 +65,7 @@
             last_epoch: recovered.last_epoch.max(map.epoch()),
             running,
             queue: Vec::new(),
-            last_id: u64::from(run) << 32,
+            last_id: u64::from(run) << RUN_SHIFT,
             timeouts,
             map,
         })
@@ -84,6 +90,9 @@
 
     /// Queues a migration of a tenant, which starts once its turn comes. A migration that is impossible is rejected at
     /// once.
+    ///
+    /// # Errors
+    /// Why the migration is impossible.
     pub fn start_migration(
         &mut self,
         tenant: &str,
--- a/crates/migration-coordinator/src/journal.rs
+++ b/crates/migration-coordinator/src/journal.rs
@@ -13,6 +13,7 @@
 use crate::effect::{AssignmentRecord, JournalRecord};
 use crate::entry::MigrationEntry;
 
+// The names of tables and keys are part of the format and keep the wording of its first version.
 const MIGRATIONS_TABLE: &str = "works";
 const ASSIGNMENTS_TABLE: &str = "homes";
 /// Migrations in progress, by tenant.
@@ -21,8 +22,11 @@
 const ASSIGNMENTS: TableDefinition<&str, &[u8]> = TableDefinition::new(ASSIGNMENTS_TABLE);
 /// Single numbers: the version of the format, and the last epoch.
 const NUMBERS: TableDefinition<&str, u64> = TableDefinition::new("figures");
+/// The key of the format's version in [`NUMBERS`].
 const FORMAT_KEY: &str = "form";
+/// The key of the last epoch in [`NUMBERS`].
 const LAST_EPOCH_KEY: &str = "epoch";
+/// The version of the format that this program reads and writes.
 const FORMAT: u64 = 1;
 
 /// Why a journal can't be used.
@@ -73,6 +77,9 @@
 
 impl Journal {
     /// Opens a journal, or creates one, and returns its content.
+    ///
+    /// # Errors
+    /// Another coordinator has the journal open, its format or an entry is unknown, or the file or the disk fails.
     pub fn open(path: &Path) -> Result<(Journal, RecoveredState), JournalError> {
         let db = Database::create(path).map_err(|error| match error {
             DatabaseError::DatabaseAlreadyOpen => JournalError::InUse,
@@ -90,6 +97,9 @@
     }
 
     /// Writes records, all or none; they are on disk when this returns.
+    ///
+    /// # Errors
+    /// A record can't be serialized, or the file or the disk fails; then none is written.
     pub fn write(&self, records: &[JournalRecord]) -> Result<(), JournalError> {
         let transaction = self.db.begin_write()?;
         {
@@ -103,6 +113,9 @@
     }
 
     /// The number of tenants whose assignment is stored.
+    ///
+    /// # Errors
+    /// The file or the disk fails.
     pub fn assignment_count(&self) -> Result<usize, JournalError> {
         let transaction = self.db.begin_read()?;
         let assignments = transaction.open_table(ASSIGNMENTS)?;
--- a/crates/router/src/request_router/client_handler.rs
+++ b/crates/router/src/request_router/client_handler.rs
@@ -77,7 +77,9 @@
 
     fn next_wakeup(&self) -> Option<Instant> {
         let deadline = self.deadlines.peek().map(|Reverse((at, _))| *at);
-        Some(deadline.map_or(self.next_heartbeat, |at| at.min(self.next_heartbeat)))
+        Some(deadline.map_or(self.next_periodic_work_at, |at| {
+            at.min(self.next_periodic_work_at)
+        }))
     }
 
     fn begin_step(&mut self, now: Instant) {
@@ -93,7 +95,7 @@
     }
 
     fn after_turns(&mut self, clients: &mut Clients, now: Instant) {
-        self.run_heartbeat(clients, now);
+        self.run_periodic_work(clients, now);
         self.expire_requests(clients, now);
         self.route_waiting_requests(clients, now);
     }
--- a/crates/router/src/request_router/mod.rs
+++ b/crates/router/src/request_router/mod.rs
@@ -3,7 +3,7 @@
 mod attempts;
 mod client_handler;
 mod deadlines;
-mod heartbeat;
+mod periodic_work;
 mod upstream_events;
 
 use std::cmp::Reverse;
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use cells::map::CellMap;
-use cells::{Layout, LayoutError};
+use cells::{AppliedLayout, Layout, LayoutError};
 use client_listener::{ClientListener, RequestHandle};
 use mio::Token;
 use routing::{Router, RoutingSettings, Ticket};
@@ -51,7 +51,7 @@
     open_requests: HashMap<Ticket, OpenRequest>,
     /// Deadlines of requests, also of some that are answered.
     deadlines: BinaryHeap<Reverse<(Instant, Ticket)>>,
-    next_heartbeat: Instant,
+    next_periodic_work_at: Instant,
     /// Retries per second that were wanted recently.
     wanted_retry_rate: u64,
 }
@@ -77,7 +77,7 @@
             upstreams: UpstreamPool::new(config.max_connections_per_node, max_line_bytes),
             open_requests: HashMap::new(),
             deadlines: BinaryHeap::new(),
-            next_heartbeat: now,
+            next_periodic_work_at: now,
             wanted_retry_rate: 0,
         }
     }
@@ -87,9 +87,12 @@
         self.counters.clone()
     }
 
-    /// Takes over a layout of cells.
+    /// Applies a layout of cells. Tenants that it assigns to other cells stay where they are until they are migrated.
+    ///
+    /// # Errors
+    /// The layout can't follow the map in force, which then stays.
     pub(crate) fn set_layout(&mut self, layout: &Layout) -> Result<(), LayoutError> {
-        let (map, migrations) = self.map.apply_layout(layout)?;
+        let AppliedLayout { map, migrations } = self.map.apply_layout(layout)?;
         if !migrations.is_empty() {
             warn!(self.log, "tenants stay in their cell until they are migrated"; "tenants" => migrations.len());
         }
--- a/crates/router/src/request_router/heartbeat.rs
+++ b/crates/router/src/request_router/periodic_work.rs
@@ -11,18 +11,19 @@
 use super::{Clients, RequestRouter};
 use crate::upstream_state::UpstreamRequest;
 
-/// The time between two heartbeats, and so between two health checks of a node.
-const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+/// The time between two rounds of periodic work, and so between two health checks of a node.
+const PERIODIC_WORK_INTERVAL: Duration = Duration::from_millis(200);
+const MS_PER_SECOND: u64 = 1000;
 /// Health checks of a node that may be unanswered at the same time.
 const MAX_OPEN_HEALTH_CHECKS: usize = 4;
 
 impl RequestRouter {
     /// Does the regular work, if it is time.
-    pub(super) fn run_heartbeat(&mut self, clients: &mut Clients, now: Instant) {
-        if now < self.next_heartbeat {
+    pub(super) fn run_periodic_work(&mut self, clients: &mut Clients, now: Instant) {
+        if now < self.next_periodic_work_at {
             return;
         }
-        self.next_heartbeat = now + HEARTBEAT_INTERVAL;
+        self.next_periodic_work_at = now + PERIODIC_WORK_INTERVAL;
         self.update_retry_quota(now);
         if self.nodes.needs_health_checks() {
             self.run_health_checks(clients, now);
@@ -96,7 +97,7 @@
     }
 }
 
-/// The rate of events of which so many happened between two heartbeats.
+/// The number of events a second, from the number between two rounds of periodic work.
 fn per_second(count: u64) -> u64 {
-    count * 1000 / HEARTBEAT_INTERVAL.as_millis() as u64
+    count * MS_PER_SECOND / PERIODIC_WORK_INTERVAL.as_millis() as u64
 }
--- a/crates/routing/src/node_selection.rs
+++ b/crates/routing/src/node_selection.rs
@@ -9,10 +9,14 @@
 use crate::request::AttemptOutcome;
 use crate::settings::RoutingSettings;
 
-/// The range that a node's capacity hint is limited to.
-const HINT_RANGE: (f64, f64) = (0.05, 4.0);
-
-/// What the selection leads to.
+/// The least capacity hint that is followed; a node that reports less is treated as if it reported this.
+const MIN_CAPACITY_HINT: f64 = 0.05;
+/// The largest capacity hint that is followed.
+const MAX_CAPACITY_HINT: f64 = 4.0;
+/// The capacity hint of a node that has reported none.
+const DEFAULT_CAPACITY_HINT: f64 = 1.0;
+
+/// The result of a selection.
 pub(crate) enum Selection {
     /// This node.
     Node(Name),
@@ -26,7 +30,7 @@
 struct NodeLoad {
     in_flight: usize,
     /// The fraction of the usual traffic that the node wants, as it last reported.
-    hint: Option<f64>,
+    capacity_hint: Option<f64>,
 }
 
 /// A node that may be selected.
@@ -75,13 +79,13 @@
         &mut self,
         node: &Name,
         outcome: AttemptOutcome,
-        hint: Option<f64>,
+        capacity_hint: Option<f64>,
         now: Duration,
     ) {
         let load = self.loads.entry(node.clone()).or_default();
         load.in_flight = load.in_flight.saturating_sub(1);
-        let valid_hint = hint.filter(|hint| hint.is_finite() && *hint >= 0.0);
-        load.hint = valid_hint.or(load.hint);
+        let valid_hint = capacity_hint.filter(|hint| hint.is_finite() && *hint >= 0.0);
+        load.capacity_hint = valid_hint.or(load.capacity_hint);
         self.outliers
             .record_outcome(node, outcome.is_healthy(), now);
     }
@@ -129,12 +133,14 @@
     fn candidate<'a>(&self, node: &'a Node, fraction: f64) -> Option<Candidate<'a>> {
         let load = self.loads.get(&node.name);
         let in_flight = load.map_or(0, |load| load.in_flight) as f64;
-        let hint = load.and_then(|load| load.hint).unwrap_or(1.0);
-        let hint = hint.clamp(HINT_RANGE.0, HINT_RANGE.1);
+        let capacity_hint = load
+            .and_then(|load| load.capacity_hint)
+            .unwrap_or(DEFAULT_CAPACITY_HINT)
+            .clamp(MIN_CAPACITY_HINT, MAX_CAPACITY_HINT);
         let is_busy = in_flight >= self.max_in_flight_per_node as f64 * node.weight;
         (!is_busy).then(|| Candidate {
             name: &node.name,
-            relative_load: (in_flight + 1.0) / (node.weight * hint * fraction),
+            relative_load: (in_flight + 1.0) / (node.weight * capacity_hint * fraction),
         })
     }
 
@@ -157,12 +163,12 @@
         }
     }
 
-    /// A number below `n`, from a sequence that the seed determines (splitmix64).
-    fn random_below(&mut self, n: usize) -> usize {
+    /// A number below `bound`, from a sequence that the seed determines (`splitmix64`).
+    fn random_below(&mut self, bound: usize) -> usize {
         self.random_state = self.random_state.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.random_state;
         z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-        ((z ^ (z >> 31)) % n.max(1) as u64) as usize
+        ((z ^ (z >> 31)) % bound.max(1) as u64) as usize
     }
 }
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -17,7 +17,7 @@
     pub max_consecutive_failures: u32,
     /// The failure rate that ejects a node.
     pub max_failure_rate: f64,
-    /// The number of attempts over which the failure rate is measured; it counts for nothing before so many.
+    /// The number of attempts over which the failure rate is measured. Before so many attempts it ejects no node.
     pub failure_rate_window: u32,
     /// The time of a first ejection; it doubles each time.
     pub first_ejection: Duration,
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -44,7 +44,7 @@
 pub struct RetryUsage {
     /// The retries that were sent.
     pub sent: u64,
-    /// The retries that would have been sent with a larger quota.
+    /// The retries that were wanted, whether or not the quota allowed them.
     pub requested: u64,
 }
 
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -136,7 +136,7 @@
         &mut self,
         ticket: Ticket,
         outcome: AttemptOutcome,
-        hint: Option<f64>,
+        capacity_hint: Option<f64>,
         map: &CellMap,
         availability: impl Fn(&str) -> A,
         now: Duration,
@@ -145,7 +145,8 @@
             return RetryDecision::ReturnAnswer;
         };
         if let Some(node) = open.node.take() {
-            self.selector.finish_attempt(&node, outcome, hint, now);
+            self.selector
+                .finish_attempt(&node, outcome, capacity_hint, now);
             open.tried.push(node);
         }
         if let Some(node) = self.retry_node(&mut open, outcome, map, &availability, now) {
--- a/crates/shared-state/src/sketch_counters.rs
+++ b/crates/shared-state/src/sketch_counters.rs
@@ -23,13 +23,14 @@
     pub count: u32,
 }
 
-/// Indices of a key's counters, one in each row; the same on every machine.
+/// Indices of a key's counters, one in each row; the same on every machine. Each row hashes the key with `splitmix64` and a
+/// seed of its own.
 pub fn counter_indices(key: u64) -> [usize; ROWS] {
     std::array::from_fn(|row| {
-        let mut h = key ^ (row as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        h = (h ^ (h >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-        h = (h ^ (h >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-        row * COLUMNS + (h ^ (h >> 31)) as usize % COLUMNS
+        let mut hash = key ^ (row as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        hash = (hash ^ (hash >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+        hash = (hash ^ (hash >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+        row * COLUMNS + (hash ^ (hash >> 31)) as usize % COLUMNS
     })
 }
 
--- a/src/node/cell_guard.rs
+++ b/src/node/cell_guard.rs
@@ -44,6 +44,9 @@
 
 impl CellGuard {
     /// Reads the file of cells for the node of this name.
+    ///
+    /// # Errors
+    /// The file can't be read or used, or does not name the node.
     pub fn read(file: &Path, node: &str) -> Result<CellGuard, CellGuardError> {
         let guard = CellGuard {
             node: node.into(),
@@ -55,17 +58,21 @@
     }
 
     /// Reads the file again and returns the epoch in force afterwards. A file that can't be used changes nothing.
+    ///
+    /// # Errors
+    /// The file can't be read or used, can't follow the map in force, or does not name this node.
     pub fn reload(&self) -> Result<Epoch, CellGuardError> {
         let text = read_text(&self.file)?;
         let layout = Layout::parse(&self.file.display().to_string(), &text)?;
-        let (map, _) =
-            self.map
-                .load()
-                .apply_layout(&layout)
-                .map_err(|source| CellGuardError::Layout {
-                    path: self.file.clone(),
-                    source,
-                })?;
+        let map = self
+            .map
+            .load()
+            .apply_layout(&layout)
+            .map_err(|source| CellGuardError::Layout {
+                path: self.file.clone(),
+                source,
+            })?
+            .map;
         if map.node(&self.node).is_none() {
             return Err(CellGuardError::NodeNotInFile {
                 path: self.file.clone(),
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -101,7 +101,10 @@
 }
 
 impl Config {
-    /// Reads the file that `PROXY_CONFIG` names.
+    /// Reads the file that `PROXY_CONFIG` names; `PROXY_ADMIN` replaces its address of the admin listener.
+    ///
+    /// # Errors
+    /// `PROXY_CONFIG` is not set, or the file can't be read or used.
     pub fn from_env() -> Result<Config, ConfigError> {
         let path =
             std::env::var(CONFIG_VARIABLE).map_err(|_| ConfigError::Missing(CONFIG_VARIABLE))?;
@@ -118,6 +121,9 @@
     }
 
     /// Parses the text of that file.
+    ///
+    /// # Errors
+    /// A field is missing or out of its range, or the settings can't be used.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let file: ConfigFile =
             serde_json::from_str(text).map_err(|e| ConfigError::Malformed(e.to_string()))?;
--- a/src/node/policy_actor/quotas.rs
+++ b/src/node/policy_actor/quotas.rs
@@ -52,7 +52,7 @@
             return;
         }
         self.uses_other_counts = counts.is_some();
-        // An event without servers says that the counts are not known any more.
+        // An event without servers means that the counts are not known any more.
         let event = counts.map_or(
             Event::FleetLoad {
                 servers: 0.0,
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -91,6 +91,9 @@
     }
 
     /// Applies a transition to the state of this process; all later readers see the new state.
+    ///
+    /// # Errors
+    /// The transition is not possible in the present state, which stays.
     pub fn apply_transition(
         &self,
         transition: Transition,
--- a/src/route.rs
+++ b/src/route.rs
@@ -1,4 +1,4 @@
-//! The command `route`: runs the router until it is told to stop and all accepted requests are answered.
+//! The command `route`: runs the router until a signal stops it and all accepted requests are answered.
 
 use std::io;
 use std::path::Path;
