--- a/tests/demo.rs
+++ b/tests/demo.rs
@@ -76,7 +76,13 @@
 
 impl Drop for Demo {
     fn drop(&mut self) {
-        let _ = self.process.kill();
+        // One that has not ended is killed with its nodes.
+        if matches!(self.process.try_wait(), Ok(None)) {
+            let group = self.process.id();
+            let _ = Command::new("/bin/sh")
+                .args(["-c", &format!("kill -KILL -{group}")])
+                .status();
+        }
         let _ = self.process.wait();
     }
 }
