--- a/crates/client-listener/src/accepting.rs
+++ b/crates/client-listener/src/accepting.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, and making room for them.
+//! Accepting connections, and evicting others where slots run short.
 
 use std::io::{self, ErrorKind};
 use std::sync::atomic::Ordering::SeqCst;
@@ -28,7 +28,7 @@
         Ok(())
     }
 
-    /// Accepts those that wait at the socket and closes it. The system has completed their handshakes, and closing the
+    /// Accepts the connections that wait at the socket and closes it. The system has completed their handshakes, and closing the
     /// socket over them would reset them; it follows directly on the last accept, so that hardly any connection arrives
     /// between.
     pub fn stop_listening(&mut self, handler: &mut H, now: Instant) {
@@ -79,7 +79,7 @@
         now: Instant,
     ) -> io::Result<()> {
         self.update_max_connections();
-        self.make_room(handler, now);
+        self.evict_for_new_connection(handler, now);
         if self.connections.len() >= self.limits.max_connections {
             return Err(io::Error::other("too many connections"));
         }
@@ -105,7 +105,7 @@
         }
     }
 
-    fn make_room(&mut self, handler: &mut H, now: Instant) {
+    fn evict_for_new_connection(&mut self, handler: &mut H, now: Instant) {
         let evictions =
             self.idle_connections
                 .choose_evictions(self.connections.len(), &self.limits, now);
--- a/crates/client-listener/src/listener.rs
+++ b/crates/client-listener/src/listener.rs
@@ -22,7 +22,7 @@
 /// effect.
 const FIRST_TOKEN: usize = 2;
 
-/// What other threads may know of a listener.
+/// Counters of a listener that other threads may read.
 #[derive(Default)]
 pub struct ListenerCounters {
     /// Requests read whose answer is not written.
@@ -104,7 +104,7 @@
         self.counters.clone()
     }
 
-    /// Open connections.
+    /// The number of open connections.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
--- a/crates/connections/src/idle_connections.rs
+++ b/crates/connections/src/idle_connections.rs
@@ -38,7 +38,7 @@
 }
 
 impl IdleConnections {
-    fn of_kind(&mut self, kind: IdleKind) -> &mut BTreeSet<(Instant, ConnectionId)> {
+    fn kind_mut(&mut self, kind: IdleKind) -> &mut BTreeSet<(Instant, ConnectionId)> {
         match kind {
             IdleKind::Closing => &mut self.closing,
             IdleKind::Silent => &mut self.silent,
@@ -56,10 +56,10 @@
             return;
         }
         if let Some(Idleness { kind, since }) = previous {
-            self.of_kind(kind).remove(&(since, connection));
+            self.kind_mut(kind).remove(&(since, connection));
         }
         if let Some(Idleness { kind, since }) = idleness {
-            self.of_kind(kind).insert((since, connection));
+            self.kind_mut(kind).insert((since, connection));
         }
     }
 
--- a/crates/fleet-runtime/src/actor/budgets.rs
+++ b/crates/fleet-runtime/src/actor/budgets.rs
@@ -82,7 +82,7 @@
         self.protocol.set_totals(&totals);
     }
 
-    /// Notes whether another process of the same name runs, so that the guaranteed quotas are not spent by both.
+    /// Records whether another process of the same name runs, so that the guaranteed quotas are not spent by both.
     pub(super) fn set_sibling_running(&mut self, is_running: bool, now: Duration) {
         if is_running {
             self.protocol.yield_to_sibling();
--- a/crates/fleet-runtime/src/actor/publishing.rs
+++ b/crates/fleet-runtime/src/actor/publishing.rs
@@ -6,6 +6,7 @@
 
 use arc_swap::ArcSwap;
 use membership::{AdvertisedStatus, Liveness, MemberRecord, Name};
+use shared_state::ReportingMember;
 use slog::{debug, info};
 
 use crate::snapshot::MembershipSnapshot;
@@ -85,7 +86,10 @@
             .membership
             .members()
             .filter(|record| serves_clients(record))
-            .map(|record| (&record.name, &record.site));
+            .map(|record| ReportingMember {
+                name: &record.name,
+                site: &record.site,
+            });
         aggregation.node.set_members(reporting);
     }
 
--- a/crates/fleet-simulation/src/aggregation/delivery.rs
+++ b/crates/fleet-simulation/src/aggregation/delivery.rs
@@ -4,7 +4,9 @@
 
 use membership::Name;
 use rand::RngExt;
-use shared_state::{AggregationMessage, Message, Outgoing, ServiceObservation, LEDGER};
+use shared_state::{
+    AggregationMessage, Message, Outgoing, ReportingMember, ServiceObservation, LEDGER,
+};
 
 use super::simulation::{name, node_named, site, AggregationSimulation};
 use crate::network::UDP_HEADER_BYTES;
@@ -134,7 +136,10 @@
                 .map(|member| (name(*member), site(*member)))
                 .collect();
             if let Some(aggregation) = &mut node.aggregation {
-                aggregation.set_members(members.iter().map(|(name, site)| (name, site)));
+                let reporting = members
+                    .iter()
+                    .map(|(name, site)| ReportingMember { name, site });
+                aggregation.set_members(reporting);
             }
         }
     }
--- a/crates/lifecycle/src/admin_command.rs
+++ b/crates/lifecycle/src/admin_command.rs
@@ -9,9 +9,9 @@
 pub enum AdminCommand {
     /// Asks whether this process accepts clients.
     Health,
-    /// Empties the node.
+    /// Has the node emptied: health checks fail, so that clients send no new requests.
     Quiesce,
-    /// Brings the node back.
+    /// Puts a quiesced node back into service.
     Resume,
 }
 
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -63,7 +63,8 @@
     if !record.state.is_present() {
         return 0;
     }
-    let mut bytes = [0; 14];
+    // Incarnation, version, status and liveness in a fixed layout, as members of all versions compare these checksums.
+    let mut bytes = [0; 8 + 4 + 1 + 1];
     bytes[..8].copy_from_slice(&incarnation.to_le_bytes());
     bytes[8..12].copy_from_slice(&version.to_le_bytes());
     bytes[12] = status as u8;
@@ -255,7 +256,7 @@
     }
 
     /// Takes updates that fit into so many bytes, and counts a transmission of each. An update leaves the queue after
-    /// `max_transmissions`. The record of the member `except` is passed over.
+    /// `max_transmissions`. The record of the member `except` is skipped.
     pub(crate) fn take_updates(
         &mut self,
         max_bytes: usize,
@@ -303,7 +304,7 @@
         }
     }
 
-    /// Drops all updates of which one transmission is enough; used where there is nobody to send them to.
+    /// Empties the queue of updates, where there is nobody to send them to.
     pub(crate) fn discard_updates(&mut self) {
         self.take_updates(usize::MAX, 1, "");
     }
--- a/crates/membership/src/suspicion_timer.rs
+++ b/crates/membership/src/suspicion_timer.rs
@@ -32,12 +32,13 @@
     }
 
     /// Counts a confirmation; returns whether it is new and still shortens the timeout.
-    pub(crate) fn confirm(&mut self, by: u32) -> bool {
+    pub(crate) fn confirm(&mut self, suspected_by: u32) -> bool {
         let wanted = self.timeouts.wanted_confirmations as usize;
-        let is_new =
-            by != 0 && !self.suspected_by.contains(&by) && self.suspected_by.len() <= wanted;
+        let is_new = suspected_by != 0
+            && !self.suspected_by.contains(&suspected_by)
+            && self.suspected_by.len() <= wanted;
         if is_new {
-            self.suspected_by.push(by);
+            self.suspected_by.push(suspected_by);
         }
         is_new
     }
@@ -64,8 +65,8 @@
     }
 
     /// Extends the timeout by a time during which this node could not receive a refutation.
-    pub(crate) fn extend(&mut self, by: Duration) {
-        self.started_at += by;
+    pub(crate) fn extend(&mut self, pause: Duration) {
+        self.started_at += pause;
     }
 
     /// Starts the timeout again.
--- a/crates/membership/src/view/partition.rs
+++ b/crates/membership/src/view/partition.rs
@@ -27,7 +27,8 @@
 }
 
 impl MembershipView {
-    /// How long a node may receive nothing from others before it is isolated. Each member is probed by another about once an interval.
+    /// How long a node may receive nothing from others before it is isolated. Each member is probed by another about once
+    /// an interval.
     fn isolation_timeout(&self) -> Duration {
         self.settings.min_suspicion_timeout(self.present_count()) + self.settings.probe_interval * 2
     }
--- a/crates/membership/src/view/suspicion.rs
+++ b/crates/membership/src/view/suspicion.rs
@@ -90,10 +90,10 @@
     }
 
     /// Extends all suspicions by a time during which this node could not receive refutations.
-    pub(super) fn extend_suspicions(&mut self, by: Duration) {
+    pub(super) fn extend_suspicions(&mut self, pause: Duration) {
         for name in &self.suspects {
             if let Some(timer) = self.members.suspicion_mut(name) {
-                timer.extend(by);
+                timer.extend(pause);
             }
         }
     }
--- a/crates/shared-state/src/aggregation/mod.rs
+++ b/crates/shared-state/src/aggregation/mod.rs
@@ -24,7 +24,7 @@
     AggregateReply, AggregationMessage, Coverage, EchoedStamp, Report, ServiceObservation,
     ServiceTally, SumVersion,
 };
-pub use node::AggregationNode;
+pub use node::{AggregationNode, ReportingMember};
 pub use settings::ReportingSettings;
 pub use snapshot::{AggregateSnapshot, CallCounts, CoverageSnapshot, HealthState};
 
--- a/crates/shared-state/src/aggregation/node.rs
+++ b/crates/shared-state/src/aggregation/node.rs
@@ -22,6 +22,23 @@
 /// Estimate of the memory for one reporter without its counters, in bytes.
 const REPORTER_OVERHEAD_BYTES: usize = 160;
 
+/// A member that reports.
+#[derive(Clone, Copy, Debug)]
+pub struct ReportingMember<'a> {
+    /// Its name.
+    pub name: &'a Name,
+    /// Its site.
+    pub site: &'a Name,
+}
+
+/// A member that may be selected as an aggregator. The order of the fields is the order of preference.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct AggregatorCandidate<'a> {
+    name_hash: u64,
+    name: &'a Name,
+    site: &'a Name,
+}
+
 /// One node's part in aggregation: a state machine of messages and times, without I/O.
 ///
 /// All times are those of the node's monotonic clock.
@@ -60,18 +77,22 @@
         }
     }
 
-    /// Sets the members that report, this node included: name and site of each. The aggregators are the first by a hash of
+    /// Sets the members that report, this node included. The aggregators are the first by a hash of
     /// the names and the first of another site, so that nodes with the same view select the same.
-    pub fn set_members<'a>(&mut self, members: impl Iterator<Item = (&'a Name, &'a Name)>) {
+    pub fn set_members<'a>(&mut self, members: impl Iterator<Item = ReportingMember<'a>>) {
         let mut count: usize = 0;
         // The member with the lowest hash of each site; there are few sites.
-        let mut candidates: Vec<(u64, &Name, &Name)> = Vec::new();
-        for (name, site) in members {
+        let mut candidates: Vec<AggregatorCandidate<'a>> = Vec::new();
+        for ReportingMember { name, site } in members {
             count += 1;
-            let member = (hash_name(name), name, site);
-            match candidates.iter_mut().find(|(_, _, s)| *s == site) {
-                Some(lowest) => *lowest = member.min(*lowest),
-                None => candidates.push(member),
+            let candidate = AggregatorCandidate {
+                name_hash: hash_name(name),
+                name,
+                site,
+            };
+            match candidates.iter_mut().find(|known| known.site == site) {
+                Some(lowest) => *lowest = candidate.min(*lowest),
+                None => candidates.push(candidate),
             }
         }
         candidates.sort();
@@ -79,7 +100,7 @@
         let selected: Vec<Name> = candidates
             .iter()
             .take(AGGREGATORS)
-            .map(|(_, name, _)| (*name).clone())
+            .map(|candidate| candidate.name.clone())
             .collect();
         self.sessions
             .retain(|session| selected.contains(session.aggregator()));
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -28,7 +28,8 @@
 
 pub use aggregation::{
     Aggregate, AggregateSnapshot, AggregationMessage, AggregationNode, CallCounts,
-    CoverageSnapshot, HealthState, ReportingSettings, ServiceObservation, SumVersion, LEDGER,
+    CoverageSnapshot, HealthState, ReportingMember, ReportingSettings, ServiceObservation,
+    SumVersion, LEDGER,
 };
 pub use budgets::{
     BudgetSnapshot, Budgets, GuaranteedQuota, GuaranteedSnapshot, HolderRequest, HolderSnapshot,
--- a/crates/shared-state/tests/aggregation.rs
+++ b/crates/shared-state/tests/aggregation.rs
@@ -5,7 +5,7 @@
 use membership::Name;
 use shared_state::{
     AggregationMessage, AggregationNode, AtomicSketchCounters, ObservedHealth, Outgoing,
-    ReportingSettings, ServiceObservation, SketchCounters, LEDGER,
+    ReportingMember, ReportingSettings, ServiceObservation, SketchCounters, LEDGER,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -35,7 +35,11 @@
         let names = [name(0), name(1)];
         let site = Name::from("a");
         let mut first = start(&names[0], 1);
-        first.set_members(names.iter().map(|n| (n, &site)));
+        first.set_members(
+            names
+                .iter()
+                .map(|name| ReportingMember { name, site: &site }),
+        );
         let aggregator_name = first.aggregators().next().cloned().expect("an aggregator");
         let reporter_name = if aggregator_name == names[0] {
             names[1].clone()
@@ -43,9 +47,17 @@
             names[0].clone()
         };
         let mut aggregator = start(&aggregator_name, 10);
-        aggregator.set_members(names.iter().map(|n| (n, &site)));
+        aggregator.set_members(
+            names
+                .iter()
+                .map(|name| ReportingMember { name, site: &site }),
+        );
         let mut reporter = start(&reporter_name, 20);
-        reporter.set_members(names.iter().map(|n| (n, &site)));
+        reporter.set_members(
+            names
+                .iter()
+                .map(|name| ReportingMember { name, site: &site }),
+        );
         Pair {
             aggregator,
             reporter,
@@ -59,7 +71,8 @@
         let names = [self.reporter_name.clone(), self.aggregator_name.clone()];
         let site: Name = "a".into();
         let members = names.iter().take(if has_both { 2 } else { 1 });
-        self.reporter.set_members(members.map(|n| (n, &site)));
+        self.reporter
+            .set_members(members.map(|name| ReportingMember { name, site: &site }));
     }
 
     /// The reporter's next report to the aggregator, with this many requests in flight of one key.
--- a/src/actors.rs
+++ b/src/actors.rs
@@ -37,7 +37,7 @@
     /// The database's address, which may change.
     pub(crate) database: Arc<PeerAddress>,
     /// New addresses for the executor's actor.
-    pub(crate) executor_moves: Sender<SocketAddr>,
+    pub(crate) executor_addresses: Sender<SocketAddr>,
     /// Reports for the endpoint list's actor.
     pub(crate) endpoint_list_reports: Sender<endpoint_list::EndpointListMessage>,
     /// Disconnected when the policy's thread ends, however it ends: without the policy the node is of no use.
@@ -58,14 +58,14 @@
         admin_listener: Option<TcpListener>,
     ) -> Result<Actors, StartError> {
         let (executor_commands, executor_inbox) = bounded(context.limits.executor.mailbox);
-        let (executor_moves, executor_move_inbox) = bounded(1);
+        let (executor_addresses, executor_address_inbox) = bounded(1);
         let (endpoint_list_reports, endpoint_list_inbox) = bounded(1);
         let (state_change_sender, state_changes) = bounded(1);
         let database = Arc::new(PeerAddress::new(context.config.database));
         let database_calls = context.start_database(&database, &fleet)?;
         let policy_ended =
             context.start_policy(executor_commands, database_calls, &fleet, cells)?;
-        context.start_executor(executor_inbox, executor_move_inbox)?;
+        context.start_executor(executor_inbox, executor_address_inbox)?;
         context.start_endpoint_list(endpoint_list_inbox)?;
         let amqp = context.start_amqp(queues)?;
         let json_rpc = context.start_json_rpc()?;
@@ -77,7 +77,7 @@
             amqp,
             fleet,
             database,
-            executor_moves,
+            executor_addresses,
             endpoint_list_reports,
             policy_ended,
             state_changes,
@@ -88,7 +88,7 @@
 
 /// The connection between the fleet's shared counts and quotas and this node's actors.
 pub(crate) struct FleetLinks {
-    /// Keeps the database's calls within the quota and the judgement of the fleet.
+    /// Keeps the database's calls within the fleet's quota and to what the fleet knows of the database's health.
     pub(crate) call_guard: Option<database::SharedCallBudget>,
     /// Counters that the members of the fleet share.
     pub(crate) counters: Option<fleet::SharedCounters>,
@@ -111,10 +111,13 @@
             .any(|b| *b.name == *fleet::LEDGER_BUDGET);
         let counters = (config.shares_counts || config.shares_ledger_health)
             .then(fleet::SharedCounters::default);
-        let judged = counters.clone().filter(|_| config.shares_ledger_health);
-        let is_guarded = has_call_quota || judged.is_some();
+        let health_counters = counters.clone().filter(|_| config.shares_ledger_health);
+        let is_guarded = has_call_quota || health_counters.is_some();
         let call_guard = is_guarded.then(|| {
-            database::SharedCallBudget::new(database::CallBudget::new(has_call_quota, judged))
+            database::SharedCallBudget::new(database::CallBudget::new(
+                has_call_quota,
+                health_counters,
+            ))
         });
         FleetLinks {
             call_guard,
@@ -212,14 +215,14 @@
     fn start_executor(
         &self,
         commands: Receiver<ExecutorCommand>,
-        moves: Receiver<SocketAddr>,
+        addresses: Receiver<SocketAddr>,
     ) -> Result<(), StartError> {
         let address = self.config.executor;
         let limits = self.limits.clone();
         let log = self.log_for("executor");
         let mailboxes = executor::Mailboxes {
             commands,
-            moves,
+            moves: addresses,
             policy: self.policy.clone(),
         };
         spawn("executor", self.limits.stack_bytes, move || {
--- a/src/fleet_membership.rs
+++ b/src/fleet_membership.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Notes whether another process of this node runs, so that its guaranteed quota is not spent by both. To be called
+    /// Records whether another process of this node runs, so that its guaranteed quota is not spent by both. To be called
     /// before the node joins, and at each change. Without budgets it has no effect.
     pub fn set_sibling_running(&mut self, is_running: bool) {
         if self.options.ledger_guard.is_none() || self.is_sibling_running == is_running {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Whether another process of this node runs, as last noted.
+    /// Whether another process of this node runs, as last recorded.
     pub fn is_sibling_running(&self) -> bool {
         self.is_sibling_running
     }
--- a/src/net/jsonrpc/mailbox.rs
+++ b/src/net/jsonrpc/mailbox.rs
@@ -17,7 +17,7 @@
     SayGoodbye,
     /// Accept connections of this socket.
     Listen(TcpListener),
-    /// Accept those that wait to be accepted, and stop listening.
+    /// Accept the connections that wait to be accepted, and stop listening.
     StopListening,
 }
 
--- a/src/net/jsonrpc/mod.rs
+++ b/src/net/jsonrpc/mod.rs
@@ -60,23 +60,24 @@
         Ok(server)
     }
 
-    /// Accepts connections of this socket.
+    /// Accepts connections of this socket from now on.
     pub fn listen(&self, socket: TcpListener) {
         self.counters.is_listening.store(true, SeqCst);
         self.mailbox.send(ServerCommand::Listen(socket));
     }
 
-    /// Requests whose answer is not written, and connections with something left to write.
+    /// The number of requests whose answer is not written, plus that of connections with bytes left to write: 0 once all is
+    /// written.
     pub fn unfinished_count(&self) -> usize {
         self.counters.open_requests.load(SeqCst) + self.counters.unsent_connections.load(SeqCst)
     }
 
-    /// Whether some may still wait to be accepted.
+    /// Whether the server listens, so that connections may still wait to be accepted.
     pub fn is_listening(&self) -> bool {
         self.counters.is_listening.load(SeqCst)
     }
 
-    /// Open connections.
+    /// The number of open connections.
     pub fn connection_count(&self) -> usize {
         self.counters.connections.load(SeqCst)
     }
@@ -86,7 +87,7 @@
         self.mailbox.send(ServerCommand::SayGoodbye);
     }
 
-    /// Accepts those that wait to be accepted, and stops listening.
+    /// Accepts the connections that wait to be accepted, and stops listening.
     pub fn stop_listening(&self) {
         self.mailbox.send(ServerCommand::StopListening);
     }
--- a/src/net/jsonrpc/server_loop.rs
+++ b/src/net/jsonrpc/server_loop.rs
@@ -15,6 +15,9 @@
 use crate::node::{Limits, NodeStatus, PolicyMessage, RateLimitedLog};
 use crate::wire::Site;
 
+/// Clients' lines take no more than one part in this many of the policy's mailbox: the rest is for its other senders.
+const MAILBOX_SHARE_DIVISOR: usize = 2;
+
 /// What the server needs of the node.
 #[derive(Clone)]
 pub struct NodeContext {
@@ -78,7 +81,7 @@
             max_node_connections: limits.front.max_connections,
             default_idle_timeout: limits.listener.idle_timeout,
             lines_per_turn: limits.front.lines_per_turn,
-            max_waiting_messages: limits.policy.mailbox / 2,
+            max_waiting_messages: limits.policy.mailbox / MAILBOX_SHARE_DIVISOR,
             pause: limits.listener.backpressure_interval,
         };
         let clients = ClientListener::new(listener_settings(limits), Box::new(live_limits), log)?;
@@ -133,7 +136,7 @@
         listen_on(&mut self.clients, socket, now)
     }
 
-    /// Accepts those that wait to be accepted, and stops listening.
+    /// Accepts the connections that wait to be accepted, and stops listening.
     pub fn stop_listening(&mut self, now: Instant) {
         self.clients.stop_listening(&mut self.handler, now);
     }
@@ -143,7 +146,7 @@
         self.clients.begin_close_all(&mut self.handler, now);
     }
 
-    /// Open connections.
+    /// The number of open connections.
     pub fn connection_count(&self) -> usize {
         self.clients.connection_count()
     }
--- a/src/node/policy_actor/arrivals.rs
+++ b/src/node/policy_actor/arrivals.rs
@@ -20,7 +20,7 @@
                 .keys
                 .lookup(c.key_digest, c.payload_digest, Micros(c.arrived_at.0))
         });
-        match self.screen(&arrival, idempotency, lookup) {
+        match self.check_arrival(&arrival, idempotency, lookup) {
             Ok(repeats) => self.enqueue(arrival, idempotency, claim, repeats),
             Err(outcome) => self.respond(arrival.responder, outcome),
         }
@@ -40,9 +40,11 @@
         })
     }
 
-    /// Checks whether a request may be queued: the known request that it repeats, if any, or its answer if it must
-    /// not be queued.
-    fn screen(
+    /// Checks whether a request may be queued. Returns the known request that it repeats, if any.
+    ///
+    /// # Errors
+    /// The answer to a request that must not be queued.
+    fn check_arrival(
         &self,
         arrival: &Arrival,
         idempotency: Idempotency,
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -17,7 +17,7 @@
     pub(crate) listen: SocketAddr,
     pub(crate) cells: Option<CellGuard>,
     pub(crate) executor: SocketAddr,
-    pub(crate) executor_moves: Sender<SocketAddr>,
+    pub(crate) executor_addresses: Sender<SocketAddr>,
     pub(crate) database: Arc<PeerAddress>,
     pub(crate) endpoint_list: SocketAddr,
     pub(crate) endpoint_list_reports: Sender<endpoint_list::EndpointListMessage>,
@@ -50,7 +50,7 @@
         // The actors always read these mailboxes, so the sends end; if an actor is gone, the node is ending already.
         if self.executor != config.executor {
             self.executor = config.executor;
-            let _ = self.executor_moves.send(config.executor);
+            let _ = self.executor_addresses.send(config.executor);
         }
         self.database.set(config.database);
         if self.endpoint_list != config.endpoint_list {
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -180,7 +180,7 @@
         listen: context.config.listen,
         cells,
         executor: context.config.executor,
-        executor_moves: actors.executor_moves.clone(),
+        executor_addresses: actors.executor_addresses.clone(),
         database: actors.database.clone(),
         endpoint_list: context.config.endpoint_list,
         endpoint_list_reports: actors.endpoint_list_reports.clone(),
