--- a/crates/cells/src/layout_file.rs
+++ b/crates/cells/src/layout_file.rs
@@ -202,7 +202,7 @@
         Ok(())
     }
 
-    /// A fault of the whole layout, at the cell or tenant that it concerns.
+    /// The error of a layout that can't be applied, at the cell or tenant that it concerns.
     fn layout_error(&self, error: &LayoutError) -> ConfigFileError {
         let message = error.to_string();
         match error {
--- a/crates/cells/src/map/rendezvous.rs
+++ b/crates/cells/src/map/rendezvous.rs
@@ -7,6 +7,10 @@
 
 use crate::Name;
 
+/// Spreads the small numbers of the purposes over all bits of a seed: 2^64 divided by the golden ratio. Changing it would
+/// reassign tenants.
+const SEED_SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
+
 /// What a hash is used for; each use has hashes of its own for the same name.
 #[derive(Clone, Copy)]
 #[repr(u64)]
@@ -37,7 +41,7 @@
     /// How far a candidate of this weight is from being chosen; the least is first. It is an exponential variate of rate
     /// `weight`.
     pub(super) fn distance(self, candidate: &str, weight: f64) -> f64 {
-        let seed = self.hash ^ (self.purpose as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        let seed = self.hash ^ (self.purpose as u64).wrapping_mul(SEED_SPREAD);
         let hash = xxh3_64_with_seed(candidate.as_bytes(), seed);
         // The upper 53 bits plus one: a number above 0 and at most 1.
         let unit = ((hash >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
--- a/crates/shared-state/src/lease_table.rs
+++ b/crates/shared-state/src/lease_table.rs
@@ -9,8 +9,12 @@
 use crate::lease_holder::{LeaseGrant, LeaseRequest};
 use crate::LeaseTimings;
 
-/// One process of a node: its name and its incarnation.
-type HolderKey = (Name, u64);
+/// One process of a node.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct HolderKey {
+    name: Name,
+    incarnation: u64,
+}
 
 /// A grant that may still be in force at its holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -108,8 +112,8 @@
     pub fn holders(&self, now: Duration) -> impl Iterator<Item = HolderSnapshot> + '_ {
         self.holders
             .iter()
-            .map(move |((name, _), holder)| HolderSnapshot {
-                name: name.clone(),
+            .map(move |(key, holder)| HolderSnapshot {
+                name: key.name.clone(),
                 reserved: holder.reserved(now),
                 demand: holder.demand,
             })
@@ -123,7 +127,10 @@
         request: LeaseRequest,
         now: Duration,
     ) -> Option<LeaseGrant> {
-        let key = (name.clone(), incarnation);
+        let key = HolderKey {
+            name: name.clone(),
+            incarnation,
+        };
         let release_at = now + self.timings.release_delay();
         let holder = self.holders.entry(key.clone()).or_default();
         if request.seq <= holder.last_seq {
