--- a/crates/cells-cli/src/lib.rs
+++ b/crates/cells-cli/src/lib.rs
@@ -71,6 +71,9 @@
 }
 
 /// Runs a command and returns its output.
+///
+/// # Errors
+/// [`CellsCommandError`] where a layout can't be used, or a tenant that is asked for has no cell.
 pub fn run(command: &CellsCommand) -> Result<String, CellsCommandError> {
     match command {
         CellsCommand::Check(file) => {
--- a/crates/fault-testbed/src/connection_owner.rs
+++ b/crates/fault-testbed/src/connection_owner.rs
@@ -53,6 +53,9 @@
 }
 
 /// Returns who has the socket with the local address `local` that is connected to `remote`.
+///
+/// # Errors
+/// [`OwnerError`] where the kernel can't be asked, or the socket is open and belongs to no known process.
 pub fn find_owner(
     local: SocketAddr,
     remote: SocketAddr,
--- a/crates/fault-testbed/src/testbed/observation.rs
+++ b/crates/fault-testbed/src/testbed/observation.rs
@@ -91,8 +91,10 @@
         }
     }
 
-    /// Waits until the members agree, and returns how long that took. Panics with what they see if they do not within
-    /// `timeout`.
+    /// Waits until the members agree, and returns how long that took.
+    ///
+    /// # Panics
+    /// With what they see if they do not agree within `timeout`.
     pub fn wait_until_converged(&self, timeout: Duration) -> Duration {
         if let Some(elapsed) = self.wait_for("settled", timeout, Testbed::has_converged) {
             return elapsed;
--- a/crates/fleet-cli/src/lib.rs
+++ b/crates/fleet-cli/src/lib.rs
@@ -30,6 +30,9 @@
 }
 
 /// Runs a command and returns what it prints. `watch` prints by itself, until its output is closed.
+///
+/// # Errors
+/// [`FleetCommandError`] where the file can't be used, or the member that is asked does not answer.
 pub fn run(command: &FleetCommand) -> Result<String, FleetCommandError> {
     match command {
         FleetCommand::Check(file) => {
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -27,8 +27,9 @@
 }
 
 impl Policy {
-    /// The policy of a fresh server, which knows only its settings, or why these cannot be used. The seed
-    /// determines how the counts of tenants are spread.
+    /// The policy of a fresh server. The seed determines how the counts of tenants are spread.
+    /// # Errors
+    /// [`SettingsError`] where the settings cannot be used.
     pub fn new(mut settings: Settings, seed: u64) -> Result<Policy, SettingsError> {
         settings.check()?;
         settings.classes.push(unlisted_class(&settings.classes));
--- a/crates/test-doubles/src/executor/mod.rs
+++ b/crates/test-doubles/src/executor/mod.rs
@@ -74,7 +74,10 @@
         self.checked_state().kill_count
     }
 
-    /// Ends a run that hangs, successfully. Panics if no such run is in progress.
+    /// Ends a run that hangs, successfully.
+    ///
+    /// # Panics
+    /// If no such run is in progress.
     pub fn finish_run(&self, body: &str) {
         let finished = self.checked_state().finish_run(body);
         assert!(finished, "no run of {body} is in progress");
--- a/crates/test-doubles/src/node/mod.rs
+++ b/crates/test-doubles/src/node/mod.rs
@@ -107,7 +107,10 @@
         expect_ok(self.send_signal("TERM"));
     }
 
-    /// Replaces the configuration file, and has the node read it. Panics if that fails.
+    /// Replaces the configuration file, and has the node read it.
+    ///
+    /// # Panics
+    /// If that fails.
     pub fn reload(&self, config: &str) {
         std::fs::write(self.config.path(), config).expect("the configuration can be written");
         expect_ok(self.send_signal("HUP"));
--- a/crates/test-doubles/src/node/start.rs
+++ b/crates/test-doubles/src/node/start.rs
@@ -100,6 +100,7 @@
     }
 
     /// A second process of this node beside it, with an executor and an admin server of its own.
+    #[must_use]
     pub fn start_replacement(&self) -> Node {
         let peers = FakePeers {
             executor: FakeExecutor::start(),
--- a/crates/test-doubles/src/waiting.rs
+++ b/crates/test-doubles/src/waiting.rs
@@ -34,7 +34,10 @@
     Ok(())
 }
 
-/// Locks state that a test shares with a thread of a double; panics if that thread panicked with the lock.
+/// Locks state that a test shares with a thread of a double.
+///
+/// # Panics
+/// If that thread panicked with the lock.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("a test double failed")
 }
--- a/src/amqp/codec.rs
+++ b/src/amqp/codec.rs
@@ -11,6 +11,9 @@
 const END_BYTES: usize = 1;
 
 /// The bytes of a frame.
+///
+/// # Errors
+/// Where the frame can't be encoded.
 pub fn encode(frame: &AMQPFrame) -> io::Result<Vec<u8>> {
     let write = gen_frame::<Vec<u8>>(frame);
     let (bytes, _) = write(WriteContext::from(Vec::new()))
@@ -20,6 +23,9 @@
 }
 
 /// Writes frames with a single write.
+///
+/// # Errors
+/// Where a frame can't be encoded or the stream can't be written.
 pub fn write(mut stream: impl Write, frames: &[AMQPFrame]) -> io::Result<()> {
     let mut bytes = Vec::new();
     for frame in frames {
@@ -30,6 +36,9 @@
 
 /// Reads one frame of at most `max_bytes` in all. The length is checked before anything is read for it, so that a broker
 /// cannot have the node keep more than was agreed.
+///
+/// # Errors
+/// Where the stream ends or can't be read, or the bytes are no frame of at most that size.
 pub fn read(mut stream: impl Read, max_bytes: usize) -> io::Result<AMQPFrame> {
     let mut bytes = vec![0; HEAD_BYTES];
     stream.read_exact(&mut bytes)?;
--- a/src/amqp/mod.rs
+++ b/src/amqp/mod.rs
@@ -47,6 +47,9 @@
 impl AmqpConsumers {
     /// Starts an actor for each broker, virtual host and user that the inventory names. `seed` is that of the random
     /// request ids and of the jitter.
+    ///
+    /// # Errors
+    /// Where no thread can be started.
     pub fn start(
         queues: Vec<BrokerQueue>,
         site: Arc<Site>,
--- a/src/net/address.rs
+++ b/src/net/address.rs
@@ -30,6 +30,9 @@
 /// Binds the address for clients without listening on it yet, so that an unusable address is known at the start. A
 /// `shared` address can be bound by a second process of the node as well, which the platform may start where the node
 /// has an admin address.
+///
+/// # Errors
+/// Where the address can't be bound.
 pub fn bind_client_address(address: SocketAddr, shared: bool) -> io::Result<Socket> {
     let domain = Domain::for_address(address);
     let socket = Socket::new(domain, Type::STREAM, Some(Protocol::TCP))?;
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -87,6 +87,9 @@
 
 /// Starts the server. `state_changes` is notified of each change of state that a command causes. Returns the address at
 /// which the server listens.
+///
+/// # Errors
+/// Where the listener can't be used or no thread can be started.
 pub fn start(
     listener: std::net::TcpListener,
     node_status: &Arc<NodeStatus>,
--- a/src/net/database/mod.rs
+++ b/src/net/database/mod.rs
@@ -57,6 +57,9 @@
 }
 
 /// Starts the actor on a thread of its own. The results of calls go to `policy`.
+///
+/// # Errors
+/// Where no poll or thread can be had from the system.
 pub fn start(
     address: &Arc<PeerAddress>,
     budget: Option<SharedCallBudget>,
--- a/src/net/line_reader.rs
+++ b/src/net/line_reader.rs
@@ -21,6 +21,9 @@
 
     /// The next line without its end; `None` at the end of the stream, where an incomplete line is dropped. A line that
     /// is too long is an error of the kind `InvalidData`: a peer must not fill our memory with one line.
+    ///
+    /// # Errors
+    /// Where the stream can't be read or the line is too long.
     pub fn next_line(&mut self) -> io::Result<Option<&[u8]>> {
         self.line.clear();
         let read = (&mut self.stream)
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -18,6 +18,9 @@
 pub use line_reader::LineReader;
 
 /// Starts a named thread with a stack of this many bytes.
+///
+/// # Errors
+/// Where the system starts no further thread.
 pub fn spawn(
     name: &str,
     stack_bytes: usize,
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -94,6 +94,7 @@
     }
 
     /// These limits for a process that may take this many megabytes.
+    #[must_use]
     pub fn with_memory(mut self, memory_mb: f64) -> Limits {
         self.keys.table_bytes = key_table_bytes(memory_mb);
         self
--- a/tests/common/admin.rs
+++ b/tests/common/admin.rs
@@ -1,5 +1,5 @@
 //! A node with an admin server, and the one-line commands of operators to it.
-#![allow(dead_code)]
+#![allow(dead_code)] // Each test program uses a part of it.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/tests/common/amqp_node.rs
+++ b/tests/common/amqp_node.rs
@@ -1,5 +1,5 @@
 //! A node that consumes from a fake broker, its shutdown, and the headers of its replies.
-#![allow(dead_code)]
+#![allow(dead_code)] // Each test program uses a part of it.
 
 use test_doubles::Node;
 
--- a/tests/common/answers.rs
+++ b/tests/common/answers.rs
@@ -1,5 +1,5 @@
 //! Reads what a node answered to a JSON-RPC request.
-#![allow(dead_code)]
+#![allow(dead_code)] // Each test program uses a part of it.
 
 use serde_json::Value;
 use test_doubles::decode_base64;
--- a/tests/common/golden.rs
+++ b/tests/common/golden.rs
@@ -1,6 +1,6 @@
 //! What the golden tests share: runs of the program in a folder of their own, compared with data files in `tests/golden`.
 //! The data files are frozen; a test can't write them.
-#![allow(dead_code)]
+#![allow(dead_code)] // Each test program uses a part of it.
 
 use std::collections::BTreeMap;
 use std::io::Read;
--- a/tests/common/keyed_node.rs
+++ b/tests/common/keyed_node.rs
@@ -1,5 +1,5 @@
 //! A node with a class that runs by idempotency key, whose callers send a cancellation when they stop waiting.
-#![allow(dead_code)]
+#![allow(dead_code)] // Each test program uses a part of it.
 
 use serde_json::{json, Value};
 use test_doubles::{Node, TestClient};
--- a/tests/common/membership_scenarios.rs
+++ b/tests/common/membership_scenarios.rs
@@ -1,6 +1,6 @@
 //! Fault scenarios of the fleet's membership, for any number of nodes and any protocol period. Each returns how long the
 //! fleet took to settle after the last fault.
-#![allow(dead_code)]
+#![allow(dead_code)] // Each test program uses a part of it.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
--- a/tests/common/testbed.rs
+++ b/tests/common/testbed.rs
@@ -1,5 +1,5 @@
 //! A fleet of node processes on the fault testbed, and clients that keep its nodes busy.
-#![allow(dead_code)]
+#![allow(dead_code)] // Each test program uses a part of it.
 
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
--- a/tests/shared_quotas.rs
+++ b/tests/shared_quotas.rs
@@ -64,7 +64,7 @@
     }
     DatabaseUse {
         max_in_flight,
-        mean_fraction: sum as f64 / samples as f64 / TOTAL as f64,
+        mean_fraction: sum as f64 / f64::from(samples) / TOTAL as f64,
     }
 }
 
