--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,14 +1,15 @@
-//! Arrival and rejection: what is known of a new request, whether it is admitted, and what is shed later.
+//! Admission: registers new requests, admits or rejects them, and sheds load later.
 
 use crate::request::{Phase, RequestState};
-use crate::statistics::{tenant_key, INITIAL_WORK};
+use crate::statistics::{tenant_key, INITIAL_WORK_FRACTION};
 use crate::{Action, Idempotency, Policy, Preemption, Request, RequestId, Span, Time};
 
-/// Part of the memory, and of the concurrency that the server survives, that is used.
-pub(crate) const HEADROOM: f64 = 0.9;
-/// Where retries make up more than this fraction of the requests read, or rejections of the decisions, others
-/// reject as well: there is no server left to retry on, nor to take over the traffic of this one.
-pub(crate) const OVERLOADED_FLEET: f64 = 0.125;
+/// Fraction of the memory, and of the sustainable concurrency, that is used; the rest is headroom.
+pub(crate) const USABLE_FRACTION: f64 = 0.9;
+/// If retries exceed this fraction of the requests read, or rejections this fraction of the
+/// decisions, other servers are assumed to reject as well: no server is left to retry on, or to
+/// take over the traffic of this one.
+pub(crate) const OVERLOADED_FLEET_FRACTION: f64 = 0.125;
 
 impl Policy {
     /// Registers a request that was read, and rejects it unless it may queue for a run.
@@ -22,7 +23,7 @@
         self.observed.is_schedule_stale = true;
         let in_flight = f64::from(self.in_flight_by_tenant.add(tenant_key(request.tenant), 1));
         if request.duplicate_of.is_some() {
-            // It is never rejected, as the run that it duplicates may have taken effect.
+            // A duplicate is never rejected, as the run that it duplicates may have taken effect.
             if class.idempotency == Idempotency::AtMostOnce {
                 return self.fail_request(id, out);
             }
@@ -33,10 +34,11 @@
         if self.exceeds_limits(arrived_at, tenant_index, in_flight) {
             return self.reject(id, out);
         }
-        let has_memory = HEADROOM * self.settings.memory_kb - self.memory_in_use_kb() > self.settings.key_kb;
+        let has_memory =
+            USABLE_FRACTION * self.settings.memory_kb - self.memory_in_use_kb() > self.settings.key_kb;
         let shares_result = self.settings.result_sharing_window.0 > 0 && request.has_key && !request.is_write;
         if class.idempotency == Idempotency::ByKey {
-            // The key that identifies duplicates has to exist before the run, for the whole window.
+            // The key that identifies duplicates must exist before the run, for the whole window.
             if !has_memory {
                 return self.reject(id, out);
             }
@@ -46,7 +48,8 @@
         }
     }
 
-    /// Works out size and times of a new request, and adds it to the statistics of the traffic.
+    /// Determines the size, objective and deadline of a new request, and adds it to the traffic
+    /// statistics.
     fn register(&mut self, request: &Request) -> RequestState {
         let class_index = request.class.0.min(self.settings.classes.len() - 1);
         let class = &self.settings.classes[class_index];
@@ -56,13 +59,15 @@
             Some(wait) => self.now + wait,
             None => (arrived_at + class.deadline).max(self.now),
         };
-        // In units of the initial estimate, so that a hint counts as it is before any run has been seen.
-        let unit_ms = (objective_ms * INITIAL_WORK).max(0.001);
+        // The size is in units of the initial work estimate, so that a hint is used unchanged
+        // before any run has been observed.
+        let unit_ms = (objective_ms * INITIAL_WORK_FRACTION).max(0.001);
         let size = request.work_hint.map_or(1.0, |hint| hint.ms().max(0.001) / unit_ms);
         let estimates = &mut self.estimates[class_index];
         let work_ms = estimates.runs.work_ms(size);
         let extension = Span::from_ms(class.objective_work_multiple * work_ms);
-        // A retry's objective counts from its first attempt, which its wait tells of, or rejections here do.
+        // A retry's objective counts from its first attempt. The age of that is inferred from the
+        // announced wait, or else assumed from the rejections on this server.
         let wait_ms = request.remaining_wait.map(|wait| wait.ms() + request.age.ms());
         let infer_age = |ms| estimates.infer_age(ms, class.deadline.ms(), request.is_retry);
         let inferred_ms = wait_ms.and_then(infer_age);
@@ -86,14 +91,15 @@
         }
     }
 
-    /// Whether a new request came too late for a draining server, or its tenant has too many in flight, here
-    /// or on all servers, while requests wait too long.
+    /// Returns true if a new request arrived too late for a draining server, or if its tenant has
+    /// too many requests in flight, on this server or on all, while requests wait too long.
     fn exceeds_limits(&mut self, arrived_at: Time, tenant_index: usize, in_flight: f64) -> bool {
         let last_arrival = self.observed.drains_from.map(|from| from + self.settings.drain_grace);
         let is_too_late = last_arrival.is_some_and(|last| arrived_at > last);
         let limit = self.settings.concurrency_per_core * self.cores() * self.observed.concurrency_share;
-        // All servers together admit of a tenant its part, by its allowance, of their limits, but at least
-        // what one server admits. This is hard on tenants with long requests.
+        // Over all servers, a tenant's limit is the part of their limits that corresponds to its
+        // allowance, but at least the limit of one server. This disadvantages tenants with long
+        // requests.
         let elsewhere = self.observed.in_flight_elsewhere.get(tenant_index);
         let is_over_fleet_limit = elsewhere.is_some_and(|elsewhere| {
             let share = self.observed.servers_counted * self.settings.allowance_fraction(tenant_index);
@@ -116,9 +122,10 @@
             return;
         }
         let Some(request) = self.remove_request(id) else { return };
-        // A slow shared dependency is slow for all servers: none would serve a request that has to call it.
+        // A slow shared dependency is slow for all servers: none would serve a request that has to
+        // call it.
         let needs_slow_call = self.estimates[request.class].runs.calls > 0.0 && self.is_dependency_slow();
-        let others_reject = self.observed.traffic.retry_fraction > OVERLOADED_FLEET;
+        let others_reject = self.observed.traffic.retry_fraction > OVERLOADED_FLEET_FRACTION;
         let give_up = request.objective_at <= self.now || needs_slow_call || others_reject;
         let retry_after = self.retry_after();
         let wait_ms = if give_up { retry_after.ms() } else { 0.0 };
@@ -127,7 +134,7 @@
         self.forget_key(id, out);
     }
 
-    /// Answers every request before it is too late for an answer, whether it has run or not.
+    /// Answers every request while an answer is still accepted, whether the request has run or not.
     pub(crate) fn answer_overdue(&mut self, out: &mut Vec<Action>) {
         let interval = self.settings.decision_interval;
         let next_decision = self.now + self.decision_period() + interval + interval;
@@ -135,7 +142,7 @@
         let mut overdue = Vec::new();
         for (id, request) in &self.requests {
             let is_due = is_stopping || request.deadline + self.settings.answer_slack < next_decision;
-            if request.is_unanswered && (is_due || self.is_given_up(request)) {
+            if request.is_unanswered && (is_due || self.has_expired(request)) {
                 overdue.push(*id);
             }
         }
@@ -144,9 +151,9 @@
         }
     }
 
-    /// Whether a request is past its objective where late answers are worth nothing. A run that cannot be
-    /// stopped is not given up, as its answer costs nothing more.
-    fn is_given_up(&self, request: &RequestState) -> bool {
+    /// Returns true if a request is past its objective and late answers have no weight in its
+    /// class. A run that cannot be stopped does not expire, as its answer costs nothing more.
+    fn has_expired(&self, request: &RequestState) -> bool {
         let class = &self.settings.classes[request.class];
         let objective_at = request.objective_at.max(request.arrived_at + class.latency_objective);
         let ends_early = match request.phase {
@@ -157,25 +164,25 @@
         ends_early && class.late_weight_fraction == 0.0 && objective_at <= self.now
     }
 
-    /// How many runs of this size all of the memory holds.
-    fn runs_in_memory(&self, queued_kb: f64) -> f64 {
+    /// Returns the number of runs of this size that fit in the usable memory.
+    fn max_runs_in_memory(&self, queued_kb: f64) -> f64 {
         let run_kb = queued_kb * self.settings.run_memory_factor.max(1.0);
-        (HEADROOM * self.settings.memory_kb / run_kb.max(1e-9)).floor()
+        (USABLE_FRACTION * self.settings.memory_kb / run_kb.max(1e-9)).floor()
     }
 
-    /// While memory is short, sheds the newest queued requests, so that idle cores have memory for runs, and
-    /// then those that joined a run.
+    /// Sheds requests while memory is short: first the newest queued ones, so that idle cores have
+    /// memory for runs, and then those that joined a run.
     pub(crate) fn shed_for_memory(&mut self, out: &mut Vec<Action>) {
         loop {
             let newest = |phase| self.requests.iter().rev().find(|(_, request)| request.phase == phase);
             let queued = newest(Phase::Queued);
             let Some((&id, request)) = queued.or_else(|| newest(Phase::Joined)) else { break };
-            // Where memory never holds a run for each core, as beside another process's runs, it is kept for
-            // those that it does hold.
-            let usable_cores = self.cores().min(self.runs_in_memory(request.queued_kb).max(1.0));
+            // If memory cannot hold a run for each core, for example next to another process's
+            // runs, it is reserved only for as many runs as fit.
+            let usable_cores = self.cores().min(self.max_runs_in_memory(request.queued_kb).max(1.0));
             let idle_cores = queued.map_or(0.0, |_| (usable_cores - self.observed.on_core as f64).max(0.0));
             let runs_kb = idle_cores * request.queued_kb * (self.settings.run_memory_factor - 1.0).max(0.0);
-            if self.memory_in_use_kb() + runs_kb <= HEADROOM * self.settings.memory_kb {
+            if self.memory_in_use_kb() + runs_kb <= USABLE_FRACTION * self.settings.memory_kb {
                 break;
             }
             self.reject(id, out);
--- a/crates/policy/src/estimates.rs
+++ b/crates/policy/src/estimates.rs
@@ -1,84 +1,93 @@
-//! What the policy learns of classes and tenants, and what it counts and measures.
+//! Estimates that the policy learns of classes and tenants, and its counts and measurements.
 
 use std::collections::BTreeMap;
 
 use crate::statistics::{CoreUsage, RecurringValues, RunStatistics, TrafficStatistics, LEARNING_RATE};
 use crate::{Class, Policy, RequestId, TenantId, Time};
 
-/// Waits that differ by less than this fraction are the same, and common from this part of all on.
-const SAME_WAIT: f64 = 0.01;
-const COMMON_WAIT: f64 = 0.1;
+/// Waits that differ by no more than this fraction count as the same.
+const SAME_WAIT_TOLERANCE: f64 = 0.01;
+/// Minimum fraction of all recorded waits that a common wait makes up.
+const COMMON_WAIT_FRACTION: f64 = 0.1;
 
-/// What was learned of a class.
+/// Estimates learned for a class.
 pub(crate) struct ClassEstimates {
     pub(crate) runs: RunStatistics,
     /// Waits in ms that callers announce with first attempts.
-    waits: RecurringValues,
+    announced_waits: RecurringValues,
 }
 
 impl ClassEstimates {
     pub(crate) fn new(class: &Class) -> ClassEstimates {
-        ClassEstimates { runs: RunStatistics::new(class), waits: RecurringValues::new(SAME_WAIT) }
+        ClassEstimates {
+            runs: RunStatistics::new(class),
+            announced_waits: RecurringValues::new(SAME_WAIT_TOLERANCE),
+        }
     }
 
-    /// How long ago the first attempt began, at least, if its wait shows a request to be a retry: callers of
-    /// one kind announce the same wait with first attempts. Any other is what a rejection elsewhere left of
-    /// the next longer common wait, or else of the whole patience. Known retries teach nothing.
-    pub(crate) fn infer_age(&mut self, wait_ms: f64, patience_ms: f64, is_retry: bool) -> Option<f64> {
+    /// Returns the minimum time in ms since the first attempt began, if the announced wait shows
+    /// that the request is a retry. Callers of one kind announce the same wait with all first
+    /// attempts. Any other wait is assumed to be the rest of the next longer common wait, or else
+    /// of the whole deadline, after a rejection elsewhere. The waits of known retries are not
+    /// recorded.
+    pub(crate) fn infer_age(&mut self, wait_ms: f64, deadline_ms: f64, is_retry: bool) -> Option<f64> {
         if !is_retry {
-            self.waits.record(wait_ms, LEARNING_RATE);
+            self.announced_waits.record(wait_ms, LEARNING_RATE);
         }
-        let least_count = COMMON_WAIT * (f64::from(u8::from(!is_retry)) + self.waits.total_count());
-        let common_waits = || self.waits.values_with_count(least_count);
-        if common_waits().any(|common| self.waits.is_same(common, wait_ms)) {
+        let min_count =
+            COMMON_WAIT_FRACTION * (f64::from(u8::from(!is_retry)) + self.announced_waits.total_count());
+        let common_waits = || self.announced_waits.values_with_count(min_count);
+        if common_waits().any(|common| self.announced_waits.is_same(common, wait_ms)) {
             return None;
         }
         let longer_waits = common_waits().filter(|common| *common > wait_ms);
-        Some(longer_waits.fold(patience_ms.max(wait_ms), f64::min) - wait_ms)
+        Some(longer_waits.fold(deadline_ms.max(wait_ms), f64::min) - wait_ms)
     }
 }
 
-/// What is counted and measured from the start on.
+/// Counts and measurements since the policy started.
 #[derive(Default)]
 pub(crate) struct Observations {
     pub(crate) started_at: Option<Time>,
-    /// Remembered keys and when they expire.
+    /// Remembered idempotency keys, by request, and their expiry times.
     pub(crate) keys: BTreeMap<RequestId, Time>,
     pub(crate) on_core: usize,
-    /// Of those, the ones that may never have started.
+    /// Number of the runs in `on_core` that may never have started.
     pub(crate) runs_in_doubt: usize,
-    /// At most so many runs of an earlier process are on the cores as well.
+    /// Upper bound of the runs of an earlier process that are on the cores as well.
     pub(crate) inherited_runs: f64,
-    /// Since when the gauges show no run but those of this process.
+    /// Time since which the gauges have shown no runs except those of this process.
     pub(crate) idle_since: Option<Time>,
     pub(crate) memory_kb: f64,
-    /// Fraction of the concurrency that the server survives which is this process's.
+    /// This process's fraction of the concurrency that the server can sustain.
     pub(crate) concurrency_share: f64,
     pub(crate) cores: CoreUsage,
     pub(crate) traffic: TrafficStatistics,
-    /// The priority below which callers should send nothing, and the last capacity hint that they were given.
+    /// Priority below which callers should send nothing, and the capacity hint that was last
+    /// published.
     pub(crate) priority_floor: f64,
     pub(crate) published_hint: Option<f64>,
     pub(crate) next_wake_at: Option<Time>,
-    /// A queued request has waited too long.
+    /// True if a queued request has waited too long.
     pub(crate) is_queue_late: bool,
     pub(crate) is_schedule_stale: bool,
-    /// Reported unhealthy, because requests wait to be read or run for too long.
+    /// True if the server reports itself unhealthy, because requests wait too long to be read or
+    /// runs take too long.
     pub(crate) is_congested: bool,
     pub(crate) health_changed_at: Option<Time>,
-    /// Until when the dependency is expected to lose answers.
+    /// Time until which the dependency is expected to lose answers.
     pub(crate) lossy_until: Time,
-    /// Servers whose load is known, and what the others have in flight of each tenant.
+    /// Number of servers whose load is known, and the requests in flight on the others, by tenant.
     pub(crate) servers_counted: f64,
     pub(crate) in_flight_elsewhere: Vec<f64>,
-    /// When new requests are no longer run, and when the process is stopped.
+    /// Time at which draining began, and time at which the process will be stopped.
     pub(crate) drains_from: Option<Time>,
     pub(crate) stops_at: Option<Time>,
 }
 
 impl Policy {
-    /// How much longer work takes here now than estimated: a hang, a slow or overloaded machine and a cold
-    /// start all show as core time spent with too little work done.
+    /// Returns the factor by which work takes longer here now than estimated. A hang, a slow or
+    /// overloaded machine and a cold start all show as core time spent with too little work done.
     pub(crate) fn slowdown(&self) -> f64 {
         self.observed.cores.slowdown(self.observed.traffic.mean_work_ms.max(1.0))
     }
@@ -87,8 +96,9 @@
         self.observed.traffic.mean_work_ms * self.slowdown()
     }
 
-    /// Weight of a tenant's request as a fraction of its class's. What is past the tenant's share counts less
-    /// but is not marked, so each request stands for the mean of its tenant.
+    /// Returns the weight of a tenant's request as a fraction of its class's weight. Requests
+    /// beyond the tenant's share have less weight but are not marked, so each request gets the mean
+    /// weight of its tenant.
     pub(crate) fn tenant_weight_fraction(&self, tenant: Option<TenantId>) -> f64 {
         let Some(TenantId(index)) = tenant else { return 1.0 };
         let past_share = self.settings.over_share_weight_fraction;
--- a/crates/policy/src/interface/actions.rs
+++ b/crates/policy/src/interface/actions.rs
@@ -1,37 +1,37 @@
-//! What the policy decides, and the statistics that it reports for the log.
+//! Actions that the policy returns, and the statistics that it reports for the log.
 
 use super::events::RequestId;
 use super::time::Span;
 
-/// What to do.
+/// An action for the server to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Run a queued request, or resume a paused one.
     Run(RequestId),
     /// Stop a run.
     Stop(RequestId),
-    /// Final answer: rejected. It never ran, or may safely run again.
+    /// Send the final answer: rejected. The request never ran, or may safely run again.
     Reject {
-        /// The request.
+        /// The rejected request.
         id: RequestId,
-        /// How long the caller should wait before it sends another request.
+        /// Duration for which the caller should wait before it sends another request.
         retry_after: Span,
-        /// Whether it should not retry on another server either.
+        /// True if the caller should not retry on another server either.
         give_up: bool,
     },
-    /// Final answer: failed; it may or may not have run.
+    /// Send the final answer: failed. The request may or may not have run.
     Fail(RequestId),
     /// Make the call that a request waits for, with this timeout.
     Call(RequestId, Span),
-    /// Continue without the call.
+    /// Continue the run without the call.
     SkipCall(RequestId),
     /// Remember the request's idempotency key for this long, so that duplicates are recognised.
     RememberKey(RequestId, Span),
-    /// Forget the key.
+    /// Forget the request's idempotency key.
     ForgetKey(RequestId),
     /// Answer this duplicate with the result of the request that it repeats.
     Join(RequestId),
-    /// What health checks report from now on, without asking the policy again.
+    /// Set the result that health checks report from now on, without consulting the policy again.
     SetHealth(bool),
     /// Set the capacity hint that answers carry.
     SetCapacityHint(f64),
@@ -43,14 +43,15 @@
     Log(String),
 }
 
-/// The shared dependency as this server observes it.
+/// Statistics of the calls to the shared dependency, as observed by this server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DependencyCallStats {
-    /// Calls in flight at the dependency, abandoned ones that may still run there included.
+    /// Number of calls in flight at the dependency, including abandoned ones that may still run
+    /// there.
     pub in_flight: f64,
     /// Mean of `in_flight` over the quota's window.
     pub mean_in_flight: f64,
-    /// Calls in flight that this server may have.
+    /// Limit on the mean number of calls that this server has in flight.
     pub limit: f64,
     /// Recent mean duration of a call in milliseconds.
     pub recent_ms: f64,
--- a/crates/policy/src/interface/events.rs
+++ b/crates/policy/src/interface/events.rs
@@ -1,125 +1,130 @@
-//! What the policy is notified of: requests, ends of runs and calls, and changes around the server.
+//! Events that the policy handles: requests, ends of runs and calls, and changes in the server's
+//! environment.
 
 use super::settings::{ClassId, TenantId};
 use super::time::Span;
 
-/// One attempt of a request; unique within the life of a server.
+/// Identifies one attempt of a request; unique within the lifetime of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// The caller process that sent a request.
+/// Identifies the caller process that sent a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerId(pub u64);
 
 /// A request as read from its connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// This attempt.
+    /// Identifier of this attempt.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant, where the site has any.
+    /// Tenant of the request, if the site has tenants.
     pub tenant: Option<TenantId>,
-    /// Whether it carries a key that identical requests can be matched by.
+    /// True if the request carries a key by which identical requests can be matched.
     pub has_key: bool,
-    /// How long its caller still waits, where known.
+    /// Remaining time for which the caller will wait, if known.
     pub remaining_wait: Option<Span>,
-    /// Expected work on a standard core, where known.
+    /// Expected work on a standard core, if known.
     pub work_hint: Option<Span>,
-    /// Kilobytes that it takes while queued.
+    /// Memory in kilobytes that the request occupies while queued.
     pub queued_kb: f64,
-    /// Known to be a retry or a hedged request.
+    /// True if the request is known to be a retry or a hedged request.
     pub is_retry: bool,
-    /// Whether it changes state.
+    /// True if the request changes state.
     pub is_write: bool,
-    /// Its sender.
+    /// Caller that sent the request.
     pub caller: CallerId,
-    /// Time since it reached the machine.
+    /// Time since the request reached the machine.
     pub age: Span,
-    /// The remembered request that it repeats.
+    /// Request with a remembered idempotency key that this one duplicates.
     pub duplicate_of: Option<RequestId>,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It succeeded, and its answer is sent.
+    /// The run succeeded, and its answer is sent.
     Served,
-    /// It failed, and its answer is sent.
+    /// The run failed, and its answer is sent.
     Failed,
-    /// It was stopped, or ended at a call once nobody waited for it.
+    /// The run was stopped, or it ended at a call after its request had been abandoned.
     Stopped,
-    /// It never started.
+    /// The run never started.
     NeverStarted,
 }
 
 /// How a call to the dependency ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It succeeded; the run goes on by itself.
+    /// The call succeeded, and the run continues by itself.
     Succeeded,
-    /// It failed and may have taken effect.
+    /// The call failed and may have taken effect.
     Failed,
-    /// It certainly was not executed.
+    /// The call was definitely not executed.
     NotExecuted,
 }
 
-/// Readings of the machine; a gauge that the site lacks is `None`.
+/// Readings of the machine's gauges; `None` for a gauge that the site does not have.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
     /// Recent busy fraction of the cores.
     pub cores_busy: Option<f64>,
-    /// Threads that want a core at this moment.
+    /// Number of threads that are running or ready to run at this moment.
     pub runnable: Option<f64>,
     /// Fraction of the memory in use.
     pub memory_used: Option<f64>,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: Option<f64>,
 }
 
-/// What happened since the last decision.
+/// An event that occurred since the last decision.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A request was read and is now queued.
     RequestRead(Request),
-    /// A run, or the run that a duplicate joined, ended.
+    /// The run of a request, or the run that a duplicate joined, ended.
     RunEnded(RequestId, RunOutcome),
     /// A running request waits for permission to call the dependency.
     CallRequested(RequestId),
-    /// A call ended after this long.
+    /// A call ended after this duration.
     CallEnded(RequestId, CallOutcome, Span),
     /// The caller stopped waiting.
     CallerStoppedWaiting(RequestId),
-    /// The node shuts down, and the process will be stopped after this long.
+    /// The node is shutting down; the process will be stopped after this duration.
     ShutdownNotice(Span),
-    /// Another process takes over; this one continues with its requests and is stopped after this long.
+    /// Another process takes over. This one continues with its requests and will be stopped after
+    /// this duration.
     ReplacementNotice(Span),
-    /// This server's quota of concurrent calls from now on, where the servers divide them dynamically.
+    /// New quota of concurrent calls of this server, if the servers divide them dynamically.
     CallQuotaChanged(f64),
-    /// This process's share of the server's resources from now on, where two processes run for a while.
+    /// New share of this process in the server's resources, if two processes run in parallel for a
+    /// time.
     ResourceShareChanged {
         /// Memory in kilobytes.
         memory_kb: f64,
-        /// Fraction of the concurrency that the server survives.
+        /// Fraction of the concurrency that the server can sustain.
         concurrency_share: f64,
-        /// Its quota of concurrent calls, unless that is set by [`Event::CallQuotaChanged`].
+        /// Quota of concurrent calls of this process, unless it is set by
+        /// [`Event::CallQuotaChanged`].
         call_quota: Option<f64>,
     },
-    /// So many of the runs started here may never have started. They count as concurrent runs, but must not keep all others
-    /// from running, as it is later runs that tell.
+    /// Number of this process's runs that may never have started. They count as concurrent runs,
+    /// but must not prevent all other runs, because only later runs show what became of them.
     RunsInDoubt(usize),
-    /// At most so many runs of an earlier process of this server are still on the cores; 0 once they are known
-    /// to be over.
+    /// Upper bound of the runs of an earlier process of this server that are still on the cores; 0
+    /// once they are known to have ended.
     RunsInherited(f64),
-    /// So many calls were given up that the dependency may still have in progress.
+    /// Number of abandoned calls that the dependency may still have in progress.
     UnconfirmedCalls(usize),
-    /// Load of the other servers, where servers tell each other.
+    /// Load of the other servers, if the servers exchange it.
     FleetLoad {
-        /// Servers whose counts are known, this one included; 0 where that is not known any more.
+        /// Number of servers whose counts are known, including this one; 0 if they are no longer
+        /// known.
         servers: f64,
-        /// Requests in flight on the other servers, by tenant; empty where that is not known.
+        /// Requests in flight on the other servers, by tenant; empty if unknown.
         in_flight_elsewhere: Vec<f64>,
     },
-    /// A wake-up that [`crate::Action::WakeIn`] asked for.
+    /// A wake-up that [`crate::Action::WakeIn`] requested.
     Wake(Gauges),
 }
--- a/crates/policy/src/interface/mod.rs
+++ b/crates/policy/src/interface/mod.rs
@@ -1,4 +1,5 @@
-//! The policy's public vocabulary: its settings, the events it receives and the actions it returns.
+//! The policy's public types: its settings, the events that it receives and the actions that it
+//! returns.
 //!
 //! Durations are [`Span`]s in microseconds, work and memory are `f64` milliseconds and kilobytes.
 
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -1,21 +1,23 @@
-//! What the policy is configured with when it is created, and the check that the values can be used.
+//! Settings with which the policy is created, and their validation.
 
 use std::fmt;
 
 use super::time::Span;
 
-/// Index into [`Settings::classes`]; a number past its end is a class that the settings do not list.
+/// Index into [`Settings::classes`]; a number past its end is a class that the settings do not
+/// list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// Index into [`Settings::tenants`]; a number past its end is a tenant that the settings do not list.
+/// Index into [`Settings::tenants`]; a number past its end is a tenant that the settings do not
+/// list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u64);
 
 /// How often a request of a class may run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Idempotent: it may run any number of times.
+    /// Idempotent: the request may run any number of times.
     Idempotent,
     /// Once for each idempotency key within the class's window.
     ByKey,
@@ -24,40 +26,42 @@
     AtMostOnce,
 }
 
-/// A class of requests; by default one of no priority and no patience that may run at most once.
+/// A class of requests. The default has no priority weight and a deadline of zero, and its requests
+/// run at most once.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
     /// Answers within this time of the first attempt count with the full priority weight.
     pub latency_objective: Span,
-    /// How long the client waits over all attempts.
+    /// Duration for which the client waits, over all attempts.
     pub deadline: Span,
     /// How often a request may run.
     pub idempotency: Idempotency,
-    /// Fraction of the priority weight that an answer after the latency objective still has.
+    /// Fraction of the priority weight that an answer has after the latency objective.
     pub late_weight_fraction: f64,
-    /// How long after its arrival a request with an idempotency key may be repeated.
+    /// Duration after its arrival within which a request with an idempotency key may be repeated.
     pub idempotency_window: Span,
     /// Relative value of a request that is answered in time.
     pub priority_weight: f64,
     /// The latency objective grows by this multiple of the request's own work.
     pub objective_work_multiple: f64,
-    /// Whether its requests may call the dependency.
+    /// True if requests of the class may call the dependency.
     pub may_call: bool,
-    /// Fraction of the priority weight kept when a call is skipped; 0 means that it must not be skipped.
+    /// Fraction of the priority weight kept when a call is skipped; 0 means that it must not be
+    /// skipped.
     pub skipped_call_weight_fraction: f64,
 }
 
 /// A tenant whose share of the fleet is known.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its share, over the whole fleet.
+    /// Requests per second within the tenant's share, over the whole fleet.
     pub allowance_per_s: f64,
 }
 
-/// What requests call while they run.
+/// The kind of dependency that requests call while they run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dependency {
-    /// Nothing.
+    /// No dependency.
     None,
     /// One dependency that the whole fleet shares.
     Shared,
@@ -65,7 +69,7 @@
     Tier,
 }
 
-/// What stopping a run does.
+/// Effect of stopping a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preemption {
     /// Runs cannot be stopped.
@@ -79,85 +83,87 @@
 /// How callers interpret the capacity hint that each answer carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapacityHint {
-    /// They do not know it, and it must not be set.
+    /// Callers do not support the hint, and it must not be set.
     Off,
-    /// A lower bound of priority: they send nothing below it.
+    /// A lower bound of priority: callers send nothing below it.
     PriorityFloor,
-    /// The most requests that one caller may have in flight here.
+    /// Maximum number of requests that one caller may have in flight on this server.
     Allowance,
-    /// The probability with which they choose this server.
+    /// Probability with which callers choose this server.
     Weight,
 }
 
-/// All that bears on decisions, set once at the start.
+/// All settings that affect the policy's decisions, given when the policy is created.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Cores of this server.
+    /// Number of cores of this server.
     pub cores: u32,
-    /// Least time between two calls of [`crate::Policy::handle`].
+    /// Minimum time between two calls of [`crate::Policy::handle`].
     pub decision_interval: Span,
-    /// Servers in this tier at the start.
+    /// Number of servers in this tier at the start.
     pub servers: u32,
-    /// Callers of this tier at the start.
+    /// Number of callers of this tier at the start.
     pub callers: u32,
     /// Classes, by [`ClassId`].
     pub classes: Vec<Class>,
     /// Tenants, by [`TenantId`]; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Fraction of its class's priority weight that a request past its tenant's share has.
+    /// Fraction of its class's priority weight that a request beyond its tenant's share has.
     pub over_share_weight_fraction: f64,
-    /// Whether the priority weight applies to each unit of work instead of each request.
+    /// True if the priority weight applies to each unit of work instead of each request.
     pub weight_per_work: bool,
     /// Memory in kilobytes.
     pub memory_kb: f64,
     /// Memory of a running request as a multiple of a queued one's.
     pub run_memory_factor: f64,
-    /// Kilobytes for each remembered idempotency key.
+    /// Memory in kilobytes for each remembered idempotency key.
     pub key_kb: f64,
-    /// What requests call.
+    /// The kind of dependency that requests call.
     pub dependency: Dependency,
-    /// This server's quota of the concurrent calls that the shared dependency survives, as a mean.
+    /// This server's quota, as a mean, of the concurrent calls that the shared dependency can
+    /// sustain.
     pub call_quota: f64,
-    /// The window of that mean.
+    /// Window over which the mean of the concurrent calls is taken.
     pub call_quota_window: Span,
-    /// How long the dependency may go on with a call that was abandoned.
+    /// Duration for which the dependency may continue to execute an abandoned call.
     pub abandoned_call_linger: Span,
-    /// How long a read's answer may serve identical reads; zero means never.
+    /// Duration for which the answer of a read may be shared with identical reads; zero disables
+    /// sharing.
     pub result_sharing_window: Span,
-    /// What stopping a run does.
+    /// Effect of stopping a run.
     pub preemption: Preemption,
     /// How callers interpret the capacity hint.
     pub capacity_hint: CapacityHint,
-    /// How long callers act on a capacity hint.
+    /// Duration for which callers act on a capacity hint.
     pub capacity_hint_lifetime: Span,
-    /// Whether callers' endpoint lists follow health checks.
+    /// True if callers' endpoint lists follow health checks.
     pub endpoint_lists_follow_health: bool,
-    /// The server has just been started and warms up.
+    /// True if the server has just been started and is warming up.
     pub starts_cold: bool,
-    /// Least fraction of its full speed that a cold server has.
+    /// Minimum speed of a cold server, as a fraction of its full speed.
     pub start_capacity: f64,
-    /// Longest time until it is warm.
+    /// Maximum time until a cold server is warm.
     pub warm_up: Span,
-    /// How long after a request's deadline an answer is still accepted.
+    /// Duration after a request's deadline in which an answer is still accepted.
     pub answer_slack: Span,
     /// Requests that arrive later than this after the shutdown notice never run.
     pub drain_grace: Span,
-    /// Concurrent requests for each core that a warm server survives.
+    /// Mean number of concurrent requests per core that a warm server can sustain.
     pub concurrency_per_core: f64,
-    /// The window over which that is a mean.
+    /// Window over which the mean of the concurrent requests is taken.
     pub concurrency_window: Span,
-    /// Longest retry-after that callers respect.
+    /// Maximum retry-after that callers respect.
     pub max_retry_after: Span,
-    /// How long callers keep an idle connection.
+    /// Duration for which callers keep an idle connection.
     pub caller_idle_timeout: Span,
 }
 
 impl Settings {
-    /// Checks that the settings can be used.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// Names the first value that is missing or out of range. The names are those of the configuration's
-    /// documentation, which operators know, and not of the fields.
+    /// Returns the first value that is missing or out of range. It is named as in the
+    /// configuration's documentation, which operators know, and not as the field.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.cores == 0 {
             return Err(SettingsError::NoCores);
@@ -166,10 +172,10 @@
             return Err(SettingsError::NoClasses);
         }
         self.check_durations()?;
-        self.check_figures()
+        self.check_numbers()
     }
 
-    /// The part of the fleet's traffic that the allowance of the tenant with this index makes up; 1 for a
+    /// Returns the allowance of the tenant with this index as a fraction of all allowances; 1 for a
     /// tenant that is not listed.
     pub(crate) fn allowance_fraction(&self, tenant_index: usize) -> f64 {
         let total = self.tenants.iter().map(|tenant| tenant.allowance_per_s).sum::<f64>().max(1e-9);
@@ -198,13 +204,13 @@
             ]
         });
         match durations.into_iter().chain(class_durations).find(|(_, span)| span.0 < 0) {
-            Some((name, _)) => Err(SettingsError::NegativeTime(name)),
+            Some((name, _)) => Err(SettingsError::NegativeDuration(name)),
             None => Ok(()),
         }
     }
 
-    fn check_figures(&self) -> Result<(), SettingsError> {
-        let figures = [
+    fn check_numbers(&self) -> Result<(), SettingsError> {
+        let numbers = [
             ("memory_kb", self.memory_kb),
             ("run_factor", self.run_memory_factor),
             ("key_kb", self.key_kb),
@@ -213,29 +219,29 @@
             ("crowd_per_core", self.concurrency_per_core),
             ("over_share_worth", self.over_share_weight_fraction),
         ];
-        let class_figures = self
+        let class_numbers = self
             .classes
             .iter()
             .flat_map(|class| [("worth", class.priority_weight), ("late_worth", class.late_weight_fraction)]);
-        let is_unusable = |figure: f64| !figure.is_finite() || figure < 0.0;
-        match figures.into_iter().chain(class_figures).find(|(_, figure)| is_unusable(*figure)) {
-            Some((name, _)) => Err(SettingsError::BadFigure(name)),
+        let is_invalid = |number: f64| !number.is_finite() || number < 0.0;
+        match numbers.into_iter().chain(class_numbers).find(|(_, number)| is_invalid(*number)) {
+            Some((name, _)) => Err(SettingsError::InvalidNumber(name)),
             None => Ok(()),
         }
     }
 }
 
-/// Why settings cannot be used.
+/// The reason why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// No cores.
+    /// The settings have no cores.
     NoCores,
-    /// No classes.
+    /// The settings have no classes.
     NoClasses,
     /// A duration is negative; holds its name.
-    NegativeTime(&'static str),
-    /// A figure is negative, missing or not a number; holds its name.
-    BadFigure(&'static str),
+    NegativeDuration(&'static str),
+    /// A number is negative, missing or not finite; holds its name.
+    InvalidNumber(&'static str),
 }
 
 impl fmt::Display for SettingsError {
@@ -243,8 +249,8 @@
         match self {
             SettingsError::NoCores => f.write_str("settings name no cores"),
             SettingsError::NoClasses => f.write_str("settings name no classes"),
-            SettingsError::NegativeTime(name) => write!(f, "settings hold a negative time: {name}"),
-            SettingsError::BadFigure(name) => write!(f, "settings hold an unusable figure: {name}"),
+            SettingsError::NegativeDuration(name) => write!(f, "negative duration in setting: {name}"),
+            SettingsError::InvalidNumber(name) => write!(f, "negative or non-finite setting: {name}"),
         }
     }
 }
--- a/crates/policy/src/interface/time.rs
+++ b/crates/policy/src/interface/time.rs
@@ -1,4 +1,5 @@
-//! Instants and durations in whole microseconds, so that equal inputs give equal decisions on every machine.
+//! Instants and durations in whole microseconds, so that equal inputs give equal decisions on every
+//! machine.
 
 use std::ops::{Add, Sub};
 
@@ -11,12 +12,12 @@
 pub struct Span(pub i64);
 
 impl Span {
-    /// The duration of this many milliseconds, rounded to the microsecond.
+    /// Converts milliseconds, rounded to the microsecond.
     pub fn from_ms(ms: f64) -> Span {
         Span((ms * 1e3).round() as i64)
     }
 
-    /// The duration in milliseconds.
+    /// Returns the duration in milliseconds.
     pub fn ms(self) -> f64 {
         self.0 as f64 / 1e3
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,14 +1,16 @@
-//! Decides for one server which requests are admitted, run, given a dependency call, rejected or failed.
+//! Decides for one server which requests are admitted, run, given a dependency call, rejected or
+//! failed.
 //!
-//! [`Policy`] is a deterministic state machine. Feed it [`Event`]s with the present [`Time`]; it appends
-//! [`Action`]s. It reads no clock, starts no thread and draws no randomness beyond the seed handed to it. A
-//! `Policy` is `Send`; one server drives it through `&mut self`, while [`Sketch`] counts through `&self` and
-//! may be read from any thread.
+//! [`Policy`] is a deterministic state machine. Feed it [`Event`]s with the current [`Time`]; it
+//! appends [`Action`]s. It reads no clock, starts no thread and uses no randomness except the seed
+//! passed to it. A `Policy` is `Send`; one server drives it through `&mut self`, while [`Sketch`]
+//! counts through `&self` and may be read from any thread.
 //!
-//! A request's path leads through these modules: `admission` registers it or rejects it, `scheduling` gives
-//! it a slot and starts it, `dependency_calls` makes its calls, and `request` ends it. `policy` drives them
-//! with events and passing time, `estimates` holds what they learn, and `signals` publishes health and hints.
-//! All files outside `interface` and `statistics` decide; together they stay under a thousand lines.
+//! A request passes through these modules: `admission` registers or rejects it, `scheduling`
+//! assigns it a slot and starts it, `dependency_calls` makes its calls, and `request` ends it.
+//! `policy` drives them with events and elapsed time, `estimates` holds what they learn, and
+//! `signals` publishes health and capacity hints. All files outside `interface` and `statistics`
+//! make decisions; `tests/size_limit.rs` limits the size of each.
 
 mod admission;
 mod dependency_calls;
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,17 +1,18 @@
-//! The policy itself: its state, and how it handles events and passing time.
+//! The policy's state, and its handling of events and elapsed time.
 
 use std::collections::BTreeMap;
 
-use crate::dependency_calls::CALL_HEADROOM;
+use crate::dependency_calls::CALL_QUOTA_FRACTION;
 use crate::estimates::{ClassEstimates, Observations};
 use crate::request::{Phase, RequestState};
 use crate::statistics::{decay_factor, CallStatistics, Sketch, TrafficStatistics};
 use crate::{Action, Class, Event, RequestId, Settings, SettingsError, Span, Time};
 
-/// The shortest time in ms after which idle connections may be closed.
-const SHORTEST_IDLE_MS: f64 = 10.0;
+/// Shortest timeout in ms after which idle connections are closed.
+const MIN_IDLE_TIMEOUT_MS: f64 = 10.0;
 
-/// Decides for one server. Times, work and memory are in ms and kB; see the crate's documentation.
+/// Makes the decisions of one server. Times and work are in ms, memory is in kB; see the crate's
+/// documentation.
 pub struct Policy {
     pub(crate) settings: Settings,
     pub(crate) now: Time,
@@ -20,16 +21,19 @@
     pub(crate) observed: Observations,
     pub(crate) calls: CallStatistics,
     pub(crate) estimates: Vec<ClassEstimates>,
-    /// Requests rejected so far for what their tenants have in flight on other servers.
+    /// Number of requests rejected so far because of their tenants' requests in flight on other
+    /// servers.
     pub fleet_limit_rejections: u64,
-    /// Runs on the cores at once, and never more than the server survives.
+    /// Maximum number of runs on the cores at the same time; never raised beyond what the server
+    /// can sustain.
     pub(crate) run_limit: f64,
 }
 
 impl Policy {
-    /// The policy of a fresh server. The seed determines how the counts of tenants are spread.
+    /// Creates the policy of a newly started server. The seed determines how tenants hash to the
+    /// cells of the sketch.
     /// # Errors
-    /// [`SettingsError`] where the settings cannot be used.
+    /// Returns a [`SettingsError`] if the settings are invalid.
     pub fn new(mut settings: Settings, seed: u64) -> Result<Policy, SettingsError> {
         settings.check()?;
         settings.classes.push(unlisted_class(&settings.classes));
@@ -47,7 +51,8 @@
         })
     }
 
-    /// Handles what happened up to `now` and appends what to do. Without events it only lets time pass.
+    /// Handles the events up to `now` and appends the resulting actions. Without events, only time
+    /// advances.
     pub fn handle(&mut self, now: Time, events: &[Event], out: &mut Vec<Action>) {
         if self.observed.started_at.is_none() {
             self.start(now, out);
@@ -83,8 +88,10 @@
                 self.observed.drains_from = None;
                 self.observed.stops_at = Some(self.now + *time_left);
             }
-            // 0 means no limit, so that no quota is a small one. The quota includes the headroom already.
-            Event::CallQuotaChanged(quota) => self.settings.call_quota = quota.max(0.1) / CALL_HEADROOM,
+            // In the settings 0 means no limit, so a quota of 0 becomes a small one. The quota
+            // already includes the headroom, so dividing by the fraction that `call_limit` applies
+            // cancels it.
+            Event::CallQuotaChanged(quota) => self.settings.call_quota = quota.max(0.1) / CALL_QUOTA_FRACTION,
             Event::ResourceShareChanged { memory_kb, concurrency_share, call_quota } => {
                 self.settings.memory_kb = *memory_kb;
                 self.observed.concurrency_share = *concurrency_share;
@@ -108,22 +115,25 @@
         self.now = now;
         self.observed.started_at = Some(now);
         out.push(Action::SetHealth(true));
-        // Open connections take capacity, and new ones cost work. If callers are few for the requests that
-        // the server survives, they come back soon and keep theirs; if they are many, closing is cheaper.
-        let survived = self.settings.concurrency_per_core * self.cores();
-        let has_few_callers = f64::from(self.settings.callers) <= 2.0 * survived;
-        let longest_ms = if has_few_callers { f64::MAX } else { SHORTEST_IDLE_MS };
+        // Open connections take capacity, and new ones cost work. If callers are few for the
+        // requests that the server can sustain, each soon sends its next request and keeps its
+        // connection. If callers are many, closing idle connections is cheaper.
+        let sustained = self.settings.concurrency_per_core * self.cores();
+        let has_few_callers = f64::from(self.settings.callers) <= 2.0 * sustained;
+        let longest_ms = if has_few_callers { f64::MAX } else { MIN_IDLE_TIMEOUT_MS };
         let idle_ms = self.settings.caller_idle_timeout.ms().min(longest_ms);
         out.push(Action::CloseIdleConnections(Span::from_ms(idle_ms)));
     }
 
-    /// Brings clocks, decaying sums and expiry times forward to `now`.
+    /// Advances clocks, decaying sums and expiry times to `now`.
     fn advance_to(&mut self, now: Time) {
         let elapsed_ms = (now - self.now).ms().max(0.0);
         self.now = now;
-        // Time of runs that may not be there must not make the machine look slow: nothing would be run then.
+        // The time of runs that may not exist is left out: it would make the machine look slow, and
+        // then nothing would be run.
         let (running, cores) = (self.certain_runs() as f64, self.cores());
-        // Forgets as fast as the server itself tells a brief overload from a lasting one.
+        // Statistics decay as fast as the server itself distinguishes a brief overload from a
+        // lasting one.
         let keep = decay_factor(elapsed_ms, self.settings.concurrency_window.ms());
         self.observed.cores.advance(elapsed_ms, running, cores, keep);
         self.observed.traffic.advance(elapsed_ms, keep);
@@ -133,7 +143,8 @@
     }
 }
 
-/// A class for requests of none of the listed ones: run at most once, and with the least weight and patience.
+/// Returns the class of requests whose class is not listed: they run at most once, with the lowest
+/// weight and the shortest objective and deadline of all classes.
 fn unlisted_class(classes: &[Class]) -> Class {
     let least = |span: fn(&Class) -> Span| classes.iter().map(span).min().unwrap_or_default();
     Class {
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -1,17 +1,17 @@
-//! The state of a request from its arrival until nothing of it is left, and every change of that state.
+//! The state of a request from its arrival to its removal, and all changes of that state.
 
 use crate::statistics::{tenant_key, CoreTime};
 use crate::{Action, Idempotency, Policy, Preemption, RequestId, RunOutcome, TenantId, Time};
 
-/// Only a queued request can be rejected or run, and both take it out of this phase.
+/// The phase of a request. Only a queued request can be rejected or run, and both end that phase.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub(crate) enum Phase {
     #[default]
     Queued,
-    /// Waits for the result of the run that it duplicates.
+    /// The request waits for the result of the run that it duplicates.
     Joined,
     OnCore,
-    /// Waits for permission to call the dependency, which it does not get before the time given.
+    /// The run waits for permission to call the dependency, which it does not get before this time.
     WaitingToCall(Time),
     Calling,
 }
@@ -27,21 +27,25 @@
     pub(crate) class: usize,
     pub(crate) tenant: Option<TenantId>,
     pub(crate) phase: Phase,
-    /// It has no answer yet. An abandoned run, which has one, only occupies capacity.
+    /// True until the request is answered or its caller stops waiting. After that the run is
+    /// abandoned and only occupies capacity.
     pub(crate) is_unanswered: bool,
     pub(crate) queued_kb: f64,
     pub(crate) arrived_at: Time,
-    /// When its first attempt is assumed to have begun.
+    /// Time at which the first attempt is assumed to have begun.
     pub(crate) first_attempt_at: Time,
     pub(crate) objective_at: Time,
     pub(crate) deadline: Time,
-    /// Work that its hint announces, in units of the class's initial estimate, or 1.
+    /// Work according to the request's hint, in units of the class's initial estimate; 1 without a
+    /// hint.
     pub(crate) size: f64,
     pub(crate) core_time: CoreTime,
     pub(crate) calls_made: f64,
-    /// Calls in a row that failed: the dependency may have them in progress until a later one is answered.
+    /// Number of consecutive failed calls. The dependency may have them in progress until a later
+    /// call is answered.
     pub(crate) failed_calls: usize,
-    /// When its last call began, and how many calls had succeeded by then.
+    /// Time at which the last call began, and the number of the server's calls that had succeeded
+    /// by then.
     pub(crate) called_at: Time,
     pub(crate) successes_before_call: u64,
     pub(crate) is_call_overdue: bool,
@@ -49,7 +53,8 @@
 }
 
 impl Policy {
-    /// The only place where a request changes its phase: counts, memory and core time follow.
+    /// Changes the phase of a request, and updates counts, memory and core time. Phases are changed
+    /// nowhere else.
     pub(crate) fn set_phase(&mut self, id: RequestId, phase: Phase) {
         let clock_ms = self.observed.cores.clock_ms();
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -71,7 +76,8 @@
         request.phase = phase;
     }
 
-    /// Marks a request as answered and no longer in flight for its tenant; false if it was before.
+    /// Marks a request as answered and no longer in flight for its tenant. Returns false if it
+    /// already was.
     fn mark_answered(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         let was_unanswered = std::mem::take(&mut request.is_unanswered);
@@ -89,24 +95,26 @@
         Some(request)
     }
 
-    /// Forgets the key of a request that never ran, as there is no effect to guard.
+    /// Forgets the key of a request that never ran, as there is no effect to protect from
+    /// repetition.
     pub(crate) fn forget_key(&mut self, id: RequestId, out: &mut Vec<Action>) {
         if self.observed.keys.remove(&id).is_some() {
             out.push(Action::ForgetKey(id));
         }
     }
 
-    /// Answers a request that may have run and is waited for no longer.
+    /// Sends the final answer of a request that may have run, and abandons the request.
     pub(crate) fn fail_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let retry_after = self.retry_after();
         if !self.mark_answered(id) {
             return;
         }
-        // Where it may run again, the answer can say more: no server serves it in time any more.
+        // If the request may run again, a rejection can say more: no server can serve it in time
+        // any more.
         let request = &self.requests[&id];
         let class = &self.settings.classes[request.class];
-        let is_worthless = request.objective_at <= self.now && class.late_weight_fraction == 0.0;
-        if is_worthless && class.idempotency == Idempotency::Idempotent {
+        let is_too_late = request.objective_at <= self.now && class.late_weight_fraction == 0.0;
+        if is_too_late && class.idempotency == Idempotency::Idempotent {
             out.push(Action::Reject { id, retry_after, give_up: true });
         } else {
             out.push(Action::Fail(id));
@@ -120,7 +128,8 @@
         }
     }
 
-    /// Removes a request that nobody waits for if it has not run, and stops its run where that is possible.
+    /// Removes an abandoned request that is not running; otherwise stops its run if that is
+    /// possible.
     fn abandon_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let phase = self.requests[&id].phase;
         if !phase.is_running() {
@@ -131,7 +140,7 @@
         }
     }
 
-    /// Removes a request whose run ended, and learns from it.
+    /// Removes a request whose run has ended, and updates the estimates.
     pub(crate) fn end_run(&mut self, id: RequestId, outcome: RunOutcome) {
         let phase = self.requests.get(&id).map(|request| request.phase);
         if phase == Some(Phase::Calling) {
@@ -140,18 +149,19 @@
         let is_awaited = self.requests.get(&id).is_some_and(|request| request.is_unanswered);
         let Some(request) = self.remove_request(id) else { return };
         if outcome == RunOutcome::NeverStarted {
-            // It used no core time after all, which must not count as slowdown.
-            self.observed.cores.refund(request.core_time.used_ms());
+            // The run used no core time after all, so none of it may count as slowdown.
+            self.observed.cores.remove_core_time(request.core_time.used_ms());
         }
         if outcome == RunOutcome::Served && phase == Some(Phase::OnCore) {
             let runs = &mut self.estimates[request.class].runs;
-            // The time of a run that nobody waited for tells what held it up, as a hang, and not its work.
+            // The duration of an abandoned run shows what delayed it, for example a hang, and not
+            // its work.
             let work_ms = if is_awaited {
                 runs.record(request.size, request.core_time.used_ms(), request.calls_made)
             } else {
                 runs.work_ms(request.size)
             };
-            self.observed.cores.record_done(work_ms);
+            self.observed.cores.record_completed_work(work_ms);
         }
     }
 }
--- a/crates/policy/src/scheduling.rs
+++ b/crates/policy/src/scheduling.rs
@@ -1,21 +1,23 @@
-//! The schedule: which queued requests get a slot in time, in which order they run, and which are rejected.
+//! Scheduling: which queued requests get a slot in time, in which order they run, and which are
+//! rejected.
 
-use crate::admission::HEADROOM;
+use crate::admission::USABLE_FRACTION;
 use crate::request::{Phase, RequestState};
 use crate::{Action, Policy, RequestId};
 
-/// A queued request has waited too long past this fraction of its latency objective ...
-pub(crate) const TARGET_WAIT: f64 = 0.25;
-/// ... and is rejected after a further such fraction.
-const LATE_WAIT: f64 = 0.5;
-/// A request is beyond its tenant's share when it weighs less than this part of the mean request.
-const OVER_SHARE: f64 = 0.5;
-/// A slot is given only where a run longer than its mean by this many mean deviations still ends in time.
+/// Fraction of its latency objective after which a queued request has waited too long.
+pub(crate) const TARGET_WAIT_FRACTION: f64 = 0.25;
+/// Further fraction of the latency objective after which the queued request is rejected.
+const LATE_WAIT_FRACTION: f64 = 0.5;
+/// A request is beyond its tenant's share if its weight is below this fraction of the mean weight.
+const OVER_SHARE_WEIGHT_FRACTION: f64 = 0.5;
+/// A slot is assigned only if a run that exceeds its mean by this many mean deviations still ends
+/// in time.
 const LONG_RUN_DEVIATIONS: f64 = 2.0;
-/// Reading falls behind past this fraction of the mean latency objective.
-const READING_BEHIND: f64 = 0.2;
+/// Reading is behind if the read delay exceeds this fraction of the mean latency objective.
+const READING_BEHIND_FRACTION: f64 = 0.2;
 
-/// Those of the first rank get slots first.
+/// Rank of a queued request. Requests of the first rank get slots first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Rank {
     WithinShare,
@@ -26,11 +28,12 @@
 struct QueuedCandidate {
     id: RequestId,
     rank: Rank,
-    /// Priority weight for each ms of work, or of the request.
+    /// Priority weight per ms of work; the weight itself if weights apply to each unit of work.
     value: f64,
-    /// Latest start that keeps its objective, in ms from now.
+    /// Latest start that meets the objective, in ms from now.
     latest_start_ms: f64,
-    /// By how much a long run exceeds the mean: slack that is needed for a first slot that is not at once.
+    /// Excess of a long run over the mean in ms. A first slot needs this slack, unless it starts at
+    /// once.
     margin_ms: f64,
     work_ms: f64,
     calls: f64,
@@ -38,32 +41,34 @@
 
 #[derive(Default)]
 struct Backlog {
-    /// Work, and calls, that requests which have started still need.
+    /// Work in ms, and calls, that started requests still need.
     started_work_ms: f64,
     calls: f64,
     candidates: Vec<QueuedCandidate>,
-    /// Some request has waited too long, and these are to be rejected for it.
+    /// True if some request has waited too long, and the requests to be rejected for that.
     is_late: bool,
-    expired: Vec<RequestId>,
+    to_reject: Vec<RequestId>,
 }
 
 impl Policy {
-    /// Gives slots to queued requests in order of their value, rejects the others, and starts what may run.
+    /// Assigns slots to queued requests in order of their value, rejects the others, and starts the
+    /// runs that the limits allow.
     pub(crate) fn schedule(&mut self, out: &mut Vec<Action>) {
         if !std::mem::take(&mut self.observed.is_schedule_stale) {
             return;
         }
-        let mut backlog = self.survey_backlog();
+        let mut backlog = self.collect_backlog();
         self.observed.is_queue_late = backlog.is_late;
-        for id in std::mem::take(&mut backlog.expired) {
+        for id in std::mem::take(&mut backlog.to_reject) {
             self.reject(id, out);
         }
         let slots = self.assign_slots(backlog, out);
-        // Once reading falls behind, half the cores are left to it: what is read late runs late, and callers
-        // retry. It costs throughput where, as in a hang, reading is late for another reason.
+        // If reading is behind, half the cores are left to it: requests that are read late run
+        // late, and callers retry. This costs throughput if reading is late for another reason, as
+        // in a hang.
         let limit = self.run_limit.floor();
         let traffic = &self.observed.traffic;
-        let is_behind = traffic.read_delay_ms > READING_BEHIND * traffic.mean_objective_ms;
+        let is_behind = traffic.read_delay_ms > READING_BEHIND_FRACTION * traffic.mean_objective_ms;
         let limit = if is_behind { limit.min(self.cores()) - self.cores() / 2.0 } else { limit };
         for slot in slots {
             if self.certain_runs() as f64 >= limit {
@@ -73,7 +78,7 @@
         }
     }
 
-    fn survey_backlog(&self) -> Backlog {
+    fn collect_backlog(&self) -> Backlog {
         let (slowdown, clock_ms) = (self.slowdown(), self.observed.cores.clock_ms());
         let mut backlog = Backlog { calls: self.calls.in_flight(), ..Backlog::default() };
         for (id, request) in &self.requests {
@@ -94,9 +99,9 @@
                 Phase::Queued => {
                     let class = &self.settings.classes[request.class];
                     let wait = (self.now - request.arrived_at).ms() / class.latency_objective.ms().max(1.0);
-                    backlog.is_late |= wait > TARGET_WAIT;
-                    if wait > TARGET_WAIT + LATE_WAIT {
-                        backlog.expired.push(*id);
+                    backlog.is_late |= wait > TARGET_WAIT_FRACTION;
+                    if wait > TARGET_WAIT_FRACTION + LATE_WAIT_FRACTION {
+                        backlog.to_reject.push(*id);
                     } else {
                         backlog.candidates.push(self.new_candidate(*id, request, work_ms));
                     }
@@ -112,11 +117,13 @@
         let observed = &self.observed;
         let run_ms = work_ms + runs.calls * self.calls.durations.mean_ms();
         let mut weight = class.priority_weight * self.tenant_weight_fraction(request.tenant);
-        let is_over_share = weight < OVER_SHARE * observed.traffic.mean_weight;
+        let is_over_share = weight < OVER_SHARE_WEIGHT_FRACTION * observed.traffic.mean_weight;
         let mut rank = if is_over_share { Rank::OverShare } else { Rank::WithinShare };
-        // What weighs more than the mean may be that much more of a risk.
-        let risk = observed.cores.taken() * (observed.traffic.mean_weight / weight.max(1e-9)).min(1.0);
-        let margin_ms = work_ms * LONG_RUN_DEVIATIONS * runs.work_deviation * risk;
+        // The margin is smaller in proportion for a request of more than the mean weight, which may
+        // take more risk.
+        let margin_factor =
+            observed.cores.saturation() * (observed.traffic.mean_weight / weight.max(1e-9)).min(1.0);
+        let margin_ms = work_ms * LONG_RUN_DEVIATIONS * runs.work_deviation * margin_factor;
         let last_end = observed.stops_at.map(|stops_at| stops_at - self.decision_period());
         let latest_end = last_end.map_or(request.deadline, |last| last.min(request.deadline));
         let mut latest_start_ms = (request.objective_at.min(latest_end) - self.now).ms() - run_ms;
@@ -136,8 +143,9 @@
         }
     }
 
-    /// Gives each candidate, the most valuable first, a slot if all with one still start in time, and rejects
-    /// the others. Returns the slots in the order in which they run.
+    /// Assigns a slot to each candidate, the most valuable first, if all candidates with slots
+    /// still start in time, and rejects the others. Returns the slots in the order in which they
+    /// run.
     fn assign_slots(&mut self, backlog: Backlog, out: &mut Vec<Action>) -> Vec<QueuedCandidate> {
         let cores = self.cores();
         let running = (self.certain_runs() as f64).max(1.0);
@@ -167,15 +175,16 @@
         slots
     }
 
-    /// Whether a candidate is to show how fast the server is now: nothing else is known to run, and at full
-    /// speed it would stay in time. Otherwise core time that was spent in a hang would keep the server from
-    /// running anything until that is forgotten.
+    /// Returns true if a candidate should run as a probe of the server's current speed: nothing
+    /// else is known to run, and at full speed the candidate would end in time. Without probes, the
+    /// core time spent in a hang would keep the server from running anything until it has decayed.
     fn is_probe(&self, candidate: &QueuedCandidate) -> bool {
         let excess_ms = candidate.work_ms * (1.0 - 1.0 / self.slowdown()).max(0.0);
         self.concurrency() <= self.uncertain_runs() && candidate.latest_start_ms + excess_ms >= 0.0
     }
 
-    /// Whether a candidate and all with slots behind it stay in time, if it gets a slot at this index.
+    /// Returns true if a candidate that gets a slot at this index, and all candidates in later
+    /// slots, start in time.
     fn fits(&self, new: &QueuedCandidate, slots: &[QueuedCandidate], index: usize, first_ms: f64) -> bool {
         let work_before_ms = slots[..index].iter().map(|slot| slot.work_ms).sum::<f64>();
         let mut start_ms = first_ms + work_before_ms / self.cores();
@@ -191,8 +200,8 @@
     fn start_run(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let run_kb = request.queued_kb * (self.settings.run_memory_factor - 1.0).max(0.0);
-        let has_memory = self.memory_in_use_kb() + run_kb <= HEADROOM * self.settings.memory_kb;
-        if request.phase == Phase::Queued && has_memory && self.survives_another_run() {
+        let has_memory = self.memory_in_use_kb() + run_kb <= USABLE_FRACTION * self.settings.memory_kb;
+        if request.phase == Phase::Queued && has_memory && self.can_sustain_another_run() {
             self.observed.traffic.record_run();
             self.set_phase(id, Phase::OnCore);
             out.push(Action::Run(id));
--- a/crates/policy/src/statistics/calls.rs
+++ b/crates/policy/src/statistics/calls.rs
@@ -4,30 +4,31 @@
 use crate::interface::{DependencyCallStats, Time};
 use crate::policy::Policy;
 
-/// The best mean duration is forgotten over this many windows.
+/// Number of windows over which the best mean duration is forgotten.
 const BEST_MEAN_WINDOWS: f64 = 8.0;
 
-/// What is observed of calls to the dependency.
+/// Statistics of calls to the dependency.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallStatistics {
-    /// Calls that requests wait for.
+    /// Number of calls that requests are waiting for.
     pub in_progress: usize,
-    /// Those of them whose answer is taken to be lost, and which say nothing about durations.
+    /// Number of calls in progress whose answers are assumed to be lost; they say nothing about
+    /// durations.
     pub overdue: usize,
-    /// Calls that have succeeded so far.
+    /// Number of calls that have succeeded so far.
     pub succeeded: u64,
-    /// Their durations.
+    /// Recent durations of calls.
     pub durations: RecentDurations,
-    /// Calls in flight, as a mean over the window given to `advance`.
+    /// Mean number of calls in flight over the window given to `advance`.
     pub mean_in_flight: f64,
-    /// Calls that were given up, and that the dependency is not known to have ended.
+    /// Number of abandoned calls that the dependency is not known to have ended.
     pub unconfirmed: usize,
-    /// When the dependency is done with calls that were abandoned.
+    /// Times by which the dependency is assumed to have ended abandoned calls.
     lingering_until: Vec<Time>,
 }
 
 impl CallStatistics {
-    /// Brings the statistics forward to `now`, by `elapsed_ms`; durations keep the fraction `keep`.
+    /// Advances the statistics by `elapsed_ms` to `now`; durations retain the fraction `keep`.
     pub fn advance(&mut self, now: Time, elapsed_ms: f64, keep: f64, window_ms: f64) {
         let best_mean_growth = elapsed_ms / (BEST_MEAN_WINDOWS * window_ms.max(1.0));
         self.durations.advance(elapsed_ms, self.in_progress - self.overdue, keep, best_mean_growth);
@@ -36,42 +37,44 @@
         update_mean(&mut self.mean_in_flight, in_flight, 1.0 - decay_factor(elapsed_ms, window_ms));
     }
 
-    /// Calls at the dependency, abandoned ones that may still run there included.
+    /// Returns the number of calls at the dependency, including abandoned ones that may still run
+    /// there.
     pub fn in_flight(&self) -> f64 {
-        // A call that lingers may be among those that are not known to have ended.
+        // A lingering call may be one of those that are not known to have ended.
         (self.in_progress + self.lingering_until.len().max(self.unconfirmed)) as f64
     }
 
-    /// How many of the calls in flight another call of the same request ends, where so many of its calls failed. They
-    /// must not keep it from being made: the dependency ends an earlier call of a request with a later one. A call
-    /// that lingers still counts, so that the next one does not meet the same trouble at once.
-    pub fn ended_by_another(&self, failed_calls: usize) -> f64 {
+    /// Returns how many of the calls in flight would be superseded by another call of the same
+    /// request, after this many consecutive failures. They must not prevent that call: the
+    /// dependency ends an earlier call of a request with a later one. A lingering call still counts
+    /// as in flight, so that the next one does not run into the same fault at once.
+    pub fn superseded_calls(&self, failed_calls: usize) -> f64 {
         let past_linger = self.unconfirmed.saturating_sub(self.lingering_until.len());
         past_linger.min(failed_calls) as f64
     }
 
-    /// Counts a call that nobody waits for any more as in flight until then.
+    /// Counts an abandoned call as in flight until `lingers_until`.
     pub fn abandon(&mut self, lingers_until: Time) {
         self.lingering_until.push(lingers_until);
     }
 
-    /// Records the end of a call. One that failed says nothing about durations: its time is taken back,
-    /// unless it was overdue and does not count already. One that was overdue and did answer counts after
-    /// all.
-    pub fn record_end(&mut self, took_ms: f64, has_failed: bool, was_overdue: bool, memory_ms: f64) {
+    /// Records the end of a call. A failed call says nothing about durations: its time is
+    /// subtracted, unless it was overdue and is excluded already. An overdue call that was answered
+    /// after all is included again.
+    pub fn record_end(&mut self, took_ms: f64, has_failed: bool, was_overdue: bool, decay_span_ms: f64) {
         if !has_failed {
             self.durations.complete();
         }
         if has_failed != was_overdue {
-            let time_ms = decayed_duration(took_ms, memory_ms);
+            let time_ms = decayed_duration(took_ms, decay_span_ms);
             self.durations.adjust(if has_failed { -time_ms } else { time_ms });
         }
     }
 
-    /// Counts a call as overdue, and takes its time so far back.
-    pub fn exclude_overdue(&mut self, elapsed_ms: f64, memory_ms: f64) {
+    /// Counts a call as overdue, and subtracts its time so far from the durations.
+    pub fn exclude_overdue(&mut self, elapsed_ms: f64, decay_span_ms: f64) {
         self.overdue += 1;
-        self.durations.adjust(-decayed_duration(elapsed_ms, memory_ms));
+        self.durations.adjust(-decayed_duration(elapsed_ms, decay_span_ms));
     }
 
     /// Records a call that succeeded.
@@ -80,7 +83,7 @@
         self.durations.record_success(took_ms);
     }
 
-    /// The statistics for the log, beside the limit of calls in flight.
+    /// Returns the statistics for the log, together with the limit on calls in flight.
     fn report(&self, limit: f64) -> DependencyCallStats {
         DependencyCallStats {
             in_flight: self.in_flight(),
@@ -93,7 +96,7 @@
 }
 
 impl Policy {
-    /// The shared dependency as this server observes it, for the log.
+    /// Returns the statistics of the shared dependency for the log, as observed by this server.
     pub fn dependency_call_stats(&self) -> DependencyCallStats {
         self.calls.report(self.call_limit())
     }
--- a/crates/policy/src/statistics/regression.rs
+++ b/crates/policy/src/statistics/regression.rs
@@ -14,12 +14,12 @@
 }
 
 impl RunningRegression {
-    /// Without any sample, `y` is taken to be proportional to `x`, as this multiple of it.
+    /// Creates a regression without samples: `y` is assumed to be `slope` times `x`.
     pub fn proportional(slope: f64) -> RunningRegression {
         RunningRegression { mean_x: 1.0, mean_y: slope, covariance: slope, variance: 1.0 }
     }
 
-    /// Adds a sample, which counts with `weight` against all earlier ones together.
+    /// Adds a sample, which has this weight relative to all earlier samples together.
     pub fn add(&mut self, x: f64, y: f64, weight: f64) {
         let y_offset = y - self.mean_y;
         let x_offset = x - self.mean_x;
@@ -29,7 +29,7 @@
         self.variance = (1.0 - weight) * (self.variance + weight * x_offset * x_offset);
     }
 
-    /// The expected `y` for this `x`, on a line that never falls.
+    /// Returns the expected `y` for this `x`, on a line that never falls.
     pub fn predict(&self, x: f64) -> f64 {
         let slope = (self.covariance / self.variance.max(1e-9)).max(0.0);
         self.mean_y + slope * (x - self.mean_x)
--- a/crates/policy/src/statistics/runs.rs
+++ b/crates/policy/src/statistics/runs.rs
@@ -1,12 +1,12 @@
-//! The runs of a class: how much work they are, and how many calls they make.
+//! Statistics of the runs of a class: their work and their calls.
 
 use super::{update_mean, RunningRegression, LEARNING_RATE};
 use crate::interface::Class;
 
-/// Work of a class before any run of it, as a fraction of its latency objective.
-pub const INITIAL_WORK: f64 = 1.0 / 12.0;
+/// Estimated work of a class before any of its runs, as a fraction of its latency objective.
+pub const INITIAL_WORK_FRACTION: f64 = 1.0 / 12.0;
 
-/// Runs of one class, by the size that their hints announce.
+/// Statistics of the runs of one class, by the size that their hints announce.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RunStatistics {
     work: RunningRegression,
@@ -18,18 +18,20 @@
 }
 
 impl RunStatistics {
-    /// Before any run: work in proportion to the size, and a call if the class may make any.
+    /// Creates the estimates before any run: work in proportion to the size, and one call if the
+    /// class may make calls.
     pub fn new(class: &Class) -> RunStatistics {
         RunStatistics {
-            work: RunningRegression::proportional(class.latency_objective.ms() * INITIAL_WORK),
+            work: RunningRegression::proportional(class.latency_objective.ms() * INITIAL_WORK_FRACTION),
             work_deviation: 0.5,
             calls: f64::from(u8::from(class.may_call)),
             completed: 0.0,
         }
     }
 
-    /// Expected core time in ms of a run of this size. The regression leans on the mean as far as hints
-    /// mislead or runs wait for disk. It misleads where one class holds two kinds of work.
+    /// Returns the expected core time in ms of a run of this size. The less accurate hints are, or
+    /// the more runs wait for disk, the closer the regression stays to the mean. It is misleading
+    /// if one class contains two kinds of work.
     pub fn work_ms(&self, size: f64) -> f64 {
         self.work.predict(size).max(self.work.mean_y / 8.0)
     }
--- a/crates/policy/src/statistics/sketch.rs
+++ b/crates/policy/src/statistics/sketch.rs
@@ -8,14 +8,15 @@
 const ROWS: usize = 5;
 const COLUMNS: usize = 1024;
 
-/// Counts of requests in flight by tenant: never too low, hardly ever too high, updated without a lock.
+/// Counts of requests in flight by tenant: never too low, hardly ever too high, updated without a
+/// lock.
 pub struct Sketch {
     cells: Box<[AtomicI32]>,
     seed: u64,
 }
 
 impl Sketch {
-    /// An empty sketch; sketches with equal seeds place their keys alike.
+    /// Creates an empty sketch. Sketches with equal seeds place their keys in the same cells.
     pub fn new(seed: u64) -> Sketch {
         Sketch { cells: (0..ROWS * COLUMNS).map(|_| AtomicI32::new(0)).collect(), seed }
     }
@@ -34,7 +35,7 @@
     }
 }
 
-/// The key of a tenant; requests without a tenant share one.
+/// Returns the key of a tenant; requests without a tenant share one.
 pub(crate) fn tenant_key(tenant: Option<TenantId>) -> u64 {
     tenant.map_or(0, |tenant| tenant.0.wrapping_add(1))
 }
--- a/crates/policy/src/statistics/traffic.rs
+++ b/crates/policy/src/statistics/traffic.rs
@@ -6,11 +6,11 @@
 use crate::interface::{CallerId, Class, Request, Settings, TenantId};
 
 /// Weight of the newest request in the mean delay until requests are read.
-const READ_DELAY_RATE: f64 = 0.125;
-/// Rates are means over this many of the longest latency objective.
-const RATE_OBJECTIVES: f64 = 2.0;
+const READ_DELAY_WEIGHT: f64 = 0.125;
+/// Rates are means over this multiple of the longest latency objective.
+const RATE_SPAN_OBJECTIVES: f64 = 2.0;
 /// Callers whose decayed number of requests is below this are forgotten.
-const FORGOTTEN_CALLER: f64 = 0.01;
+const MIN_CALLER_RATE: f64 = 0.01;
 
 /// Running means and rates of the traffic.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -21,54 +21,58 @@
     pub mean_objective_ms: f64,
     /// Mean priority weight of the requests read.
     pub mean_weight: f64,
-    /// Recent age of requests when they are read: the only sign of what still waits to be read.
+    /// Recent age of requests when they are read: the only indication of requests that still wait
+    /// to be read.
     pub read_delay_ms: f64,
     /// Recent fraction of retries among the requests read.
     pub retry_fraction: f64,
     /// Recent fraction of rejections among rejections and runs.
     pub rejection_fraction: f64,
-    /// Time in ms from a request's first attempt to its rejection, and on to its caller's next attempt.
+    /// Mean time in ms from a request's first attempt to its rejection, plus its caller's wait
+    /// until the next attempt.
     pub rejected_attempt_ms: f64,
     /// Decaying numbers of requests by caller.
     caller_rates: BTreeMap<CallerId, f64>,
-    /// Decaying requests a second of each listed tenant; the last is for all others.
+    /// Decaying requests per second of each listed tenant; the last entry is for all others.
     tenant_rates: Vec<f64>,
     rate_span_ms: f64,
 }
 
 impl TrafficStatistics {
-    /// No traffic yet, for the classes and tenants of these settings.
+    /// Creates statistics without traffic, for the classes and tenants of these settings.
     pub fn new(settings: &Settings) -> TrafficStatistics {
         let objectives = settings.classes.iter().map(|class| class.latency_objective.ms());
         TrafficStatistics {
             tenant_rates: vec![0.0; settings.tenants.len() + 1],
-            rate_span_ms: RATE_OBJECTIVES * objectives.fold(1.0, f64::max),
+            rate_span_ms: RATE_SPAN_OBJECTIVES * objectives.fold(1.0, f64::max),
             ..TrafficStatistics::default()
         }
     }
 
-    /// The index of a tenant; all that the settings do not list, or none, have the last.
+    /// Returns the index of a tenant. Requests of unlisted tenants, or of none, have the last
+    /// index.
     pub fn tenant_index(&self, tenant: Option<TenantId>) -> usize {
         tenant.map_or(usize::MAX, |tenant| tenant.0 as usize).min(self.tenant_rates.len() - 1)
     }
 
-    /// Requests a second of the tenant with this index.
+    /// Returns the requests per second of the tenant with this index.
     pub fn tenant_rate(&self, index: usize) -> f64 {
         self.tenant_rates[index]
     }
 
-    /// Lets `elapsed_ms` pass; the read delay keeps the fraction `keep`.
+    /// Advances by `elapsed_ms`; the read delay retains the fraction `keep`.
     pub fn advance(&mut self, elapsed_ms: f64, keep: f64) {
         let keep_rates = decay_factor(elapsed_ms, self.rate_span_ms);
         self.read_delay_ms *= keep;
         for rate in self.caller_rates.values_mut().chain(&mut self.tenant_rates) {
             *rate *= keep_rates;
         }
-        self.caller_rates.retain(|_, rate| *rate > FORGOTTEN_CALLER);
+        self.caller_rates.retain(|_, rate| *rate > MIN_CALLER_RATE);
     }
 
-    /// Records a request that was read, and known or inferred to be a retry or not. Tenants' rates are of
-    /// what their users ask for, however often callers retry.
+    /// Records a request that was read, and whether it is known or inferred to be a retry. Retries
+    /// do not count towards tenants' rates, which measure what users ask for, however often callers
+    /// retry.
     pub fn record_arrival(&mut self, request: &Request, class: &Class, work_ms: f64, is_retry: bool) {
         let tenant_index = self.tenant_index(request.tenant);
         self.tenant_rates[tenant_index] += if is_retry { 0.0 } else { 1e3 / self.rate_span_ms };
@@ -82,10 +86,11 @@
             update_mean(mean, value, weight);
         }
         update_mean(&mut self.retry_fraction, f64::from(u8::from(is_retry)), LEARNING_RATE);
-        update_mean(&mut self.read_delay_ms, request.age.ms(), READ_DELAY_RATE);
+        update_mean(&mut self.read_delay_ms, request.age.ms(), READ_DELAY_WEIGHT);
     }
 
-    /// Records a rejection, and the time since the request's first attempt, its caller's wait included.
+    /// Records a rejection, and the time since the request's first attempt, including its caller's
+    /// wait.
     pub fn record_rejection(&mut self, attempt_ms: f64) {
         update_mean(&mut self.rejected_attempt_ms, attempt_ms, FAST_LEARNING_RATE);
         update_mean(&mut self.rejection_fraction, 1.0, LEARNING_RATE);
@@ -96,7 +101,8 @@
         self.rejection_fraction *= 1.0 - LEARNING_RATE;
     }
 
-    /// The number of equally active callers that would make this traffic; `None` before any request.
+    /// Returns the number of equally active callers that would produce this traffic; `None` before
+    /// any request.
     pub fn effective_callers(&self) -> Option<f64> {
         effective_count(self.caller_rates.values().copied())
     }
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -14,12 +14,12 @@
     };
     assert_eq!(broken(|s| s.cores = 0), Some(SettingsError::NoCores));
     assert_eq!(broken(|s| s.classes.clear()), Some(SettingsError::NoClasses));
-    assert_eq!(broken(|s| s.drain_grace = Span(-1)), Some(SettingsError::NegativeTime("drain_grace")));
+    assert_eq!(broken(|s| s.drain_grace = Span(-1)), Some(SettingsError::NegativeDuration("drain_grace")));
     assert_eq!(
         broken(|s| s.classes[1].latency_objective = Span(-1)),
-        Some(SettingsError::NegativeTime("aim"))
+        Some(SettingsError::NegativeDuration("aim"))
     );
-    assert_eq!(broken(|s| s.memory_kb = f64::NAN), Some(SettingsError::BadFigure("memory_kb")));
+    assert_eq!(broken(|s| s.memory_kb = f64::NAN), Some(SettingsError::InvalidNumber("memory_kb")));
     assert_eq!(broken(|_| ()), None);
 }
 
--- a/crates/policy/tests/statistics.rs
+++ b/crates/policy/tests/statistics.rs
@@ -103,14 +103,14 @@
     let mut cores = CoreUsage::default();
     assert_eq!(cores.slowdown(10.0), 1.0);
     cores.advance(30.0, 2.0, 2.0, 1.0);
-    assert_eq!((cores.slowdown(10.0), cores.taken(), cores.clock_ms()), (7.0, 0.0, 30.0));
-    cores.record_done(60.0);
+    assert_eq!((cores.slowdown(10.0), cores.saturation(), cores.clock_ms()), (7.0, 0.0, 30.0));
+    cores.record_completed_work(60.0);
     assert_eq!(cores.slowdown(10.0), 1.0);
-    cores.refund(60.0);
+    cores.remove_core_time(60.0);
     assert!(is_close(cores.slowdown(10.0), 10.0 / 70.0));
     // With twice as many runs as cores, each has half the core time.
     cores.advance(30.0, 4.0, 2.0, 0.5);
-    assert_eq!((cores.clock_ms(), cores.taken()), (45.0, 0.5));
+    assert_eq!((cores.clock_ms(), cores.saturation()), (45.0, 0.5));
 }
 
 #[test]
