--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests are admitted, rejected, joined to a run or given up.
+//! Admission: which requests are admitted, rejected, joined to a run or abandoned.
 
 mod common;
 
@@ -17,7 +17,7 @@
     let mut ids = [failed(&answered), rejected(&answered)].concat();
     ids.sort_unstable();
     assert_eq!(ids, (1..9).collect::<Vec<_>>());
-    // What ran is failed, not rejected: it may have taken effect.
+    // Requests that ran are failed, not rejected: they may have taken effect.
     assert!(started(&answered).iter().all(|id| failed(&answered).contains(id)));
 }
 
@@ -32,16 +32,19 @@
         Event::RequestRead(Request { tenant: Some(TenantId(tenant)), age, ..request(id, 0) })
     };
     let mut s = Server::new(set);
-    // The limit is 5 for each of 2 cores. No request has waited too long yet, so the eleventh is admitted.
+    // The limit is 5 for each of 2 cores. No request has waited too long yet, so the eleventh is
+    // admitted.
     let first: Vec<Event> = (1..13).map(|id| read(id, 0, old)).collect();
     assert!(rejected(&s.handle_at(1000.0, &first)).is_empty());
-    // Those queued have waited past a quarter of their objective: now the limit holds, for that tenant alone.
+    // The queued requests have waited for more than a quarter of their objective, so the limit now
+    // applies, to that tenant alone.
     let out = rejected(&s.handle_at(1001.0, &[read(13, 0, Span(0)), read(14, 1, Span(0))]));
     assert_eq!(out, [13]);
 }
 
-/// A tenant with few requests here and many elsewhere is rejected beyond its part, by its allowance, of what
-/// all servers admit of one tenant; not once the others' counts are no longer known, and no other tenant is.
+/// A tenant with few requests here and many elsewhere is rejected beyond the part of all servers'
+/// limits that its allowance gives it. It is not rejected once the other servers' counts are no
+/// longer known, and no other tenant is rejected.
 #[test]
 fn a_tenant_over_its_fleet_limit_is_rejected_while_the_other_servers_counts_are_known() {
     let mut set = settings();
@@ -54,7 +57,8 @@
         Event::RequestRead(Request { tenant: Some(TenantId(tenant)), age, ..request(id, 0) })
     };
     let mut s = Server::new(set);
-    // One server admits ten. Tenant 0 has a quarter of the allowances: 20 on eight servers.
+    // The limit of one server is ten. Tenant 0 has a quarter of the allowances: 20 on eight
+    // servers.
     let others = Event::FleetLoad { servers: 8.0, in_flight_elsewhere: vec![16.0, 40.0] };
     let first = [others, read(1, 0, 16_000.0), read(2, 0, 16_000.0), read(3, 0, 16_000.0)];
     assert!(rejected(&s.handle_at(1000.0, &first)).is_empty());
@@ -104,10 +108,10 @@
     assert_eq!(ids, [1, 2, 3, 4, 5, 6, 9]);
 }
 
-/// Guards service while memory is short, as beside runs that an earlier process left: a server with memory for
-/// one run, but not for one on each idle core, rejected every request.
+/// Guards against rejecting every request while memory is short, as happened next to inherited
+/// runs: the server had memory for one run, but not for one on each idle core.
 #[test]
-fn a_request_runs_though_memory_is_too_short_for_a_run_on_each_core() {
+fn a_request_runs_although_memory_is_too_short_for_a_run_on_each_core() {
     // A run takes 40 kB, on two cores.
     let mut s = Server::new(Settings { memory_kb: 60.0, ..settings() });
     let out = s.read_requests(1..2, 0);
@@ -120,7 +124,7 @@
     set.memory_kb = 300.0;
     let mut s = Server::new(set);
     let out = s.read_requests(1..100, 0);
-    // Two run at 40 kB each; under 270 kB there is memory for 19 queued ones.
+    // Two requests run at 40 kB each; under 270 kB there is memory for 19 queued ones.
     assert!(99 - rejected(&out).len() <= 21);
     assert!(!rejected(&out).contains(&started(&out)[0]));
 }
@@ -130,19 +134,20 @@
     let mut s = Server::new(settings());
     s.read_requests(1..3, 0);
     s.handle_at(1010.0, &[Event::RunEnded(RequestId(1), RunOutcome::Served)]);
-    let gone = RequestId(1);
+    let ended = RequestId(1);
     let events = [
-        Event::RunEnded(gone, RunOutcome::NeverStarted),
-        Event::CallRequested(gone),
-        Event::CallEnded(gone, CallOutcome::Succeeded, Span(1)),
-        Event::CallerStoppedWaiting(gone),
+        Event::RunEnded(ended, RunOutcome::NeverStarted),
+        Event::CallRequested(ended),
+        Event::CallEnded(ended, CallOutcome::Succeeded, Span(1)),
+        Event::CallerStoppedWaiting(ended),
         Event::CallerStoppedWaiting(RequestId(999)),
     ];
     let out = s.handle_at(1020.0, &events);
     assert!(started(&out).is_empty() && failed(&out).is_empty() && called(&out).is_empty());
 }
 
-/// A server whose calls took 20 ms each, then one has been in flight for long.
+/// Returns a server whose calls took 20 ms each, and which then has had one call in flight for 1900
+/// ms.
 fn server_with_slow_dependency(dependency: Dependency) -> Server {
     let mut s = Server::new(Settings { dependency, call_quota: 1.0, ..settings() });
     let mut now = 1000.0;
@@ -181,8 +186,8 @@
         let mut s = Server::new(set);
         let mut out = Vec::new();
         for id in 1..200_u64 {
-            // First attempts announce one of two waits; one request in three may be a retry with what is
-            // left.
+            // First attempts announce one of two waits; one request in three may be a retry that
+            // announces the rest of one.
             let wait = if id % 3 == 0 && has_retries {
                 900 + (id as i64 * 211) % 1400
             } else {
@@ -201,8 +206,8 @@
     let waiting = |id, ms: f64, is_retry| {
         Event::RequestRead(Request { remaining_wait: Some(Span::from_ms(ms)), is_retry, ..request(id, 0) })
     };
-    // Marked or not: callers wait four seconds for a first attempt, so that one with half of it left is two
-    // old.
+    // Callers announce a wait of four seconds with a first attempt, so a request with half of that
+    // left is two seconds old, whether it is marked as a retry or not.
     for is_retry in [false, true] {
         let mut s = Server::new(settings());
         for id in 1..60 {
@@ -211,14 +216,14 @@
         }
         assert_eq!(started(&s.handle_at(s.now + 10.0, &[waiting(100, 3900.0, is_retry)])), [100]);
         assert_eq!(rejected(&s.handle_at(s.now + 10.0, &[waiting(101, 2050.0, is_retry)])), [101]);
-        // A request that waits as long as a first attempt counts as one.
+        // A request that announces the wait of a first attempt counts as one.
         assert_eq!(started(&s.handle_at(s.now + 10.0, &[waiting(102, 4000.0, is_retry)])), [102]);
     }
 }
 
 #[test]
-fn worthless_requests_are_answered_at_their_objective_and_stopped_where_possible() {
-    // Of each class, one request runs, one waits to call, and one is at its call.
+fn requests_without_late_weight_are_answered_at_their_objective_and_stopped_if_possible() {
+    // In each case one request runs, one is in its call, and one waits to call.
     for (class, preemption) in [
         (0, Preemption::DiscardsWork),
         (1, Preemption::DiscardsWork),
@@ -235,7 +240,8 @@
         while s.now < 3060.0 {
             out.extend(s.handle_at(s.now + 20.0, &[Event::Wake(Gauges::default())]));
         }
-        // The objective is two seconds: they are answered a moment later, though the deadline is nine.
+        // The objective is two seconds: the requests are answered shortly after it, although the
+        // deadline is nine seconds.
         let answers = [failed(&out), rejected(&out)].concat();
         if preemption == Preemption::Unsupported {
             assert_eq!(answers, [2, 3], "{out:?}");
@@ -243,7 +249,7 @@
         }
         assert_eq!(answers, [1, 2, 3], "{out:?}");
         assert!(out.contains(&Action::Stop(RequestId(1))));
-        // Only what may run again is rejected, and not to be retried elsewhere.
+        // Only requests that may run again are rejected, and they must not be retried elsewhere.
         let gives_up = |a: &Action| matches!(a, Action::Reject { give_up: true, .. });
         assert_eq!(out.iter().filter(|a| gives_up(a)).count(), if class == 0 { 3 } else { 0 });
         assert_eq!(rejected(&out).is_empty(), class != 0);
@@ -251,9 +257,9 @@
 }
 
 #[test]
-fn a_marked_retry_is_as_old_as_requests_become_until_rejected() {
-    // No waits are announced. Requests wait long to be read and are rejected; a retry has been through as
-    // much.
+fn a_marked_retry_is_assumed_to_be_as_old_as_rejected_requests() {
+    // No waits are announced. Requests wait long to be read and are rejected; a retry is assumed to
+    // have waited as long.
     let mut s = Server::new(settings());
     let old = |id, age, is_retry| {
         Event::RequestRead(Request { age: Span::from_ms(age), is_retry, ..request(id, 0) })
@@ -264,14 +270,14 @@
     for k in 10..60 {
         assert_eq!(rejected(&s.handle_at(s.now + 10.0, &[old(k, 1990.0, false)])), [k]);
     }
-    // The read delay is over since; first attempts are served.
+    // The read delay has ended since then; first attempts are served.
     s.now += 8000.0;
     assert_eq!(started(&s.handle_at(s.now, &[old(100, 0.0, false)])), [100]);
     assert_eq!(rejected(&s.handle_at(s.now, &[old(101, 0.0, true)])), [101]);
 }
 
 #[test]
-fn a_run_given_up_at_its_objective_asks_no_caller_to_wait() {
+fn a_run_abandoned_at_its_objective_asks_no_caller_to_wait() {
     let mut s = Server::new(settings());
     serve_stream(&mut s, 1..60, 100.0, false);
     s.handle_at(s.now + 10.0, &[Event::RequestRead(request(100, 0))]);
@@ -291,6 +297,7 @@
     let mut out = s.read_requests(1..2, 1);
     let again = |id| Event::RequestRead(Request { duplicate_of: Some(RequestId(1)), ..request(id, 1) });
     out.extend(s.handle_at(1010.0, &(2..60).map(again).collect::<Vec<_>>()));
-    // Of nine tenths of 300 kB the run takes 40 and its key 5: at most 22 wait, and none is rejected.
+    // Of nine tenths of 300 kB the run takes 40 and its key 5: at most 22 wait, and none is
+    // rejected.
     assert!(failed(&out).len() >= 36 && rejected(&out).is_empty(), "{}", failed(&out).len());
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Settings, requests and helpers that the tests share.
-#![allow(dead_code)] // Each test program uses a part.
+//! Settings, requests and helpers shared by the tests.
+#![allow(dead_code)] // Each test program uses only some of them.
 
 use policy::*;
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// Three classes: 0 is idempotent, 1 by its key, 2 not at all. Two tenants.
+/// Three classes: 0 is idempotent, 1 is idempotent by its key, 2 is not idempotent. Two tenants.
 pub(crate) fn settings() -> Settings {
     Settings {
         cores: 2,
@@ -81,7 +81,7 @@
 
 impl Server {
     pub(crate) fn new(settings: Settings) -> Server {
-        Server { policy: Policy::new(settings, 7).expect("settings are sound"), now: 1000.0 }
+        Server { policy: Policy::new(settings, 7).expect("settings are valid"), now: 1000.0 }
     }
     pub(crate) fn handle_at(&mut self, ms: f64, events: &[Event]) -> Vec<Action> {
         self.now = ms;
@@ -108,7 +108,8 @@
     actions.iter().filter_map(|a| if let Action::Call(id, _) = a { Some(id.0) } else { None }).collect()
 }
 
-/// Sends requests of this age, retries or not, one every 50 ms, and ends the run of each at once.
+/// Sends requests of this age in ms, as retries or not, one every 60 ms, and ends the run of each
+/// after 10 ms.
 pub(crate) fn serve_stream(
     s: &mut Server,
     ids: std::ops::Range<u64>,
--- a/crates/policy/tests/invariants.rs
+++ b/crates/policy/tests/invariants.rs
@@ -1,6 +1,6 @@
-//! The policy's four guarantees under arbitrary legal sequences of events, checked from its actions alone:
-//! each request is answered once and in time, runs no more often than it may, and memory and concurrency are
-//! kept. Seeds are fixed.
+//! Checks the policy's four guarantees under arbitrary valid sequences of events, from its actions
+//! alone: each request is answered once and in time, runs no more often than it may, and the limits
+//! on memory and on concurrency hold. Seeds are fixed.
 
 mod common;
 
@@ -31,18 +31,18 @@
     may_call: bool,
 }
 
-/// When a shutdown was announced, and when the process is stopped, in ms.
+/// The time of a shutdown notice, and the time at which the process is stopped, in ms.
 #[derive(Clone, Copy)]
 struct Shutdown {
     announced_ms: f64,
     stops_ms: f64,
 }
 
-/// What has happened so far, as far as the guarantees depend on it.
+/// The state that the events and actions so far have led to, as far as the guarantees depend on it.
 struct Checker {
     settings: Settings,
     requests: BTreeMap<u64, ObservedRequest>,
-    /// Remembered keys and when they expire, in ms.
+    /// Remembered idempotency keys and their expiry times in ms.
     keys: BTreeMap<u64, f64>,
     shutdown: Option<Shutdown>,
 }
@@ -52,7 +52,7 @@
         Checker { settings, requests: BTreeMap::new(), keys: BTreeMap::new(), shutdown: None }
     }
 
-    /// One of the requests in these phases, by any number.
+    /// Returns one of the requests in these phases, selected by an arbitrary number.
     fn pick(&self, number: usize, phases: &[Phase]) -> Option<u64> {
         let candidates = self.requests.iter().filter(|(_, request)| phases.contains(&request.phase));
         let ids: Vec<u64> = candidates.map(|(id, _)| *id).collect();
@@ -63,7 +63,7 @@
         self.requests.get_mut(&id).expect("a known request")
     }
 
-    /// Applies the actions of one reply, and says which guarantee they violate.
+    /// Applies the actions of one decision, and returns an error if they violate a guarantee.
     fn check(&mut self, now_ms: f64, actions: &[Action]) -> Result<(), String> {
         for action in actions {
             self.check_action(now_ms, action)?;
@@ -81,7 +81,7 @@
             Action::Call(id, _) => {
                 let request = self.requests.get_mut(&id.0).ok_or("calls for an unknown request")?;
                 if request.phase != Phase::WaitingToCall || !request.may_call {
-                    return Err(format!("{id:?} calls though it may not"));
+                    return Err(format!("{id:?} makes a call that is not allowed"));
                 }
                 request.phase = Phase::Calling;
                 Ok(())
@@ -114,14 +114,14 @@
         let idempotency = self.settings.classes[request.class].idempotency;
         let runs_again = request.has_run && idempotency != Idempotency::Idempotent;
         if runs_again || request.is_answered || request.phase != Phase::Queued {
-            return Err(format!("{id} runs though it may not"));
+            return Err(format!("{id} runs although it must not"));
         }
         let grace_ms = self.settings.drain_grace.ms();
         if self.shutdown.is_some_and(|shutdown| request.arrived_ms > shutdown.announced_ms + grace_ms) {
-            return Err(format!("{id} runs though it arrived after the grace"));
+            return Err(format!("{id} runs although it arrived after the drain grace"));
         }
         if idempotency == Idempotency::ByKey && !self.keys.contains_key(&id) {
-            return Err(format!("{id} runs though its key is not remembered"));
+            return Err(format!("{id} runs although its key is not remembered"));
         }
         request.has_run = true;
         request.phase = Phase::OnCore;
@@ -169,7 +169,7 @@
         if requests_kb + self.keys.len() as f64 * settings.key_kb > settings.memory_kb {
             return Err("uses too much memory".into());
         }
-        // A cold server stays so, at the least speed that it can rely on.
+        // With these settings a cold server stays cold, so only the minimum speed is guaranteed.
         let speed = if settings.starts_cold { settings.start_capacity } else { 1.0 };
         let per_core = 1.0 + (settings.concurrency_per_core - 1.0) * speed;
         if count(Phase::OnCore) > per_core * f64::from(settings.cores) {
@@ -182,7 +182,7 @@
     }
 }
 
-/// One of 1944 combinations of settings.
+/// Returns one of 1944 combinations of settings.
 fn settings_variant(number: u32) -> Settings {
     let mut set = settings();
     let number = number as usize;
@@ -206,7 +206,7 @@
     set
 }
 
-/// A server, and the checker of what it does.
+/// A server, and the checker of its actions.
 struct Scenario {
     server: Server,
     checker: Checker,
@@ -214,7 +214,7 @@
 }
 
 impl Scenario {
-    /// The event that a random operation stands for, if it is possible now.
+    /// Returns the events that a random operation stands for, if they are possible now.
     fn events(&mut self, operation: u8, number: usize) -> Vec<Event> {
         match operation % 16 {
             0..=6 => (0..=number % 4).map(|offset| self.read_request(number, offset)).collect(),
@@ -310,8 +310,8 @@
         self.checker.check(now_ms, &actions).map_err(|error| format!("at {now_ms}: {error}"))
     }
 
-    /// Whether the process is stopped before the next step.
-    fn is_over(&self) -> bool {
+    /// Returns true if the process is stopped before the next step.
+    fn stops_before_next_step(&self) -> bool {
         self.checker.shutdown.is_some_and(|shutdown| self.server.now + 20.0 >= shutdown.stops_ms)
     }
 }
@@ -322,7 +322,7 @@
     let mut scenario = Scenario { server, checker: Checker::new(settings), last_id: 0 };
     for (operation, number) in steps.iter().copied() {
         let number = usize::from(number);
-        if scenario.is_over() {
+        if scenario.stops_before_next_step() {
             break;
         }
         scenario.server.now += 2.0 + (number % 9) as f64 * 2.0;
@@ -330,16 +330,16 @@
         let mut events = vec![Event::Wake(gauges)];
         events.extend(scenario.events(operation, number));
         scenario.handle(scenario.server.now, &events)?;
-        // What waits to call ends once it is answered.
+        // A request that waits to call ends once it has been answered.
         for request in scenario.checker.requests.values_mut() {
             if request.is_answered && request.phase == Phase::WaitingToCall {
                 request.phase = Phase::Ended;
             }
         }
     }
-    // Without further events, all is answered in time.
+    // Without further events, all requests are still answered in time.
     let has_shutdown = scenario.checker.shutdown.is_some();
-    while !scenario.is_over() && (has_shutdown || scenario.server.now < 14_000.0) {
+    while !scenario.stops_before_next_step() && (has_shutdown || scenario.server.now < 14_000.0) {
         scenario.handle(scenario.server.now + 20.0, &[Event::Wake(Gauges::default())])?;
     }
     let mut requests = scenario.checker.requests.iter();
--- a/crates/policy/tests/scheduling.rs
+++ b/crates/policy/tests/scheduling.rs
@@ -40,7 +40,8 @@
         }
         called(&out).len()
     };
-    // 0.9 x 2 cores x (1 + 4 x 0.2) and x (1 + 4): what may be on the cores if all calls end at once.
+    // 0.9 x 2 cores x (1 + 4 x 0.2) and x (1 + 4): the number that may be on the cores if all calls
+    // end at once.
     assert_eq!((concurrency(true), concurrency(false)), (3, 9));
 }
 
@@ -55,12 +56,13 @@
     }
     s.handle_at(now, &[Event::RequestRead(request(100, 0)), Event::RequestRead(request(101, 0))]);
     now += 4000.0;
-    // A new request that would have had ample time is rejected at once, so that another server can run it.
+    // A new request that would have had ample time is rejected at once, so that another server can
+    // run it.
     let out = s.handle_at(now, &[Event::RequestRead(request(102, 0))]);
     assert!(rejected(&out).contains(&102) && started(&out).is_empty());
 }
 
-/// A server on whose two cores runs have stood still for 8 s.
+/// Returns a server on whose two cores runs have been stuck for 8 s.
 fn hung_server() -> Server {
     let mut s = Server::new(settings());
     assert_eq!(started(&s.read_requests(1..3, 0)), [1, 2]);
@@ -74,40 +76,47 @@
     [1, 2].map(|id| Event::RunEnded(RequestId(id), RunOutcome::Stopped))
 }
 
-/// After a hang the node rejected everything for seconds, though its cores were idle again.
+/// Guards against a node that rejects every request for seconds after a hang, although its cores
+/// are idle again.
 ///
-/// Runs on cores that stood still for longer than the window of core time were given up and stopped, so that much time had been
-/// spent and no work done. From then on every request was expected to miss its objective, none was run, and so nothing
-/// could show that the cores were well: the time had to be forgotten first. The soak showed it: 4.6 s without a
-/// served request at 0.3 of the capacity (seed 1, eight of eight plays).
+/// Runs that hang for longer than the window of core time are abandoned and stopped, so much core
+/// time has been spent and no work done. Every request is then expected to miss its objective and
+/// none is run, so nothing shows that the cores have recovered before that time has decayed. Found
+/// by the fault soak: 4.6 s without a served request at 0.3 of the capacity (seed 1, in eight of
+/// eight soak runs).
 #[test]
 fn idle_server_runs_a_request_after_a_hang() {
     let mut s = hung_server();
     let read = |id| Event::RequestRead(request(id, 0));
-    // Nothing is run beside runs that are still on the cores.
+    // Nothing is started next to runs that are still on the cores.
     assert!(started(&s.handle_at(9010.0, &[read(3)])).is_empty());
     s.handle_at(9020.0, &ends_of_hung_runs());
-    // One alone shows how the cores are now, and a second one has to wait for what it shows.
+    // A single run shows the current speed of the cores; a second request does not run before that
+    // is known.
     let out = s.handle_at(9030.0, &[read(4), read(5)]);
     assert_eq!((started(&out), rejected(&out)), (vec![4], vec![5]));
     let out = s.handle_at(9040.0, &[Event::RunEnded(RequestId(4), RunOutcome::Served), read(6)]);
     assert_eq!(started(&out), [6]);
 }
 
-/// The same with runs that an earlier process may have left behind: no run, no word of them, and no end of the doubt. The
-/// soak showed it: half of the requests served six seconds after a hang (seed 55, five of five plays).
+/// Guards against the same fault with runs that may be inherited from an earlier process: while no
+/// run is started, nothing shows whether they still exist, and the doubt does not end. Found by the
+/// fault soak: half of the requests served six seconds after a hang (seed 55, in five of five soak
+/// runs).
 #[test]
-fn idle_server_runs_a_request_after_a_hang_beside_runs_left_behind() {
+fn idle_server_runs_a_request_after_a_hang_next_to_inherited_runs() {
     let mut s = hung_server();
     s.handle_at(9020.0, &ends_of_hung_runs());
     let out = s.handle_at(9030.0, &[Event::RunsInherited(0.7), Event::RequestRead(request(4, 0))]);
     assert_eq!(started(&out), [4]);
 }
 
-/// On a small machine the gauges alone told of runs that an earlier process had left behind: idle ones set all places free at
-/// once, in a hang as well. The soak showed it: 1.06 times the runs that are survived (seed 95, eight of eight plays).
+/// Guards against releasing the slots of all inherited runs at once on a small machine, where only
+/// the gauges showed whether such runs still existed: idle cores released all slots, in a hang as
+/// well. Found by the fault soak: 1.06 times the sustainable number of runs (seed 95, in eight of
+/// eight soak runs).
 #[test]
-fn runs_left_behind_keep_their_places_though_the_gauges_show_idle_cores() {
+fn inherited_runs_keep_their_slots_although_the_gauges_show_idle_cores() {
     let mut s = Server::new(settings_of_small_machine());
     let idle = Event::Wake(Gauges { runnable: Some(0.0), ..Gauges::default() });
     let mut next_id = 1;
@@ -121,15 +130,17 @@
         started(&out)
     };
     s.handle_at(1000.0, &[Event::RunsInherited(5.0)]);
-    // Five and one more are past what is survived. Nothing else tells of them, so one is tried after twice the window of that.
+    // Five inherited runs and one more exceed the sustainable concurrency. Nothing else shows
+    // whether the five still exist, so one run is started as a probe after twice the concurrency
+    // window.
     assert!(runs_until(&mut s, 4900.0).is_empty());
-    let tried = runs_until(&mut s, 9000.0);
-    assert_eq!(tried.len(), 1);
-    // Once that has ended the next one does not have to wait for it again.
-    let end = Event::RunEnded(RequestId(tried[0]), RunOutcome::Served);
+    let probe_runs = runs_until(&mut s, 9000.0);
+    assert_eq!(probe_runs.len(), 1);
+    // Once the probe run has ended, the next run does not have to wait that long again.
+    let end = Event::RunEnded(RequestId(probe_runs[0]), RunOutcome::Served);
     s.handle_at(9010.0, &[end]);
     assert_eq!(runs_until(&mut s, 9100.0).len(), 1);
-    // Where there is room for one more, it is run at once, and no other beside it.
+    // If the server can sustain one more run, it is started at once, and no other next to it.
     let mut s = Server::new(settings_of_small_machine());
     s.handle_at(1000.0, &[Event::RunsInherited(4.0)]);
     assert_eq!(runs_until(&mut s, 4900.0).len(), 1);
@@ -152,8 +163,9 @@
 }
 
 #[test]
-fn a_long_request_is_rejected_to_protect_others_only_while_all_cores_are_taken() {
-    // Runs take 60 or 340 ms, so what would have to wait needs a wide margin, if rejecting it saves anything.
+fn a_long_request_is_rejected_to_protect_others_only_while_all_cores_are_busy() {
+    // Runs take 60 or 340 ms, so a request that would have to wait needs a wide margin, if
+    // rejecting it protects others.
     let last = |busy: bool| {
         let mut s = Server::new(settings());
         for k in 0..40 {
@@ -175,17 +187,18 @@
 
 #[test]
 fn inaccurate_hints_do_not_inflate_the_work_estimate() {
-    // Every run takes 300 ms, whatever its hint said.
+    // Every run takes 300 ms, regardless of its hint.
     let hint = |id, ms| Event::RequestRead(Request { work_hint: Some(Span::from_ms(ms)), ..request(id, 0) });
     let mut s = Server::new(settings());
     for id in 1..60 {
         s.handle_at(s.now + 10.0, &[hint(id, if id % 2 == 0 { 50.0 } else { 1000.0 })]);
         s.handle_at(s.now + 300.0, &[Event::RunEnded(RequestId(id), RunOutcome::Served)]);
     }
-    // By the mean of the ratios the long one would take over three seconds, past the objective of two.
+    // By the mean of the ratios, the long request would take over three seconds, which is past the
+    // objective of two.
     let out = s.handle_at(s.now + 10.0, &[hint(100, 1000.0), hint(101, 1000.0), hint(102, 50.0)]);
     assert!(rejected(&out).is_empty(), "{out:?}");
-    // Where hints are good they are followed: a request whose hint is beyond the objective is rejected.
+    // Accurate hints are followed: a request whose hint exceeds the objective is rejected.
     let mut s = Server::new(settings());
     for id in 1..60 {
         let ms = if id % 2 == 0 { 50.0 } else { 1000.0 };
@@ -212,7 +225,7 @@
             ids.iter().map(|id| Event::RunEnded(RequestId(*id), RunOutcome::Served)).collect();
         s.handle_at(s.now + if k % 2 == 0 { 200.0 } else { 1200.0 }, &ends);
     }
-    // Two run; the one of high weight goes before another that came earlier.
+    // Two requests run; the one of high weight runs before another that arrived earlier.
     let mut out = s.handle_at(s.now + 10.0, &[read(1, 0, 1), read(2, 0, 1)]);
     out.extend(s.handle_at(s.now + 1.0, &[read(3, 0, 1), read(4, 1, 0)]));
     assert_eq!(started(&out), [1, 2]);
@@ -222,8 +235,8 @@
 
 #[test]
 fn retries_do_not_count_against_a_tenants_share() {
-    // Tenant 0 sends two a second of its three; other servers reject each, so that it is retried here four
-    // times.
+    // Tenant 0 sends two requests per second of the three in its share; other servers reject each,
+    // so that it is retried here four times.
     let mut set = settings();
     set.tenants[0].allowance_per_s = 12.0;
     let mut s = Server::new(set);
@@ -239,7 +252,7 @@
             ids.iter().map(|id| Event::RunEnded(RequestId(*id), RunOutcome::Served)).collect();
         s.handle_at(s.now + 10.0, &ends);
     }
-    // It has no lower rank: requests of both tenants run in order of arrival.
+    // Tenant 0 has no lower rank: requests of both tenants run in order of arrival.
     let read = |id, tenant| Event::RequestRead(Request { tenant: Some(TenantId(tenant)), ..request(id, 0) });
     assert_eq!(
         started(&s.handle_at(s.now + 10.0, &[read(1, 0), read(2, 0), read(3, 1), read(4, 1)])),
@@ -248,8 +261,9 @@
 }
 
 #[test]
-fn a_cold_server_never_exceeds_the_concurrency_that_it_survives() {
-    // 2 cores at a fifth of the speed survive 2 x (1 + 4 x 0.2) = 3.6; four would be one too many.
+fn a_cold_server_never_exceeds_the_concurrency_that_it_can_sustain() {
+    // 2 cores at a fifth of the speed can sustain 2 x (1 + 4 x 0.2) = 3.6; four would be one too
+    // many.
     let mut set = settings();
     (set.starts_cold, set.warm_up, set.dependency) = (true, Span::from_ms(1e7), Dependency::Tier);
     let mut s = Server::new(set);
--- a/crates/policy/tests/settings.rs
+++ b/crates/policy/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that cannot be used, and requests that the settings do not know.
+//! Invalid settings, and requests of unlisted classes and tenants.
 
 mod common;
 
@@ -7,20 +7,23 @@
 
 #[test]
 fn settings_out_of_range_are_rejected_with_the_reason() {
-    let broken = |f: fn(&mut Settings)| {
+    let error_after = |f: fn(&mut Settings)| {
         let mut s = settings();
         f(&mut s);
         Policy::new(s, 1).err()
     };
-    assert_eq!(broken(|s| s.cores = 0), Some(SettingsError::NoCores));
-    assert_eq!(broken(|s| s.classes.clear()), Some(SettingsError::NoClasses));
-    assert_eq!(broken(|s| s.drain_grace = Span(-1)), Some(SettingsError::NegativeDuration("drain_grace")));
+    assert_eq!(error_after(|s| s.cores = 0), Some(SettingsError::NoCores));
+    assert_eq!(error_after(|s| s.classes.clear()), Some(SettingsError::NoClasses));
     assert_eq!(
-        broken(|s| s.classes[1].latency_objective = Span(-1)),
+        error_after(|s| s.drain_grace = Span(-1)),
+        Some(SettingsError::NegativeDuration("drain_grace"))
+    );
+    assert_eq!(
+        error_after(|s| s.classes[1].latency_objective = Span(-1)),
         Some(SettingsError::NegativeDuration("aim"))
     );
-    assert_eq!(broken(|s| s.memory_kb = f64::NAN), Some(SettingsError::InvalidNumber("memory_kb")));
-    assert_eq!(broken(|_| ()), None);
+    assert_eq!(error_after(|s| s.memory_kb = f64::NAN), Some(SettingsError::InvalidNumber("memory_kb")));
+    assert_eq!(error_after(|_| ()), None);
 }
 
 #[test]
--- a/crates/policy/tests/signals.rs
+++ b/crates/policy/tests/signals.rs
@@ -24,7 +24,8 @@
 fn a_long_read_delay_makes_a_server_unhealthy_for_one_period() {
     let mut s = Server::new(settings());
     assert_eq!(health_changes(&serve_stream(&mut s, 1..60, 5.0, false)), [true]);
-    // Read after 1.5 s with an objective of 2 s: unhealthy, and healthy after 2 s for longer than that.
+    // Requests are read after 1.5 s, with an objective of 2 s: the server is unhealthy for 2 s, and
+    // then healthy for longer than that.
     assert_eq!(health_changes(&serve_stream(&mut s, 100..140, 1500.0, false)), [false]);
     assert_eq!(health_changes(&serve_stream(&mut s, 140..240, 1500.0, false)), [true]);
 }
@@ -40,22 +41,22 @@
     out.extend(s.handle_at(s.now, &burst(true)));
     assert_eq!(health_changes(&out), [true]);
     assert!(out.iter().any(|a| matches!(a, Action::Reject { give_up: true, .. })));
-    let mut calm = Server::new(settings());
-    let out = calm.handle_at(1000.0, &burst(false));
+    let mut server_without_retries = Server::new(settings());
+    let out = server_without_retries.handle_at(1000.0, &burst(false));
     assert!(out.iter().any(|a| matches!(a, Action::Reject { .. })));
     assert!(!out.iter().any(|a| matches!(a, Action::Reject { give_up: true, .. })));
 }
 
 #[test]
-fn runs_that_outlast_their_objectives_make_a_server_unhealthy_until_they_end() {
+fn runs_that_exceed_their_objectives_make_a_server_unhealthy_until_they_end() {
     let mut s = Server::new(settings());
     serve_stream(&mut s, 1..60, 5.0, false);
     s.handle_at(s.now, &[Event::RequestRead(request(100, 0)), Event::RequestRead(request(101, 0))]);
-    // Nothing ends for seconds: unhealthy.
+    // No run ends for seconds: the server is unhealthy.
     let out: Vec<Action> =
         (1..100).flat_map(|_| s.handle_at(s.now + 100.0, &[Event::Wake(Gauges::default())])).collect();
     assert_eq!(health_changes(&out), [false]);
-    // The runs end; once they are forgotten the server is healthy again.
+    // The runs end; once their core time has decayed the server is healthy again.
     let ends = [100, 101].map(|id| Event::RunEnded(RequestId(id), RunOutcome::Served));
     let mut out = s.handle_at(s.now + 1.0, &ends);
     out.extend((1..80).flat_map(|_| s.handle_at(s.now + 100.0, &[Event::Wake(Gauges::default())])));
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn idle_connections_are_closed_early_only_where_callers_are_many() {
+fn idle_connections_are_closed_early_only_if_there_are_many_callers() {
     let idle = |callers| {
         let mut set = settings();
         set.callers = callers;
@@ -79,12 +80,12 @@
         }
         last.expect("the idle time is set at the start").ms()
     };
-    // The server survives ten requests: up to twice as many callers keep their connections.
+    // The server can sustain ten requests: up to twice as many callers keep their connections.
     assert_eq!((idle(20), idle(21), idle(1000)), (30_000.0, 10.0, 10.0));
 }
 
 #[test]
-fn a_slow_server_is_unhealthy_for_its_read_delay_again_and_again_others_a_fifth_of_the_time() {
+fn a_cold_server_is_unhealthy_for_its_read_delay_repeatedly_others_a_fifth_of_the_time() {
     let unhealthy_periods = |is_cold: bool, is_retry: bool| {
         let mut set = settings();
         (set.starts_cold, set.warm_up) = (is_cold, Span::from_ms(60_000.0));
@@ -92,7 +93,7 @@
         let mut off = 0;
         let mut since = f64::MIN;
         for id in 1..400_u64 {
-            // While it is unhealthy nothing arrives, and the read delay is over seconds later.
+            // While the server is unhealthy callers avoid it, so its read delay is short for 2.5 s.
             let age = if s.now + 100.0 - since > 2500.0 { 1200.0 } else { 1.0 };
             let read = Event::RequestRead(Request { age: Span::from_ms(age), is_retry, ..request(id, 0) });
             let out = s.handle_at(s.now + 100.0, &[read]);
@@ -112,20 +113,21 @@
         unhealthy_periods(false, false)
     );
     assert!(unhealthy_periods(false, false) >= 1);
-    // Where most requests are retries the whole fleet is overloaded, and a slow server stays healthy but at
-    // first.
+    // If most requests are retries the whole fleet is overloaded, and a slow server stays healthy
+    // except at first.
     assert!(unhealthy_periods(true, true) <= 2, "{}", unhealthy_periods(true, true));
 }
 
 #[test]
-fn runs_that_outlast_the_objective_ask_callers_to_wait_though_the_queue_is_empty() {
+fn callers_are_asked_to_wait_while_runs_exceed_the_objective_although_the_queue_is_empty() {
     let retry_after_ms = |s: &mut Server, id| {
         s.handle_at(s.now + 1.0, &[Event::RequestRead(request(id, 0))]).iter().find_map(|a| match a {
             Action::Reject { retry_after, .. } => Some(retry_after.ms()),
             _ => None,
         })
     };
-    // A healthy server rejects a request that is too long for its objective without a wait.
+    // A healthy server rejects a request that is too long for its objective without asking the
+    // caller to wait.
     let mut s = Server::new(settings());
     serve_stream(&mut s, 1..60, 5.0, false);
     let long = Request { work_hint: Some(Span::from_ms(9000.0)), ..request(90, 0) };
@@ -133,7 +135,8 @@
     assert!(out.iter().any(|a| matches!(a, Action::Reject { retry_after: Span(0), .. })), "{out:?}");
     let mut s = Server::new(settings());
     serve_stream(&mut s, 1..60, 5.0, false);
-    // In a hang two run and nothing ends. New requests are rejected at once, with a wait.
+    // In a hang two requests run and neither ends. New requests are rejected at once, and the
+    // callers are asked to wait.
     s.handle_at(s.now + 1.0, &[Event::RequestRead(request(100, 0)), Event::RequestRead(request(101, 0))]);
     s.now += 5000.0;
     assert_eq!(retry_after_ms(&mut s, 102), Some(1000.0));
@@ -171,8 +174,8 @@
 }
 
 #[test]
-fn the_capacity_hint_keeps_callers_away_where_lists_do_not_follow_health() {
-    for (capacity_hint, none) in
+fn the_capacity_hint_keeps_callers_away_if_endpoint_lists_do_not_follow_health() {
+    for (capacity_hint, hint_without_capacity) in
         [(CapacityHint::PriorityFloor, 1.0), (CapacityHint::Weight, 0.0), (CapacityHint::Allowance, 0.0)]
     {
         for endpoint_lists_follow_health in [false, true] {
@@ -180,13 +183,13 @@
             serve_stream(&mut s, 1..60, 5.0, false);
             let congested = serve_stream(&mut s, 100..140, 1500.0, false);
             assert_eq!(health_changes(&congested), [false]);
-            let keeps_away = congested.contains(&Action::SetCapacityHint(none));
+            let keeps_away = congested.contains(&Action::SetCapacityHint(hint_without_capacity));
             assert_eq!(keeps_away, !endpoint_lists_follow_health, "{capacity_hint:?}");
             let mut s = Server::new(Settings { capacity_hint, endpoint_lists_follow_health, ..settings() });
-            assert_ne!(last_capacity_hint(&s.handle_at(1000.0, &[])), Some(none));
+            assert_ne!(last_capacity_hint(&s.handle_at(1000.0, &[])), Some(hint_without_capacity));
             assert_eq!(
                 last_capacity_hint(&s.handle_at(1010.0, &[Event::ShutdownNotice(Span::from_ms(2500.0))])),
-                Some(none)
+                Some(hint_without_capacity)
             );
         }
     }
--- a/crates/policy/tests/size_limit.rs
+++ b/crates/policy/tests/size_limit.rs
@@ -1,14 +1,16 @@
-//! All files that decide are listed for the bench, and each stays small enough to be read in one go.
+//! Checks that `deploy/balancer.toml` lists all files of the policy that make decisions, for the
+//! bench, and that each of them is short enough to be read in one go.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Lines of each deciding file. The operators have withdrawn their limit on all of them together.
-const LINES_BELOW: usize = 400;
-const COLUMNS: usize = 110;
+/// Each file that makes decisions has fewer lines than this. The operators have withdrawn their
+/// limit on all of them together.
+const LINE_LIMIT: usize = 400;
+const MAX_COLUMNS: usize = 110;
 
-/// Parts of the crate that decide nothing: exports, vocabulary and plain statistics.
-const NOT_DECIDING: [&str; 3] = ["lib.rs", "interface", "statistics"];
+/// Parts of the crate that make no decisions: exports, public types and plain statistics.
+const WITHOUT_DECISIONS: [&str; 3] = ["lib.rs", "interface", "statistics"];
 
 fn repository() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
@@ -16,21 +18,22 @@
 
 /// The files that `policy` in `deploy/balancer.toml` lists, relative to the repository.
 fn listed_files() -> Vec<String> {
-    let text = fs::read_to_string(repository().join("deploy/balancer.toml")).expect("balancer.toml is there");
-    let (_, list) = text.split_once("\npolicy = [").expect("it lists the policy's files");
-    let (list, _) = list.split_once(']').expect("the list ends");
+    let text =
+        fs::read_to_string(repository().join("deploy/balancer.toml")).expect("balancer.toml is readable");
+    let (_, list) = text.split_once("\npolicy = [").expect("balancer.toml lists the policy's files");
+    let (list, _) = list.split_once(']').expect("the list of files is closed");
     list.split('"').skip(1).step_by(2).map(str::to_string).collect()
 }
 
 #[test]
-fn deciding_files_keep_their_lines_and_columns() {
+fn decision_files_stay_below_the_limits_of_lines_and_columns() {
     for file in listed_files() {
-        let text = fs::read_to_string(repository().join(&file)).expect("a listed file is there");
+        let text = fs::read_to_string(repository().join(&file)).expect("a listed file is readable");
         let lines = text.lines().count();
-        assert!(lines < LINES_BELOW, "{file} has {lines} lines");
+        assert!(lines < LINE_LIMIT, "{file} has {lines} lines");
         for (index, line) in text.lines().enumerate() {
             let columns = line.chars().count();
-            assert!(columns <= COLUMNS, "{file}:{} has {columns} columns", index + 1);
+            assert!(columns <= MAX_COLUMNS, "{file}:{} has {columns} columns", index + 1);
         }
     }
 }
@@ -38,15 +41,19 @@
 #[test]
 fn every_file_outside_interface_and_statistics_is_listed() {
     let directory = repository().join("crates/policy/src");
-    let mut deciding = Vec::new();
+    let mut decision_files = Vec::new();
     for entry in fs::read_dir(directory).expect("the crate has sources") {
-        let name = entry.expect("is read").file_name().into_string().expect("names are text");
-        if !NOT_DECIDING.contains(&name.as_str()) {
-            deciding.push(format!("crates/policy/src/{name}"));
+        let name = entry
+            .expect("the directory is readable")
+            .file_name()
+            .into_string()
+            .expect("file names are UTF-8");
+        if !WITHOUT_DECISIONS.contains(&name.as_str()) {
+            decision_files.push(format!("crates/policy/src/{name}"));
         }
     }
-    deciding.sort();
+    decision_files.sort();
     let mut listed = listed_files();
     listed.sort();
-    assert_eq!(listed, deciding);
+    assert_eq!(listed, decision_files);
 }
--- a/crates/policy/tests/sketch.rs
+++ b/crates/policy/tests/sketch.rs
@@ -9,11 +9,13 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     let input = (any::<u64>(), prop::collection::vec(0..3000_u64, 1..2000));
-    TestRunner::new_with_rng(config, rng).run(&input, |(seed, keys)| test(seed, keys)).expect("holds");
+    TestRunner::new_with_rng(config, rng)
+        .run(&input, |(seed, keys)| test(seed, keys))
+        .expect("the property holds");
 }
 
 #[test]
-fn never_under_the_true_count_and_back_to_zero() {
+fn counts_are_never_too_low_and_return_to_zero() {
     check(64, |seed, keys| {
         let sketch = Sketch::new(seed);
         let mut truth: BTreeMap<u64, i32> = BTreeMap::new();
@@ -31,7 +33,7 @@
 }
 
 #[test]
-fn tenants_by_the_hundred_are_counted_apart() {
+fn a_hundred_tenants_are_counted_separately() {
     check(32, |seed, _| {
         let sketch = Sketch::new(seed);
         for key in 0..100 {
--- a/crates/policy/tests/statistics.rs
+++ b/crates/policy/tests/statistics.rs
@@ -1,4 +1,4 @@
-//! The running statistics that the policy's decisions rest on.
+//! Running statistics on which the policy's decisions are based.
 
 mod common;
 
@@ -14,7 +14,7 @@
     assert_eq!(decay_factor(0.0, 100.0), 1.0);
     assert!(is_close(decay_factor(100.0, 100.0), (-1.0_f64).exp()));
     assert!(is_close(decay_factor(30.0, 100.0) * decay_factor(70.0, 100.0), decay_factor(100.0, 100.0)));
-    // A span under a millisecond counts as one.
+    // A span of less than a millisecond counts as one.
     assert_eq!(decay_factor(2.0, 0.0), decay_factor(2.0, 1.0));
 }
 
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn the_regression_never_predicts_less_for_more() {
+fn the_regression_never_falls() {
     let mut regression = RunningRegression::proportional(40.0);
     for index in 0..4000 {
         let x = f64::from(index % 4);
@@ -65,10 +65,10 @@
 }
 
 #[test]
-fn recurring_values_are_those_recorded_most_of_late() {
+fn recurring_values_are_those_recorded_most_often_recently() {
     let mut values = RecurringValues::new(0.01);
     for index in 0..300 {
-        // Two of three values recur, but for a small difference; the third is always another.
+        // Two of three values recur with small differences; the third is different each time.
         let single = 10_000.0 * 1.05_f64.powi(index);
         let value = [2000.0, 5000.0 + f64::from(index % 5), single][index as usize % 3];
         values.record(value, 1.0 / 64.0);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn abandoned_calls_stay_in_flight_until_the_dependency_is_done_with_them() {
+fn abandoned_calls_count_as_in_flight_until_their_linger_has_ended() {
     let mut calls = CallStatistics::default();
     calls.in_progress = 2;
     calls.abandon(Time(5000));
@@ -186,7 +186,7 @@
     traffic.record_arrival(&request, &class, 25.0, false);
     // Rates are means over twice the longest objective: one request in a second.
     assert_eq!(traffic.tenant_rate(0), 1.0);
-    // Rejections weigh 1/64 each, and runs forget as fast.
+    // Each rejection has a weight of 1/64, and each run lets the fraction decay as fast.
     traffic.record_rejection(160.0);
     assert_eq!((traffic.rejection_fraction, traffic.rejected_attempt_ms), (1.0 / 64.0, 10.0));
     traffic.record_run();
