--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,5 +1,6 @@
-//! The clocks of the machine. Everything that is decided or waited for is measured on the steady clock, which runs on while the wall
-//! clock is stepped. The wall clock is read here alone, for what carries a wall-clock time of another machine, or outlives a process.
+//! The machine's clocks. Decisions and waits are timed with the steady clock, which continues
+//! unchanged when the wall clock is stepped. Only this crate reads the wall clock, for data that
+//! carries another machine's wall-clock time or outlives a process.
 
 mod reading;
 
@@ -12,26 +13,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UnixTime(pub i64);
 
-/// A time on the steady clock, in microseconds. It began as the wall clock's time and is never stepped; the times of two processes are
-/// not comparable.
+/// A time on the steady clock, in microseconds. The clock starts at the wall clock's time and is
+/// never stepped; the times of two processes are not comparable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SteadyTime(pub i64);
 
 impl UnixTime {
-    /// A time in milliseconds since the Unix epoch.
+    /// Converts milliseconds since the Unix epoch.
     pub fn from_ms(ms: f64) -> UnixTime {
         UnixTime((ms * 1e3) as i64)
     }
 
-    /// The whole milliseconds since the Unix epoch; 0 for an earlier time.
+    /// Returns the whole milliseconds since the Unix epoch; 0 for an earlier time.
     pub fn whole_ms(self) -> u64 {
         (self.0 / 1000).max(0) as u64
     }
 
-    /// The wall clock's time now; the epoch where the clock stands before it.
+    /// Returns the current time of the wall clock; the epoch if the clock is set to an earlier
+    /// time.
     #[allow(
         clippy::disallowed_methods,
-        reason = "the one place where the wall clock is read"
+        reason = "the only place that reads the wall clock"
     )]
     pub fn now() -> UnixTime {
         let since_epoch = SystemTime::now()
@@ -42,7 +44,7 @@
 }
 
 impl SteadyTime {
-    /// The steady clock's time now.
+    /// Returns the current time of the steady clock.
     pub fn now() -> SteadyTime {
         static START: OnceLock<(Instant, UnixTime)> = OnceLock::new();
         let (instant, unix_time) = START.get_or_init(|| (Instant::now(), UnixTime::now()));
--- a/crates/clock/src/reading.rs
+++ b/crates/clock/src/reading.rs
@@ -1,25 +1,25 @@
-//! What both clocks show at a moment, and the age of what was sent at a wall-clock time.
+//! Readings of both clocks, and the age of messages that carry a wall-clock time.
 
 use std::time::Duration;
 
 use crate::{SteadyTime, UnixTime};
 
-/// The clocks differ by no more than this, in microseconds, unless the wall clock was stepped.
-const MAX_UNSTEPPED_DIFFERENCE: u64 = 20_000;
+/// Maximum difference of the clocks in microseconds, unless the wall clock was stepped.
+const MAX_UNSTEPPED_DIFFERENCE_US: u64 = 20_000;
 
-/// What both clocks show at one moment.
+/// Reading of both clocks at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// The wall clock.
+    /// Time of the wall clock.
     pub wall: UnixTime,
-    /// The steady clock.
+    /// Time of the steady clock.
     pub steady: SteadyTime,
 }
 
 impl ClockReading {
     /// Reads both clocks.
     pub fn now() -> ClockReading {
-        // The first use of the steady clock sets it by the wall clock.
+        // The first use of the steady clock sets it to the wall clock's time.
         let steady = SteadyTime::now();
         ClockReading {
             wall: UnixTime::now(),
@@ -27,10 +27,12 @@
         }
     }
 
-    /// How long ago something was sent that carries the sender's wall-clock time; zero where that lies ahead.
+    /// Returns the age of a message that carries the sender's wall-clock time; zero if that time is
+    /// in the future.
     ///
-    /// Once the wall clock was stepped, the sender's clock may have been stepped with it or not. The smaller of the two ages that are
-    /// possible is believed: nothing is taken to be older than it is, and what is older than the step may be taken to be younger by it.
+    /// After a step of the wall clock, the sender's clock may or may not have been stepped with it.
+    /// The smaller of the two possible ages is used: no message is treated as older than it is, and
+    /// a message that is older than the step may be treated as younger by the size of the step.
     pub fn age_of(self, sent_at: UnixTime) -> Duration {
         let by_wall = self.wall.0.saturating_sub(sent_at.0);
         if !self.is_stepped() {
@@ -41,8 +43,9 @@
         to_age(possible.min().unwrap_or(0))
     }
 
-    /// When that was, on the steady clock. A time ahead of the wall clock stays ahead as long as no step makes it doubtful: windows count
-    /// from the times that senders name.
+    /// Converts the sender's wall-clock time to a time on the steady clock. A time in the future
+    /// stays in the future unless a step makes it doubtful: windows count from the times that
+    /// senders give.
     pub fn steady_time_of(self, sent_at: UnixTime) -> SteadyTime {
         if !self.is_stepped() {
             let by_wall = self.wall.0.saturating_sub(sent_at.0);
@@ -53,7 +56,7 @@
     }
 
     fn is_stepped(self) -> bool {
-        self.wall.0.abs_diff(self.steady.0) > MAX_UNSTEPPED_DIFFERENCE
+        self.wall.0.abs_diff(self.steady.0) > MAX_UNSTEPPED_DIFFERENCE_US
     }
 }
 
--- a/crates/clock/tests/ages.rs
+++ b/crates/clock/tests/ages.rs
@@ -1,4 +1,4 @@
-//! The age of a request where clocks were stepped.
+//! The age of a request after steps of the clocks. All times are in microseconds.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const HOUR: i64 = 3600 * SECOND;
 const STEPS: [i64; 6] = [SECOND, -SECOND, 30 * SECOND, -30 * SECOND, HOUR, -HOUR];
 
-/// The clocks of a machine whose wall clock was stepped by so much.
+/// Returns the clocks of a machine whose wall clock was stepped by `step`.
 fn stepped_by(step: i64) -> ClockReading {
     ClockReading {
         wall: UnixTime(START + step),
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn without_a_step_the_wall_clock_tells_the_age() {
+fn without_a_step_the_wall_clock_gives_the_age() {
     let slightly_off = stepped_by(15 * MS);
     assert_eq!(age(slightly_off, START), Duration::from_millis(15));
     assert_eq!(age(stepped_by(0), START - SECOND), Duration::from_secs(1));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn age_is_kept_whether_or_not_the_sender_was_stepped_too() {
+fn age_is_correct_whether_or_not_the_sender_was_stepped_too() {
     let true_age = 300 * MS;
     for step in STEPS {
         let here_alone = age(stepped_by(step), START - true_age);
@@ -42,14 +42,14 @@
 }
 
 #[test]
-fn nothing_is_taken_to_be_older_than_it_is_nor_younger_by_more_than_the_step() {
+fn age_is_never_too_high_and_too_low_by_the_step_at_most() {
     for step in STEPS {
         for true_age in [0, MS, 900 * MS, 2 * SECOND, 40 * SECOND] {
             for sender_step in [0, step] {
-                let believed = age(stepped_by(step), START + sender_step - true_age);
-                let believed = believed.as_micros() as i64;
-                assert!(believed <= true_age, "{step} {true_age}");
-                assert!(believed >= true_age - step.abs(), "{step} {true_age}");
+                let age_us = age(stepped_by(step), START + sender_step - true_age);
+                let age_us = age_us.as_micros() as i64;
+                assert!(age_us <= true_age, "{step} {true_age}");
+                assert!(age_us >= true_age - step.abs(), "{step} {true_age}");
             }
         }
     }
