--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: registers new requests, admits or rejects them, and sheds load later.
+//! Admission: registers new requests, admits or rejects them, answers overdue ones and sheds load
+//! while memory is short.
 
 use crate::request::{Phase, RequestState};
 use crate::statistics::{tenant_key, INITIAL_WORK_FRACTION};
--- a/crates/policy/src/dependency_calls.rs
+++ b/crates/policy/src/dependency_calls.rs
@@ -139,8 +139,8 @@
     }
 
     /// Returns the limit on the mean number of calls in flight, which may be less than one. If all
-    /// servers respect it, the dependency neither fails nor is loaded far beyond its optimum. It
-    /// wastes capacity while other servers are idle.
+    /// servers respect it, the dependency neither fails nor is loaded far beyond its optimum. The
+    /// limit wastes capacity while other servers are idle.
     pub(crate) fn call_limit(&self) -> f64 {
         if self.settings.dependency != Dependency::Shared || self.settings.call_quota <= 0.0 {
             return f64::MAX;
--- a/crates/policy/src/scheduling.rs
+++ b/crates/policy/src/scheduling.rs
@@ -63,7 +63,7 @@
             self.reject(id, out);
         }
         let slots = self.assign_slots(backlog, out);
-        // If reading is behind, half the cores are left to it: requests that are read late run
+        // If reading is behind, half the cores are reserved for it: requests that are read late run
         // late, and callers retry. This costs throughput if reading is late for another reason, as
         // in a hang.
         let limit = self.run_limit.floor();
--- a/crates/policy/src/signals.rs
+++ b/crates/policy/src/signals.rs
@@ -142,7 +142,7 @@
     /// Adjusts the priority floor, as requests that would be rejected here need not be sent. While
     /// many are rejected, the floor rises, slowly enough to see its effect. It rises over the
     /// classes that weigh less than the mean and no further, as requests of one class are alike. It
-    /// falls equally slowly. It wastes capacity if only this server is overloaded.
+    /// falls equally slowly. The floor wastes capacity if only this server is overloaded.
     pub(crate) fn adjust_priority_floor(&mut self, elapsed_ms: f64) {
         // The last class is the one of requests whose class is not listed.
         let classes = &self.settings.classes[..self.settings.classes.len() - 1];
--- a/crates/policy/src/statistics/runs.rs
+++ b/crates/policy/src/statistics/runs.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RunStatistics {
     work: RunningRegression,
-    /// Mean deviation from the expected work, as a fraction of it: small where hints are good.
+    /// Mean deviation from the expected work, as a fraction of it: small if hints are accurate.
     pub work_deviation: f64,
     /// Mean number of calls.
     pub calls: f64,
--- a/crates/policy/tests/scheduling.rs
+++ b/crates/policy/tests/scheduling.rs
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn half_the_cores_are_left_to_reading_once_it_falls_behind() {
+fn half_the_cores_are_reserved_for_reading_while_it_is_behind() {
     let mut s = Server::new(settings());
     let aged = |id, ms| Event::RequestRead(Request { age: Span::from_ms(ms), ..request(id, 0) });
     assert_eq!(started(&s.handle_at(1000.0, &[aged(1, 1.0), aged(2, 1.0)])).len(), 2);
