--- a/crates/lifecycle/src/admin_command.rs
+++ b/crates/lifecycle/src/admin_command.rs
@@ -1,33 +1,33 @@
-//! Admin commands: one line in, one line out. The texts are a stable format.
+//! Admin commands: each request and each response is one line. The texts are a stable format.
 
 use std::fmt;
 
 use crate::{ProcessState, Transition, TransitionError};
 
-/// A command of operators or of the platform.
+/// A command from an operator or from the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// Asks whether this process accepts clients.
+    /// Reports whether this process accepts clients.
     Health,
-    /// Has the node emptied: health checks fail, so that clients send no new requests.
+    /// Drains the node: health checks fail, so that clients send no new requests.
     Quiesce,
-    /// Puts a quiesced node back into service.
+    /// Returns a quiesced node to service.
     Resume,
 }
 
-/// Why a request is not an admin command.
+/// The reason why a request is not an admin command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminRequestError {
-    /// There is no command of this name, or the line is not text.
+    /// The line is not the name of a command.
     #[error("unknown call; there are health, quiesce and resume")]
     UnknownCommand,
     /// The line is longer than any command.
     #[error("the line is too long")]
     LineTooLong,
-    /// The client closed its side before the end of the line.
+    /// The client closed its sending side before the end of the line.
     #[error("the line was cut short")]
     Truncated,
-    /// The client did not complete a line in time.
+    /// The client did not send a complete line in time.
     #[error("no whole line came")]
     TimedOut,
     /// The client was disconnected in favour of a later one.
@@ -35,16 +35,16 @@
     TooManyClients,
 }
 
-/// The line that answers a request.
+/// The response line to an admin request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminResponse {
-    /// The command was carried out.
+    /// The command was executed; contains the resulting state.
     Ok(ProcessState),
     /// The process does not accept clients.
     NotAcceptingClients(ProcessState),
-    /// The command is not possible in this state.
+    /// The command is not allowed in the current state.
     Rejected(TransitionError),
-    /// There was no command.
+    /// The request was not a valid command.
     InvalidRequest(AdminRequestError),
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl AdminCommand {
-    /// Parses a line without its end. White space around the command is ignored.
+    /// Parses a line without its line ending. White space around the command is ignored.
     pub fn parse(line: &[u8]) -> Option<AdminCommand> {
         match line.trim_ascii() {
             b"health" => Some(AdminCommand::Health),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Carries the command out: the state has changed when there is a response.
+    /// Executes the command. Any change of the state is made before the response is returned.
     pub fn execute(self, state: &mut ProcessState) -> AdminResponse {
         let transition = match self {
             AdminCommand::Health if state.accepts_clients() => return AdminResponse::Ok(*state),
@@ -88,7 +88,7 @@
     }
 }
 
-/// Collects the one line of a request, which may arrive in pieces. It never holds more than the longest line.
+/// Collects the line of a request, which may arrive in pieces, in a buffer of bounded size.
 #[derive(Debug)]
 pub struct LineBuffer {
     bytes: Vec<u8>,
@@ -96,7 +96,7 @@
 }
 
 impl LineBuffer {
-    /// An empty buffer for a line of at most `max_len` bytes.
+    /// Creates an empty buffer for a line of at most `max_len` bytes.
     pub fn new(max_len: usize) -> LineBuffer {
         LineBuffer {
             bytes: Vec::new(),
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Adds bytes that arrived. Returns the command or an error at the end of the line, and `None` before.
+    /// Appends received bytes. Returns the command or an error once the line is complete or too
+    /// long, and `None` before that.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Result<AdminCommand, AdminRequestError>> {
         let end = bytes.iter().position(|b| *b == b'\n');
         let piece = &bytes[..end.unwrap_or(bytes.len())];
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,6 +1,7 @@
-//! Decisions over the life of a node's process, without I/O, clock or threads: its states ([`ProcessState`]), the admin
-//! commands ([`AdminCommand`], [`LineBuffer`]), what it makes of another process of the same node ([`SiblingProcess`]), and
-//! how the two divide the node's resources ([`target_shares`]).
+//! The lifecycle of a node's process, without I/O, clock or threads: its states ([`ProcessState`]),
+//! the admin commands ([`AdminCommand`], [`LineBuffer`]), the status of another process of the same
+//! node ([`SiblingProcess`]), and the division of the node's resources between the two
+//! ([`target_shares`]).
 
 mod admin_command;
 mod process_state;
--- a/crates/lifecycle/src/process_state.rs
+++ b/crates/lifecycle/src/process_state.rs
@@ -1,71 +1,75 @@
-//! The states of one process of a node, and how operators and the platform move it between them.
+//! The states of one process of a node, and the transitions that operators and the platform cause.
 
 use std::fmt;
 
-/// State of a process.
+/// The state of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// It does not accept clients yet.
+    /// The process does not accept clients yet.
     Starting {
-        /// It will be quiesced once it does.
+        /// True if the process becomes quiesced as soon as it accepts clients.
         quiesced: bool,
     },
-    /// It serves, and health checks succeed.
+    /// The process serves requests, and health checks succeed.
     Serving,
-    /// It serves what arrives, but health checks tell clients to send nothing more.
+    /// The process serves the requests that arrive, but health checks fail, so that clients send no
+    /// more.
     Quiesced,
-    /// It ends, after the platform's signal.
+    /// The process is shutting down after the platform's signal.
     ShuttingDown {
-        /// A successor serves: the node stays in service, only this process ends.
+        /// True if a successor accepts clients: the node stays in service, and only this process
+        /// ends.
         replaced: bool,
-        /// It was quiesced before.
+        /// True if the process was quiesced when the shutdown began.
         quiesced: bool,
     },
 }
 
-/// What moves a process to another state.
+/// An event that moves a process to another state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// The process accepts clients from now on.
+    /// The process begins to accept clients.
     AcceptClients,
-    /// Operators empty the node.
+    /// Operators drain the node.
     Quiesce,
-    /// Operators bring the node back.
+    /// Operators return the node to service.
     Resume,
     /// The platform ends the process.
     ShutDown {
-        /// A successor serves.
+        /// True if a successor accepts clients.
         replaced: bool,
     },
 }
 
-/// Why a process can't make a transition.
+/// The reason why a transition is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TransitionError {
     /// The process is shutting down.
     #[error("leaving")]
     ShuttingDown,
-    /// The process is shutting down and a successor serves: the command belongs at the successor's admin address.
+    /// The process is shutting down and a successor serves. The command must be sent to the
+    /// successor's admin address.
     #[error("leaving, a successor serves")]
     Replaced,
 }
 
-/// What is reported to the service that keeps the endpoint list.
+/// The status that is reported to the service that maintains the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointReport {
-    /// Nothing: the process does not serve yet, or a successor reports.
+    /// No report: the process does not serve yet, or its successor reports instead.
     Nothing,
-    /// The node serves.
+    /// The node serves requests.
     Up,
-    /// The node wants no more requests.
+    /// The node must get no more requests.
     Out,
 }
 
 impl ProcessState {
-    /// The state after a transition. Repeating a transition has no effect.
+    /// Returns the state after a transition. Repeating a transition has no effect.
     ///
     /// # Errors
-    /// The process is shutting down, and the transition would end that or belongs to its successor.
+    /// The process is shutting down, and the transition would revert that or must be applied to its
+    /// successor.
     pub fn apply(self, transition: Transition) -> Result<ProcessState, TransitionError> {
         match transition {
             Transition::AcceptClients => Ok(self.accept_clients()),
@@ -89,7 +93,7 @@
         match self {
             ProcessState::Starting { .. } => Ok(ProcessState::Starting { quiesced: true }),
             ProcessState::Serving | ProcessState::Quiesced => Ok(ProcessState::Quiesced),
-            // The node is being emptied already.
+            // The node is already being drained.
             ProcessState::ShuttingDown {
                 replaced: false, ..
             } => Ok(self),
@@ -118,7 +122,7 @@
         }
     }
 
-    /// Whether operators have asked for the node to be emptied.
+    /// Returns true if operators have quiesced the node and not resumed it.
     pub fn is_quiesced(self) -> bool {
         matches!(
             self,
@@ -128,8 +132,9 @@
         )
     }
 
-    /// Whether health checks succeed, as far as this state goes. On a node that a successor serves they succeed until
-    /// the end: a failure would take the node off the endpoint lists.
+    /// Returns true if health checks succeed, as far as they depend on this state. They also
+    /// succeed during a shutdown with a successor, unless the process was quiesced: a failure would
+    /// remove the node from the endpoint lists although the successor serves.
     pub fn is_healthy(self) -> bool {
         matches!(
             self,
@@ -141,17 +146,17 @@
         )
     }
 
-    /// Whether the process accepts clients.
+    /// Returns true if the process accepts clients.
     pub fn accepts_clients(self) -> bool {
         matches!(self, ProcessState::Serving | ProcessState::Quiesced)
     }
 
-    /// Whether the process may consume from queues.
+    /// Returns true if the process may consume from queues.
     pub fn may_consume(self) -> bool {
         self == ProcessState::Serving
     }
 
-    /// What is reported to the service that keeps the endpoint list.
+    /// Returns the status to report to the service that maintains the endpoint list.
     pub fn endpoint_report(self) -> EndpointReport {
         match self {
             ProcessState::Starting { .. } | ProcessState::ShuttingDown { replaced: true, .. } => {
@@ -172,7 +177,7 @@
     }
 }
 
-/// The text in answers to admin commands, which is a stable format.
+/// Writes the text used in responses to admin commands, which is a stable format.
 impl fmt::Display for ProcessState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
--- a/crates/lifecycle/src/sibling_process.rs
+++ b/crates/lifecycle/src/sibling_process.rs
@@ -1,16 +1,17 @@
-//! What a process writes about itself for another process of the same node, and what the other one makes of it. Both
-//! processes may be of different versions, so the words are a stable format.
+//! The status that a process publishes to the other process of the same node. The two processes may
+//! run different versions, so the status words are a stable format.
 
 use crate::{ProcessState, Transition};
 
-/// Length of a status word in bytes. All have the same, so that one written over another leaves nothing of it.
+/// Length of a status word in bytes. All words have the same length, so that a new word overwrites
+/// the old one completely.
 pub const STATUS_WORD_LEN: usize = 16;
 
 const IDLE: &[u8; STATUS_WORD_LEN] = b"idle           \n";
 const ACCEPTING_CLIENTS: &[u8; STATUS_WORD_LEN] = b"taking clients \n";
 const SHUTTING_DOWN: &[u8; STATUS_WORD_LEN] = b"leaving        \n";
 
-/// The status word that a process in this state writes.
+/// Returns the status word that a process in this state writes.
 pub fn status_word(state: ProcessState) -> [u8; STATUS_WORD_LEN] {
     *match state {
         ProcessState::ShuttingDown { .. } => SHUTTING_DOWN,
@@ -19,21 +20,21 @@
     }
 }
 
-/// The other process of this node.
+/// The status of the other process of this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SiblingProcess {
-    /// There is none, whatever an earlier one has left behind.
+    /// No other process is running, even if an earlier one left its status word behind.
     Absent,
-    /// One that does not accept clients, or whose status word is unknown.
+    /// The process does not accept clients, or its status word is unknown.
     Idle,
-    /// One that accepts clients.
+    /// The process accepts clients.
     AcceptingClients,
-    /// One that is shutting down.
+    /// The process is shutting down.
     ShuttingDown,
 }
 
 impl SiblingProcess {
-    /// Reads the sibling's status from whether its process is alive and from its status word.
+    /// Determines the sibling's status from the liveness of its process and from its status word.
     pub fn from_status(is_alive: bool, word: &[u8]) -> SiblingProcess {
         if !is_alive {
             return SiblingProcess::Absent;
@@ -47,8 +48,9 @@
         }
     }
 
-    /// How a process shuts down while this sibling runs. Only one that accepts clients is a successor: with any other the node
-    /// ends with this process.
+    /// Returns the transition for a shutdown while the sibling has this status. Only a sibling that
+    /// accepts clients is a successor; otherwise the node leaves service together with this
+    /// process.
     pub fn shutdown_transition(self) -> Transition {
         Transition::ShutDown {
             replaced: self == SiblingProcess::AcceptingClients,
--- a/crates/lifecycle/tests/process_state.rs
+++ b/crates/lifecycle/tests/process_state.rs
@@ -1,4 +1,4 @@
-//! The states of a process under random transitions.
+//! Tests of the process states under random transitions.
 
 use lifecycle::{EndpointReport, ProcessState, Transition};
 use quickcheck::{Gen, QuickCheck};
@@ -11,12 +11,12 @@
     Transition::ShutDown { replaced: true },
 ];
 
-/// What was requested so far, kept in another way than the state is.
+/// The transitions requested so far, recorded independently of [`ProcessState`].
 #[derive(Default)]
 struct History {
     accepts_clients: bool,
     is_quiesced: bool,
-    /// Set once the process was told to end: whether it was replaced.
+    /// Set once the process was told to shut down; true if it was replaced.
     shut_down: Option<bool>,
 }
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Whether a transition is possible, by the history with it.
+    /// Returns true if the transition, which is already recorded in the history, is allowed.
     fn allows(&self, transition: Transition) -> bool {
         match (transition, self.shut_down) {
             (Transition::Resume, Some(_)) => false,
@@ -60,14 +60,14 @@
     }
 }
 
-fn states_follow_history(picks: Vec<u8>) -> bool {
+fn states_match_history(selectors: Vec<u8>) -> bool {
     let mut state = ProcessState::default();
     let mut history = History::default();
-    picks.into_iter().all(|pick| {
-        // The process is rarely told to end.
-        let index = usize::from(pick % 16)
+    selectors.into_iter().all(|selector| {
+        // A shutdown is selected in 2 of 16 cases only.
+        let index = usize::from(selector % 16)
             .saturating_sub(11)
-            .max(usize::from(pick % 3));
+            .max(usize::from(selector % 3));
         let transition = TRANSITIONS[index];
         let before = state;
         let result = state.apply(transition);
@@ -84,9 +84,9 @@
 }
 
 #[test]
-fn states_are_as_the_transitions_say() {
+fn state_matches_requested_transitions() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(12, 16))
         .tests(5000)
-        .quickcheck(states_follow_history as fn(Vec<u8>) -> bool);
+        .quickcheck(states_match_history as fn(Vec<u8>) -> bool);
 }
--- a/crates/lifecycle/tests/resource_shares.rs
+++ b/crates/lifecycle/tests/resource_shares.rs
@@ -1,4 +1,5 @@
-//! Two processes that divide a node's shares by the production decision, under random starts, kills and transitions.
+//! Tests of the production code for two processes that divide a node's shares, under random starts,
+//! kills and transitions.
 
 use lifecycle::{
     amount_for_shares, connection_shares, target_shares, ProcessState, SiblingProcess, Transition,
@@ -11,8 +12,9 @@
     state: ProcessState,
     held: u32,
     in_use: u32,
-    /// It once held all shares, and still holds at least half: one that begins to serve last has to acquire up to a half, even
-    /// if it started first.
+    /// True if the process once held all shares and has held at least half of them since then. A
+    /// process that begins to serve last has to acquire shares up to half, even if it started
+    /// first.
     is_earlier: bool,
 }
 
@@ -21,26 +23,28 @@
         self.state = self.state.apply(transition).unwrap_or(self.state);
     }
 
-    /// Releases and acquires shares as decided. Returns whether the result is one that the division allows.
+    /// Releases and acquires shares up to the target. Returns true if the result is a valid
+    /// division.
     fn update_shares(&mut self, sibling: Option<Process>) -> bool {
         let status = status_of(sibling);
         let target = target_shares(self.held, self.in_use, self.state, status);
-        // The locks give what is free and no more.
+        // The locks allow a process to acquire free shares only.
         let free = TOTAL_SHARES - self.held - sibling.map_or(0, |p| p.held);
         let now_held = target.min(self.held + free);
         let keeps_shares_in_use = now_held >= self.held || now_held >= self.in_use;
-        let only_gives_up = !self.is_earlier
+        let only_releases = !self.is_earlier
             || matches!(
                 status,
                 SiblingProcess::Absent | SiblingProcess::ShuttingDown
             )
             || now_held <= self.held;
-        let has_all_if_alone = status != SiblingProcess::Absent || now_held == TOTAL_SHARES;
+        let holds_all_if_alone = status != SiblingProcess::Absent || now_held == TOTAL_SHARES;
         let both_serve = self.state.accepts_clients() && status == SiblingProcess::AcceptingClients;
-        let has_half = !both_serve || now_held <= TOTAL_SHARES / 2 || now_held <= self.in_use;
+        let holds_at_most_half =
+            !both_serve || now_held <= TOTAL_SHARES / 2 || now_held <= self.in_use;
         self.held = now_held;
         self.is_earlier = sibling.is_none() || self.is_earlier && now_held >= TOTAL_SHARES / 2;
-        keeps_shares_in_use && only_gives_up && has_all_if_alone && has_half
+        keeps_shares_in_use && only_releases && holds_all_if_alone && holds_at_most_half
     }
 }
 
@@ -53,12 +57,17 @@
     }
 }
 
-/// Whatever happens in whichever order: both never hold more than the total, the earlier one only gives up shares while another
-/// lives that was not told to end, no process loses shares that its work needs, one that is left alone has all at its next
-/// update, and once both serve and have updated each has its half, but for what the other's work needs.
-fn division_holds(picks: Vec<(u8, u8)>) -> bool {
+/// Checks these properties for events in any order:
+///
+/// - Both processes together never hold more than the total.
+/// - The earlier one only releases shares while another is running that is not shutting down.
+/// - No process loses shares that its work needs.
+/// - A process that is alone holds all shares after its next update.
+/// - While both serve, each holds at most half after its update, apart from the shares that its
+///   work needs.
+fn division_is_valid(events: Vec<(u8, u8)>) -> bool {
     let mut processes = [Some(Process::default()), None];
-    for (event, detail) in picks {
+    for (event, detail) in events {
         let index = usize::from(detail & 1);
         let sibling = processes[1 - index];
         let Some(process) = &mut processes[index] else {
@@ -73,7 +82,7 @@
             2 if detail > 200 => process.apply(Transition::ShutDown {
                 replaced: status_of(sibling) == SiblingProcess::AcceptingClients,
             }),
-            // Work in flight never needs more than what is held.
+            // Work in flight never needs more shares than the process holds.
             3 => process.in_use = u32::from(detail >> 1) % (process.held + 1),
             _ => {
                 if !process.update_shares(sibling) {
@@ -89,15 +98,15 @@
 }
 
 #[test]
-fn both_never_hold_more_than_the_total() {
+fn processes_together_never_hold_more_than_the_total() {
     QuickCheck::new()
         .tests(20_000)
-        .quickcheck(division_holds as fn(Vec<(u8, u8)>) -> bool);
+        .quickcheck(division_is_valid as fn(Vec<(u8, u8)>) -> bool);
 }
 
-/// A usual replacement, step by step.
+/// A normal replacement, step by step.
 #[test]
-fn replacement_passes_the_shares_on() {
+fn replacement_transfers_the_shares() {
     use SiblingProcess::{Absent, AcceptingClients, Idle, ShuttingDown};
     let (serving, starting) = (ProcessState::Serving, ProcessState::default());
     let shutting_down = ProcessState::ShuttingDown {
@@ -125,7 +134,7 @@
 }
 
 #[test]
-fn connections_are_left_to_both_processes_while_both_live() {
+fn both_processes_keep_a_share_of_connections_while_both_run() {
     let shares = |has_sibling| [0, 1, 7, 8].map(|held| connection_shares(held, has_sibling));
     assert_eq!(shares(false), [0, 1, 7, 8]);
     assert_eq!(shares(true), [1, 1, 7, 7]);
