--- a/crates/idempotency/src/entry.rs
+++ b/crates/idempotency/src/entry.rs
@@ -1,41 +1,44 @@
-//! One key in the table.
+//! The table entry of one idempotency key.
 
 use crate::{BodyDigest, Micros, RequestId, RunResult};
 
-/// Bytes of an entry without its result: key, owner, places in both maps and in the order of expiry.
+/// Size of an entry in bytes without its result: key, owner, and the records in both maps and in
+/// the expiry index.
 pub(crate) const ENTRY_BYTES: usize = 256;
 
-/// How far the owner of a key has got.
+/// The progress of the request that owns a key.
 #[derive(Debug)]
 pub(crate) enum KeyState<R> {
-    /// It has not been sent to run.
+    /// The request has not been sent to run.
     Reserved,
-    /// It was sent to run and is not finished.
+    /// The request was sent to run and has not finished.
     Running,
-    /// It finished with this result.
+    /// The run has finished with this result.
     Finished(RunResult<R>),
 }
 
-/// A key with the request that owns it.
+/// The state of a key and the request that owns it.
 #[derive(Debug)]
 pub(crate) struct KeyEntry<R> {
     /// The first request with this key.
     pub(crate) owner: RequestId,
-    /// The digest of the owner's body.
+    /// Digest of the owner's body.
     pub(crate) body: BodyDigest,
     pub(crate) state: KeyState<R>,
-    /// The last arrival that is a duplicate once the run is finished.
+    /// The latest arrival time at which an attempt still is a duplicate of the finished run.
     pub(crate) window_ends_at: Micros,
-    /// The same of a run before it: attempts may be read in another order than they arrived.
+    /// End of the window of the previous run with this key. It is kept because attempts may be read
+    /// in another order than they arrived.
     pub(crate) previous_window_ends_at: Micros,
     /// Attempts that joined the owner and wait for its result.
     pub(crate) waiting: Vec<RequestId>,
-    /// What the entry counts for in the table's memory limit.
+    /// Number of bytes that the entry counts toward the table's memory limit.
     pub(crate) bytes: usize,
 }
 
 impl<R> KeyEntry<R> {
-    /// An entry without waiting attempts. `result_bytes` are set aside for the result of a run that is not finished.
+    /// Creates an entry without waiting attempts. For a run that has not finished, `result_bytes`
+    /// are reserved for its result.
     pub(crate) fn new(
         owner: RequestId,
         body: BodyDigest,
@@ -59,12 +62,12 @@
         }
     }
 
-    /// Whether the run is finished.
+    /// Returns true if the run has finished.
     pub(crate) fn is_finished(&self) -> bool {
         matches!(self.state, KeyState::Finished(_))
     }
 
-    /// Whether the run has begun and is not finished.
+    /// Returns true if the run has begun and has not finished.
     pub(crate) fn is_running(&self) -> bool {
         matches!(self.state, KeyState::Running)
     }
--- a/crates/idempotency/src/table.rs
+++ b/crates/idempotency/src/table.rs
@@ -1,31 +1,32 @@
-//! The table of keys within a memory limit.
+//! The table of idempotency keys, with a memory limit.
 
 use std::collections::{BTreeSet, HashMap};
 
 use crate::entry::{KeyEntry, KeyState, ENTRY_BYTES};
 use crate::{BodyDigest, JoinOutcome, KeyDigest, Lookup, Micros, RequestId, RunResult};
 
-/// The known idempotency keys, with the state of the request that owns each. `R` is the type of a result.
+/// The known idempotency keys and the states of the requests that own them. `R` is the type of a
+/// result.
 #[derive(Debug)]
 pub struct KeyTable<R> {
     entries: HashMap<KeyDigest, KeyEntry<R>>,
     keys_by_owner: HashMap<RequestId, KeyDigest>,
-    /// Finished entries that expire, ordered by when they may be removed.
+    /// Finished entries that expire, ordered by the time from which they may be removed.
     expiries: BTreeSet<(Micros, KeyDigest)>,
-    /// The owner that each waiting attempt has joined.
+    /// Owners that waiting attempts have joined, by attempt.
     joined_owners: HashMap<RequestId, RequestId>,
     bytes: usize,
     max_bytes: usize,
-    /// Set aside for the result of each run that is not finished.
+    /// Bytes reserved for the result of each run that has not finished.
     result_bytes: usize,
-    /// For how long an attempt may lie unread and still be run.
-    max_unread: Micros,
+    /// Maximum time between arrival and reading after which an attempt may still run.
+    max_read_delay: Micros,
 }
 
 impl<R: Clone> KeyTable<R> {
-    /// A table of at most `max_bytes`, where a result has at most `result_bytes` and an attempt that was not read
-    /// `max_unread` after its arrival is no longer run.
-    pub fn new(max_bytes: usize, result_bytes: usize, max_unread: Micros) -> KeyTable<R> {
+    /// Creates a table of at most `max_bytes`. A result has at most `result_bytes`, and an attempt
+    /// that is read more than `max_read_delay` after its arrival does not run any more.
+    pub fn new(max_bytes: usize, result_bytes: usize, max_read_delay: Micros) -> KeyTable<R> {
         KeyTable {
             entries: HashMap::new(),
             keys_by_owner: HashMap::new(),
@@ -34,11 +35,11 @@
             bytes: 0,
             max_bytes,
             result_bytes,
-            max_unread,
+            max_read_delay,
         }
     }
 
-    /// Looks up the key of an attempt with this body that arrived at this time.
+    /// Looks up the key of an attempt with the body digest `body` that arrived at `arrived_at`.
     pub fn lookup(&self, key: KeyDigest, body: BodyDigest, arrived_at: Micros) -> Lookup {
         let Some(entry) = self.entries.get(&key) else {
             return self.lookup_new_key();
@@ -62,8 +63,9 @@
         }
     }
 
-    /// Reserves an unknown key for its first request, in place of an entry that is finished and expired. Attempts that
-    /// arrive after the owner's own arrival are duplicates of a finished run only after [`KeyTable::extend_window`].
+    /// Reserves an unknown key for its first request and replaces an entry that has finished and
+    /// whose window has ended. Attempts that arrive later than the owner are duplicates of its
+    /// finished run only after [`KeyTable::extend_window`].
     pub fn reserve(
         &mut self,
         key: KeyDigest,
@@ -87,14 +89,16 @@
         self.insert(key, entry);
     }
 
-    /// Has attempts that arrive up to `window_ends_at` count as duplicates of this request.
+    /// Treats attempts that arrive up to `window_ends_at` as duplicates of this request. Never
+    /// shortens the window.
     pub fn extend_window(&mut self, owner: RequestId, window_ends_at: Micros) {
         if let Some(entry) = self.entry_mut(owner) {
             entry.window_ends_at = entry.window_ends_at.max(window_ends_at);
         }
     }
 
-    /// Notes that the owner was sent to run: from now on its key stays known until its window is over.
+    /// Records that the owner was sent to run. From then on its key stays known until its window
+    /// has ended.
     pub fn mark_running(&mut self, owner: RequestId) {
         if let Some(entry) = self.entry_mut(owner) {
             if matches!(entry.state, KeyState::Reserved) {
@@ -103,7 +107,8 @@
         }
     }
 
-    /// Whether the owner was sent to run and is not finished: another attempt may join it, so it must not be stopped.
+    /// Returns true if the owner was sent to run and has not finished. It must not be stopped then,
+    /// as another attempt may join it.
     pub fn is_running(&self, owner: RequestId) -> bool {
         self.keys_by_owner
             .get(&owner)
@@ -111,7 +116,7 @@
             .is_some_and(KeyEntry::is_running)
     }
 
-    /// Has an attempt join the request that it duplicates.
+    /// Joins an attempt to the request that it duplicates.
     pub fn join(&mut self, attempt: RequestId, owner: RequestId) -> JoinOutcome<R> {
         let Some(entry) = self.entry_mut(owner) else {
             return JoinOutcome::NeverRan;
@@ -124,7 +129,7 @@
         JoinOutcome::Waiting
     }
 
-    /// Removes a waiting attempt that was answered otherwise or that nobody waits for any more.
+    /// Removes a waiting attempt that was answered otherwise or is abandoned.
     pub fn cancel_wait(&mut self, attempt: RequestId) {
         let Some(owner) = self.joined_owners.remove(&attempt) else {
             return;
@@ -134,8 +139,8 @@
         }
     }
 
-    /// Keeps the result of a run, of `size` bytes, for later duplicates, and returns the attempts that waited for it.
-    /// Does nothing for a request that is not running.
+    /// Stores the result of a run, of `size` bytes, for later duplicates, and returns the attempts
+    /// that waited for it. Has no effect for a request that is not running.
     pub fn finish(
         &mut self,
         owner: RequestId,
@@ -154,7 +159,7 @@
         };
         entry.state = KeyState::Finished(result);
         if entry.window_ends_at != Micros::NEVER {
-            let expires_at = entry.window_ends_at.saturating_add(self.max_unread);
+            let expires_at = entry.window_ends_at.saturating_add(self.max_read_delay);
             self.expiries.insert((expires_at, key));
         }
         let bytes = ENTRY_BYTES + size;
@@ -167,8 +172,9 @@
         waiting
     }
 
-    /// Drops a request that certainly never ran: its key is unknown again, and the attempts that waited for it, which
-    /// never ran either, are returned. Does nothing for a request that is finished.
+    /// Drops a request that certainly never ran, so that its key is unknown again. Returns the
+    /// attempts that waited for it, which never ran either. Has no effect for a request that has
+    /// finished.
     pub fn release_unrun(&mut self, owner: RequestId) -> Vec<RequestId> {
         let Some(key) = self.keys_by_owner.get(&owner).copied() else {
             return Vec::new();
@@ -184,7 +190,8 @@
         waiting
     }
 
-    /// Keeps the window of a run before a dropped request: it may not be over for attempts that are still unread.
+    /// Restores the window of the run that preceded a dropped request: attempts that arrived within
+    /// it may still be unread.
     fn restore_previous(
         &mut self,
         key: KeyDigest,
@@ -192,7 +199,7 @@
         owner: RequestId,
         window_ends_at: Micros,
     ) {
-        let expires_at = window_ends_at.saturating_add(self.max_unread);
+        let expires_at = window_ends_at.saturating_add(self.max_read_delay);
         self.expiries.insert((expires_at, key));
         let entry = KeyEntry::new(
             owner,
@@ -205,7 +212,7 @@
         self.insert(key, entry);
     }
 
-    /// Removes the entries that no attempt can duplicate any more.
+    /// Removes the entries of which no further attempt can be a duplicate.
     pub fn remove_expired(&mut self, now: Micros) {
         while let Some((expires_at, key)) = self.expiries.first().copied() {
             if expires_at >= now {
@@ -216,17 +223,17 @@
         }
     }
 
-    /// The number of known keys.
+    /// Returns the number of known keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is known.
+    /// Returns true if no key is known.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Bytes that the entries take, with those set aside for results.
+    /// Returns the size of all entries in bytes, including the bytes reserved for results.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -241,13 +248,13 @@
         self.entries.insert(key, entry);
     }
 
-    /// Removes an entry; the attempts that waited for it.
+    /// Removes an entry and returns the attempts that waited for it.
     fn remove(&mut self, key: KeyDigest) -> Vec<RequestId> {
         let Some(entry) = self.entries.remove(&key) else {
             return Vec::new();
         };
         self.keys_by_owner.remove(&entry.owner);
-        let expires_at = entry.window_ends_at.saturating_add(self.max_unread);
+        let expires_at = entry.window_ends_at.saturating_add(self.max_read_delay);
         self.expiries.remove(&(expires_at, key));
         self.bytes -= entry.bytes;
         for attempt in &entry.waiting {
--- a/crates/idempotency/tests/key_table.rs
+++ b/crates/idempotency/tests/key_table.rs
@@ -1,23 +1,24 @@
-//! The life of a key: at most one run of a key in a window, and every attempt ends once.
+//! Tests of the lifecycle of a key: at most one run per key and window, and every attempt ends
+//! exactly once.
 
 mod model;
 
 use idempotency::{JoinOutcome, KeyTable, Lookup, Micros, RunResult};
-use model::{empty_table, MAX_UNREAD, WINDOW};
+use model::{empty_table, MAX_READ_DELAY_US, WINDOW_US};
 
 const KEY: u128 = 7;
 const BODY: u128 = 1;
 const OTHER_BODY: u128 = 2;
 
-/// A table in which request 10 owns the key, arrived at 0 and keeps it for the window.
+/// Returns a table in which request 10 arrived at 0 and owns the key until the end of the window.
 fn table_with_reserved_key() -> KeyTable<u64> {
     let mut table = empty_table();
     table.reserve(KEY, BODY, 10, Micros(0));
-    table.extend_window(10, Micros(WINDOW));
+    table.extend_window(10, Micros(WINDOW_US));
     table
 }
 
-/// The same after request 10 ran with result 42.
+/// Returns the same table after request 10 has run with result 42.
 fn table_with_finished_key() -> KeyTable<u64> {
     let mut table = table_with_reserved_key();
     table.mark_running(10);
@@ -26,11 +27,11 @@
 }
 
 #[test]
-fn a_duplicate_joins_the_run_and_receives_its_result_also_later() {
+fn a_duplicate_joins_the_run_or_receives_the_stored_result() {
     let mut table = empty_table();
     assert_eq!(table.lookup(KEY, BODY, Micros(0)), Lookup::Unknown);
     table.reserve(KEY, BODY, 10, Micros(0));
-    table.extend_window(10, Micros(WINDOW));
+    table.extend_window(10, Micros(WINDOW_US));
     assert_eq!(table.lookup(KEY, BODY, Micros(1)), Lookup::DuplicateOf(10));
     assert_eq!(table.join(11, 10), JoinOutcome::Waiting);
     table.mark_running(10);
@@ -43,40 +44,44 @@
     assert!(!table.is_running(10));
 }
 
-/// Guards both sides of the window, by the duplicate's arrival: however late one is read that came within it, it is a
-/// duplicate.
+/// An attempt that arrived within the window is a duplicate, however late it is read; one that
+/// arrived after the window is not.
 #[test]
 fn the_window_is_decided_by_the_arrival_of_the_duplicate() {
     let mut table = table_with_finished_key();
-    table.remove_expired(Micros(WINDOW + MAX_UNREAD));
+    table.remove_expired(Micros(WINDOW_US + MAX_READ_DELAY_US));
     assert_eq!(
-        table.lookup(KEY, BODY, Micros(WINDOW)),
+        table.lookup(KEY, BODY, Micros(WINDOW_US)),
         Lookup::DuplicateOf(10)
     );
-    assert_eq!(table.lookup(KEY, BODY, Micros(WINDOW + 1)), Lookup::Unknown);
-    table.remove_expired(Micros(WINDOW + MAX_UNREAD + 1));
+    assert_eq!(
+        table.lookup(KEY, BODY, Micros(WINDOW_US + 1)),
+        Lookup::Unknown
+    );
+    table.remove_expired(Micros(WINDOW_US + MAX_READ_DELAY_US + 1));
     assert!(table.is_empty() && table.bytes() == 0);
 }
 
-/// Guards against a second run where attempts are read in another order than they came: a later one took the key after
-/// its window, was dropped, and then one is read that came within it.
+/// Guards against a second run if attempts are read in another order than they arrived: one that
+/// arrived after the window reserves the key and is dropped, and then one is read that arrived
+/// within the window.
 #[test]
 fn an_attempt_within_the_window_is_recognised_though_a_later_one_reserved_the_key() {
     let mut table = table_with_finished_key();
-    let (within, after) = (Micros(WINDOW), Micros(WINDOW + 1));
+    let (within, after) = (Micros(WINDOW_US), Micros(WINDOW_US + 1));
     assert_eq!(table.lookup(KEY, BODY, after), Lookup::Unknown);
     table.reserve(KEY, BODY, 11, after);
     assert_eq!(table.lookup(KEY, BODY, within), Lookup::AlreadyRan);
     assert!(table.release_unrun(11).is_empty());
     assert_eq!(table.lookup(KEY, BODY, within), Lookup::AlreadyRan);
     assert_eq!(table.lookup(KEY, BODY, after), Lookup::Unknown);
-    table.remove_expired(Micros(WINDOW + MAX_UNREAD + 1));
+    table.remove_expired(Micros(WINDOW_US + MAX_READ_DELAY_US + 1));
     assert!(table.is_empty());
 }
 
-/// Guards against two at once where a run outlasts its window.
+/// Guards against two concurrent runs if a run takes longer than its window.
 #[test]
-fn while_a_request_runs_every_attempt_joins_whatever_the_window() {
+fn while_a_request_runs_every_attempt_joins_regardless_of_the_window() {
     let mut table = empty_table();
     table.reserve(KEY, BODY, 10, Micros(0));
     table.extend_window(10, Micros(5));
@@ -89,7 +94,7 @@
 }
 
 #[test]
-fn a_request_that_never_ran_releases_its_key_and_the_attempts_that_wait() {
+fn a_request_that_never_ran_releases_its_key_and_returns_waiting_attempts() {
     let mut table = table_with_reserved_key();
     assert_eq!(table.join(11, 10), JoinOutcome::Waiting);
     assert_eq!(table.join(12, 10), JoinOutcome::Waiting);
@@ -99,7 +104,7 @@
     assert_eq!(table.join(13, 10), JoinOutcome::NeverRan);
     // A late release does not remove a finished run.
     table.reserve(KEY, BODY, 20, Micros(0));
-    table.extend_window(20, Micros(WINDOW));
+    table.extend_window(20, Micros(WINDOW_US));
     table.mark_running(20);
     table.finish(20, RunResult::Failed, 0);
     assert!(table.release_unrun(20).is_empty());
@@ -107,7 +112,7 @@
 }
 
 #[test]
-fn another_body_is_reported_until_the_window_is_over() {
+fn another_body_is_reported_until_the_window_has_ended() {
     let mut table = table_with_reserved_key();
     assert_eq!(
         table.lookup(KEY, OTHER_BODY, Micros(1)),
@@ -116,20 +121,20 @@
     table.mark_running(10);
     table.finish(10, RunResult::Failed, 0);
     assert_eq!(
-        table.lookup(KEY, OTHER_BODY, Micros(WINDOW)),
+        table.lookup(KEY, OTHER_BODY, Micros(WINDOW_US)),
         Lookup::BodyMismatch
     );
     assert_eq!(
-        table.lookup(KEY, OTHER_BODY, Micros(WINDOW + 1)),
+        table.lookup(KEY, OTHER_BODY, Micros(WINDOW_US + 1)),
         Lookup::Unknown
     );
 }
 
-/// Guards our memory: a full table rejects new keys and forgets none within its window.
+/// Guards the memory limit: a full table rejects new keys and removes none within its window.
 #[test]
 fn a_full_table_rejects_new_keys_and_keeps_what_ran() {
     let max_bytes = 3 * 356;
-    let mut table = KeyTable::new(max_bytes, 100, Micros(MAX_UNREAD));
+    let mut table = KeyTable::new(max_bytes, 100, Micros(MAX_READ_DELAY_US));
     for owner in 0..3u64 {
         let key = u128::from(owner);
         assert_eq!(table.lookup(key, BODY, Micros(0)), Lookup::Unknown);
--- a/crates/idempotency/tests/model/mod.rs
+++ b/crates/idempotency/tests/model/mod.rs
@@ -1,36 +1,38 @@
-//! A model that knows all attempts and checks a table against random histories of them.
+//! A reference model that records all attempts and checks a table against it in random histories.
 
 use std::collections::HashMap;
 
 use idempotency::{JoinOutcome, KeyTable, Lookup, Micros, RunResult};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-/// For how long after its owner's arrival a key is known, in microseconds.
-pub(crate) const WINDOW: i64 = 50;
-/// For how long an attempt may lie unread, in microseconds.
-pub(crate) const MAX_UNREAD: i64 = 30;
+/// Duration of a key's window after its owner's arrival, in microseconds.
+pub(crate) const WINDOW_US: i64 = 50;
+/// Maximum time between an attempt's arrival and its reading, in microseconds.
+pub(crate) const MAX_READ_DELAY_US: i64 = 30;
 
 const BODY: u128 = 1;
 
-/// A table with capacity for every key of these tests.
+/// Returns a table with capacity for every key of these tests.
 pub(crate) fn empty_table() -> KeyTable<u64> {
-    KeyTable::new(1 << 20, 100, Micros(MAX_UNREAD))
+    KeyTable::new(1 << 20, 100, Micros(MAX_READ_DELAY_US))
 }
 
-/// One event of a history. The number selects one of the attempts in the state that the event applies to.
+/// An event of a history. For all but `Read` and `AdvanceClock`, the number selects one of the
+/// attempts in the state that the event applies to.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// An attempt with this key is read.
+    /// An attempt with this key is read, this many microseconds after its arrival.
     Read {
         key: u8,
-        unread: u8,
+        delay: u8,
     },
     Run(u8),
     Serve(u8),
     Fail(u8),
     Drop(u8),
     Cancel(u8),
-    Wait(u8),
+    /// The clock advances by this many microseconds.
+    AdvanceClock(u8),
 }
 
 impl Arbitrary for Step {
@@ -39,13 +41,13 @@
         match u8::arbitrary(g) % 7 {
             0 | 1 => Step::Read {
                 key: number % 3,
-                unread: u8::arbitrary(g) % MAX_UNREAD as u8,
+                delay: u8::arbitrary(g) % MAX_READ_DELAY_US as u8,
             },
             2 => Step::Run(number),
             3 => Step::Serve(number),
             4 => Step::Fail(number),
             5 => [Step::Drop(number), Step::Cancel(number)][usize::from(number % 2)],
-            _ => Step::Wait(number % 40),
+            _ => Step::AdvanceClock(number % 40),
         }
     }
 }
@@ -62,15 +64,15 @@
     key: u128,
     arrived_at: i64,
     state: AttemptState,
-    ends: usize,
+    end_count: usize,
 }
 
-/// The table with all that the model knows beside it.
+/// The table under test and the expected state.
 struct Model {
     table: KeyTable<u64>,
     now: i64,
     attempts: HashMap<u64, Attempt>,
-    /// Arrivals of the attempts that ran, by key.
+    /// Arrival times of the attempts that ran, by key.
     runs: HashMap<u128, Vec<i64>>,
 }
 
@@ -84,10 +86,10 @@
         }
     }
 
-    /// Carries out a step; whether the table behaved as it must.
+    /// Applies a step. Returns true if the table behaves as expected.
     fn apply(&mut self, step: Step) -> bool {
         match step {
-            Step::Read { key, unread } => self.read(key.into(), self.now - i64::from(unread)),
+            Step::Read { key, delay } => self.read(key.into(), self.now - i64::from(delay)),
             Step::Run(number) => self
                 .select(number, AttemptState::Reserved)
                 .is_none_or(|id| self.run(id)),
@@ -103,7 +105,7 @@
             Step::Cancel(number) => self
                 .select(number, AttemptState::Waiting)
                 .is_none_or(|id| self.cancel(id)),
-            Step::Wait(duration) => {
+            Step::AdvanceClock(duration) => {
                 self.now += i64::from(duration);
                 self.table.remove_expired(Micros(self.now));
                 true
@@ -117,19 +119,19 @@
             key,
             arrived_at,
             state: AttemptState::Ended,
-            ends: 0,
+            end_count: 0,
         };
         match self.table.lookup(key, BODY, Micros(arrived_at)) {
             Lookup::Unknown => {
                 self.table.reserve(key, BODY, id, Micros(arrived_at));
-                self.table.extend_window(id, Micros(arrived_at + WINDOW));
+                self.table.extend_window(id, Micros(arrived_at + WINDOW_US));
                 attempt.state = AttemptState::Reserved;
             }
             Lookup::DuplicateOf(owner) => match self.table.join(id, owner) {
                 JoinOutcome::Waiting => attempt.state = AttemptState::Waiting,
-                JoinOutcome::Finished(_) | JoinOutcome::NeverRan => attempt.ends = 1,
+                JoinOutcome::Finished(_) | JoinOutcome::NeverRan => attempt.end_count = 1,
             },
-            Lookup::AlreadyRan => attempt.ends = 1,
+            Lookup::AlreadyRan => attempt.end_count = 1,
             Lookup::BodyMismatch | Lookup::TableFull => return false,
         }
         self.attempts.insert(id, attempt);
@@ -143,7 +145,7 @@
         let earlier_runs = self.runs.entry(attempt.key).or_default();
         let is_only_run = earlier_runs
             .iter()
-            .all(|other| (attempt.arrived_at - other).abs() > WINDOW);
+            .all(|other| (attempt.arrived_at - other).abs() > WINDOW_US);
         earlier_runs.push(attempt.arrived_at);
         is_only_run && self.table.is_running(id)
     }
@@ -164,7 +166,7 @@
         self.end_all(vec![id], AttemptState::Waiting)
     }
 
-    /// One of the attempts in this state.
+    /// Selects one of the attempts in this state.
     fn select(&self, number: u8, state: AttemptState) -> Option<u64> {
         let mut ids: Vec<u64> = self
             .attempts
@@ -176,7 +178,7 @@
         (!ids.is_empty()).then(|| ids[usize::from(number) % ids.len()])
     }
 
-    /// Ends attempts; whether each was in this state and ends for the first time.
+    /// Ends attempts. Returns true if each was in the expected state and ends for the first time.
     fn end_all(&mut self, ids: Vec<u64>, expected: AttemptState) -> bool {
         ids.into_iter().all(|id| {
             let attempt = self
@@ -185,20 +187,21 @@
                 .expect("the table returned an unknown attempt");
             let was_expected = attempt.state == expected;
             attempt.state = AttemptState::Ended;
-            attempt.ends += 1;
-            was_expected && attempt.ends == 1
+            attempt.end_count += 1;
+            was_expected && attempt.end_count == 1
         })
     }
 
-    /// Whether every waiting attempt waits for one that is not over.
+    /// Returns true if some attempt is reserved or running, or else all attempts have ended: no
+    /// attempt may wait when none is left that could finish.
     fn no_attempt_is_stranded(&self) -> bool {
-        let has_open = self.attempts.values().any(|attempt| {
+        let has_unfinished = self.attempts.values().any(|attempt| {
             matches!(
                 attempt.state,
                 AttemptState::Reserved | AttemptState::Running
             )
         });
-        has_open
+        has_unfinished
             || self
                 .attempts
                 .values()
@@ -211,7 +214,7 @@
     steps.into_iter().all(|step| model.apply(step)) && model.no_attempt_is_stranded()
 }
 
-/// Plays 2,000 random histories against the model.
+/// Runs 2,000 random histories against the model.
 pub(crate) fn check_random_histories() {
     QuickCheck::new()
         .tests(2000)
