--- a/crates/client-listener/src/accepting.rs
+++ b/crates/client-listener/src/accepting.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, and evicting others where slots run short.
+//! Accepting connections, and evicting others when slots run short.
 
 use std::io::{self, ErrorKind};
 use std::sync::atomic::Ordering::SeqCst;
@@ -10,32 +10,33 @@
 use slog::warn;
 
 use crate::connection::ClientConnection;
-use crate::listener::LISTENER;
+use crate::listener::LISTENER_TOKEN;
 use crate::{ClientHandler, ClientListener};
 
 impl<H: ClientHandler> ClientListener<H> {
-    /// Accepts connections of this socket from now on.
+    /// Starts accepting connections from this socket.
     ///
     /// # Errors
     /// An error of the system's poll.
     pub fn listen(&mut self, mut socket: TcpListener, now: Instant) -> io::Result<()> {
         self.poll
             .registry()
-            .register(&mut socket, LISTENER, Interest::READABLE)?;
+            .register(&mut socket, LISTENER_TOKEN, Interest::READABLE)?;
         self.socket = Some(socket);
-        // Some may wait already, and the poll reports changes only.
-        self.acceptable_at = Some(now);
+        // Connections may already be waiting, and the poll is edge-triggered.
+        self.next_accept_at = Some(now);
         Ok(())
     }
 
-    /// Accepts the connections that wait at the socket and closes it. The system has completed their handshakes, and closing the
-    /// socket over them would reset them; it follows directly on the last accept, so that hardly any connection arrives
-    /// between.
+    /// Accepts the pending connections of the socket and closes it. The system has completed their
+    /// handshakes, and closing the socket before they are accepted would reset them. The socket is
+    /// closed directly after the last accept, so that hardly any connection arrives in between.
     pub fn stop_listening(&mut self, handler: &mut H, now: Instant) {
-        self.acceptable_at = Some(now);
-        // Bounded, as clients that connect faster than they are accepted must not block the loop.
+        self.next_accept_at = Some(now);
+        // The number of rounds is limited, as clients that connect faster than they are accepted
+        // must not block the loop.
         for _ in 0..self.settings.final_accept_rounds {
-            if self.acceptable_at.is_none_or(|at| at > now) {
+            if self.next_accept_at.is_none_or(|at| at > now) {
                 break;
             }
             self.accept(handler, now);
@@ -43,7 +44,7 @@
         self.close_socket();
     }
 
-    /// Stops listening at once.
+    /// Closes the listening socket without accepting pending connections.
     pub fn close_socket(&mut self) {
         self.socket = None;
         self.counters.is_listening.store(false, SeqCst);
@@ -51,7 +52,7 @@
 
     pub(crate) fn accept(&mut self, handler: &mut H, now: Instant) {
         for _ in 0..self.settings.accepts_per_step {
-            let may_accept = self.acceptable_at.is_some_and(|at| at <= now);
+            let may_accept = self.next_accept_at.is_some_and(|at| at <= now);
             let Some(socket) = self.socket.as_ref().filter(|_| may_accept) else {
                 return;
             };
@@ -61,12 +62,13 @@
                         handler.connection_rejected(&e);
                     }
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => self.acceptable_at = None,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => self.next_accept_at = None,
                 Err(e) if is_transient(&e) => {}
                 Err(e) => {
-                    // Out of descriptors, for example: give them time to come back.
-                    warn!(self.log, "accept"; "error" => %e);
-                    self.acceptable_at = Some(now + self.settings.accept_retry_pause);
+                    // For example, no file descriptors are left: the pause allows some to be
+                    // released.
+                    warn!(self.log, "accepting a client connection failed"; "error" => %e);
+                    self.next_accept_at = Some(now + self.settings.accept_retry_pause);
                 }
             }
         }
@@ -96,8 +98,8 @@
         Ok(())
     }
 
-    /// Follows the number of connections that is allowed now. Connections past a lowered limit are evicted as their slots
-    /// are needed.
+    /// Applies the current maximum number of connections. Connections over a lowered limit are
+    /// evicted when their slots are needed.
     fn update_max_connections(&mut self) {
         let max_connections = self.live_limits.max_connections();
         if max_connections != self.limits.max_connections {
@@ -117,13 +119,13 @@
                     }
                     self.begin_close(handler, id, now);
                 }
-                Eviction::SayGoodbye(id) => self.send_goodbye(id, now),
+                Eviction::SendCloseNotice(id) => self.send_close_notice(id, now),
             }
         }
     }
 }
 
-/// Whether accepting can go on after this error.
+/// Returns true if accepting can continue after this error.
 fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/client-listener/src/closing.rs
+++ b/crates/client-listener/src/closing.rs
@@ -1,4 +1,4 @@
-//! Closing connections: goodbyes, orderly closes, protocol violations and removal.
+//! Closing connections: close notices, graceful closes, protocol violations and removal.
 
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::Instant;
@@ -8,8 +8,9 @@
 use crate::{ClientHandler, ClientListener};
 
 impl<H: ClientHandler> ClientListener<H> {
-    /// Closes a connection once what has arrived on it is read. A request among it, which may only have been read too late,
-    /// is still answered, and the connection closes with the last answer.
+    /// Closes a connection once everything that has arrived on it is read. A request that had
+    /// arrived but was not read yet is still answered; the connection then stays open and gets a
+    /// close notice instead, unless it was sent before.
     pub fn begin_close(&mut self, handler: &mut H, id: ConnectionId, now: Instant) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -19,22 +20,22 @@
         }
         connection.state.begin_close();
         connection.is_readable = true;
-        self.take_turn(handler, id, now);
+        self.process_turn(handler, id, now);
     }
 
-    /// Closes all connections as [`ClientListener::begin_close`] does.
+    /// Calls [`ClientListener::begin_close`] for all connections.
     pub fn begin_close_all(&mut self, handler: &mut H, now: Instant) {
         for id in self.connection_ids() {
             self.begin_close(handler, id, now);
         }
     }
 
-    /// Sends a connection its goodbye, unless it has had it.
-    pub fn send_goodbye(&mut self, id: ConnectionId, now: Instant) {
+    /// Sends the close notice on a connection, unless it was sent before.
+    pub fn send_close_notice(&mut self, id: ConnectionId, now: Instant) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        if connection.state.record_goodbye(now) {
+        if connection.state.record_close_notice(now) {
             self.append_line(id, self.settings.goodbye_line, now);
             if self.settings.is_goodbye_limited {
                 self.enforce_unsent_limits(id);
@@ -43,15 +44,16 @@
         self.flush_and_update(id, now);
     }
 
-    /// Sends all connections their goodbye.
+    /// Sends the close notice on all connections.
     pub fn send_goodbye_to_all(&mut self, now: Instant) {
         for id in self.connection_ids() {
-            self.send_goodbye(id, now);
+            self.send_close_notice(id, now);
         }
     }
 
-    /// Answers a protocol violation and closes the connection. What its peer sends next can't be trusted either, and its
-    /// open requests get no answer: no client that waits for one breaks the protocol.
+    /// Answers a protocol violation and closes the connection. Further input from the peer can't be
+    /// trusted either. Its open requests get no answer, as a client that waits for answers does not
+    /// violate the protocol.
     pub(crate) fn reject_violation(
         &mut self,
         handler: &H,
@@ -67,7 +69,7 @@
         handler.protocol_violated(&connection.stream, answer);
     }
 
-    /// Drops a connection and closes its socket.
+    /// Removes a connection and closes its socket.
     pub(crate) fn remove(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
--- a/crates/client-listener/src/connection.rs
+++ b/crates/client-listener/src/connection.rs
@@ -1,4 +1,4 @@
-//! A client's socket with the state of its connection.
+//! A client's socket and the state of its connection.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::time::Instant;
@@ -6,19 +6,20 @@
 use connections::ConnectionState;
 use mio::net::TcpStream;
 
-/// One accepted connection.
+/// An accepted connection.
 pub(crate) struct ClientConnection<D> {
     pub(crate) stream: TcpStream,
     pub(crate) state: ConnectionState,
-    /// What the handler keeps for it.
+    /// Data that the handler stores for the connection.
     pub(crate) data: D,
-    /// There may be something to read. The poll reports changes only, so this has to be remembered.
+    /// True if there may be bytes to read. The poll is edge-triggered, so this has to be stored.
     pub(crate) is_readable: bool,
-    /// The poll has reported that the peer ended its side; reading continues until the end shows.
+    /// True if the poll has reported that the peer closed its sending side; reading continues until
+    /// the end of the input.
     pub(crate) peer_hung_up: bool,
-    /// It is in the queue of connections that wait for their turn.
+    /// True if the connection is in the queue of connections that wait for their turn.
     pub(crate) is_queued: bool,
-    /// The earliest of its timers that is set.
+    /// Time of the earliest timer that is set for the connection.
     pub(crate) timer: Option<Instant>,
 }
 
@@ -40,9 +41,9 @@
     /// Reads once from the socket into the state.
     pub(crate) fn read(&mut self, buffer: &mut [u8], now: Instant) -> io::Result<()> {
         match self.stream.read(buffer) {
-            Ok(0) => self.state.record_peer_end(),
+            Ok(0) => self.state.record_peer_close(),
             Ok(count) => {
-                // A short read has emptied the socket, unless the end of input comes next.
+                // A short read has emptied the socket, unless the end of the input follows.
                 self.is_readable = count == buffer.len() || self.peer_hung_up;
                 self.state.receive_bytes(&buffer[..count], now);
             }
@@ -53,7 +54,7 @@
         Ok(())
     }
 
-    /// Reads once and discards what was read; false once the peer has ended its side.
+    /// Reads once and discards the bytes. Returns false once the peer has closed its sending side.
     pub(crate) fn read_and_discard(&mut self, buffer: &mut [u8]) -> io::Result<bool> {
         match self.stream.read(buffer) {
             Ok(0) => return Ok(false),
--- a/crates/client-listener/src/handler.rs
+++ b/crates/client-listener/src/handler.rs
@@ -1,4 +1,4 @@
-//! What a server does with the lines of its clients.
+//! The interface through which a server handles the lines of its clients.
 
 use std::io;
 use std::time::Instant;
@@ -9,32 +9,32 @@
 
 use crate::ClientListener;
 
-/// What a line of a client means.
+/// The meaning of a line from a client.
 pub enum ClientMessage<R> {
     /// A health check with this id.
     HealthCheck(u64),
     /// A request with this id.
     Request(u64, R),
-    /// The client no longer waits for the request with this id.
+    /// A notification that the client no longer waits for the request with this id.
     Cancel(u64),
     /// A notification that gets no answer and has no effect.
     Notification,
-    /// A line that breaks the protocol; its connection gets this answer and is closed.
+    /// A line that violates the protocol; the connection gets this answer and is closed.
     Malformed(String),
 }
 
-/// Identifies an open request: the connection it arrived on and its id there.
+/// Identifies an open request by its connection and its id on that connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestHandle {
-    /// The connection of the request.
+    /// Connection on which the request arrived.
     pub connection: ConnectionId,
-    /// The id that the client gave it.
+    /// Id that the client gave the request.
     pub id: u64,
 }
 
-/// The protocol of a server, and what it does beside its clients in each step of the loop.
+/// The protocol of a server, and its other work in each step of the loop.
 pub trait ClientHandler: Sized {
-    /// What the server keeps for each connection; dropped with it.
+    /// Data that the server stores for each connection; dropped together with the connection.
     type ConnectionData: Default;
     /// A parsed request.
     type Request;
@@ -42,16 +42,17 @@
     /// Parses a line, without its line ending.
     fn parse_line(&self, line: &[u8]) -> ClientMessage<Self::Request>;
 
-    /// The answer to a health check.
+    /// Returns the answer to a health check.
     fn health_answer(&self, id: u64, now: Instant) -> String;
 
-    /// The answer to a line that is too long, the last one on its connection.
+    /// Returns the answer to a line that is too long. It is the last answer on the connection.
     fn line_too_long_answer(&self) -> String;
 
-    /// The answer to a request whose id is in use, the last one on its connection.
+    /// Returns the answer to a request whose id is in use. It is the last answer on the connection.
     fn duplicate_id_answer(&self) -> String;
 
-    /// The answer to a request on a connection that has too many open; the connection stays.
+    /// Returns the answer to a request on a connection with too many open requests. The connection
+    /// stays open.
     fn too_many_requests_answer(&self, id: u64) -> String;
 
     /// Handles a request that was recorded as open.
@@ -63,7 +64,8 @@
         now: Instant,
     );
 
-    /// Handles the notice that a client no longer waits for a request, which may be answered or unknown.
+    /// Handles the notification that a client no longer waits for a request. The request may have
+    /// been answered already or be unknown.
     fn cancel_request(
         &mut self,
         _clients: &mut ClientListener<Self>,
@@ -72,15 +74,16 @@
     ) {
     }
 
-    /// When the handler has something to do without any event.
+    /// Returns the next time at which the handler has work to do without any event.
     fn next_wakeup(&self) -> Option<Instant> {
         None
     }
 
-    /// Called in each step after the wait for events, before any of them is handled.
+    /// Called in each step after waiting for events, before any of them is handled.
     fn begin_step(&mut self, _now: Instant) {}
 
-    /// Handles an event of a socket that the handler has registered; false if the event belongs to a client.
+    /// Handles an event of a socket that the handler has registered. Returns false if the event
+    /// belongs to a client.
     fn handle_event(
         &mut self,
         _clients: &mut ClientListener<Self>,
@@ -96,9 +99,9 @@
     /// Called at the end of each step.
     fn after_turns(&mut self, _clients: &mut ClientListener<Self>, _now: Instant) {}
 
-    /// A connection was accepted and dropped again.
+    /// Called after a connection was accepted and closed again because of this error.
     fn connection_rejected(&self, error: &io::Error);
 
-    /// A client has broken the protocol and got this answer.
+    /// Called after a client has violated the protocol and was sent this answer.
     fn protocol_violated(&self, _peer: &TcpStream, _answer: &str) {}
 }
--- a/crates/client-listener/src/lib.rs
+++ b/crates/client-listener/src/lib.rs
@@ -1,8 +1,11 @@
-//! The client side of a server that exchanges one message per line: one readiness loop over all client sockets, on one
-//! thread. It never waits except for readiness, a timer or a wake-up, and gives each connection its turn of so many lines.
+//! The client side of a server that exchanges one message per line: one event loop over all client
+//! sockets, on one thread. It blocks only while it waits for readiness, a timer or a wake-up.
+//! Connections are read in turns with a limited number of lines each.
 //!
-//! What a line means is decided by a [`ClientHandler`]; the state of a connection, and which connections are evicted when
-//! slots run short, by the crate `connections`. Names and error codes of the protocol are in [`protocol`]. The JSON-RPC server of a node and the router both run this loop.
+//! A [`ClientHandler`] decides what a line means. The crate `connections` implements the state of a
+//! connection and the choice of connections to evict when slots run short. Names and error codes of
+//! the protocol are in [`protocol`]. The JSON-RPC server of a node and the router both run this
+//! loop.
 
 mod accepting;
 mod closing;
--- a/crates/client-listener/src/listener.rs
+++ b/crates/client-listener/src/listener.rs
@@ -1,4 +1,4 @@
-//! The loop itself: waiting for events and the order of work in one step.
+//! The event loop: waiting for events, and the order of work in one step.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -16,53 +16,54 @@
 use crate::connection::ClientConnection;
 use crate::{ClientHandler, ListenerSettings, LiveLimits};
 
-pub(crate) const LISTENER: Token = Token(0);
-const WAKER: Token = Token(1);
-/// Sockets are numbered from here up, and no number is given twice: what arrives for a connection that is gone has no
-/// effect.
+pub(crate) const LISTENER_TOKEN: Token = Token(0);
+const WAKER_TOKEN: Token = Token(1);
+/// First token of the sockets of clients and of the handler. Tokens are never reused, so that an
+/// event for a connection that was removed has no effect.
 const FIRST_TOKEN: usize = 2;
 
 /// Counters of a listener that other threads may read.
 #[derive(Default)]
 pub struct ListenerCounters {
-    /// Requests read whose answer is not written.
+    /// Number of requests that were read and whose answers are not written.
     pub open_requests: AtomicUsize,
-    /// Connections with unsent bytes.
+    /// Number of connections with unsent bytes.
     pub unsent_connections: AtomicUsize,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: AtomicUsize,
-    /// It accepts connections, or is about to.
+    /// True if the listener accepts connections or is about to.
     pub is_listening: AtomicBool,
 }
 
 /// The event loop of a server, which runs on the thread that calls [`ClientListener::step`].
 pub struct ClientListener<H: ClientHandler> {
     pub(crate) settings: ListenerSettings,
-    /// The limits of the settings, with the number of connections that is allowed now.
+    /// Limits from the settings, with the current maximum number of connections.
     pub(crate) limits: ConnectionLimits,
     pub(crate) live_limits: Box<dyn LiveLimits + Send>,
     pub(crate) log: Logger,
     pub(crate) poll: Poll,
     events: Events,
-    /// None before it listens and once it has stopped.
+    /// The listening socket; `None` before the listener starts and after it stops listening.
     pub(crate) socket: Option<TcpListener>,
-    /// Connections may wait to be accepted, but not before this time.
-    pub(crate) acceptable_at: Option<Instant>,
+    /// Time from which pending connections may be accepted; `None` if none are known to be pending.
+    pub(crate) next_accept_at: Option<Instant>,
     pub(crate) connections: HashMap<ConnectionId, ClientConnection<H::ConnectionData>>,
     next_token: usize,
     pub(crate) idle_connections: IdleConnections,
     /// Connections that wait for their turn.
     pub(crate) turn_queue: VecDeque<ConnectionId>,
-    /// Timers of connections. An entry that is no longer its connection's timer is skipped.
+    /// Timers of connections. An entry that differs from the current timer of its connection is
+    /// skipped.
     pub(crate) timers: BinaryHeap<Reverse<(Instant, ConnectionId)>>,
-    /// Unsent bytes over all connections.
+    /// Number of unsent bytes of all connections.
     pub(crate) total_unsent_bytes: usize,
     pub(crate) read_buffer: Box<[u8]>,
     pub(crate) counters: Arc<ListenerCounters>,
 }
 
 impl<H: ClientHandler> ClientListener<H> {
-    /// A listener without a socket.
+    /// Creates a listener without a socket.
     ///
     /// # Errors
     /// An error of the system's poll.
@@ -78,7 +79,7 @@
             poll: Poll::new()?,
             events: Events::with_capacity(settings.max_events),
             socket: None,
-            acceptable_at: None,
+            next_accept_at: None,
             connections: HashMap::new(),
             next_token: FIRST_TOKEN,
             idle_connections: IdleConnections::default(),
@@ -91,53 +92,57 @@
         })
     }
 
-    /// A waker that ends the wait of [`ClientListener::step`] from another thread. Only one may be created.
+    /// Creates a waker that ends the wait in [`ClientListener::step`] from another thread. Only one
+    /// may be created.
     ///
     /// # Errors
     /// An error of the system's poll.
     pub fn waker(&self) -> io::Result<Waker> {
-        Waker::new(self.poll.registry(), WAKER)
+        Waker::new(self.poll.registry(), WAKER_TOKEN)
     }
 
-    /// Counters for other threads.
+    /// Returns the counters, which other threads may read.
     pub fn counters(&self) -> Arc<ListenerCounters> {
         self.counters.clone()
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether any connection has bytes that are not written yet.
+    /// Returns true if any connection has bytes that are not written yet.
     pub fn has_unsent_bytes(&self) -> bool {
         self.total_unsent_bytes > 0
     }
 
-    /// What the handler keeps for a connection, while it is open.
+    /// Returns the data that the handler stores for a connection, or `None` if the connection is
+    /// not open.
     pub fn connection_data(&mut self, connection: ConnectionId) -> Option<&mut H::ConnectionData> {
         self.connections
             .get_mut(&connection)
             .map(|connection| &mut connection.data)
     }
 
-    /// Registers a socket of the handler's for reading and writing; its events go to [`ClientHandler::handle_event`].
+    /// Registers a socket of the handler for reading and writing. Its events are passed to
+    /// [`ClientHandler::handle_event`].
     ///
     /// # Errors
     /// An error of the system's poll.
     pub fn register(&mut self, stream: &mut TcpStream) -> io::Result<Token> {
         let token = Token(self.next_token);
         self.next_token += 1;
-        // Both at once: the poll reports changes only, so the interest that is not waited for costs nothing.
+        // Both are registered at once: the poll is edge-triggered, so an interest that is not
+        // needed costs nothing.
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(stream, token, interest)?;
         Ok(token)
     }
 
-    /// Waits for something to do, for `max_wait` at most, and does it.
+    /// Waits for work for at most `max_wait` and does it.
     ///
     /// # Errors
-    /// An error of the system's poll; nothing that a peer does causes one.
+    /// An error of the system's poll. No action of a peer causes one.
     pub fn step(&mut self, handler: &mut H, max_wait: Option<Duration>) -> io::Result<()> {
         let timeout = [self.wait_time(handler), max_wait]
             .into_iter()
@@ -159,7 +164,7 @@
         }
         handler.before_turns(self, now);
         self.accept(handler, now);
-        self.take_all_turns(handler, now);
+        self.process_turn_queue(handler, now);
         self.handle_due_timers(handler, now);
         handler.after_turns(self, now);
         Ok(())
@@ -167,8 +172,8 @@
 
     fn handle_event(&mut self, handler: &mut H, event: &Event, now: Instant) {
         match event.token() {
-            LISTENER => self.acceptable_at = Some(now),
-            WAKER => {}
+            LISTENER_TOKEN => self.next_accept_at = Some(now),
+            WAKER_TOKEN => {}
             Token(number) => {
                 if !handler.handle_event(self, event, now) {
                     self.handle_readiness(ConnectionId(number), event, now);
@@ -177,16 +182,17 @@
         }
     }
 
-    /// How long there is nothing to do without an event; none where only an event brings work.
+    /// Returns the time until there is work to do without an event, or `None` if only an event can
+    /// cause work.
     fn wait_time(&self, handler: &H) -> Option<Duration> {
         let now = Instant::now();
         if !self.turn_queue.is_empty() {
-            // While the handler takes no more lines, what arrives stays in the sockets.
+            // While the handler accepts no more lines, received bytes stay in the sockets.
             return Some(self.live_limits.read_pause().unwrap_or(Duration::ZERO));
         }
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
-        let acceptable_at = self.acceptable_at.filter(|_| self.socket.is_some());
-        [timer, acceptable_at, handler.next_wakeup()]
+        let next_accept_at = self.next_accept_at.filter(|_| self.socket.is_some());
+        [timer, next_accept_at, handler.next_wakeup()]
             .into_iter()
             .flatten()
             .min()
--- a/crates/client-listener/src/reading.rs
+++ b/crates/client-listener/src/reading.rs
@@ -1,4 +1,4 @@
-//! Reading from connections by turns, and passing their messages to the handler.
+//! Reading from connections in turns, and passing their messages to the handler.
 
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::Instant;
@@ -15,7 +15,7 @@
             return;
         };
         if event.is_error() {
-            // Reset: none of its open requests can be answered any more.
+            // The connection was reset: none of its open requests can be answered any more.
             return self.remove(id);
         }
         connection.peer_hung_up |= event.is_read_closed();
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Queues a connection for its turn if there is anything to do for it.
+    /// Adds a connection to the turn queue if it has input to process.
     pub(crate) fn queue_turn(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -43,8 +43,9 @@
         }
     }
 
-    /// Gives each queued connection its turn, in order. One that is queued again meanwhile waits for the next step.
-    pub(crate) fn take_all_turns(&mut self, handler: &mut H, now: Instant) {
+    /// Processes the turns of all queued connections, in order. A connection that is queued again
+    /// meanwhile waits for the next step.
+    pub(crate) fn process_turn_queue(&mut self, handler: &mut H, now: Instant) {
         for _ in 0..self.turn_queue.len() {
             if self.live_limits.read_pause().is_some() {
                 return;
@@ -52,12 +53,13 @@
             let Some(id) = self.turn_queue.pop_front() else {
                 return;
             };
-            self.take_turn(handler, id, now);
+            self.process_turn(handler, id, now);
         }
     }
 
-    /// Handles lines that have arrived and reads at most once, up to the number of lines that a turn allows.
-    pub(crate) fn take_turn(&mut self, handler: &mut H, id: ConnectionId, now: Instant) {
+    /// Handles the lines that have arrived, up to the limit of a turn, and reads from the socket at
+    /// most once.
+    pub(crate) fn process_turn(&mut self, handler: &mut H, id: ConnectionId, now: Instant) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
@@ -78,8 +80,8 @@
                     self.handle_message(handler, id, message, now);
                 }
                 Ok(None) if !connection.is_readable => {
-                    if connection.state.finish_close_request() {
-                        return self.send_goodbye(id, now);
+                    if connection.state.finish_pending_close() {
+                        return self.send_close_notice(id, now);
                     }
                     break;
                 }
@@ -87,7 +89,7 @@
                 Ok(None) => {
                     has_read = true;
                     if let Err(e) = connection.read(&mut self.read_buffer, now) {
-                        debug!(self.log, "client read"; "error" => %e);
+                        debug!(self.log, "reading from a client failed"; "error" => %e);
                         return self.remove(id);
                     }
                 }
@@ -99,9 +101,9 @@
         self.flush_and_update(id, now);
     }
 
-    /// Reads once from a connection whose writing side is shut down, and discards it. A request among it has crossed the
-    /// close: its client sees the close and sends it again on another connection. If it were handled, its answer could not
-    /// be written.
+    /// Reads once from a connection whose writing side is shut down and discards the bytes. A
+    /// request among them crossed with the close: its client sees the close and sends the request
+    /// again on another connection. If it were handled, its answer could not be written.
     fn discard_input(&mut self, id: ConnectionId, now: Instant) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -160,12 +162,13 @@
                 self.counters.open_requests.fetch_add(1, SeqCst);
                 handler.handle_request(self, handle, request, now);
             }
-            // An answer with this id would be taken for that of the other request.
+            // The client would treat an answer with this id as the answer to the other request.
             Err(ProtocolViolation::DuplicateId) => {
                 let answer = handler.duplicate_id_answer();
                 self.reject_violation(handler, handle.connection, &answer, now);
             }
-            // Requests that the client has abandoned are still open here, and it does not count them: no violation.
+            // This is no violation: requests that the client has abandoned are still open here, and
+            // it does not count them.
             Err(ProtocolViolation::TooManyRequests) => {
                 let answer = handler.too_many_requests_answer(handle.id);
                 self.enqueue_line(handle.connection, &answer, now);
--- a/crates/client-listener/src/settings.rs
+++ b/crates/client-listener/src/settings.rs
@@ -1,52 +1,57 @@
-//! Settings of a client listener, fixed ones and those that change while it runs.
+//! Settings of a client listener: fixed ones and those that may change while it runs.
 
 use std::time::Duration;
 
 use connections::ConnectionLimits;
 
-/// When the timers of connections are checked.
+/// The times at which the timers of connections are checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerMode {
-    /// As each timer expires.
+    /// Each timer is checked when it expires.
     Exact,
-    /// Whenever the handler calls [`crate::ClientListener::check_all_timers`].
+    /// All timers are checked when the handler calls [`crate::ClientListener::check_all_timers`].
     OnRequest,
 }
 
-/// Settings that are fixed for the life of a listener.
+/// Settings that are fixed for the lifetime of a listener.
 #[derive(Clone, Debug)]
 pub struct ListenerSettings {
     /// Limits of connections.
     pub limits: ConnectionLimits,
-    /// Readiness events handled in one step.
+    /// Maximum number of readiness events handled in one step.
     pub max_events: usize,
-    /// Bytes read from a connection at once.
+    /// Size in bytes of the buffer for one read from a connection.
     pub read_buffer_bytes: usize,
-    /// Connections accepted in one step.
+    /// Maximum number of connections accepted in one step.
     pub accepts_per_step: usize,
-    /// Rounds of accepting, of so many connections each, right before the socket is closed.
+    /// Maximum number of rounds, each of [`Self::accepts_per_step`] connections, in which pending
+    /// connections are accepted directly before the socket is closed.
     pub final_accept_rounds: usize,
-    /// Pause after an error of accepting, such as a lack of descriptors: clients that wait already cause no further event of the socket.
+    /// Pause after an error of accepting, such as a lack of file descriptors, before the next
+    /// attempt. Clients that are already waiting cause no further event of the socket.
     pub accept_retry_pause: Duration,
-    /// Unsent bytes over all connections; past this, the connection with the most unsent bytes is dropped.
+    /// Maximum number of unsent bytes of all connections. Above it, the connection with the most
+    /// unsent bytes is dropped.
     pub max_total_unsent_bytes: usize,
-    /// The line after which a client sends no new requests on a connection.
+    /// Line of the close notice, after which a client sends no new requests on a connection.
     pub goodbye_line: &'static str,
-    /// Whether a goodbye line counts toward the limits of unsent bytes.
+    /// True if the limits of unsent bytes are enforced when a close notice is enqueued.
     pub is_goodbye_limited: bool,
-    /// Whether every event of a connection tries to write, not only those that report it writable.
+    /// True if unsent bytes are written after every event of a connection, not only after those
+    /// that report it writable.
     pub writes_on_every_event: bool,
-    /// When timers are checked.
+    /// Times at which timers are checked.
     pub timer_mode: TimerMode,
 }
 
-/// Limits that may change while the listener runs; it asks for them each time.
+/// Limits that may change while the listener runs. The listener queries them each time.
 pub trait LiveLimits {
-    /// How long a connection that was used may be idle.
+    /// Returns how long a connection that was used may be idle.
     fn idle_timeout(&self) -> Duration;
-    /// Connections at the same time.
+    /// Returns the maximum number of concurrent connections.
     fn max_connections(&self) -> usize;
-    /// While the handler can take no more lines: how long to wait until it is asked again. Meanwhile nothing is read.
+    /// Returns the time after which to query again while the handler can accept no more lines, or
+    /// `None` if it can. No lines are read meanwhile.
     fn read_pause(&self) -> Option<Duration> {
         None
     }
--- a/crates/client-listener/src/timers.rs
+++ b/crates/client-listener/src/timers.rs
@@ -1,4 +1,5 @@
-//! Timers of connections: idle ones, unfinished messages, and peers that accept no output.
+//! Timers of connections: for idle connections, incomplete messages, and peers that accept no
+//! output.
 
 use std::cmp::Reverse;
 use std::time::Instant;
@@ -43,7 +44,7 @@
             };
             connection.timer = None;
             match connection.state.due_action(idle_timeout, &self.limits, now) {
-                Some(action) => self.perform(handler, id, action, now),
+                Some(action) => self.perform_timer_action(handler, id, action, now),
                 None => self.flush_and_update(id, now),
             }
         }
@@ -63,13 +64,19 @@
             })
             .collect();
         for (id, action) in due {
-            self.perform(handler, id, action, now);
+            self.perform_timer_action(handler, id, action, now);
         }
     }
 
-    fn perform(&mut self, handler: &mut H, id: ConnectionId, action: TimerAction, now: Instant) {
+    fn perform_timer_action(
+        &mut self,
+        handler: &mut H,
+        id: ConnectionId,
+        action: TimerAction,
+        now: Instant,
+    ) {
         match action {
-            TimerAction::SayGoodbye => self.send_goodbye(id, now),
+            TimerAction::SendCloseNotice => self.send_close_notice(id, now),
             TimerAction::BeginClose => self.begin_close(handler, id, now),
             TimerAction::Disconnect => self.remove(id),
         }
--- a/crates/client-listener/tests/listener.rs
+++ b/crates/client-listener/tests/listener.rs
@@ -1,5 +1,6 @@
-//! The loop with a server that echoes lines: `ask TEXT` is a request that is answered in the same step, `bad` a protocol
-//! violation. The crossings of closes are tested through the node's server in `tests/connection_races.rs`.
+//! Tests of the event loop with a server that echoes lines: `ask TEXT` is a request that is
+//! answered in the same step, `bad` a protocol violation. Requests that cross with a close are
+//! tested through the node's server in `tests/connection_races.rs`.
 use client_listener::{
     ClientHandler, ClientListener, ClientMessage, ListenerSettings, LiveLimits, RequestHandle,
     TimerMode,
@@ -13,12 +14,12 @@
 use std::time::{Duration, Instant};
 
 #[derive(Default)]
-struct Echo {
-    /// Check the timers of all connections at the end of each step.
+struct EchoHandler {
+    /// True if the timers of all connections are checked at the end of each step.
     checks_timers: bool,
 }
 
-impl ClientHandler for Echo {
+impl ClientHandler for EchoHandler {
     type ConnectionData = usize;
     type Request = String;
 
@@ -44,7 +45,7 @@
     }
     fn handle_request(
         &mut self,
-        clients: &mut ClientListener<Echo>,
+        clients: &mut ClientListener<EchoHandler>,
         handle: RequestHandle,
         request: String,
         now: Instant,
@@ -56,7 +57,7 @@
         clients.enqueue_line(handle.connection, &line, now);
         clients.flush_answers(&[handle.connection], now);
     }
-    fn after_turns(&mut self, clients: &mut ClientListener<Echo>, now: Instant) {
+    fn after_turns(&mut self, clients: &mut ClientListener<EchoHandler>, now: Instant) {
         if self.checks_timers {
             clients.check_all_timers(self, now);
         }
@@ -64,11 +65,11 @@
     fn connection_rejected(&self, _error: &io::Error) {}
 }
 
-struct Limits {
+struct TestLimits {
     max_connections: usize,
 }
 
-impl LiveLimits for Limits {
+impl LiveLimits for TestLimits {
     fn idle_timeout(&self) -> Duration {
         Duration::ZERO
     }
@@ -78,14 +79,14 @@
 }
 
 struct Server {
-    clients: ClientListener<Echo>,
-    handler: Echo,
+    clients: ClientListener<EchoHandler>,
+    handler: EchoHandler,
     address: SocketAddr,
 }
 
 impl Server {
     fn start(timer_mode: TimerMode, limits: ConnectionLimits) -> Server {
-        let live_limits = Limits {
+        let live_limits = TestLimits {
             max_connections: limits.max_connections,
         };
         let settings = ListenerSettings {
@@ -96,7 +97,7 @@
             final_accept_rounds: 4,
             accept_retry_pause: Duration::from_millis(5),
             max_total_unsent_bytes: usize::MAX,
-            goodbye_line: "goodbye\n",
+            goodbye_line: "close notice\n",
             is_goodbye_limited: true,
             writes_on_every_event: false,
             timer_mode,
@@ -107,10 +108,10 @@
         let loopback = "127.0.0.1:0".parse().expect("an address");
         let socket = TcpListener::bind(loopback).expect("loopback");
         let address = socket.local_addr().expect("bound");
-        clients.listen(socket, Instant::now()).expect("it listens");
+        clients.listen(socket, Instant::now()).expect("registered");
         Server {
             clients,
-            handler: Echo::default(),
+            handler: EchoHandler::default(),
             address,
         }
     }
@@ -128,12 +129,16 @@
         }
         stream
     }
-    /// Takes steps until the client has this text or its connection has ended; whether it has exactly the text.
+    /// Runs steps until the client has received as much text as expected or its connection has
+    /// ended. Returns true if it has received exactly the expected text.
     fn receives(&mut self, client: &mut TcpStream, expected: &str) -> bool {
-        let end = Instant::now() + Duration::from_secs(20);
+        let deadline = Instant::now() + Duration::from_secs(20);
         let (mut received, mut buffer) = (String::new(), [0; 64]);
         while received.len() < expected.len() {
-            assert!(Instant::now() < end, "only {received:?} of {expected:?}");
+            assert!(
+                Instant::now() < deadline,
+                "received only {received:?} of {expected:?}"
+            );
             self.step();
             match client.read(&mut buffer) {
                 Ok(0) => break,
@@ -143,11 +148,11 @@
         }
         received == expected
     }
-    /// Takes steps until the client's connection has ended.
-    fn closes(&mut self, client: &mut TcpStream) {
-        let end = Instant::now() + Duration::from_secs(20);
+    /// Runs steps until the client's connection has ended.
+    fn wait_for_close(&mut self, client: &mut TcpStream) {
+        let deadline = Instant::now() + Duration::from_secs(20);
         while !matches!(client.read(&mut [0; 64]), Ok(0)) {
-            assert!(Instant::now() < end, "the connection stays open");
+            assert!(Instant::now() < deadline, "the connection stays open");
             self.step();
         }
     }
@@ -176,20 +181,23 @@
     let (mut first, mut second) = (server.connect(), server.connect());
     first.write_all(b"bad\nask unread\n").expect("written");
     assert!(server.receives(&mut first, "violation\n"));
-    server.closes(&mut first);
+    server.wait_for_close(&mut first);
     second.write_all(b"ask a\n").expect("written");
     assert!(server.receives(&mut second, "1 a\n"));
 }
 
 #[test]
-fn timers_are_checked_as_the_mode_says() {
+fn timers_are_checked_according_to_the_mode() {
     for (mode, checks_timers) in [(TimerMode::Exact, false), (TimerMode::OnRequest, true)] {
         let mut server = Server::start(mode, ConnectionLimits::new(40));
         server.handler.checks_timers = checks_timers;
         let mut client = server.connect();
         client.write_all(b"ask a\n").expect("written");
-        // The idle time is zero: the goodbye follows the answer.
-        assert!(server.receives(&mut client, "1 a\ngoodbye\n"), "{mode:?}");
+        // The idle timeout is zero: the close notice follows the answer.
+        assert!(
+            server.receives(&mut client, "1 a\nclose notice\n"),
+            "{mode:?}"
+        );
     }
     let mut server = Server::start(TimerMode::OnRequest, ConnectionLimits::new(40));
     let mut client = server.connect();
@@ -212,7 +220,7 @@
     let mut first = server.connect();
     first.write_all(b"ask a\n").expect("written");
     assert!(server.receives(&mut first, "1 a\n"));
-    // Longer than an answer may still be lost to a reset.
+    // Until the linger timeout has passed, a reset could still destroy the answer.
     std::thread::sleep(ConnectionLimits::new(2).linger_timeout);
     let mut second = server.connect();
     second.write_all(b"ask b\n").expect("written");
@@ -221,12 +229,12 @@
     third.set_nonblocking(true).expect("an option");
     third.write_all(b"ask c\n").expect("written");
     assert!(server.receives(&mut third, "1 c\n"));
-    server.closes(&mut first);
+    server.wait_for_close(&mut first);
     assert_eq!(server.clients.connection_count(), 2);
 }
 
 #[test]
-fn those_that_wait_are_accepted_before_the_socket_closes() {
+fn pending_connections_are_accepted_before_the_socket_closes() {
     let mut server = Server::start(TimerMode::OnRequest, ConnectionLimits::new(40));
     let mut waiting: Vec<TcpStream> = (0..6)
         .map(|_| TcpStream::connect(server.address).expect("connected"))
--- a/crates/connections/src/idle_connections.rs
+++ b/crates/connections/src/idle_connections.rs
@@ -1,34 +1,35 @@
-//! Which client connections are evicted when slots run short. Idle connections are kept in order, so that accepting a
-//! connection does not walk over the whole table.
+//! The choice of client connections to evict when slots run short. Idle connections are kept
+//! sorted, so that accepting a connection does not scan the whole table.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Instant;
 
 use crate::{ConnectionLimits, IdleKind, Idleness};
 
-/// Identifies a connection. A listener gives no number twice.
+/// Identifies a connection. A listener never reuses a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub usize);
 
-/// How a connection is evicted.
+/// The eviction of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Eviction {
-    /// Close it once what has arrived on it is read and answered.
+    /// Close the connection once everything that has arrived on it is read and answered.
     Close(ConnectionId),
-    /// Send it a goodbye, after which its peer has a while to close it.
-    SayGoodbye(ConnectionId),
+    /// Send the close notice; the peer then has [`ConnectionLimits::goodbye_timeout`] to close the
+    /// connection.
+    SendCloseNotice(ConnectionId),
 }
 
 impl Eviction {
-    /// The evicted connection.
+    /// Returns the evicted connection.
     pub fn connection(self) -> ConnectionId {
         match self {
-            Eviction::Close(connection) | Eviction::SayGoodbye(connection) => connection,
+            Eviction::Close(connection) | Eviction::SendCloseNotice(connection) => connection,
         }
     }
 }
 
-/// The idle connections, by kind and then by how long they have been idle.
+/// The idle connections, sorted by kind and then by the start of their idle period.
 #[derive(Default)]
 pub struct IdleConnections {
     closing: BTreeSet<(Instant, ConnectionId)>,
@@ -38,7 +39,10 @@
 }
 
 impl IdleConnections {
-    fn kind_mut(&mut self, kind: IdleKind) -> &mut BTreeSet<(Instant, ConnectionId)> {
+    fn connections_of_kind_mut(
+        &mut self,
+        kind: IdleKind,
+    ) -> &mut BTreeSet<(Instant, ConnectionId)> {
         match kind {
             IdleKind::Closing => &mut self.closing,
             IdleKind::Silent => &mut self.silent,
@@ -46,7 +50,8 @@
         }
     }
 
-    /// Records whether and since when a connection is idle; see [`crate::ConnectionState::idleness`].
+    /// Records a connection's current idle state, as returned by
+    /// [`crate::ConnectionState::idleness`].
     pub fn update(&mut self, connection: ConnectionId, idleness: Option<Idleness>) {
         let previous = match idleness {
             Some(idleness) => self.by_connection.insert(connection, idleness),
@@ -56,15 +61,19 @@
             return;
         }
         if let Some(Idleness { kind, since }) = previous {
-            self.kind_mut(kind).remove(&(since, connection));
+            self.connections_of_kind_mut(kind)
+                .remove(&(since, connection));
         }
         if let Some(Idleness { kind, since }) = idleness {
-            self.kind_mut(kind).insert((since, connection));
+            self.connections_of_kind_mut(kind)
+                .insert((since, connection));
         }
     }
 
-    /// The evictions that make space for one more connection beside `open_connections`: where more connections are idle
-    /// than are kept, the surplus of those idle longest; where slots run short, also the first of all.
+    /// Returns the evictions that make room for one more connection besides `open_connections`. If
+    /// more connections are idle than are kept, the surplus is evicted: silent ones first, and
+    /// those of a kind longest idle first. If slots run short, evictions that free slots precede
+    /// them.
     pub fn choose_evictions(
         &self,
         open_connections: usize,
@@ -88,8 +97,9 @@
         evictions
     }
 
-    /// Evictions while slots run short: connections that are closing already, as many as slots are missing, since one that
-    /// waits for its peer still holds its slot; without any, the one that is least likely to be used again.
+    /// Returns the evictions while slots run short. Connections that are already closing are
+    /// evicted first, as many as slots are missing: one that waits for its peer still occupies its
+    /// slot. If there are none, the connection that is least likely to be used again is evicted.
     fn evict_for_slots(
         &self,
         missing_slots: usize,
@@ -108,34 +118,40 @@
             .min();
         self.silent
             .first()
-            .filter(|(since, _)| is_past_grace(*since, limits, now))
+            .filter(|(since, _)| is_past_silence_grace(*since, limits, now))
             .or(longest_idle)
             .map(|(_, id)| Eviction::Close(*id))
             .into_iter()
             .collect()
     }
 
-    /// Idle connections in the order in which a surplus of them is evicted. One that was used gets a goodbye: closed at
-    /// once, it would lose what its client sends meanwhile.
+    /// Returns the evictions of idle connections in the order in which a surplus is evicted. A
+    /// connection that was used gets a close notice: if it were closed at once, requests that its
+    /// client is sending would be lost.
     fn surplus_evictions<'a>(
         &'a self,
         limits: &'a ConnectionLimits,
         now: Instant,
     ) -> impl Iterator<Item = Eviction> + 'a {
         let silent = self.silent.iter().map(move |(since, id)| {
-            if is_past_grace(*since, limits, now) {
+            if is_past_silence_grace(*since, limits, now) {
                 Eviction::Close(*id)
             } else {
-                Eviction::SayGoodbye(*id)
+                Eviction::SendCloseNotice(*id)
             }
         });
-        let idle = self.idle.iter().map(|(_, id)| Eviction::SayGoodbye(*id));
+        let idle = self
+            .idle
+            .iter()
+            .map(|(_, id)| Eviction::SendCloseNotice(*id));
         silent.chain(idle)
     }
 }
 
-/// Whether a connection has been silent for so long that it is no client: clients send as soon as they are connected. A
-/// fresh connection may be one; among many that begin messages and never end them it would otherwise always go first.
-fn is_past_grace(silent_since: Instant, limits: &ConnectionLimits, now: Instant) -> bool {
+/// Returns true if a connection has been silent for longer than the grace period, so that it is not
+/// a client's: clients send as soon as they are connected. A new connection may be a client's.
+/// Without the grace period it would always be evicted first when many other connections begin
+/// messages and never complete them.
+fn is_past_silence_grace(silent_since: Instant, limits: &ConnectionLimits, now: Instant) -> bool {
     now.saturating_duration_since(silent_since) > limits.silence_grace
 }
--- a/crates/connections/src/input_buffer.rs
+++ b/crates/connections/src/input_buffer.rs
@@ -4,14 +4,14 @@
 
 use crate::ProtocolViolation;
 
-/// Bytes that were received and not yet returned as lines.
+/// The bytes that were received and not yet returned as lines.
 pub(crate) struct InputBuffer {
     bytes: Vec<u8>,
-    /// Bytes at the front that were returned as lines.
+    /// Number of bytes at the front that were returned as lines.
     consumed: usize,
-    /// Bytes at the front that were searched for an end of line.
+    /// Number of bytes at the front that were searched for a line ending.
     searched: usize,
-    /// When the unfinished message at the end of the buffer began.
+    /// Time at which the incomplete message at the end of the buffer began.
     message_started_at: Option<Instant>,
     last_received_at: Instant,
 }
@@ -34,7 +34,7 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next complete line without its line ending; none until more bytes arrive.
+    /// Returns the next complete line without its line ending, or `None` until more bytes arrive.
     pub(crate) fn next_line(
         &mut self,
         max_line_bytes: usize,
@@ -53,13 +53,15 @@
         };
         self.consumed = line_end + 1;
         self.searched = line_end + 1;
-        // Bytes behind a complete message are the beginning of another one, which arrived with the last bytes.
+        // Bytes after a complete message are the beginning of the next one, which arrived with the
+        // last bytes.
         self.message_started_at = Some(self.last_received_at);
         let line = &self.bytes[line_start..line_end];
         Ok(Some(line.strip_suffix(b"\r").unwrap_or(line)))
     }
 
-    /// Drops the bytes that were returned as lines. An empty buffer releases its memory, as most connections are idle.
+    /// Removes the bytes that were returned as lines. An empty buffer releases its memory, as most
+    /// connections are idle.
     fn discard_consumed(&mut self) {
         if self.consumed == self.bytes.len() {
             self.bytes = Vec::new();
@@ -71,7 +73,7 @@
         self.searched = self.bytes.len();
     }
 
-    /// Drops everything that was received.
+    /// Removes all received bytes.
     pub(crate) fn clear(&mut self) {
         self.bytes = Vec::new();
         self.message_started_at = None;
@@ -79,17 +81,17 @@
         self.searched = 0;
     }
 
-    /// Whether a complete line may be among the received bytes.
+    /// Returns true if the received bytes may contain a complete line.
     pub(crate) fn may_have_line(&self) -> bool {
         self.searched < self.bytes.len()
     }
 
-    /// When the unfinished message at the end of the buffer began.
+    /// Returns the time at which the incomplete message at the end of the buffer began.
     pub(crate) fn message_started_at(&self) -> Option<Instant> {
         self.message_started_at
     }
 
-    /// When bytes were received last.
+    /// Returns the time at which bytes were last received.
     pub(crate) fn last_received_at(&self) -> Instant {
         self.last_received_at
     }
--- a/crates/connections/src/lib.rs
+++ b/crates/connections/src/lib.rs
@@ -1,6 +1,6 @@
-//! Client connections that carry one message per line, without their sockets: the state of one connection
-//! ([`ConnectionState`]), and which of many are evicted when slots run short ([`IdleConnections`]). The JSON-RPC server of
-//! a node and the router share this code.
+//! Client connections that carry one message per line, without their sockets: the state of one
+//! connection ([`ConnectionState`]), and the choice of connections to evict when slots run short
+//! ([`IdleConnections`]). The JSON-RPC server of a node and the router share this code.
 
 mod connection_state;
 mod idle_connections;
--- a/crates/connections/src/output_buffer.rs
+++ b/crates/connections/src/output_buffer.rs
@@ -1,14 +1,14 @@
-//! Bytes of a connection that wait to be written.
+//! Bytes of a connection that are waiting to be written.
 
 use std::time::Instant;
 
-/// Lines to be written, and when the peer last accepted some of them.
+/// The lines to be written, and the time at which the peer last accepted some bytes.
 #[derive(Default)]
 pub(crate) struct OutputBuffer {
     bytes: Vec<u8>,
-    /// Bytes at the front that were written.
+    /// Number of bytes at the front that were written.
     written: usize,
-    /// Since when bytes wait and the peer accepts none of them.
+    /// Time since which bytes have been waiting without the peer accepting any.
     blocked_since: Option<Instant>,
     last_write_at: Option<Instant>,
 }
@@ -24,12 +24,12 @@
         self.bytes.extend_from_slice(line);
     }
 
-    /// Bytes that are not written yet.
+    /// Returns the bytes that are not written yet.
     pub(crate) fn unsent(&self) -> &[u8] {
         &self.bytes[self.written..]
     }
 
-    /// Records that so many bytes were written.
+    /// Records that this many bytes were written.
     pub(crate) fn record_write(&mut self, count: usize, now: Instant) {
         self.written += count;
         self.blocked_since = Some(now);
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Since when bytes wait and the peer accepts none of them.
+    /// Returns the time since which bytes have been waiting without the peer accepting any.
     pub(crate) fn blocked_since(&self) -> Option<Instant> {
         self.blocked_since
     }
 
-    /// When bytes were written last.
+    /// Returns the time at which bytes were last written.
     pub(crate) fn last_write_at(&self) -> Option<Instant> {
         self.last_write_at
     }
--- a/crates/connections/tests/connection_state.rs
+++ b/crates/connections/tests/connection_state.rs
@@ -1,4 +1,4 @@
-//! Models of the states of a client connection, against which random steps are checked.
+//! Tests of the state of a client connection against reference models, with random steps.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -6,7 +6,8 @@
 use connections::{ConnectionLimits, ConnectionState, IdleKind, ProtocolViolation, TimerAction};
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 
-/// Runs `check` on sequences of steps, from a fixed seed: the same result every time.
+/// Runs `check` on random sequences of steps from a fixed seed, so that every run has the same
+/// result.
 fn check_steps<S: Arbitrary + std::fmt::Debug>(check: fn(Vec<S>) -> bool)
 where
     fn(Vec<S>) -> bool: Testable,
@@ -21,22 +22,22 @@
 enum Step {
     Request(u64),
     Answer(u64),
-    Goodbye,
-    /// The connection is evicted.
+    CloseNotice,
+    /// The connection begins to close, for example because it is evicted.
     BeginClose,
     /// Everything that has arrived is read.
     FinishClose,
-    /// The peer accepts so many bytes.
+    /// The peer accepts this many bytes.
     Write(usize),
     /// The beginning of a message arrives.
     PartialLine,
-    /// The rest of it arrives.
+    /// The rest of the message arrives.
     LineEnd,
     /// The peer violates the protocol.
     Abort,
-    /// So many bytes arrive that are discarded.
+    /// This many bytes arrive and are discarded.
     Discard(usize),
-    PeerEnd,
+    PeerClose,
 }
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
@@ -48,19 +49,19 @@
                 .choose(&[Step::PartialLine, Step::LineEnd])
                 .expect("not empty"),
             _ => match u8::arbitrary(g) % 8 {
-                0..=2 => Step::Goodbye,
+                0..=2 => Step::CloseNotice,
                 3 | 4 => Step::BeginClose,
                 5 => Step::FinishClose,
                 6 => *g
                     .choose(&[Step::Abort, Step::Discard(7)])
                     .expect("not empty"),
-                _ => Step::PeerEnd,
+                _ => Step::PeerClose,
             },
         }
     }
 }
 
-/// What a connection should be after some steps.
+/// The expected state of a connection.
 #[derive(Default)]
 #[expect(
     clippy::struct_excessive_bools,
@@ -72,16 +73,17 @@
     discarded: usize,
     has_message: bool,
     is_mid_message: bool,
-    goodbye_sent: bool,
-    close_requested: bool,
+    close_notice_sent: bool,
+    close_pending: bool,
     is_aborted: bool,
     input_finished: bool,
-    peer_ended: bool,
+    peer_closed: bool,
     is_lingering: bool,
 }
 
 impl Model {
-    /// Takes a step on both; whether the connection answers as the model expects.
+    /// Applies a step to the model and to the connection. Returns true if the connection's results
+    /// match the model.
     fn apply(&mut self, step: Step, connection: &mut ConnectionState, now: Instant) -> bool {
         match step {
             Step::Discard(bytes) => {
@@ -91,12 +93,12 @@
                 }
                 true
             }
-            Step::PeerEnd => {
-                (self.input_finished, self.peer_ended) = (true, true);
-                connection.record_peer_end();
+            Step::PeerClose => {
+                (self.input_finished, self.peer_closed) = (true, true);
+                connection.record_peer_close();
                 true
             }
-            // Nothing is read or written any more.
+            // A lingering connection neither handles input nor writes output.
             _ if self.is_lingering => true,
             Step::Request(id) => connection.open_request(id, now) == self.open_request(id),
             Step::Answer(id) => {
@@ -124,7 +126,7 @@
                 connection.next_line().is_ok_and(|line| line.is_some())
                     && connection.next_line() == Ok(None)
             }
-            Step::Goodbye | Step::BeginClose | Step::FinishClose | Step::Abort => {
+            Step::CloseNotice | Step::BeginClose | Step::FinishClose | Step::Abort => {
                 self.apply_closing(step, connection, now)
             }
         }
@@ -137,20 +139,20 @@
         now: Instant,
     ) -> bool {
         match step {
-            Step::Goodbye => {
-                let is_first = !std::mem::replace(&mut self.goodbye_sent, true);
-                connection.record_goodbye(now) == is_first
+            Step::CloseNotice => {
+                let is_first = !std::mem::replace(&mut self.close_notice_sent, true);
+                connection.record_close_notice(now) == is_first
             }
             Step::BeginClose => {
-                self.close_requested = true;
+                self.close_pending = true;
                 connection.begin_close();
                 true
             }
             Step::FinishClose => {
-                self.input_finished |= self.close_requested && self.open_requests.is_empty();
-                let needs_goodbye =
-                    std::mem::take(&mut self.close_requested) && !self.input_finished;
-                connection.finish_close_request() == needs_goodbye
+                self.input_finished |= self.close_pending && self.open_requests.is_empty();
+                let needs_close_notice =
+                    std::mem::take(&mut self.close_pending) && !self.input_finished;
+                connection.finish_pending_close() == needs_close_notice
             }
             Step::Abort => {
                 self.is_mid_message = false;
@@ -158,7 +160,7 @@
                 connection.abort(now);
                 true
             }
-            _ => unreachable!("not a step of closing"),
+            _ => unreachable!("not a closing step"),
         }
     }
 
@@ -184,13 +186,13 @@
 
     fn may_be_idle(&self) -> bool {
         self.open_requests.is_empty()
-            && !self.close_requested
+            && !self.close_pending
             && !self.is_aborted
             && !self.input_finished
     }
 
     fn idle_kind(&self) -> Option<IdleKind> {
-        match (self.goodbye_sent, self.has_message) {
+        match (self.close_notice_sent, self.has_message) {
             _ if self.is_lingering => Some(IdleKind::Closing),
             _ if !self.may_be_idle() => None,
             _ if self.is_mid_message => Some(IdleKind::Idle),
@@ -204,12 +206,12 @@
         match () {
             () if self.is_lingering || self.unsent > 0 => Some(TimerAction::Disconnect),
             () if !self.may_be_idle() => None,
-            () if self.goodbye_sent || self.is_mid_message => Some(TimerAction::BeginClose),
-            () => Some(TimerAction::SayGoodbye),
+            () if self.close_notice_sent || self.is_mid_message => Some(TimerAction::BeginClose),
+            () => Some(TimerAction::SendCloseNotice),
         }
     }
 
-    /// Whether the connection is in the state of the model.
+    /// Returns true if the connection is in the state of the model.
     fn matches(
         &mut self,
         connection: &mut ConnectionState,
@@ -220,7 +222,7 @@
         let is_finished = self.is_finished();
         let shuts_down_once = connection.begin_linger(now) == (is_finished && !self.is_lingering);
         self.is_lingering |= is_finished;
-        let may_be_dropped = is_finished && (self.peer_ended || self.discarded > 10);
+        let may_be_dropped = is_finished && (self.peer_closed || self.discarded > 10);
         let may_read = !self.is_aborted && !self.input_finished && self.unsent <= 6;
         let has_timer = self.is_lingering || self.may_be_idle() || self.unsent > 0;
         shuts_down_once
@@ -236,9 +238,10 @@
     }
 }
 
-/// A connection has exactly those requests open that arrived and were not answered, and is finished only once none is open
-/// and all is written. Then its writing side is shut down, once, and it is dropped when its peer has ended its side or has
-/// sent too much. It is idle only while no request is open, a request that arrived before it closes keeps it, and after a
+/// A connection has exactly those requests open that arrived and were not answered, and is finished
+/// only once none is open and all output is written. Then its writing side is shut down, once, and
+/// it is dropped when its peer has closed its sending side or has sent too much. It is idle only
+/// while no request is open. A request that arrived before the close keeps it open, and after a
 /// protocol violation nothing is read or enqueued.
 #[test]
 fn a_connection_has_the_state_of_the_model_after_each_step() {
@@ -253,16 +256,17 @@
         let mut connection = ConnectionState::new(&limits, now);
         let mut model = Model::default();
         steps.into_iter().all(|step| {
-            let answers_match = model.apply(step, &mut connection, now);
-            answers_match && model.matches(&mut connection, &limits, now)
+            let results_match = model.apply(step, &mut connection, now);
+            results_match && model.matches(&mut connection, &limits, now)
         })
     }
     check_steps(check);
 }
 
-/// A busy peer's messages may be cut anywhere: each has its own time, not that of the first.
+/// The messages of a busy peer may be split anywhere: the timeout of each counts from its own
+/// beginning, not from that of the first.
 #[test]
-fn a_message_behind_a_complete_one_has_its_own_timeout() {
+fn a_message_after_a_complete_one_has_its_own_timeout() {
     let (start, limits) = (Instant::now(), ConnectionLimits::new(8));
     let mut connection = ConnectionState::new(&limits, start);
     connection.record_message(start);
@@ -277,7 +281,8 @@
     );
 }
 
-/// However the bytes of a connection are cut, the same lines come out of it, and none that is too long.
+/// The returned lines do not depend on how the bytes of a connection are split, and no line over
+/// the limit is returned.
 #[test]
 fn lines_do_not_depend_on_how_their_bytes_arrive() {
     #[expect(
--- a/crates/connections/tests/idle_connections.rs
+++ b/crates/connections/tests/idle_connections.rs
@@ -1,15 +1,15 @@
-//! Which connections are evicted when slots run short.
+//! Tests of the choice of connections to evict when slots run short.
 use connections::{ConnectionId, ConnectionLimits, Eviction, IdleConnections, IdleKind, Idleness};
 use std::time::{Duration, Instant};
 
 fn close(connection: usize) -> Eviction {
     Eviction::Close(ConnectionId(connection))
 }
-fn say_goodbye(connection: usize) -> Eviction {
-    Eviction::SayGoodbye(ConnectionId(connection))
+fn send_close_notice(connection: usize) -> Eviction {
+    Eviction::SendCloseNotice(ConnectionId(connection))
 }
 
-/// Idle connections and the time at which evictions are chosen, in milliseconds from a start.
+/// The idle connections under test. Times are in milliseconds after `start`.
 struct Table {
     limits: ConnectionLimits,
     start: Instant,
@@ -45,8 +45,8 @@
     }
 }
 
-/// Closing connections are evicted before silent ones, silent ones before used ones, of the used ones the longest idle, and
-/// none with an open request.
+/// Closing connections are evicted before silent ones, silent ones before used ones, and used ones
+/// longest idle first. A connection with an open request is never evicted.
 #[test]
 fn evicts_those_least_likely_to_be_used_again_first() {
     let mut table = Table::new();
@@ -54,21 +54,22 @@
     table.set(2, IdleKind::Idle, 3);
     table.set(3, IdleKind::Silent, 10);
     table.set(4, IdleKind::Silent, 900);
-    // Two too many; one has been silent for so long that it is no client, one has only just connected.
-    assert_eq!(table.evictions(4, 1000), [close(3), say_goodbye(4)]);
+    // Two more connections are idle than are kept: one has been silent for longer than the grace
+    // period, one is new.
+    assert_eq!(table.evictions(4, 1000), [close(3), send_close_notice(4)]);
     table.set(4, IdleKind::Closing, 1000);
     assert_eq!(table.evictions(4, 1000), [close(3)]);
-    // Slots run short: the closing one is the first.
+    // Slots run short: the closing connection is evicted first.
     assert_eq!(table.evictions(6, 1000), [close(4), close(3)]);
     table.unset(3);
     table.unset(4);
     assert_eq!(table.evictions(6, 1000), [close(2)]);
-    // A fresh connection is not evicted before one that has been idle for longer.
+    // A new connection is not evicted before one that has been idle for longer.
     table.set(5, IdleKind::Silent, 900);
-    assert_eq!(table.evictions(6, 1000), [close(2), say_goodbye(5)]);
+    assert_eq!(table.evictions(6, 1000), [close(2), send_close_notice(5)]);
     assert_eq!(table.evictions(6, 1300), [close(5)]);
     table.unset(5);
-    // A connection with an open request stays.
+    // A connection with an open request is not evicted.
     table.unset(2);
     assert_eq!(table.evictions(6, 1000), [close(1)]);
     table.unset(1);
