--- a/crates/connections/src/connection_state.rs
+++ b/crates/connections/src/connection_state.rs
@@ -306,7 +306,7 @@
         let write_expires_at = self.output.blocked_since().map(|since| {
             since
                 + if self.is_aborted {
-                    limits.goodbye_timeout
+                    limits.close_notice_timeout
                 } else {
                     limits.write_timeout
                 }
@@ -337,7 +337,7 @@
     /// Returns how long the connection may stay open while nothing arrives on it.
     fn inactivity_timeout(&self, idle_timeout: Duration, limits: &ConnectionLimits) -> Duration {
         if self.close_notice_sent {
-            limits.goodbye_timeout
+            limits.close_notice_timeout
         } else if !self.has_received_message {
             limits.first_message_timeout
         } else {
--- a/crates/connections/src/limits.rs
+++ b/crates/connections/src/limits.rs
@@ -34,7 +34,7 @@
     /// Maximum duration of a message from its first byte to its last.
     pub message_timeout: Duration,
     /// Maximum duration for which an idle connection stays open after its close notice.
-    pub goodbye_timeout: Duration,
+    pub close_notice_timeout: Duration,
     /// Maximum duration for which a connection waits for its peer to close after its writing side
     /// is shut down. A connection that is closed with unread bytes would be reset, and the last
     /// answers could be lost.
@@ -65,7 +65,7 @@
             // Clients may take 2 s to send a message, and a connection whose message is never
             // completed has to be closed 3 s after the message began.
             message_timeout: Duration::from_millis(2600),
-            goodbye_timeout: Duration::from_millis(900),
+            close_notice_timeout: Duration::from_millis(900),
             linger_timeout: Duration::from_millis(200),
             max_linger_bytes: 64 * 1024,
             write_timeout: Duration::from_secs(10),
--- a/tests/connection_races.rs
+++ b/tests/connection_races.rs
@@ -198,7 +198,7 @@
 fn request_at_the_moment_of_an_idle_close_is_answered() {
     let mut stepped = SteppedServer::new(|limits| {
         limits.listener.idle_timeout = Duration::ZERO;
-        limits.front.goodbye_timeout = Duration::ZERO;
+        limits.front.close_notice_timeout = Duration::ZERO;
     });
     let mut peer = stepped.connect();
     // The second one is unread as the first is answered and the timeouts expire.
