--- a/crates/client-listener/src/closing.rs
+++ b/crates/client-listener/src/closing.rs
@@ -36,7 +36,7 @@
             return;
         };
         if connection.state.record_close_notice(now) {
-            self.append_line(id, self.settings.goodbye_line, now);
+            self.append_line(id, self.settings.close_notice_line, now);
             if self.settings.is_goodbye_limited {
                 self.enforce_unsent_limits(id);
             }
--- a/crates/client-listener/src/settings.rs
+++ b/crates/client-listener/src/settings.rs
@@ -34,7 +34,7 @@
     /// unsent bytes is dropped.
     pub max_total_unsent_bytes: usize,
     /// Line of the close notice, after which a client sends no new requests on a connection.
-    pub goodbye_line: &'static str,
+    pub close_notice_line: &'static str,
     /// True if the limits of unsent bytes are enforced when a close notice is enqueued.
     pub is_goodbye_limited: bool,
     /// True if unsent bytes are written after every event of a connection, not only after those
--- a/crates/client-listener/tests/listener.rs
+++ b/crates/client-listener/tests/listener.rs
@@ -97,7 +97,7 @@
             final_accept_rounds: 4,
             accept_retry_pause: Duration::from_millis(5),
             max_total_unsent_bytes: usize::MAX,
-            goodbye_line: "close notice\n",
+            close_notice_line: "close notice\n",
             is_goodbye_limited: true,
             writes_on_every_event: false,
             timer_mode,
--- a/crates/router/src/router_loop.rs
+++ b/crates/router/src/router_loop.rs
@@ -181,7 +181,7 @@
         final_accept_rounds: 0,
         accept_retry_pause: ACCEPT_RETRY_PAUSE,
         max_total_unsent_bytes: usize::MAX,
-        goodbye_line: GOODBYE_LINE,
+        close_notice_line: GOODBYE_LINE,
         is_goodbye_limited: false,
         writes_on_every_event: true,
         timer_mode: TimerMode::OnRequest,
--- a/src/net/jsonrpc/server_loop.rs
+++ b/src/net/jsonrpc/server_loop.rs
@@ -161,7 +161,7 @@
         final_accept_rounds: limits.listener.final_accept_batches,
         accept_retry_pause: limits.reconnect_backoff,
         max_total_unsent_bytes: limits.listener.output_bytes,
-        goodbye_line: GOODBYE_LINE,
+        close_notice_line: GOODBYE_LINE,
         is_goodbye_limited: true,
         writes_on_every_event: false,
         timer_mode: TimerMode::Exact,
