--- a/crates/client-listener/src/closing.rs
+++ b/crates/client-listener/src/closing.rs
@@ -37,7 +37,7 @@
         };
         if connection.state.record_close_notice(now) {
             self.append_line(id, self.settings.close_notice_line, now);
-            if self.settings.is_goodbye_limited {
+            if self.settings.is_close_notice_limited {
                 self.enforce_unsent_limits(id);
             }
         }
--- a/crates/client-listener/src/settings.rs
+++ b/crates/client-listener/src/settings.rs
@@ -36,7 +36,7 @@
     /// Line of the close notice, after which a client sends no new requests on a connection.
     pub close_notice_line: &'static str,
     /// True if the limits of unsent bytes are enforced when a close notice is enqueued.
-    pub is_goodbye_limited: bool,
+    pub is_close_notice_limited: bool,
     /// True if unsent bytes are written after every event of a connection, not only after those
     /// that report it writable.
     pub writes_on_every_event: bool,
--- a/crates/client-listener/tests/listener.rs
+++ b/crates/client-listener/tests/listener.rs
@@ -98,7 +98,7 @@
             accept_retry_pause: Duration::from_millis(5),
             max_total_unsent_bytes: usize::MAX,
             close_notice_line: "close notice\n",
-            is_goodbye_limited: true,
+            is_close_notice_limited: true,
             writes_on_every_event: false,
             timer_mode,
         };
--- a/crates/router/src/router_loop.rs
+++ b/crates/router/src/router_loop.rs
@@ -182,7 +182,7 @@
         accept_retry_pause: ACCEPT_RETRY_PAUSE,
         max_total_unsent_bytes: usize::MAX,
         close_notice_line: GOODBYE_LINE,
-        is_goodbye_limited: false,
+        is_close_notice_limited: false,
         writes_on_every_event: true,
         timer_mode: TimerMode::OnRequest,
     }
--- a/src/net/jsonrpc/server_loop.rs
+++ b/src/net/jsonrpc/server_loop.rs
@@ -162,7 +162,7 @@
         accept_retry_pause: limits.reconnect_backoff,
         max_total_unsent_bytes: limits.listener.output_bytes,
         close_notice_line: GOODBYE_LINE,
-        is_goodbye_limited: true,
+        is_close_notice_limited: true,
         writes_on_every_event: false,
         timer_mode: TimerMode::Exact,
     }
