--- a/crates/client-listener/src/closing.rs
+++ b/crates/client-listener/src/closing.rs
@@ -45,7 +45,7 @@
     }
 
     /// Sends the close notice on all connections.
-    pub fn send_goodbye_to_all(&mut self, now: Instant) {
+    pub fn send_close_notice_to_all(&mut self, now: Instant) {
         for id in self.connection_ids() {
             self.send_close_notice(id, now);
         }
--- a/src/net/jsonrpc/handler.rs
+++ b/src/net/jsonrpc/handler.rs
@@ -111,7 +111,7 @@
                         answered.push(handle.connection);
                     }
                 }
-                ServerCommand::SayGoodbye => clients.send_goodbye_to_all(now),
+                ServerCommand::SayGoodbye => clients.send_close_notice_to_all(now),
                 ServerCommand::Listen(socket) => {
                     if let Err(e) = listen_on(clients, socket, now) {
                         // Nothing that a peer does leads here.
