--- a/crates/client-listener/src/protocol.rs
+++ b/crates/client-listener/src/protocol.rs
@@ -4,7 +4,7 @@
 /// Method of a health check.
 pub const HEALTH_METHOD: &str = "alive";
 /// Method of the close notice, the notification after which a connection gets no new requests.
-pub const GOODBYE_METHOD: &str = "farewell";
+pub const CLOSE_NOTICE_METHOD: &str = "farewell";
 /// Line of the close notice.
 pub const GOODBYE_LINE: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n";
 
--- a/crates/router/src/node_reply.rs
+++ b/crates/router/src/node_reply.rs
@@ -1,6 +1,6 @@
 //! What a node replies, and how a reply is forwarded: with another id and nothing else changed.
 
-use client_listener::protocol::GOODBYE_METHOD;
+use client_listener::protocol::CLOSE_NOTICE_METHOD;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -68,7 +68,7 @@
 
     /// Whether it asks for no new requests on its connection.
     pub(crate) fn is_goodbye(&self) -> bool {
-        self.method == Some(GOODBYE_METHOD)
+        self.method == Some(CLOSE_NOTICE_METHOD)
     }
 
     /// The error code, if it is an error, and the data for routers.
