--- a/crates/client-listener/src/protocol.rs
+++ b/crates/client-listener/src/protocol.rs
@@ -6,7 +6,7 @@
 /// Method of the close notice, the notification after which a connection gets no new requests.
 pub const CLOSE_NOTICE_METHOD: &str = "farewell";
 /// Line of the close notice.
-pub const GOODBYE_LINE: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n";
+pub const CLOSE_NOTICE_LINE: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"farewell\"}\n";
 
 /// Error code of a rejected request, which did not run on the server that rejected it.
 pub const REJECTED: i64 = -32002;
--- a/crates/router/src/router_loop.rs
+++ b/crates/router/src/router_loop.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use client_listener::protocol::GOODBYE_LINE;
+use client_listener::protocol::CLOSE_NOTICE_LINE;
 use client_listener::{ClientListener, ListenerSettings, LiveLimits, TimerMode};
 use connections::ConnectionLimits;
 use fleet_runtime as fleet;
@@ -181,7 +181,7 @@
         final_accept_rounds: 0,
         accept_retry_pause: ACCEPT_RETRY_PAUSE,
         max_total_unsent_bytes: usize::MAX,
-        close_notice_line: GOODBYE_LINE,
+        close_notice_line: CLOSE_NOTICE_LINE,
         is_close_notice_limited: false,
         writes_on_every_event: true,
         timer_mode: TimerMode::OnRequest,
--- a/src/net/jsonrpc/server_loop.rs
+++ b/src/net/jsonrpc/server_loop.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use client_listener::protocol::GOODBYE_LINE;
+use client_listener::protocol::CLOSE_NOTICE_LINE;
 use client_listener::{ClientListener, ListenerCounters, ListenerSettings, LiveLimits, TimerMode};
 use crossbeam_channel::{unbounded, Sender};
 use lifecycle::amount_for_shares;
@@ -161,7 +161,7 @@
         final_accept_rounds: limits.listener.final_accept_batches,
         accept_retry_pause: limits.reconnect_backoff,
         max_total_unsent_bytes: limits.listener.output_bytes,
-        close_notice_line: GOODBYE_LINE,
+        close_notice_line: CLOSE_NOTICE_LINE,
         is_close_notice_limited: true,
         writes_on_every_event: false,
         timer_mode: TimerMode::Exact,
