--- a/crates/shared-state/src/aggregation/aggregator.rs
+++ b/crates/shared-state/src/aggregation/aggregator.rs
@@ -1,4 +1,4 @@
-//! The aggregator's side: it keeps the last report of each node and the sum of all of them.
+//! The aggregator's side: keeps the last report of each node and the sum of all reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,8 +19,8 @@
     seq: u32,
     site: Name,
     counters: SketchCounters,
-    /// The report was made no earlier than this. If that is not known, its counts are in the sum, but the sum's age does
-    /// not include them.
+    /// Lower bound of the time at which the report was made. If it is not known, the report's
+    /// counts are in the sum, but not covered by the sum's age.
     made_at: Option<Duration>,
     received_at: Duration,
     observations: Vec<ServiceObservation>,
@@ -32,14 +32,14 @@
     reporters: BTreeMap<Name, ReporterState>,
     sum: SketchCounters,
     version: u64,
-    /// For each counter the version of the sum in which it last changed.
+    /// For each counter, the version of the sum in which it last changed.
     changed_in: Box<[u64]>,
-    /// Reporters whose report has a known age, the oldest first.
+    /// Reporters whose last report has a known age, in ascending order of the time.
     by_made_at: BTreeSet<(Duration, Name)>,
-    /// All reporters by the arrival of their last report, the oldest first.
+    /// All reporters in ascending order of the arrival of their last report.
     by_received_at: BTreeSet<(Duration, Name)>,
-    /// For each dependency the observations at each site.
-    observed: [BTreeMap<Name, HealthCounts>; MAX_SERVICES],
+    /// For each dependency, the observations at each site.
+    health_by_site: [BTreeMap<Name, HealthCounts>; MAX_SERVICES],
 }
 
 impl Aggregator {
@@ -52,16 +52,16 @@
             changed_in: vec![0; COUNTERS].into(),
             by_made_at: BTreeSet::new(),
             by_received_at: BTreeSet::new(),
-            observed: Default::default(),
+            health_by_site: Default::default(),
         }
     }
 
-    /// How many nodes have reported recently.
+    /// Returns the number of nodes that have reported recently.
     pub(super) fn reporter_count(&self) -> usize {
         self.reporters.len()
     }
 
-    /// The present sum.
+    /// Returns the version of the present sum.
     pub(super) fn sum_version(&self) -> SumVersion {
         SumVersion {
             incarnation: self.incarnation,
@@ -69,22 +69,22 @@
         }
     }
 
-    /// Nodes whose counts are in the sum with a known age.
+    /// Returns the nodes whose counts are in the sum with a known age.
     pub(super) fn covered_nodes(&self) -> impl Iterator<Item = &Name> {
         self.by_made_at.iter().map(|(_, name)| name)
     }
 
-    /// Takes a node's report into the sum and replies with the sum. A report that is late, is a duplicate or comes from an
-    /// earlier incarnation changes nothing and has no reply.
+    /// Adds a node's report to the sum and replies with the sum. A report that is outdated, is a
+    /// duplicate or comes from an earlier incarnation changes nothing and gets no reply.
     pub(super) fn handle_report(
         &mut self,
         from: &Name,
         report: Report,
         settings: &ReportingSettings,
-        members: usize,
+        member_count: usize,
         now: Duration,
     ) -> Option<AggregateReply> {
-        self.remove_expired(now, settings.max_age(members));
+        self.remove_expired(now, settings.max_age(member_count));
         if self.is_outdated(from, &report) {
             return None;
         }
@@ -111,7 +111,7 @@
             version: self.version,
             counters: self.changes_since(base_version),
             coverage: self.coverage(now),
-            present_nodes: members as u32,
+            present_nodes: member_count as u32,
             tallies: self.tallies_for(from),
         })
     }
@@ -123,7 +123,8 @@
         })
     }
 
-    /// Whether the counters of a report that is not outdated are known from it and from those before it.
+    /// Returns true if a report that is not outdated can be added: its counters follow from it and
+    /// the previous report, and there is room for its node.
     fn can_apply(&self, from: &Name, report: &Report, settings: &ReportingSettings) -> bool {
         let is_full = report.base_seq == 0;
         match self.reporters.get(from) {
@@ -152,7 +153,8 @@
             previous.clone()
         };
         counters.apply_changes(&report.counters);
-        // A stamp of this aggregator's earlier incarnation is of another clock; and no report was made in the future.
+        // A stamp of this aggregator's earlier incarnation is of another clock and gives no time.
+        // The time is limited to `now` because no report was made in the future.
         let made_at = report
             .echo
             .filter(|_| report.known_sum.incarnation == self.incarnation)
@@ -172,7 +174,8 @@
         self.insert(from, reporter, &previous);
     }
 
-    /// Adds a node to the sum, and marks the counters that differ from its previous ones.
+    /// Adds a node to the sum, and marks the counters that differ from its previous ones as
+    /// changed.
     fn insert(&mut self, name: &Name, reporter: ReporterState, previous: &SketchCounters) {
         self.mark_changed(&reporter.counters.changes_from(&std::iter::once(previous)));
         self.sum.add(&reporter.counters);
@@ -182,7 +185,10 @@
         self.by_received_at
             .insert((reporter.received_at, name.clone()));
         for observation in &reporter.observations {
-            if let Some(sites) = self.observed.get_mut(usize::from(observation.service)) {
+            if let Some(sites) = self
+                .health_by_site
+                .get_mut(usize::from(observation.service))
+            {
                 sites
                     .entry(reporter.site.clone())
                     .or_default()
@@ -202,7 +208,10 @@
         self.by_received_at
             .remove(&(reporter.received_at, name.clone()));
         for observation in &reporter.observations {
-            let Some(sites) = self.observed.get_mut(usize::from(observation.service)) else {
+            let Some(sites) = self
+                .health_by_site
+                .get_mut(usize::from(observation.service))
+            else {
                 continue;
             };
             let counts = sites.entry(reporter.site.clone()).or_default();
@@ -231,7 +240,7 @@
         }
     }
 
-    /// Begins a new version of the sum in which these counters have changed.
+    /// Starts a new version of the sum in which these counters have changed.
     fn mark_changed(&mut self, changes: &[CounterChange]) {
         self.version += 1;
         for change in changes {
@@ -239,7 +248,8 @@
         }
     }
 
-    /// Counters of the sum that changed after a version; all that are not zero if that is 0.
+    /// Returns the counters of the sum that changed after a version or, for version 0, all that are
+    /// not zero.
     fn changes_since(&self, base_version: u64) -> Vec<CounterChange> {
         (0..COUNTERS)
             .filter(|index| base_version == 0 || self.changed_in[*index] > base_version)
@@ -262,7 +272,7 @@
         }
     }
 
-    /// What nodes other than this one observe of all dependencies.
+    /// Returns the observations of all dependencies by nodes other than the receiver.
     fn tallies_for(&self, receiver: &Name) -> Vec<ServiceTally> {
         (0..MAX_SERVICES as ServiceId)
             .filter_map(|service| {
@@ -274,7 +284,7 @@
 
     fn tally_for(&self, receiver: &Name, service: ServiceId) -> Option<Tally> {
         let sites = self
-            .observed
+            .health_by_site
             .get(usize::from(service))
             .filter(|sites| !sites.is_empty())?;
         let Some(own) = self.reporters.get(receiver) else {
--- a/crates/shared-state/src/aggregation/message.rs
+++ b/crates/shared-state/src/aggregation/message.rs
@@ -1,5 +1,5 @@
-//! Messages between reporting nodes and aggregators. They are encoded by `postcard`, by position: the order of fields and
-//! variants is the wire format.
+//! Messages between reporting nodes and aggregators. `postcard` encodes them by position: the order
+//! of fields and variants is the wire format.
 
 use membership::Name;
 use serde::{Deserialize, Serialize};
@@ -11,55 +11,57 @@
 /// A message between a reporting node and an aggregator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AggregationMessage {
-    /// To an aggregator.
+    /// From a reporting node to an aggregator.
     Report(Report),
-    /// From an aggregator.
+    /// From an aggregator to a reporting node.
     Reply(AggregateReply),
 }
 
-/// What a node counts and observes.
+/// A node's counters and observations.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// The node's incarnation.
     pub incarnation: u64,
-    /// Sequence number; rises with each report.
+    /// Sequence number; increases with each report.
     pub seq: u32,
-    /// The report that holds the counters which are not in this one; 0 if those are zero.
+    /// Sequence number of the report to which `counters` are the changes. If it is 0, counters that
+    /// are not listed are zero.
     pub base_seq: u32,
     /// The time stamp of the aggregator's last reply.
     pub echo: Option<EchoedStamp>,
     /// The last sum that the node received.
     pub known_sum: SumVersion,
-    /// Counters that may differ from the report `base_seq`.
+    /// Counters that may differ from those in the report `base_seq`.
     pub counters: Vec<CounterChange>,
-    /// What the node observes of dependencies.
+    /// The node's own observations of dependencies.
     pub observations: Vec<ServiceObservation>,
     /// The node's site.
     pub site: Name,
 }
 
-/// The sum over all nodes that report: an aggregator's reply to a report.
+/// The sum over all nodes that report, as an aggregator's reply to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AggregateReply {
     /// The aggregator's incarnation.
     pub incarnation: u64,
     /// Sequence number of the report.
     pub seq: u32,
-    /// The node's report that is in the sum; 0 for none.
+    /// Sequence number of the node's report that is in the sum; 0 for none.
     pub held_seq: u32,
-    /// Milliseconds on the aggregator's clock; only the aggregator interprets it.
+    /// Time in milliseconds on the aggregator's clock. Only the aggregator interprets it.
     pub stamp: u64,
-    /// The version of the sum that holds the counters which are not in this reply; 0 if those are zero.
+    /// Version of the sum to which `counters` are the changes. If it is 0, counters that are not
+    /// listed are zero.
     pub base_version: u64,
     /// Version of this sum.
     pub version: u64,
-    /// Counters that may differ from the sum `base_version`.
+    /// Counters that may differ from those in the sum `base_version`.
     pub counters: Vec<CounterChange>,
-    /// How many nodes are in the sum, and how old it is.
+    /// Number of nodes in the sum, and the sum's age.
     pub coverage: Coverage,
-    /// Nodes that the aggregator considers present.
+    /// Number of nodes that the aggregator considers present.
     pub present_nodes: u32,
-    /// What the other nodes observe of dependencies.
+    /// The other nodes' observations of dependencies.
     pub tallies: Vec<ServiceTally>,
 }
 
@@ -79,14 +81,14 @@
 pub struct SumVersion {
     /// The aggregator's incarnation.
     pub incarnation: u64,
-    /// Version of the sum; rises with each change.
+    /// Version of the sum; increases with each change.
     pub version: u64,
 }
 
-/// How many nodes are in a sum, and how old it is.
+/// Number of nodes in a sum, and the sum's age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Coverage {
-    /// Nodes whose report's age is known, the receiver's own included.
+    /// Number of nodes whose last report has a known age, including the receiver.
     pub nodes: u32,
     /// Age of the oldest of these reports, in milliseconds.
     pub oldest_age_ms: u32,
@@ -97,11 +99,11 @@
 pub struct ServiceObservation {
     /// The dependency.
     pub service: ServiceId,
-    /// What the node's own attempts show.
+    /// Health that the node's own attempts show.
     pub health: ObservedHealth,
 }
 
-/// What the other nodes observe of one dependency.
+/// The other nodes' observations of one dependency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceTally {
     /// The dependency.
--- a/crates/shared-state/src/aggregation/mod.rs
+++ b/crates/shared-state/src/aggregation/mod.rs
@@ -1,10 +1,12 @@
-//! Aggregation of counts and health observations over the fleet. Each node reports to two aggregators, members that a hash of
-//! the names selects, and receives from them the sum over all nodes that report. Reports and replies carry changes only, so
-//! both are bounded whatever the number of tenants and nodes.
+//! Aggregation of counts and health observations over the fleet. Each node reports to two
+//! aggregators, members that a hash of the names selects, and receives from them the sum over all
+//! nodes that report. Reports and replies contain changes only, and their size is bounded whatever
+//! the number of tenants and nodes.
 //!
-//! The age of a sum is known without synchronized clocks. A report echoes the time stamp of the aggregator's last reply and
-//! how long ago that came, so the aggregator knows, by its own clock, a time before which the report was not made. And a reply
-//! contains everything reported by the time that its own report arrived.
+//! The age of a sum is known without synchronized clocks. A report echoes the time stamp of the
+//! aggregator's last reply and the time since that reply arrived. From these the aggregator knows,
+//! on its own clock, a lower bound of the time at which the report was made. A reply contains
+//! everything that had been reported when the report that it answers arrived.
 
 mod aggregator;
 mod message;
@@ -28,41 +30,44 @@
 pub use settings::ReportingSettings;
 pub use snapshot::{AggregateSnapshot, CallCounts, CoverageSnapshot, HealthState};
 
-/// Number of a dependency that all nodes share.
+/// Number that identifies a dependency which all nodes share.
 pub type ServiceId = u8;
 /// The database that all nodes share.
 pub const LEDGER: ServiceId = 0;
-/// Dependencies whose health is reported; their numbers are below this.
+/// Number of dependencies whose health is reported. Their numbers are below it.
 pub(crate) const MAX_SERVICES: usize = 4;
 
-/// What a node knows of the counts and the observations of the others.
+/// The counts and observations of the other nodes, as known to one node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Aggregate {
-    /// Counts of the other nodes, each as of a moment no earlier than `as_of`.
+    /// Counts of the other nodes, each made at `as_of` or later.
     pub others: SketchCounters,
-    /// Age of the oldest counts, as a time on this node's clock.
+    /// Lower bound of the time at which the counts were made, on this node's clock.
     pub as_of: Duration,
-    /// When the aggregate becomes too old to be used, on this node's clock.
+    /// Time at which the aggregate becomes too old to be used, on this node's clock.
     pub expires_at: Duration,
-    /// Nodes in the sum, this one included.
+    /// Number of nodes in the sum, including this one.
     pub covered_nodes: u32,
-    /// Nodes that the aggregator considers present; where there are more than covered, some have not been counted.
+    /// Number of nodes that the aggregator considers present. If it exceeds `covered_nodes`, some
+    /// nodes have not been counted.
     pub present_nodes: u32,
-    /// The aggregator that made the sum; none before the first.
+    /// The aggregator that computed the sum; `None` before the first sum.
     pub aggregator: Option<Name>,
-    /// Which of its sums this is.
+    /// Identifies the sum among those of its aggregator.
     pub sum: SumVersion,
-    /// What the other nodes observe of dependencies.
+    /// The other nodes' observations of dependencies.
     pub tallies: Vec<ServiceTally>,
 }
 
 impl Aggregate {
-    /// Estimated requests in flight of a key at the other nodes; `None` without a recent aggregate.
+    /// Returns the estimated number of requests in flight of a key at the other nodes, or `None`
+    /// without a recent aggregate.
     pub fn estimate(&self, key: u64, now: Duration) -> Option<u32> {
         (self.aggregator.is_some() && now < self.expires_at).then(|| self.others.estimate(key))
     }
 
-    /// What the other nodes observe of a dependency; empty without a recent aggregate.
+    /// Returns the other nodes' observations of a dependency. They are empty without a recent
+    /// aggregate.
     pub fn tally(&self, service: ServiceId, now: Duration) -> Tally {
         if now >= self.expires_at {
             return Tally::default();
--- a/crates/shared-state/src/aggregation/node.rs
+++ b/crates/shared-state/src/aggregation/node.rs
@@ -1,4 +1,5 @@
-//! One node's part in aggregation: it reports to two aggregators, and is one itself if the others select it.
+//! One node's part in aggregation: it reports to two aggregators, and acts as an aggregator if
+//! other nodes select it.
 
 use std::time::Duration;
 
@@ -14,24 +15,25 @@
 use crate::budgets::Outgoing;
 use crate::sketch_counters::{SketchCounters, COUNTERS};
 
-/// Aggregators that a node reports to, each of another site.
-const AGGREGATORS: usize = 2;
-/// The shortest time between two reports, as a fraction of the interval, and the random part on top of it.
+/// Number of aggregators that a node reports to, each at a different site.
+const AGGREGATORS_PER_NODE: usize = 2;
+/// Minimum time between two reports, as a fraction of the interval.
 const MIN_INTERVAL_FRACTION: f64 = 0.8;
+/// Largest random part that is added to the minimum time, as a fraction of the interval.
 const RANDOM_INTERVAL_FRACTION: f64 = 0.2;
-/// Estimate of the memory for one reporter without its counters, in bytes.
+/// Estimated memory for one reporter without its counters, in bytes.
 const REPORTER_OVERHEAD_BYTES: usize = 160;
 
 /// A member that reports.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportingMember<'a> {
-    /// Its name.
+    /// Name of the member.
     pub name: &'a Name,
-    /// Its site.
+    /// Site of the member.
     pub site: &'a Name,
 }
 
-/// A member that may be selected as an aggregator. The order of the fields is the order of preference.
+/// A member that may be selected as an aggregator. The field order defines the order of preference.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AggregatorCandidate<'a> {
     name_hash: u64,
@@ -45,7 +47,7 @@
 pub struct AggregationNode {
     settings: ReportingSettings,
     local: LocalNode,
-    members: usize,
+    member_count: usize,
     sessions: Vec<ReportingSession>,
     aggregator: Aggregator,
     next_report_at: Duration,
@@ -53,7 +55,7 @@
 }
 
 impl AggregationNode {
-    /// A node that starts.
+    /// Creates a node that starts.
     pub fn new(
         settings: ReportingSettings,
         name: Name,
@@ -69,7 +71,7 @@
                 incarnation,
                 seq: 0,
             },
-            members: 1,
+            member_count: 1,
             sessions: Vec::new(),
             aggregator: Aggregator::new(incarnation),
             next_report_at: now,
@@ -77,11 +79,12 @@
         }
     }
 
-    /// Sets the members that report, this node included. The aggregators are the first by a hash of
-    /// the names and the first of another site, so that nodes with the same view select the same.
+    /// Sets the members that report, including this node. The aggregators are the first member by a
+    /// hash of the names and the first of another site, so that nodes with the same view select the
+    /// same.
     pub fn set_members<'a>(&mut self, members: impl Iterator<Item = ReportingMember<'a>>) {
         let mut count: usize = 0;
-        // The member with the lowest hash of each site; there are few sites.
+        // The member with the lowest hash of each site. There are few sites.
         let mut candidates: Vec<AggregatorCandidate<'a>> = Vec::new();
         for ReportingMember { name, site } in members {
             count += 1;
@@ -96,10 +99,10 @@
             }
         }
         candidates.sort();
-        self.members = count.max(1);
+        self.member_count = count.max(1);
         let selected: Vec<Name> = candidates
             .iter()
-            .take(AGGREGATORS)
+            .take(AGGREGATORS_PER_NODE)
             .map(|candidate| candidate.name.clone())
             .collect();
         self.sessions
@@ -112,27 +115,29 @@
         }
     }
 
-    /// What this node knows of the others.
+    /// Returns the counts and observations of the other nodes.
     pub fn aggregate(&self) -> &Aggregate {
         &self.aggregate
     }
 
-    /// The members that this node reports to.
+    /// Returns the members that this node reports to.
     pub fn aggregators(&self) -> impl Iterator<Item = &Name> {
         self.sessions.iter().map(ReportingSession::aggregator)
     }
 
-    /// The version of the sum of the reports received here.
+    /// Returns the version of the sum of the reports that this node received as an aggregator.
     pub fn own_sum_version(&self) -> SumVersion {
         self.aggregator.sum_version()
     }
 
-    /// The nodes whose counts are in the sum of the reports received here, with a known age.
+    /// Returns the nodes whose counts are, with a known age, in the sum of the reports that this
+    /// node received as an aggregator.
     pub fn nodes_in_own_sum(&self) -> impl Iterator<Item = &Name> {
         self.aggregator.covered_nodes()
     }
 
-    /// A copy of what this node knows, for tools. The caller has the health of the shared database and the calls of it.
+    /// Returns a copy of this node's state for tools. The caller provides the health of the shared
+    /// database and the counts of its own calls to it.
     pub fn snapshot(
         &self,
         now: Duration,
@@ -156,12 +161,13 @@
         }
     }
 
-    /// When [`AggregationNode::handle_timeout`] is due.
+    /// Returns the time at which [`AggregationNode::handle_timeout`] is due.
     pub fn next_timeout(&self) -> Duration {
         self.next_report_at
     }
 
-    /// An upper bound of the memory that aggregation takes here, in bytes, with the reports of other nodes.
+    /// Returns an upper bound of the memory that aggregation takes on this node, including the
+    /// reports of other nodes, in bytes.
     pub fn memory_bytes(&self) -> usize {
         let counters = COUNTERS * size_of::<u32>();
         let session = counters * (MAX_UNANSWERED_REPORTS + 3);
@@ -171,7 +177,8 @@
             + versions
     }
 
-    /// Reports what the node counts and observes now, if a report is due. `draw` is random, from 0 to 1.
+    /// Sends the present counters and observations to the aggregators if a report is due. `draw` is
+    /// a random number from 0 to 1.
     pub fn handle_timeout(
         &mut self,
         now: Duration,
@@ -183,9 +190,10 @@
         if now < self.next_report_at {
             return;
         }
-        // Random, so that nodes that started together don't report together.
+        // The interval is random, so that nodes that started at the same time do not report at the
+        // same time.
         let fraction = MIN_INTERVAL_FRACTION + RANDOM_INTERVAL_FRACTION * draw;
-        self.next_report_at = now + self.settings.interval(self.members).mul_f64(fraction);
+        self.next_report_at = now + self.settings.interval(self.member_count).mul_f64(fraction);
         self.local.seq += 1;
         for index in 0..self.sessions.len() {
             let session = &mut self.sessions[index];
@@ -200,7 +208,7 @@
             }
             let reply =
                 self.aggregator
-                    .handle_report(&to, report, &self.settings, self.members, now);
+                    .handle_report(&to, report, &self.settings, self.member_count, now);
             if let Some(reply) = reply {
                 self.handle_reply(&to, reply, now);
             }
@@ -217,9 +225,13 @@
     ) {
         match message {
             AggregationMessage::Report(report) => {
-                let reply =
-                    self.aggregator
-                        .handle_report(from, report, &self.settings, self.members, now);
+                let reply = self.aggregator.handle_report(
+                    from,
+                    report,
+                    &self.settings,
+                    self.member_count,
+                    now,
+                );
                 out.extend(reply.map(|reply| Outgoing {
                     to: from.clone(),
                     message: AggregationMessage::Reply(reply),
@@ -239,9 +251,10 @@
         }
     }
 
-    /// Uses the recent sum that covers most nodes and, of those that cover the same number, the newest.
+    /// Uses the recent sum that covers the most nodes. Of sums that cover the same number, it uses
+    /// the newest.
     fn use_best_sum(&mut self, now: Duration) {
-        let max_age = self.settings.max_age(self.members);
+        let max_age = self.settings.max_age(self.member_count);
         let best = self
             .sessions
             .iter()
--- a/crates/shared-state/src/aggregation/reporter.rs
+++ b/crates/shared-state/src/aggregation/reporter.rs
@@ -10,7 +10,8 @@
 use super::ServiceTally;
 use crate::sketch_counters::SketchCounters;
 
-/// Most reports that may await a reply: a reply later than this many reports is of no use.
+/// Maximum number of reports that await a reply. A reply to an older report is too late to be
+/// useful.
 pub(super) const MAX_UNANSWERED_REPORTS: usize = 8;
 
 /// The node that reports.
@@ -18,25 +19,26 @@
     pub(super) name: Name,
     pub(super) site: Name,
     pub(super) incarnation: u64,
-    /// Number of the last report. The sequence is one for all aggregators: one that is selected again knows an earlier number.
+    /// Sequence number of the last report. All aggregators share one sequence, because an
+    /// aggregator that is selected again still knows an earlier number.
     pub(super) seq: u32,
 }
 
-/// A report that has no reply so far.
+/// A report that has not been answered yet.
 struct SentReport {
     seq: u32,
     sent_at: Duration,
     counters: SketchCounters,
 }
 
-/// The last report that the aggregator is known to hold; number 0 for none.
+/// The last report that the aggregator is known to hold. Its sequence number is 0 if there is none.
 #[derive(Default)]
 struct HeldReport {
     seq: u32,
     counters: SketchCounters,
 }
 
-/// The stamp of the aggregator's last reply.
+/// The time stamp of the aggregator's last reply.
 struct ReceivedStamp {
     stamp: u64,
     received_at: Duration,
@@ -47,16 +49,16 @@
 pub(super) struct ReceivedSum {
     pub(super) version: SumVersion,
     pub(super) counters: SketchCounters,
-    /// This node's own part of the sum.
+    /// This node's own counters in the sum.
     pub(super) own: SketchCounters,
-    /// Each node in the sum is counted as of a moment no earlier than this, on this node's clock.
+    /// Lower bound of the time as of which each node is counted, on this node's clock.
     pub(super) as_of: Duration,
     pub(super) covered_nodes: u32,
     pub(super) present_nodes: u32,
     pub(super) tallies: Vec<ServiceTally>,
 }
 
-/// The session of a reporting node with one aggregator.
+/// A reporting node's session with one aggregator.
 pub(super) struct ReportingSession {
     aggregator: Name,
     unanswered: VecDeque<SentReport>,
@@ -76,17 +78,17 @@
         }
     }
 
-    /// Name of the aggregator.
+    /// Returns the name of the aggregator.
     pub(super) fn aggregator(&self) -> &Name {
         &self.aggregator
     }
 
-    /// The last sum received.
+    /// Returns the last sum received.
     pub(super) fn sum(&self) -> &ReceivedSum {
         &self.sum
     }
 
-    /// Makes the node's next report to this aggregator.
+    /// Creates the node's next report to this aggregator.
     pub(super) fn next_report(
         &mut self,
         local: &LocalNode,
@@ -106,7 +108,9 @@
             counters: if self.held.seq == 0 {
                 counters.nonzero_changes()
             } else {
-                // The aggregator may hold any report sent since: a counter that is back at its held value is sent as well.
+                // The aggregator may hold any report sent since the last one that it is known to
+                // hold. A counter that has changed and is back at its known value is therefore sent
+                // as well.
                 let may_be_held = std::iter::once(&self.held.counters)
                     .chain(self.unanswered.iter().map(|sent| &sent.counters));
                 counters.changes_from(&may_be_held)
@@ -116,7 +120,8 @@
         };
         if self.unanswered.len() >= MAX_UNANSWERED_REPORTS {
             self.unanswered.pop_front();
-            // A report that the aggregator may hold is forgotten here, so the next one has to be full.
+            // The aggregator may hold the report that is dropped here, so the next report has to be
+            // full.
             self.held = HeldReport::default();
         }
         self.unanswered.push_back(SentReport {
@@ -127,7 +132,8 @@
         report
     }
 
-    /// Applies a reply. Returns false for one that is late, is a duplicate or is based on a sum that this node does not have.
+    /// Applies a reply. Returns false if the reply is outdated, is a duplicate or is based on a sum
+    /// that this node does not have.
     pub(super) fn apply_reply(
         &mut self,
         reply: AggregateReply,
@@ -160,7 +166,8 @@
         true
     }
 
-    /// Replaces the sum by that of a reply, which holds all of it or what has changed since the sum held here.
+    /// Replaces the sum by that of a reply, which contains either all of it or the changes since
+    /// the known sum.
     fn replace_sum(&mut self, reply: AggregateReply, own: SketchCounters, as_of: Duration) {
         let mut counters = if reply.base_version == 0 {
             SketchCounters::default()
@@ -182,7 +189,8 @@
         };
     }
 
-    /// Whether a reply is newer than the sum held here, and is based on it or complete.
+    /// Returns true if a reply is not older than the known sum and is either based on it or
+    /// complete.
     fn can_apply(&self, reply: &AggregateReply) -> bool {
         let known = self.sum.version;
         let is_same_aggregator = reply.incarnation == known.incarnation;
@@ -192,7 +200,8 @@
         reply.base_version == 0 || is_same_aggregator && reply.base_version <= known.version
     }
 
-    /// The counters in a report of this node that the aggregator holds, if they are still known.
+    /// Returns the counters of this node's report that the aggregator holds, if they are still
+    /// known.
     fn reported_counters(&self, seq: u32) -> Option<SketchCounters> {
         if seq == self.held.seq {
             return Some(self.held.counters.clone());
--- a/crates/shared-state/src/aggregation/settings.rs
+++ b/crates/shared-state/src/aggregation/settings.rs
@@ -2,24 +2,26 @@
 
 use std::time::Duration;
 
-/// Intervals and bounds of reporting, the same on all nodes of a fleet.
+/// Intervals and bounds of reporting, which are the same on all nodes of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportingSettings {
-    /// Shortest interval between two reports of a node.
+    /// Minimum interval between two reports of a node.
     pub min_interval: Duration,
-    /// Interval per member: it bounds the reports that an aggregator receives per second.
+    /// Interval per member, which bounds the number of reports that an aggregator receives per
+    /// second.
     pub interval_per_member: Duration,
-    /// Age past which reports and sums are not used, in a small fleet.
+    /// Age in a small fleet past which reports and sums are not used.
     pub base_max_age: Duration,
-    /// Most nodes that one aggregator takes reports from.
+    /// Maximum number of nodes whose reports one aggregator accepts.
     pub max_reporters: usize,
-    /// Largest difference between the rates of two clocks, in parts per million.
+    /// Maximum difference between the rates of two clocks, in parts per million.
     pub max_drift_ppm: u32,
 }
 
-/// Parts per million in a whole.
+/// Number of parts per million in 1.
 const PPM: u32 = 1_000_000;
-/// Report intervals after which a report is too old: one more than the reports in a row that may be lost.
+/// Number of report intervals after which a report is too old: one more than the number of
+/// consecutive reports that may be lost.
 const MAX_AGE_INTERVALS: u32 = 5;
 
 impl Default for ReportingSettings {
@@ -35,24 +37,25 @@
 }
 
 impl ReportingSettings {
-    /// Interval between two reports in a fleet of this size.
-    pub fn interval(&self, members: usize) -> Duration {
+    /// Returns the interval between two reports in a fleet of this size.
+    pub fn interval(&self, member_count: usize) -> Duration {
         self.min_interval
-            .max(self.interval_per_member * members as u32)
+            .max(self.interval_per_member * member_count as u32)
     }
 
-    /// Age past which reports and sums are not used in a fleet of this size: four reports in a row may be lost.
-    pub fn max_age(&self, members: usize) -> Duration {
+    /// Returns the age past which reports and sums are not used in a fleet of this size. Four
+    /// consecutive reports may be lost.
+    pub fn max_age(&self, member_count: usize) -> Duration {
         self.base_max_age
-            .max(self.interval(members) * MAX_AGE_INTERVALS)
+            .max(self.interval(member_count) * MAX_AGE_INTERVALS)
     }
 
-    /// The longest that one clock shows while another shows `time`.
+    /// Returns the longest duration that one clock can measure while another measures `time`.
     pub(super) fn upper_bound(&self, time: Duration) -> Duration {
         time + time * self.max_drift_ppm / PPM
     }
 
-    /// The shortest that one clock shows while another shows `time`.
+    /// Returns the shortest duration that one clock can measure while another measures `time`.
     pub(super) fn lower_bound(&self, time: Duration) -> Duration {
         time - time * self.max_drift_ppm / PPM
     }
--- a/crates/shared-state/src/aggregation/snapshot.rs
+++ b/crates/shared-state/src/aggregation/snapshot.rs
@@ -1,5 +1,5 @@
-//! A read-only copy of what a node knows of the fleet's counts and of the shared database, for tools. Names and shapes of the
-//! JSON fields are a stable format.
+//! Read-only copies of a node's knowledge of the fleet's counts and of the shared database, for
+//! tools. The names and shapes of the JSON fields are a stable format.
 
 use membership::Name;
 use serde::{Deserialize, Serialize};
@@ -7,38 +7,38 @@
 use crate::health::{DependencyHealth, Tally};
 use crate::tuple_format::serialize_as_tuple;
 
-/// What a node knows of the fleet's counts and of the shared database.
+/// A node's knowledge of the fleet's counts and of the shared database.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AggregateSnapshot {
     /// The members that the node reports to.
     #[serde(rename = "gatherers")]
     pub aggregators: Vec<Name>,
-    /// The aggregator whose sum it uses; none while it uses its own counts alone.
+    /// The aggregator whose sum the node uses; `None` while it uses only its own counts.
     #[serde(rename = "by")]
     pub aggregator: Option<Name>,
     /// Age of the oldest count in the sum, in milliseconds.
     pub age_ms: u64,
-    /// Nodes in the sum.
+    /// Numbers of nodes in the sum and of nodes present.
     #[serde(rename = "covered")]
     pub coverage: CoverageSnapshot,
-    /// An upper bound of any tenant's requests in flight at the other nodes.
+    /// Upper bound of any tenant's requests in flight at the other nodes.
     #[serde(rename = "most")]
     pub max_in_flight: u32,
-    /// What the node concludes of the shared database.
+    /// Health of the shared database, as concluded by the node.
     pub ledger: HealthState,
-    /// The node's own recent calls of it.
+    /// The node's own recent calls to the shared database.
     pub calls: CallCounts,
-    /// What the other nodes observe of it.
+    /// The other nodes' observations of the shared database.
     pub others: Tally,
 }
 
-/// How many nodes are in a sum.
+/// Numbers of nodes in a sum and of nodes present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32)", into = "(u32, u32)")]
 pub struct CoverageSnapshot {
-    /// Nodes in the sum.
+    /// Number of nodes in the sum.
     pub covered: u32,
-    /// Nodes that the aggregator considers present.
+    /// Number of nodes that the aggregator considers present.
     pub present: u32,
 }
 serialize_as_tuple!(CoverageSnapshot {
@@ -46,13 +46,13 @@
     present: u32,
 });
 
-/// The health of a dependency and for how long it has been that.
+/// The health of a dependency, and the time since it last changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(DependencyHealth, u64)", into = "(DependencyHealth, u64)")]
 pub struct HealthState {
     /// The health.
     pub health: DependencyHealth,
-    /// Milliseconds since it changed.
+    /// Milliseconds since the health last changed.
     pub for_ms: u64,
 }
 serialize_as_tuple!(HealthState {
@@ -60,13 +60,13 @@
     for_ms: u64,
 });
 
-/// Recent calls of a dependency.
+/// Counts of recent calls to a dependency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32)", into = "(u32, u32)")]
 pub struct CallCounts {
-    /// All calls.
+    /// Number of all calls.
     pub total: u32,
-    /// Calls that failed.
+    /// Number of calls that failed.
     pub failed: u32,
 }
 serialize_as_tuple!(CallCounts {
--- a/crates/shared-state/src/budgets/mod.rs
+++ b/crates/shared-state/src/budgets/mod.rs
@@ -1,4 +1,4 @@
-//! The budgets of one node: its quotas of them and, while it is the leader, the lease tables.
+//! The budgets of one node: its quotas and, while it is the leader, the lease tables.
 
 mod message;
 mod quota;
@@ -19,7 +19,7 @@
     BudgetSnapshot, GuaranteedSnapshot, HolderSnapshot, LeaseSnapshot, SharedStateSnapshot,
 };
 
-/// Range to which a random draw from 0 to 1 is scaled to pick a voter.
+/// Range to which a random draw from 0 to 1 is scaled to select a voter.
 const VOTER_DRAW_RANGE: f64 = 4096.0;
 
 /// The lease tables of one leadership, one for each budget.
@@ -39,7 +39,8 @@
     incarnation: u64,
     configs: Vec<QuotaConfig>,
     election: Election,
-    /// One for each budget. All of them request together, so their sequence numbers are the same.
+    /// One holder for each budget. All of them request together, so their sequence numbers are
+    /// equal.
     holders: Vec<LeaseHolder>,
     /// Present while this node is the leader.
     leadership: Option<Leadership>,
@@ -48,7 +49,8 @@
 }
 
 impl Budgets {
-    /// A node that starts. `voters` are the same on all nodes, an odd number of names.
+    /// Creates the budgets of a node that starts. `voters` is an odd number of names, the same on
+    /// all nodes.
     pub fn new(
         timings: LeaseTimings,
         name: Name,
@@ -73,19 +75,21 @@
         }
     }
 
-    /// Units of a budget that may be in use now.
+    /// Returns the units of a budget that may be in use now.
     pub fn limit(&self, budget: usize, now: Duration) -> Units {
         self.holders
             .get(budget)
             .map_or(0, |holder| holder.limit(now))
     }
 
-    /// What may be spent of a budget, as a value to publish.
+    /// Returns the quota that may be spent of a budget, as a value that can be published to other
+    /// threads.
     pub fn spendable_quota(&self, budget: usize) -> Option<SpendableQuota> {
         self.holders.get(budget).map(LeaseHolder::spendable_quota)
     }
 
-    /// Records the usage of a budget. Demand that rises above the limit is requested soon.
+    /// Records the usage of a budget. If the demand has risen and exceeds the limit, more quota is
+    /// requested soon.
     pub fn set_usage(&mut self, budget: usize, usage: QuotaUsage, now: Duration) {
         let Some(holder) = self.holders.get_mut(budget) else {
             return;
@@ -98,7 +102,7 @@
         }
     }
 
-    /// Changes the totals, one for each budget. Guaranteed quotas change with a restart only.
+    /// Changes the totals, one for each budget. Guaranteed quotas change only with a restart.
     pub fn set_totals(&mut self, totals: &[Units]) {
         for (config, total) in self.configs.iter_mut().zip(totals) {
             config.total = *total;
@@ -110,8 +114,8 @@
         }
     }
 
-    /// Leaves the guaranteed quotas and the node's vote to another process of this node. Two processes that voted under
-    /// one name, each by its own memory, could make two majorities.
+    /// Leaves the guaranteed quotas and the node's vote to a sibling process. Two processes that
+    /// voted under one name, each from its own memory, could form two majorities.
     pub fn yield_to_sibling(&mut self) {
         self.election.abstain_until(Duration::MAX);
         for holder in &mut self.holders {
@@ -119,8 +123,9 @@
         }
     }
 
-    /// The other process of this node has ended. Its calls have ended after the longest call, and its votes have expired after
-    /// one leadership; from then on this process has the guaranteed quotas and the vote.
+    /// Takes over after the sibling process has ended. Its calls have ended after the maximum call
+    /// duration, and its votes have expired after one leadership duration; from then on this
+    /// process uses the guaranteed quotas and the vote.
     pub fn resume_after_sibling(&mut self, now: Duration) {
         let leadership = self.timings.upper_bound(self.timings.leadership_duration);
         self.election.abstain_until(now + leadership);
@@ -130,12 +135,12 @@
         }
     }
 
-    /// The leader, as far as this node knows.
+    /// Returns the leader that this node knows, if any.
     pub fn leader(&self, now: Duration) -> Option<KnownLeader> {
         self.election.leader(now)
     }
 
-    /// The lease tables, while this node is the leader.
+    /// Returns the lease tables while this node is the leader.
     pub fn lease_tables(&self, now: Duration) -> Option<&[LeaseTable]> {
         let leadership = self.leadership.as_ref()?;
         self.election
@@ -144,7 +149,7 @@
             .map(|_| leadership.tables.as_slice())
     }
 
-    /// A copy of this node's state for tools. It has no aggregate.
+    /// Returns a copy of this node's state for tools, without an aggregate.
     pub fn snapshot(&self, now: Duration) -> SharedStateSnapshot {
         let tables = self.lease_tables(now);
         let budgets = self
@@ -164,12 +169,13 @@
         }
     }
 
-    /// When [`Budgets::handle_timeout`] is due.
+    /// Returns the time at which [`Budgets::handle_timeout`] is due.
     pub fn next_timeout(&self) -> Duration {
         self.election.next_timeout().min(self.next_request_at)
     }
 
-    /// Does what is due. `draw` is random, from 0 to 1; a new leadership is announced to `members`.
+    /// Runs the election and sends the requests that are due. `draw` is a random number from 0 to
+    /// 1. A new leadership is announced to `members`.
     pub fn handle_timeout(
         &mut self,
         now: Duration,
@@ -186,7 +192,8 @@
         }
     }
 
-    /// Handles a message from a node. Snapshot requests and aggregation are handled by the caller.
+    /// Handles a message from a node, except for snapshot requests and aggregation, which the
+    /// caller handles.
     pub fn handle_message(
         &mut self,
         from: &Name,
@@ -219,7 +226,7 @@
         }
     }
 
-    /// Begins the lease tables of a new leadership, and drops those of one that has ended.
+    /// Creates the lease tables of a new leadership and drops those of one that has ended.
     fn update_leadership(&mut self, now: Duration, members: &[Name], out: &mut Vec<Outgoing>) {
         let Some(own) = self.election.own_leadership(now) else {
             self.leadership = None;
@@ -243,7 +250,8 @@
         }
     }
 
-    /// Sends a request for quota to the leader or, while none is known, to a voter: any of them may know one.
+    /// Sends a request for quota to the leader. If no leader is known, sends it to a random voter,
+    /// which may know the leader.
     fn request_leases(&mut self, now: Duration, draw: f64, out: &mut Vec<Outgoing>) {
         self.last_request_at = now;
         self.next_request_at = now + self.timings.request_interval;
@@ -251,7 +259,7 @@
             let name = self
                 .election
                 .voter_by_draw((draw * VOTER_DRAW_RANGE) as usize)?;
-            // Nothing is granted under this term.
+            // No leader grants anything in the default term.
             let term = Term::default();
             Some(KnownLeader { name, term })
         };
@@ -282,13 +290,15 @@
         self.send(&leader.name, message, now, out);
     }
 
-    /// Requests no earlier than [`LeaseTimings::min_request_interval`] after the last request.
+    /// Schedules the next request for [`LeaseTimings::min_request_interval`] after the last one, if
+    /// it is not due earlier.
     fn request_soon(&mut self) {
         let earliest = self.last_request_at + self.timings.min_request_interval;
         self.next_request_at = self.next_request_at.min(earliest);
     }
 
-    /// The answer to a holder's requests; none to those that are late or duplicates.
+    /// Returns the answer to a holder's requests, or `None` for requests that are outdated or
+    /// duplicates.
     fn reply_to_request(
         &mut self,
         from: &Name,
@@ -296,7 +306,7 @@
         now: Duration,
     ) -> Option<Message> {
         let Some(own) = self.election.own_leadership(now) else {
-            // The request came here because this node is a voter.
+            // This node received the request because it is a voter.
             let leader = self.leader(now).filter(|_| *from != self.name)?;
             return Some(Message::Leader(leader.name, leader.term));
         };
@@ -326,19 +336,20 @@
         if units.len() != self.holders.len() {
             return;
         }
-        let mut has_less = false;
+        let mut limit_decreased = false;
         for (holder, units) in self.holders.iter_mut().zip(units) {
             let limit_before = holder.limit(now);
             holder.apply_grant(LeaseGrant { seq, units: *units });
-            has_less |= holder.limit(now) < limit_before;
+            limit_decreased |= holder.limit(now) < limit_before;
         }
-        if has_less {
-            // Units given back can be granted to others once the leader knows that this grant is in force.
+        if limit_decreased {
+            // The leader can grant the returned units to others once it knows that this grant is in
+            // force.
             self.request_soon();
         }
     }
 
-    /// Sends a message to a node; one to this node itself is handled at once.
+    /// Sends a message to a node. A message to this node itself is handled immediately.
     fn send(&mut self, to: &Name, message: Message, now: Duration, out: &mut Vec<Outgoing>) {
         if *to == self.name {
             self.handle_message(to, message, now, out);
--- a/crates/shared-state/src/budgets/quota.rs
+++ b/crates/shared-state/src/budgets/quota.rs
@@ -1,4 +1,4 @@
-//! Budgets as they are configured, and the quotas of them that one node may spend.
+//! Configured budgets, and the quotas that one node may spend of them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,29 +18,29 @@
     pub name: Name,
     /// Units that all nodes together may spend.
     pub total: Units,
-    /// Units that each node owns permanently, whether or not it can reach the others.
+    /// Units that each node owns permanently, whether or not it can reach other nodes.
     pub guaranteed: BTreeMap<Name, Units>,
 }
 
 impl QuotaConfig {
-    /// Units that are guaranteed to no node and are leased on demand.
+    /// Returns the units that are not guaranteed to any node and are leased on demand.
     pub fn pool(&self) -> Units {
         self.total.saturating_sub(self.guaranteed.values().sum())
     }
 
-    /// Units that a node owns permanently.
+    /// Returns the units that a node owns permanently.
     pub(crate) fn guaranteed_to(&self, node: &Name) -> Units {
         self.guaranteed.get(node).copied().unwrap_or(0)
     }
 }
 
-/// How much of a budget a node uses and how much it could use.
+/// Units of a budget that a node uses, and units that it could use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "(Units, Units)", into = "(Units, Units)")]
 pub struct QuotaUsage {
     /// Units in use.
     pub in_use: Units,
-    /// Units that would be in use if there were enough, those in use included.
+    /// Units that would be in use if there were enough quota, including those in use.
     pub demand: Units,
 }
 serialize_as_tuple!(QuotaUsage {
@@ -51,14 +51,14 @@
 /// Units that a node owns permanently.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct GuaranteedQuota {
-    /// How many.
+    /// Number of units.
     pub units: Units,
-    /// From when on they may be spent, on the node's monotonic clock.
+    /// Time from which the units may be spent, on the node's monotonic clock.
     pub available_from: Duration,
 }
 
 impl GuaranteedQuota {
-    /// Units that may be in use now.
+    /// Returns the units that may be in use now.
     pub fn available(&self, now: Duration) -> Units {
         if now >= self.available_from {
             self.units
@@ -71,14 +71,14 @@
 /// Units that a node holds on a lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LeasedQuota {
-    /// How many.
+    /// Number of units.
     pub units: Units,
-    /// When the lease ends, on the node's monotonic clock.
+    /// Time at which the lease ends, on the node's monotonic clock.
     pub expires_at: Duration,
 }
 
 impl LeasedQuota {
-    /// Units that may be in use now.
+    /// Returns the units that may be in use now.
     pub fn available(&self, now: Duration) -> Units {
         if now < self.expires_at {
             self.units
@@ -88,17 +88,18 @@
     }
 }
 
-/// What a node may spend of one budget: a value that can be published to other threads and stays correct as time passes.
+/// Units that a node may spend of one budget. The value can be published to other threads and stays
+/// correct as time passes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SpendableQuota {
     /// The permanent part.
     pub guaranteed: GuaranteedQuota,
-    /// The part on lease.
+    /// The leased part.
     pub leased: LeasedQuota,
 }
 
 impl SpendableQuota {
-    /// Units that may be in use now.
+    /// Returns the units that may be in use now.
     pub fn limit(&self, now: Duration) -> Units {
         self.guaranteed.available(now) + self.leased.available(now)
     }
--- a/crates/shared-state/src/budgets/snapshot.rs
+++ b/crates/shared-state/src/budgets/snapshot.rs
@@ -1,4 +1,5 @@
-//! Read-only copies of a node's shared state for tools. Names and shapes of the JSON fields are a stable format.
+//! Read-only copies of a node's shared state for tools. The names and shapes of the JSON fields are
+//! a stable format.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -12,38 +13,38 @@
 use crate::lease_table::LeaseTable;
 use crate::tuple_format::serialize_as_tuple;
 
-/// Most holders in a snapshot, which has to fit one datagram.
+/// Maximum number of holders in a snapshot, which has to fit one datagram.
 const MAX_SNAPSHOT_HOLDERS: usize = 16;
 
 /// A node's shared state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SharedStateSnapshot {
-    /// The leader that the node knows.
+    /// The leader that the node knows, if any.
     #[serde(rename = "granter")]
     pub leader: Option<Name>,
-    /// Its budgets.
+    /// The node's budgets.
     pub budgets: Vec<BudgetSnapshot>,
-    /// Counts and health of dependencies, where they are shared.
+    /// Counts and health of dependencies, if they are shared.
     #[serde(rename = "gathered")]
     pub aggregate: Option<AggregateSnapshot>,
 }
 
-/// One budget as a node sees it.
+/// One budget as a node knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BudgetSnapshot {
     /// Name of the budget.
     pub name: Name,
-    /// The total by this node's configuration.
+    /// The total in this node's configuration.
     pub total: Units,
     /// The node's guaranteed quota.
     #[serde(rename = "floor")]
     pub guaranteed: GuaranteedSnapshot,
-    /// Its leased quota.
+    /// The node's leased quota.
     pub leased: LeaseSnapshot,
-    /// What it uses and could use.
+    /// Units that the node uses, and units that it could use.
     #[serde(rename = "in_use")]
     pub usage: QuotaUsage,
-    /// On the leader: the holders with the most reserved units, the largest first.
+    /// On the leader: the holders with the most reserved units, in descending order.
     pub holders: Vec<HolderSnapshot>,
     /// On the leader: units reserved for all holders.
     #[serde(rename = "counted")]
@@ -51,7 +52,7 @@
 }
 
 impl BudgetSnapshot {
-    /// A copy of one budget's state; with a lease table on the leader.
+    /// Copies the state of one budget. `table` is present on the leader.
     pub(super) fn new(
         config: &QuotaConfig,
         holder: &LeaseHolder,
@@ -85,9 +86,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Units, bool)", into = "(Units, bool)")]
 pub struct GuaranteedSnapshot {
-    /// How many units.
+    /// Number of units.
     pub units: Units,
-    /// Whether they may be spent yet.
+    /// True if the units may be spent.
     pub is_available: bool,
 }
 serialize_as_tuple!(GuaranteedSnapshot {
@@ -99,7 +100,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Units, u64)", into = "(Units, u64)")]
 pub struct LeaseSnapshot {
-    /// How many units.
+    /// Number of units.
     pub units: Units,
     /// Milliseconds until the lease ends.
     pub remaining_ms: u64,
@@ -109,15 +110,15 @@
     remaining_ms: u64,
 });
 
-/// One holder as the leader sees it.
+/// One holder as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Name, Units, Units)", into = "(Name, Units, Units)")]
 pub struct HolderSnapshot {
     /// Name of the node.
     pub name: Name,
-    /// The most that it may be spending.
+    /// Maximum number of units that the node may be spending.
     pub reserved: Units,
-    /// Units that it could spend.
+    /// Units that the node could spend.
     pub demand: Units,
 }
 serialize_as_tuple!(HolderSnapshot {
--- a/crates/shared-state/src/election.rs
+++ b/crates/shared-state/src/election.rs
@@ -1,5 +1,6 @@
-//! Election of the leader that grants quota: a lease on leadership, given by a majority of the voters as in `PaxosLease`.
-//! Voters store nothing on disk: one that restarts abstains until everything that it may have promised has expired.
+//! Election of the leader that grants quota. Leadership is a lease from a majority of the voters,
+//! as in `PaxosLease`. Voters store nothing on disk: a voter that restarts abstains until
+//! everything that it may have promised has expired.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,12 +11,15 @@
 use crate::budgets::Outgoing;
 use crate::LeaseTimings;
 
-/// How often a leader renews its leadership within the duration of one: a renewal may be lost without a change of leader.
+/// Number of renewals within the duration of a leadership: a lost renewal does not cause a change
+/// of leader.
 const RENEWALS_PER_LEADERSHIP: u32 = 3;
-/// The least time between two candidacies of a voter, as a fraction of the renewal interval; the random draw comes on top.
+/// Minimum time between two candidacies of a voter, as a fraction of the renewal interval. A random
+/// part is added to it.
 const MIN_CANDIDACY_WAIT: f64 = 0.5;
 
-/// Number of a candidacy. Each voter numbers its own, so no two are equal.
+/// Number of a candidacy. Each voter uses numbers of its own, so no two candidacies have the same
+/// one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -29,19 +33,20 @@
 /// A message between voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Vote {
-    /// A candidate asks for a promise.
+    /// A candidate requests a promise.
     Prepare(Term),
-    /// The sender promises this term; it names the leader whose lease it has accepted, while that lasts.
+    /// The sender promises this term, and names the leader whose lease it has accepted if that
+    /// lease has not expired.
     Promise(Term, Option<Name>),
-    /// The sender has promised this higher term already.
+    /// The sender has already promised this higher term.
     AlreadyPromised(Term),
-    /// A candidate with promises of a majority proposes itself.
+    /// A candidate that has promises from a majority proposes itself as the leader.
     Propose(Term),
     /// The sender accepts the candidate as the leader.
     Accept(Term),
 }
 
-/// How far this voter's own candidacy has come.
+/// Phase of this voter's own candidacy.
 #[derive(Clone, Debug)]
 enum CandidacyPhase {
     Preparing {
@@ -59,7 +64,7 @@
     phase: CandidacyPhase,
 }
 
-/// The lease on leadership that this voter has accepted.
+/// The leadership lease that this voter has accepted.
 #[derive(Clone, Debug)]
 struct AcceptedLease {
     leader: Name,
@@ -69,11 +74,11 @@
 /// This node's own leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnLeadership {
-    /// The term that it began with; renewals don't change it.
+    /// Term in which the leadership began. Renewals do not change it.
     pub term: Term,
-    /// When it began.
+    /// Time at which the leadership began.
     pub since: Duration,
-    /// When it ends unless it is renewed.
+    /// Time at which the leadership ends unless it is renewed.
     expires_at: Duration,
 }
 
@@ -82,11 +87,11 @@
 pub struct KnownLeader {
     /// Name of the node.
     pub name: Name,
-    /// The term in which it leads.
+    /// Term in which the node leads.
     pub term: Term,
 }
 
-/// A leader that this node learned of from a message of the leader or of another node.
+/// A leader that this node knows from a message of the leader or of another node.
 #[derive(Clone, Debug)]
 struct ObservedLeader {
     name: Name,
@@ -94,15 +99,15 @@
     observed_at: Duration,
 }
 
-/// One node's view of the election; only a node that is a voter takes part.
+/// One node's view of the election. Only voters take part in it.
 #[derive(Clone, Debug)]
 pub struct Election {
     timings: LeaseTimings,
     name: Name,
     voters: Vec<Name>,
-    /// Until then it neither votes nor becomes a candidate.
+    /// Time until which this node neither votes nor becomes a candidate.
     abstains_until: Duration,
-    /// The highest term that it has promised.
+    /// Highest term that this node has promised.
     promised: Term,
     accepted: Option<AcceptedLease>,
     candidacy: Option<Candidacy>,
@@ -112,7 +117,7 @@
 }
 
 impl Election {
-    /// A node that has just started.
+    /// Creates the view of a node that has just started.
     pub fn new(timings: LeaseTimings, name: Name, voters: Vec<Name>, now: Duration) -> Election {
         let abstains_until = now + timings.upper_bound(timings.leadership_duration);
         Election {
@@ -129,23 +134,23 @@
         }
     }
 
-    /// Neither votes nor becomes a candidate before then.
+    /// Neither votes nor becomes a candidate before `until`.
     pub(crate) fn abstain_until(&mut self, until: Duration) {
         self.abstains_until = until;
         self.next_candidacy_at = until;
     }
 
-    /// One of the voters, by a random number.
+    /// Returns the voter that a random number selects.
     pub(crate) fn voter_by_draw(&self, draw: usize) -> Option<Name> {
         self.voters.get(draw % self.voters.len().max(1)).cloned()
     }
 
-    /// This node's own leadership, while it lasts.
+    /// Returns this node's own leadership if it has not expired.
     pub fn own_leadership(&self, now: Duration) -> Option<OwnLeadership> {
         self.leadership.filter(|own| now < own.expires_at)
     }
 
-    /// The leader, as far as this node knows.
+    /// Returns the leader that this node knows, if any.
     pub fn leader(&self, now: Duration) -> Option<KnownLeader> {
         if let Some(own) = self.own_leadership(now) {
             return Some(KnownLeader {
@@ -161,7 +166,8 @@
         })
     }
 
-    /// Records that a leader is active in this term. Returns true if the term was not known.
+    /// Records that a leader is active in this term, unless a higher term is known. Returns true if
+    /// the term is higher than any known one.
     pub fn observe_leader(&mut self, name: &Name, term: Term, now: Duration) -> bool {
         let known_term = self.observed.as_ref().map(|observed| observed.term);
         if known_term.is_some_and(|known| known > term) {
@@ -175,7 +181,7 @@
         known_term.is_none_or(|known| known < term)
     }
 
-    /// When [`Election::handle_timeout`] is due.
+    /// Returns the time at which [`Election::handle_timeout`] is due.
     pub fn next_timeout(&self) -> Duration {
         if self.voter_index().is_some() {
             self.next_candidacy_at
@@ -184,8 +190,9 @@
         }
     }
 
-    /// Becomes a candidate where no leader is known, or renews this node's own leadership. `draw` is random, from 0 to 1, and
-    /// spreads candidates that would begin at the same time.
+    /// Starts a candidacy if no leader is known, or renews this node's own leadership. `draw` is a
+    /// random number from 0 to 1; it spreads candidacies that would otherwise start at the same
+    /// time.
     pub fn handle_timeout(&mut self, now: Duration, draw: f64, out: &mut Vec<Outgoing<Vote>>) {
         let Some(voter) = self.voter_index() else {
             return;
@@ -205,7 +212,8 @@
                 renewal_interval.mul_f64(MIN_CANDIDACY_WAIT + draw)
             };
         if !is_leader && self.leader(now).is_some() {
-            // Another node leads. This is checked again until that one has been silent for long enough.
+            // Another node leads. This is checked again until that node has been silent for long
+            // enough.
             return;
         }
         let observed = self.observed.as_ref().map_or(0, |o| o.term.number);
@@ -222,7 +230,7 @@
         self.send_to_voters(&Vote::Prepare(term), now, out);
     }
 
-    /// Handles a vote of a voter; one of any other node is ignored.
+    /// Handles a message of a voter. Messages of other nodes are ignored.
     pub fn handle_vote(
         &mut self,
         from: &Name,
@@ -284,7 +292,7 @@
         if !is_majority(promised_by, &self.voters) {
             return;
         }
-        // The leadership counts from here, before any voter can have accepted it.
+        // The leadership is counted from this time, before any voter can have accepted it.
         candidacy.phase = CandidacyPhase::Proposing {
             proposed_at: now,
             accepted_by: BTreeSet::new(),
@@ -347,7 +355,7 @@
         }
     }
 
-    /// Sends a vote to a voter; one to this node itself is handled at once.
+    /// Sends a message to a voter. A message to this node itself is handled immediately.
     fn send(&mut self, to: &Name, vote: Vote, now: Duration, out: &mut Vec<Outgoing<Vote>>) {
         if *to == self.name {
             self.handle_vote(to, vote, now, out);
--- a/crates/shared-state/src/health/evaluation.rs
+++ b/crates/shared-state/src/health/evaluation.rs
@@ -1,4 +1,4 @@
-//! What a node concludes of a dependency's health, and how changes of the conclusion are damped.
+//! Evaluation of a dependency's health by a node, with damping of changes.
 
 use std::time::Duration;
 
@@ -6,37 +6,40 @@
 
 use super::{ObservedHealth, Tally};
 
-/// How long a worse health has to hold until it is reported.
-const WORSE_DELAY: Duration = Duration::from_millis(300);
-/// How much newer than this node's first failure the others' observations have to be before this node concludes that it alone
-/// fails: when all fail, some notice it sooner than others.
+/// Duration for which a worse health has to hold until it is reported.
+const DEGRADATION_DELAY: Duration = Duration::from_millis(300);
+/// Minimum time from this node's first failure to the others' observations for the conclusion that
+/// only this node fails. When all nodes fail, some notice it sooner than others.
 const ONLY_HERE_DELAY: Duration = Duration::from_millis(500);
-/// How long a better health has to hold until it is reported, if the health has not turned worse again lately.
-const BETTER_DELAY: Duration = Duration::from_secs(1);
-/// How often that delay doubles at the most, once for each time that the health turned worse again.
-const MAX_DELAY_DOUBLINGS: u32 = 4;
-/// Time without a change after which earlier changes no longer lengthen the delay.
-const CALM_PERIOD: Duration = Duration::from_secs(60);
-
-/// Health of a dependency, as a node concludes it.
+/// Duration for which a better health has to hold until it is reported, if the health has not
+/// degraded repeatedly in the recent past.
+const RECOVERY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum number of times that [`RECOVERY_DELAY`] is doubled, once for each repeated degradation.
+const MAX_RECOVERY_DELAY_DOUBLINGS: u32 = 4;
+/// Time without a change after which earlier degradations no longer lengthen the recovery delay.
+const STABLE_PERIOD: Duration = Duration::from_secs(60);
+
+/// Health of a dependency, as concluded by a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum DependencyHealth {
-    /// No node has tried it lately.
+    /// No node has tried the dependency recently.
     Unknown,
-    /// It serves.
+    /// The dependency works.
     Sound,
-    /// It serves slowly, and not for this node alone.
+    /// The dependency responds slowly to most nodes that tried it, or to this one.
     Slow,
-    /// This node fails, and there is too little from the others to tell where the fault is.
+    /// The dependency fails for this node, and the others' observations do not show where the fault
+    /// is.
     Unsure,
-    /// Other nodes reach it: the fault is on the path of this node or of its site.
+    /// The dependency fails for this node but not for most others: the fault is on the path of this
+    /// node or of its site.
     OnlyHere,
-    /// It fails for most nodes that tried, at two or more sites.
+    /// The dependency fails for most nodes that tried it, at two or more sites.
     Down,
 }
 
 impl DependencyHealth {
-    /// Whether only the few calls that show a recovery should be made.
+    /// Returns true if only the few calls that would show a recovery should be made.
     pub fn should_limit_calls(self) -> bool {
         matches!(self, DependencyHealth::Down | DependencyHealth::OnlyHere)
     }
@@ -54,7 +57,7 @@
         }
     }
 
-    /// Its name in output for people.
+    /// Returns the name of the health in output for people.
     pub fn name(self) -> &'static str {
         match self {
             DependencyHealth::Unknown => "unknown",
@@ -67,8 +70,8 @@
     }
 }
 
-/// Concludes the health of a dependency from a node's own observation and those of the others, in a fleet with this many
-/// sites.
+/// Concludes the health of a dependency from a node's own observation and those of the other nodes.
+/// `site_count` is the number of sites in the fleet.
 pub fn evaluate_health(
     own: Option<ObservedHealth>,
     others: &Tally,
@@ -93,13 +96,15 @@
         }
         Some(ObservedHealth::Slow) => DependencyHealth::Slow,
         _ if all.total() == 0 => DependencyHealth::Unknown,
-        // A node that did not try trusts the others that the dependency is slow, but not that it fails.
+        // A node that did not try the dependency relies on the others for the conclusion that it is
+        // slow, but not that it fails.
         _ if all.is_mostly_slow() => DependencyHealth::Slow,
         _ => DependencyHealth::Sound,
     }
 }
 
-/// Whether two sites observe that the dependency fails or, in a fleet with a single site, two nodes.
+/// Returns true if a failure is observed at two sites or, in a fleet with a single site, by two
+/// nodes.
 fn is_confirmed(own: Option<ObservedHealth>, others: &Tally, site_count: usize) -> bool {
     if site_count <= 1 {
         return others.all_nodes(own).failing >= 2;
@@ -111,16 +116,16 @@
     others.sites.failing + u32::from(here.is_mostly_failing()) >= 2
 }
 
-/// Damps changes of a dependency's health: a worse health is reported soon, a better one after a delay that doubles with each
-/// time that the health turned worse again.
+/// Damps changes of a dependency's health. A worse health is reported after a short delay, a better
+/// one after a delay that doubles with each repeated degradation.
 #[derive(Clone, Debug)]
 pub struct HealthEvaluator {
     health: DependencyHealth,
     changed_at: Duration,
-    /// The last conclusion, and since when it has been the same.
+    /// The last conclusion, and the time from which it has been the same.
     pending: DependencyHealth,
     pending_since: Duration,
-    relapses: u32,
+    degradation_count: u32,
 }
 
 impl Default for HealthEvaluator {
@@ -130,14 +135,14 @@
             changed_at: Duration::ZERO,
             pending: DependencyHealth::Unknown,
             pending_since: Duration::ZERO,
-            relapses: 0,
+            degradation_count: 0,
         }
     }
 }
 
 impl HealthEvaluator {
-    /// Takes in a conclusion from observations of the others that were made at `as_of` or later. Returns the health that is
-    /// reported from now on.
+    /// Records a conclusion that was drawn from observations of the other nodes made at `as_of` or
+    /// later. Returns the health to report from now on.
     pub fn update(
         &mut self,
         now: Duration,
@@ -148,17 +153,21 @@
             self.pending = concluded;
             self.pending_since = now;
         }
-        let is_calm = now.saturating_sub(self.changed_at) >= CALM_PERIOD;
+        let is_stable = now.saturating_sub(self.changed_at) >= STABLE_PERIOD;
         if concluded == self.health {
-            if is_calm {
-                self.relapses = 0;
+            if is_stable {
+                self.degradation_count = 0;
             }
             return self.health;
         }
         let is_due = now.saturating_sub(self.pending_since) >= self.delay(concluded);
         if is_due && self.has_evidence(concluded, as_of) {
             if concluded.is_worse_than(self.health) && concluded.should_limit_calls() {
-                self.relapses = if is_calm { 0 } else { self.relapses + 1 };
+                self.degradation_count = if is_stable {
+                    0
+                } else {
+                    self.degradation_count + 1
+                };
             }
             self.health = concluded;
             self.changed_at = now;
@@ -166,30 +175,33 @@
         self.health
     }
 
-    /// The health that is reported.
+    /// Returns the reported health.
     pub fn health(&self) -> DependencyHealth {
         self.health
     }
 
-    /// When the reported health last changed.
+    /// Returns the time at which the reported health last changed.
     pub fn changed_at(&self) -> Duration {
         self.changed_at
     }
 
-    /// How long a conclusion has to hold until it is reported.
+    /// Returns the duration for which a conclusion has to hold until it is reported.
     fn delay(&self, concluded: DependencyHealth) -> Duration {
         if concluded.is_worse_than(self.health) {
-            return WORSE_DELAY;
+            return DEGRADATION_DELAY;
         }
         if self.health.is_worse_than(concluded) && self.health.should_limit_calls() {
-            let doublings = self.relapses.saturating_sub(1).min(MAX_DELAY_DOUBLINGS);
-            return BETTER_DELAY * (1 << doublings);
+            let doublings = self
+                .degradation_count
+                .saturating_sub(1)
+                .min(MAX_RECOVERY_DELAY_DOUBLINGS);
+            return RECOVERY_DELAY * (1 << doublings);
         }
-        // After a health that did not limit calls, a better one is reported at once.
+        // A better health is reported immediately if the previous one did not limit calls.
         Duration::ZERO
     }
 
-    /// Whether the others' observations are new enough for a conclusion.
+    /// Returns true if the others' observations are new enough for a conclusion.
     fn has_evidence(&self, concluded: DependencyHealth, as_of: Duration) -> bool {
         concluded != DependencyHealth::OnlyHere || as_of >= self.pending_since + ONLY_HERE_DELAY
     }
--- a/crates/shared-state/src/health/mod.rs
+++ b/crates/shared-state/src/health/mod.rs
@@ -1,6 +1,6 @@
-//! Health of dependencies: what each node observes, and what it concludes from that and from the others' observations.
-//! Neither one node nor one site can declare a dependency down for all, and a node that alone fails to reach it knows that
-//! the fault is on its own path.
+//! Health of dependencies: what each node observes, and what it concludes from its own and the
+//! other nodes' observations. Neither one node nor one site can declare a dependency down for all.
+//! A node that alone fails to reach a dependency concludes that the fault is on its own path.
 
 mod attempts;
 mod evaluation;
--- a/crates/shared-state/src/health/tally.rs
+++ b/crates/shared-state/src/health/tally.rs
@@ -1,17 +1,17 @@
-//! Observations of a dependency, counted over nodes and sites.
+//! Observations of a dependency's health, counted by node and by site.
 
 use serde::{Deserialize, Serialize};
 
 use super::ObservedHealth;
 
-/// How many observers report which health.
+/// Numbers of observers, by the health that they observe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HealthCounts {
-    /// Observers that find it sound.
+    /// Observers for which the dependency works.
     pub sound: u32,
-    /// Observers that find it slow.
+    /// Observers for which the dependency is slow.
     pub slow: u32,
-    /// Observers that find it failing.
+    /// Observers for which the dependency fails.
     pub failing: u32,
 }
 
@@ -36,24 +36,24 @@
         }
     }
 
-    /// All observers.
+    /// Returns the number of all observers.
     pub fn total(&self) -> u32 {
         self.sound
             .saturating_add(self.slow)
             .saturating_add(self.failing)
     }
 
-    /// Whether more than half of the observers find it failing.
+    /// Returns true if the dependency fails for more than half of the observers.
     pub(super) fn is_mostly_failing(&self) -> bool {
         u64::from(self.failing) * 2 > u64::from(self.total())
     }
 
-    /// Whether more than half of the observers find it slow.
+    /// Returns true if the dependency is slow for more than half of the observers.
     pub(super) fn is_mostly_slow(&self) -> bool {
         u64::from(self.slow) * 2 > u64::from(self.total())
     }
 
-    /// What most observers find.
+    /// Returns the health that most observers observe.
     fn majority(&self) -> ObservedHealth {
         if self.is_mostly_failing() {
             ObservedHealth::Failing
@@ -65,19 +65,19 @@
     }
 }
 
-/// What nodes other than the reader observe of a dependency.
+/// Observations of a dependency by all nodes except the one that evaluates them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Tally {
-    /// Nodes of the reader's own site, the reader left out.
+    /// Other nodes at the evaluating node's own site.
     pub here: HealthCounts,
     /// Nodes of all other sites.
     pub elsewhere: HealthCounts,
-    /// Other sites, each counted by what most of its nodes observe.
+    /// Other sites, each counted once by the health that most of its nodes observe.
     pub sites: HealthCounts,
 }
 
 impl Tally {
-    /// Counts the observations at the reader's own site and at each other site.
+    /// Counts the observations at the evaluating node's own site and at each other site.
     pub fn new(here: HealthCounts, other_sites: impl Iterator<Item = HealthCounts>) -> Tally {
         let mut tally = Tally {
             here,
@@ -92,7 +92,7 @@
         tally
     }
 
-    /// The observations of all nodes, the reader's own included if it has one.
+    /// Returns the observations of all nodes, including the evaluating node's own if it has one.
     pub(super) fn all_nodes(&self, own: Option<ObservedHealth>) -> HealthCounts {
         let mut all = HealthCounts {
             sound: self.here.sound + self.elsewhere.sound,
--- a/crates/shared-state/src/lease_holder.rs
+++ b/crates/shared-state/src/lease_holder.rs
@@ -1,4 +1,4 @@
-//! The holder's side of the lease protocol: what one node may spend of one budget.
+//! The holder's side of the lease protocol: the units that one node may spend of one budget.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,13 +9,14 @@
 /// A holder's request for quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseRequest {
-    /// Sequence number; rises with each request of an incarnation.
+    /// Sequence number; increases with each request of an incarnation.
     pub seq: u64,
-    /// The request whose grant is in force at the holder; no earlier grant will ever take effect.
+    /// Sequence number of the request whose grant is in force at the holder. No earlier grant will
+    /// ever take effect.
     pub applied_seq: u64,
-    /// Units that the holder may be spending now, its guaranteed quota aside.
+    /// Units that the holder may be spending now, excluding its guaranteed quota.
     pub in_use: Units,
-    /// Units that the holder could spend, its guaranteed quota aside.
+    /// Units that the holder could spend, excluding its guaranteed quota.
     pub demand: Units,
 }
 
@@ -24,14 +25,15 @@
 pub struct LeaseGrant {
     /// Sequence number of the request.
     pub seq: u64,
-    /// Units that may be spent for [`LeaseTimings::lease_duration`] from when they were requested.
+    /// Units that may be spent for [`LeaseTimings::lease_duration`] from the time of the request.
     pub units: Units,
 }
 
-/// Most requests that may await a grant; a later grant soon makes the earlier ones useless.
+/// Maximum number of requests that await a grant. Older ones are dropped: a later grant soon
+/// supersedes theirs.
 const MAX_PENDING_REQUESTS: usize = 64;
 
-/// A request without a grant so far.
+/// A request that has not been granted yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PendingRequest {
     seq: u64,
@@ -42,7 +44,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     timings: LeaseTimings,
-    /// Available once everything that an earlier process of this node spent of it has ended.
+    /// Available once everything that an earlier process of this node spent of it has been
+    /// released.
     guaranteed: GuaranteedQuota,
     last_seq: u64,
     pending: VecDeque<PendingRequest>,
@@ -52,7 +55,7 @@
 }
 
 impl LeaseHolder {
-    /// A holder that starts now, with a guaranteed quota that no other node ever spends.
+    /// Creates a holder that starts now, with a guaranteed quota that no other node ever spends.
     pub fn new(timings: &LeaseTimings, guaranteed_units: Units, now: Duration) -> LeaseHolder {
         LeaseHolder {
             guaranteed: GuaranteedQuota {
@@ -68,28 +71,29 @@
         }
     }
 
-    /// Records the units in use and the units that could be spent.
+    /// Records the units in use and the demand.
     pub fn set_usage(&mut self, usage: QuotaUsage) {
         self.usage = usage;
     }
 
-    /// The usage that was recorded last.
+    /// Returns the usage that was recorded last.
     pub fn usage(&self) -> QuotaUsage {
         self.usage
     }
 
-    /// Holds the guaranteed quota back until `available_from`: by then another process that has it as well, and every call
-    /// that process started, must have ended.
+    /// Withholds the guaranteed quota until `available_from`. By then, any other process with the
+    /// same guaranteed quota must have ended, and so must every call that it started.
     pub fn delay_guaranteed_quota(&mut self, available_from: Duration) {
         self.guaranteed.available_from = available_from;
     }
 
-    /// Units that may be in use now; nothing new is started beyond them.
+    /// Returns the number of units that may be in use now. At this limit, nothing new is started.
     pub fn limit(&self, now: Duration) -> Units {
         self.spendable_quota().limit(now)
     }
 
-    /// The guaranteed and the leased quota with their times.
+    /// Returns the guaranteed and the leased quota with the times from and until which they may be
+    /// spent.
     pub fn spendable_quota(&self) -> SpendableQuota {
         SpendableQuota {
             guaranteed: self.guaranteed,
@@ -97,7 +101,7 @@
         }
     }
 
-    /// Makes the next request.
+    /// Creates the next request.
     pub fn next_request(&mut self, now: Duration) -> LeaseRequest {
         self.last_seq += 1;
         self.pending.push_back(PendingRequest {
@@ -108,7 +112,7 @@
             self.pending.pop_front();
         }
         let guaranteed = self.guaranteed.available(now);
-        // Units in flight count as long as they are, even when the lease has expired.
+        // Units in flight count until they are released, even after the lease has expired.
         let in_use = self
             .leased
             .available(now)
@@ -121,7 +125,8 @@
         }
     }
 
-    /// Applies a grant. Returns false for one that is a duplicate, is outdated or answers no pending request.
+    /// Applies a grant. Returns false if the grant is a duplicate, is outdated or does not match a
+    /// pending request.
     pub fn apply_grant(&mut self, grant: LeaseGrant) -> bool {
         if grant.seq <= self.applied_seq {
             return false;
--- a/crates/shared-state/src/lease_table.rs
+++ b/crates/shared-state/src/lease_table.rs
@@ -1,4 +1,5 @@
-//! The leader's side of the lease protocol: what has been granted of one budget, and what of it may still be spent.
+//! The leader's side of the lease protocol: the units granted of one budget, and how many of them
+//! may still be spent.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,7 +10,7 @@
 use crate::lease_holder::{LeaseGrant, LeaseRequest};
 use crate::LeaseTimings;
 
-/// One process of a node.
+/// Identifies one process of a node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct HolderKey {
     name: Name,
@@ -24,20 +25,21 @@
     expires_at: Duration,
 }
 
-/// What the leader knows of one holder.
+/// The leader's record of one holder.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct HolderLease {
     last_seq: u64,
     demand: Units,
-    /// Units that its last request reported as in use.
+    /// Units that the last request reported as in use.
     reported_in_use: Units,
-    /// When those units have been released at the latest.
+    /// Time by which those units have been released.
     in_use_until: Duration,
     grants: Vec<OutstandingGrant>,
 }
 
 impl HolderLease {
-    /// The most that the holder may be spending, or have in flight at the dependency.
+    /// Returns the maximum number of units that the holder may be spending or have in flight at the
+    /// dependency.
     fn reserved(&self, now: Duration) -> Units {
         let in_use = if now < self.in_use_until {
             self.reported_in_use
@@ -51,9 +53,9 @@
             .fold(in_use, Units::max)
     }
 
-    /// Records a request; the units that it reports as in use are released by `release_at`.
+    /// Records a request. The units that it reports as in use are released by `release_at`.
     fn record_request(&mut self, request: LeaseRequest, release_at: Duration, now: Duration) {
-        // Grants before the one in force at the holder will never take effect.
+        // Grants earlier than the one in force at the holder will never take effect.
         self.grants
             .retain(|grant| grant.seq >= request.applied_seq && now < grant.expires_at);
         self.last_seq = request.seq;
@@ -67,24 +69,26 @@
     }
 }
 
-/// A leader's record of the leases on one budget, for one leadership.
+/// A leader's record of the leases on one budget during one leadership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTable {
     timings: LeaseTimings,
     pool: Units,
-    /// Until then grants of the previous leader may be spent: only what holders report as in use is granted again.
+    /// Time until which grants of the previous leader may still be spent. Before it, only units
+    /// that holders report as in use are granted again.
     previous_grants_until: Duration,
     holders: BTreeMap<HolderKey, HolderLease>,
-    /// The most that each holder may have, so that the demands of all fit the pool.
+    /// Maximum number of units for each holder such that the demands of all holders fit the pool.
     fair_share: Units,
-    /// When the fair share is computed again.
+    /// Time from which the fair share has to be computed again.
     fair_share_expires_at: Duration,
-    /// Holders that may have one unit more: the remainder of the division.
+    /// Holders that may have one unit more than the fair share: the remainder of the division.
     remainder_holders: BTreeSet<HolderKey>,
 }
 
 impl LeaseTable {
-    /// The table of a leadership that begins now, over the units that are guaranteed to no node.
+    /// Creates the table of a leadership that begins now. `pool` is the number of units that are
+    /// not guaranteed to any node.
     pub fn new(timings: &LeaseTimings, pool: Units, now: Duration) -> LeaseTable {
         LeaseTable {
             timings: timings.clone(),
@@ -97,18 +101,20 @@
         }
     }
 
-    /// Changes the pool. A smaller one is in force once the grants beyond it have been released.
+    /// Changes the pool. A smaller pool takes effect once the grants that exceed it have been
+    /// released.
     pub fn set_pool(&mut self, pool: Units) {
         self.pool = pool;
         self.fair_share_expires_at = Duration::ZERO;
     }
 
-    /// The most that all holders together may be spending of what this leadership granted.
+    /// Returns the maximum number of units of this leadership's grants that all holders together
+    /// may be spending.
     pub fn reserved(&self, now: Duration) -> Units {
         self.holders.values().map(|h| h.reserved(now)).sum()
     }
 
-    /// Holders that may still spend, each with its reserved units and its demand.
+    /// Returns all holders on record, each with its reserved units and its demand.
     pub fn holders(&self, now: Duration) -> impl Iterator<Item = HolderSnapshot> + '_ {
         self.holders
             .iter()
@@ -119,7 +125,8 @@
             })
     }
 
-    /// Grants a holder what is free of its demand; `None` for a request that is late or a duplicate.
+    /// Grants a holder its demand as far as units are free and the fair share allows. Returns
+    /// `None` for a request that is outdated or a duplicate.
     pub fn grant_request(
         &mut self,
         name: &Name,
@@ -137,8 +144,9 @@
             return None;
         }
         let reserved = holder.reserved(now);
-        // A request may be late: the units it reports as in use may have been released since and granted to another holder.
-        // They are trusted only while this leader may not have granted anything to the holder yet.
+        // A request may be delayed: the units that it reports as in use may have been released
+        // since and granted to another holder. The report is used only while this leader may not
+        // have granted anything to the holder yet.
         let current = if now < self.previous_grants_until {
             reserved.max(request.in_use)
         } else {
@@ -164,7 +172,7 @@
         })
     }
 
-    /// Units for a holder that has `current` units already.
+    /// Returns the units to grant to a holder that already has `current` units.
     fn grantable_units(
         &self,
         key: &HolderKey,
@@ -172,7 +180,8 @@
         current: Units,
         now: Duration,
     ) -> Units {
-        // While grants of the previous leader are unknown, a holder keeps what it has or less.
+        // While grants of the previous leader may still be in force, a holder gets at most what it
+        // has.
         let free = if now < self.previous_grants_until {
             0
         } else {
@@ -187,8 +196,8 @@
         }
     }
 
-    /// Computes the max-min fair share of the pool: holders that demand less get their demand, the others equal shares of the
-    /// rest.
+    /// Computes the max-min fair share of the pool: holders that demand less than an equal share
+    /// get their demand, and the others get equal shares of the rest.
     fn recompute_fair_share(&mut self, now: Duration) {
         self.fair_share_expires_at = now + self.timings.min_request_interval;
         self.holders.retain(|_, holder| holder.is_active(now));
--- a/crates/shared-state/src/lease_timings.rs
+++ b/crates/shared-state/src/lease_timings.rs
@@ -2,24 +2,26 @@
 
 use std::time::Duration;
 
-/// Parts per million in a whole.
+/// Number of parts per million in 1.
 const PPM: u32 = 1_000_000;
 
-/// Timings of quota leases and of leadership. They must be equal on all nodes of a fleet.
+/// Timings of quota leases and of leadership, which must be equal on all nodes of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTimings {
-    /// How long granted quota may be spent, counted from when it was requested. Longer than the election of another leader
-    /// takes, because otherwise every change of leader would cost all nodes their quota.
+    /// Duration for which granted quota may be spent, counted from its request. It is longer than
+    /// the election of another leader takes; otherwise every change of leader would cost all nodes
+    /// their leased quota.
     pub lease_duration: Duration,
     /// Interval between two requests of a holder whose demand does not change.
     pub request_interval: Duration,
-    /// Shortest interval between two requests.
+    /// Minimum interval between two requests of a holder.
     pub min_request_interval: Duration,
-    /// Longest call: how long after its start a unit that was spent may still be in flight at the dependency.
+    /// Maximum duration of a call: a unit that was spent may still be in flight at the dependency
+    /// for this long after the call started.
     pub max_call_duration: Duration,
-    /// How long a voter is the leader, counted from its proposal.
+    /// Duration of a leadership, counted from the candidate's proposal.
     pub leadership_duration: Duration,
-    /// Largest difference between the rates of two clocks, in parts per million.
+    /// Maximum difference between the rates of two clocks, in parts per million.
     pub max_drift_ppm: u32,
 }
 
@@ -37,14 +39,16 @@
 }
 
 impl LeaseTimings {
-    /// The longest this node's clock can show while another node's clock shows `time`.
+    /// Returns the longest duration that this node's clock can measure while another node's clock
+    /// measures `time`.
     pub(crate) fn upper_bound(&self, time: Duration) -> Duration {
         let slowest_rate = PPM.saturating_sub(self.max_drift_ppm).max(1);
         let fastest_rate = PPM + self.max_drift_ppm;
         time * fastest_rate / slowest_rate
     }
 
-    /// How long after a request its grant can matter: past this, nothing of it can be spent or still be in flight.
+    /// Returns the duration after a request past which none of its granted units can be spent or
+    /// still be in flight.
     pub(crate) fn release_delay(&self) -> Duration {
         self.upper_bound(self.lease_duration + self.max_call_duration)
     }
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -1,20 +1,24 @@
-//! State that the nodes of a fleet share. `docs/shared-state.md` has the design.
+//! State that is shared between the nodes of a fleet. `docs/shared-state.md` describes the design.
 //!
 //! Counts and health of dependencies, which are as current as the messages that arrive:
-//! - [`SketchCounters`], [`AtomicSketchCounters`]: requests in flight by tenant, in a sketch.
-//! - [`health`]: what nodes observe of a dependency, and what each concludes from it.
-//! - [`aggregation`]: both are reported to two members and summed up, with an age that is known without synchronized clocks.
+//! - [`SketchCounters`], [`AtomicSketchCounters`]: requests in flight by tenant, in a count-min
+//!   sketch.
+//! - [`health`]: what nodes observe of a dependency, and what each of them concludes from it.
+//! - [`aggregation`]: nodes report both to two members, which sum them up. The age of a sum is
+//!   known without synchronized clocks.
 //!
-//! Budgets: a total of which each node has a quota, so that the quotas that may be spent never add up to more than the total,
-//! whatever messages are lost, late or duplicated and whatever processes are stopped or killed.
-//! - [`Election`]: elects the leader that grants quota, one of a few named voters, by a lease that a majority of them gives.
-//!   Nothing is stored on disk.
-//! - [`LeaseTable`]: what the leader has granted, and what of it may still be spent.
+//! Budgets: totals of which each node has a quota. The quotas that may be spent never add up to
+//! more than the total, whichever messages are lost, delayed or duplicated and whichever processes
+//! are stopped or killed.
+//! - [`Election`]: elects the leader that grants quota among a few named voters, by a lease from a
+//!   majority of them. Nothing is stored on disk.
+//! - [`LeaseTable`]: what the leader has granted, and how much of it may still be spent.
 //! - [`LeaseHolder`]: what a holder may spend.
-//! - [`Budgets`]: the three for one node, driven by messages and times.
+//! - [`Budgets`]: combines the three for one node, driven by messages and times.
 //!
-//! The safety of budgets depends only on clocks that run at rates within [`LeaseTimings::max_drift_ppm`] of each other: not on
-//! a failure detector, not on the arrival of any message, and not on the time that a clock shows.
+//! The safety of budgets depends only on clock rates that differ by at most
+//! [`LeaseTimings::max_drift_ppm`]. It depends neither on a failure detector, nor on the arrival of
+//! any message, nor on the time that a clock shows.
 
 pub mod aggregation;
 mod budgets;
--- a/crates/shared-state/src/sketch_counters.rs
+++ b/crates/shared-state/src/sketch_counters.rs
@@ -1,30 +1,33 @@
-//! Requests in flight by tenant, counted in a count-min sketch that fits one datagram. The estimate of a key is the smallest
-//! of its counters, so it may be too high and is never too low.
+//! Requests in flight by tenant, counted in a count-min sketch that fits one datagram. The estimate
+//! of a key is the smallest of its counters, so it may be too high but is never too low.
 
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 
 use serde::{Deserialize, Serialize};
 
-/// Rows of the sketch: that all of them overestimate a key by much happens to fewer than one key in 50.
+/// Number of rows. Fewer than one key in 50 is overestimated in all rows by more than the bound
+/// given at [`COLUMNS`].
 pub const ROWS: usize = 4;
-/// Counters of a row: each overestimates by a 23rd of all requests in flight (e / 64) at the most, but for one key in e.
+/// Number of counters per row. For all but one key in e, a row overestimates by at most e/64 (1/23)
+/// of all requests in flight.
 pub const COLUMNS: usize = 64;
-/// Counters of the whole sketch.
+/// Number of counters of the whole sketch.
 pub const COUNTERS: usize = ROWS * COLUMNS;
-/// Largest value of one counter on the wire, three bytes each, so that all of them fit one datagram.
-pub(crate) const MAX_COUNT: u32 = (1 << 21) - 1;
+/// Largest value of a counter on the wire. It takes three bytes, so that all counters fit one
+/// datagram.
+pub(crate) const MAX_WIRE_COUNT: u32 = (1 << 21) - 1;
 
 /// The new value of one counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CounterChange {
     /// Index of the counter.
     pub index: u8,
-    /// Its value now.
+    /// The new value.
     pub count: u32,
 }
 
-/// Indices of a key's counters, one in each row; the same on every machine. Each row hashes the key with `splitmix64` and a
-/// seed of its own.
+/// Returns the indices of a key's counters, one in each row, which are the same on every machine.
+/// Each row hashes the key with `splitmix64` and a seed of its own.
 pub fn counter_indices(key: u64) -> [usize; ROWS] {
     std::array::from_fn(|row| {
         let mut hash = key ^ (row as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
@@ -34,7 +37,7 @@
     })
 }
 
-/// The counters of a sketch at one moment.
+/// The counters of a sketch at one time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SketchCounters(Box<[u32]>);
 
@@ -45,7 +48,7 @@
 }
 
 impl SketchCounters {
-    /// The value of a counter.
+    /// Returns the value of a counter.
     pub fn get(&self, index: usize) -> u32 {
         self.0.get(index).copied().unwrap_or(0)
     }
@@ -53,7 +56,7 @@
     /// Sets counters to new values.
     pub fn apply_changes(&mut self, changes: &[CounterChange]) {
         for change in changes {
-            self.0[usize::from(change.index)] = change.count.min(MAX_COUNT);
+            self.0[usize::from(change.index)] = change.count.min(MAX_WIRE_COUNT);
         }
     }
 
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Values of the counters that differ from those of any of the other sketches.
+    /// Returns the counters whose values differ from those of any of the other sketches.
     pub fn changes_from<'a>(
         &self,
         others: &(impl Iterator<Item = &'a SketchCounters> + Clone),
@@ -85,17 +88,17 @@
             .filter(differs)
             .map(|index| CounterChange {
                 index: index as u8,
-                count: self.get(index).min(MAX_COUNT),
+                count: self.get(index).min(MAX_WIRE_COUNT),
             })
             .collect()
     }
 
-    /// Values of the counters that are not zero.
+    /// Returns the counters that are not zero.
     pub fn nonzero_changes(&self) -> Vec<CounterChange> {
         self.changes_from(&std::iter::once(&SketchCounters::default()))
     }
 
-    /// An upper bound of the estimates of all keys.
+    /// Returns an upper bound of the estimates of all keys.
     pub fn max_estimate(&self) -> u32 {
         self.0
             .chunks(COLUMNS)
@@ -104,7 +107,7 @@
             .unwrap_or(0)
     }
 
-    /// The estimated count of a key.
+    /// Returns the estimated count of a key.
     pub fn estimate(&self, key: u64) -> u32 {
         counter_indices(key)
             .into_iter()
@@ -114,7 +117,8 @@
     }
 }
 
-/// Counters that the thread which admits and answers requests updates, and another thread reads without locking.
+/// Counters that are updated by the thread that admits and answers requests, and read by another
+/// thread without locking.
 #[derive(Debug)]
 pub struct AtomicSketchCounters(Box<[AtomicU32]>);
 
@@ -125,21 +129,21 @@
 }
 
 impl AtomicSketchCounters {
-    /// Counts one more request in flight.
+    /// Counts one more request in flight for a key.
     pub fn increment(&self, key: u64) {
         for index in counter_indices(key) {
             self.0[index].fetch_add(1, Relaxed);
         }
     }
 
-    /// Counts one request in flight less.
+    /// Counts one request in flight less for a key.
     pub fn decrement(&self, key: u64) {
         for index in counter_indices(key) {
             self.0[index].fetch_sub(1, Relaxed);
         }
     }
 
-    /// The counters as they are now.
+    /// Returns a copy of the present counters.
     pub fn load(&self) -> SketchCounters {
         SketchCounters(self.0.iter().map(|counter| counter.load(Relaxed)).collect())
     }
--- a/crates/shared-state/src/tuple_format.rs
+++ b/crates/shared-state/src/tuple_format.rs
@@ -1,6 +1,8 @@
-//! Serialization of structs with named fields as tuples: in JSON an array of the values in order of the fields.
+//! Serialization of structs with named fields as tuples: in JSON, an array of the values in field
+//! order.
 
-/// Implements the conversions for `#[serde(from = "...", into = "...")]` between a struct and the tuple of its fields.
+/// Implements the conversions that `#[serde(from = "...", into = "...")]` needs between a struct
+/// and the tuple of its fields.
 macro_rules! serialize_as_tuple {
     ($type:ident { $($field:ident: $field_type:ty),+ $(,)? }) => {
         impl From<$type> for ($($field_type,)+) {
