--- a/crates/shared-state/tests/aggregation.rs
+++ b/crates/shared-state/tests/aggregation.rs
@@ -1,4 +1,5 @@
-//! Aggregation by its public interface: sequences of messages that random simulations reach too rarely.
+//! Tests of aggregation through its public interface, with sequences of messages that random
+//! simulations reach too rarely.
 
 use std::time::Duration;
 
@@ -21,17 +22,17 @@
     AggregationNode::new(settings, name.clone(), "a".into(), incarnation, ms(0))
 }
 
-/// Two nodes of one site, of which one reports to the other.
-struct Pair {
+/// Two nodes of one site. One of them reports to the other.
+struct ReportingPair {
     aggregator: AggregationNode,
     reporter: AggregationNode,
     aggregator_name: Name,
     reporter_name: Name,
 }
 
-impl Pair {
-    fn new() -> Pair {
-        // The node selects one of the two names itself.
+impl ReportingPair {
+    fn new() -> ReportingPair {
+        // The first node selects one of the two names as its aggregator.
         let names = [name(0), name(1)];
         let site = Name::from("a");
         let mut first = start(&names[0], 1);
@@ -40,7 +41,11 @@
                 .iter()
                 .map(|name| ReportingMember { name, site: &site }),
         );
-        let aggregator_name = first.aggregators().next().cloned().expect("an aggregator");
+        let aggregator_name = first
+            .aggregators()
+            .next()
+            .cloned()
+            .expect("an aggregator is selected");
         let reporter_name = if aggregator_name == names[0] {
             names[1].clone()
         } else {
@@ -58,7 +63,7 @@
                 .iter()
                 .map(|name| ReportingMember { name, site: &site }),
         );
-        Pair {
+        ReportingPair {
             aggregator,
             reporter,
             aggregator_name,
@@ -66,16 +71,17 @@
         }
     }
 
-    /// Sets the reporter's view to itself alone or to both.
-    fn set_reporters_view(&mut self, has_both: bool) {
+    /// Sets the members that the reporter knows: itself and, if `knows_aggregator`, the aggregator.
+    fn set_reporter_members(&mut self, knows_aggregator: bool) {
         let names = [self.reporter_name.clone(), self.aggregator_name.clone()];
         let site: Name = "a".into();
-        let members = names.iter().take(if has_both { 2 } else { 1 });
+        let members = names.iter().take(if knows_aggregator { 2 } else { 1 });
         self.reporter
             .set_members(members.map(|name| ReportingMember { name, site: &site }));
     }
 
-    /// The reporter's next report to the aggregator, with this many requests in flight of one key.
+    /// Returns the reporter's next report to the aggregator, with `count` requests in flight of one
+    /// key.
     fn report(&mut self, now: Duration, count: u32) -> Option<AggregationMessage> {
         let counters = AtomicSketchCounters::default();
         for _ in 0..count {
@@ -93,7 +99,7 @@
             .map(|outgoing| outgoing.message)
     }
 
-    /// The aggregator's reply, at a time of its own clock.
+    /// Returns the aggregator's reply. `now` is a time on the aggregator's clock.
     fn reply(&mut self, report: AggregationMessage, now: Duration) -> Option<AggregationMessage> {
         let mut out: Vec<Outgoing<AggregationMessage>> = Vec::new();
         self.aggregator
@@ -106,77 +112,85 @@
             .handle_message(&self.aggregator_name, reply, now, &mut Vec::new());
     }
 
-    /// Requests in flight of the key, as the aggregator counts them for the others.
-    fn aggregated(&self, now: Duration) -> Option<u32> {
+    /// Returns the aggregator's estimate of the key's requests in flight at the other nodes.
+    fn aggregated_count(&self, now: Duration) -> Option<u32> {
         self.aggregator.aggregate().estimate(7, now)
     }
 }
 
-/// A wrong age would follow if a late reply, to a report made before the aggregator was deselected and selected again, counted
-/// as a reply to a later report.
+/// A reply to a report that was made before the aggregator was deselected and selected again must
+/// not count as a reply to a later report. Otherwise the sum's age would be wrong.
 #[test]
 fn late_reply_does_not_count_for_a_later_report() {
-    let mut pair = Pair::new();
-    let first = pair.report(ms(0), 3).expect("a report");
-    let late = pair.reply(first, ms(0)).expect("a reply");
-    pair.set_reporters_view(false);
-    pair.set_reporters_view(true);
+    let mut pair = ReportingPair::new();
+    let first = pair.report(ms(0), 3).expect("a report to the aggregator");
+    let late = pair.reply(first, ms(0)).expect("a reply of the aggregator");
+    pair.set_reporter_members(false);
+    pair.set_reporter_members(true);
     let Some(AggregationMessage::Report(again)) = pair.report(ms(900), 3) else {
-        panic!("a report")
+        panic!("expected a report")
     };
     assert!(again.seq > 1 && again.base_seq == 0);
     pair.deliver_reply(late, ms(950));
     assert_eq!(
         pair.reporter.aggregate().aggregator,
         None,
-        "it says nothing of 900 ms"
+        "a reply to an earlier report gives no age at 900 ms"
     );
 }
 
-/// A wrong age would follow if a stamp of the aggregator's earlier incarnation, which had another clock, were used.
+/// A stamp of the aggregator's earlier incarnation, which had another clock, must not be used.
+/// Otherwise the sum's age would be wrong.
 #[test]
 fn stamp_of_the_aggregators_earlier_incarnation_gives_no_age() {
-    let mut pair = Pair::new();
-    // Three rounds, by an aggregator's clock that is far ahead.
+    let mut pair = ReportingPair::new();
+    // Three rounds with an aggregator whose clock is far ahead.
     for round in 0..3 {
-        let report = pair.report(ms(300 * round), 3).expect("a report");
+        let report = pair
+            .report(ms(300 * round), 3)
+            .expect("a report to the aggregator");
         let reply = pair
             .reply(report, ms(100_000 + 300 * round))
-            .expect("a reply");
+            .expect("a reply of the aggregator");
         pair.deliver_reply(reply, ms(300 * round + 1));
     }
     assert_eq!(pair.reporter.aggregate().covered_nodes, 1);
-    // It restarts, and so many reports have no reply that the reporter sends a full one, with the old stamp.
+    // The aggregator restarts. So many reports stay unanswered that the reporter sends a full one,
+    // with the old stamp.
     let mut last = None;
     for round in 3..13 {
         last = pair.report(ms(300 * round), 3);
     }
     let Some(AggregationMessage::Report(full)) = last else {
-        panic!("a report")
+        panic!("expected a report")
     };
     assert!(full.base_seq == 0 && full.echo.is_some());
     pair.aggregator = start(&pair.aggregator_name, 11);
     let Some(AggregationMessage::Reply(reply)) =
         pair.reply(AggregationMessage::Report(full), ms(5))
     else {
-        panic!("a reply")
+        panic!("expected a reply")
     };
     assert_eq!(
         (reply.held_seq > 0, reply.coverage.nodes),
         (true, 0),
-        "counted, at an unknown age"
+        "the report is in the sum, but its age is unknown"
     );
 }
 
-/// A counter that is back at its value in the last acknowledged report has to be sent again, because the aggregator may hold
-/// a report from in between.
+/// A counter that has returned to its value in the last acknowledged report must be sent again,
+/// because the aggregator may hold a report from in between.
 #[test]
 fn counter_that_changed_and_changed_back_is_reported() {
-    let mut pair = Pair::new();
+    let mut pair = ReportingPair::new();
     for (round, count) in [(0, 3), (1, 3), (2, 5), (3, 3)] {
-        let report = pair.report(ms(300 * round), count).expect("a report");
-        let reply = pair.reply(report, ms(300 * round)).expect("a reply");
-        // The reply to the third is lost.
+        let report = pair
+            .report(ms(300 * round), count)
+            .expect("a report to the aggregator");
+        let reply = pair
+            .reply(report, ms(300 * round))
+            .expect("a reply of the aggregator");
+        // The reply to the third report is lost.
         if round != 2 {
             pair.deliver_reply(reply, ms(300 * round + 1));
         }
@@ -184,31 +198,31 @@
     let none = SketchCounters::default();
     pair.aggregator
         .handle_timeout(ms(1000), &none, &[], 0.5, &mut Vec::new());
-    assert_eq!(pair.aggregated(ms(1000)), Some(3));
+    assert_eq!(pair.aggregated_count(ms(1000)), Some(3));
 }
 
-/// A late report, and one of an earlier incarnation, must change nothing.
+/// A late report and a report of an earlier incarnation must change nothing.
 #[test]
 fn outdated_report_changes_nothing() {
-    let mut pair = Pair::new();
-    let old = pair.report(ms(0), 9).expect("a report");
-    let new = pair.report(ms(300), 2).expect("a report");
+    let mut pair = ReportingPair::new();
+    let old = pair.report(ms(0), 9).expect("a report to the aggregator");
+    let new = pair.report(ms(300), 2).expect("a report to the aggregator");
     assert!(pair.reply(new, ms(300)).is_some());
-    assert!(pair.reply(old.clone(), ms(400)).is_none(), "late");
+    assert!(pair.reply(old.clone(), ms(400)).is_none(), "late report");
     let AggregationMessage::Report(mut earlier) = old else {
-        panic!("a report")
+        panic!("expected a report")
     };
     (earlier.incarnation, earlier.seq) = (19, 99);
     assert!(
         pair.reply(AggregationMessage::Report(earlier), ms(500))
             .is_none(),
-        "of an earlier incarnation"
+        "report of an earlier incarnation"
     );
-    // The aggregator's own second report is the first with a known age.
+    // The aggregator's own second report is the first one with a known age.
     for now in [600, 900] {
         let none = SketchCounters::default();
         pair.aggregator
             .handle_timeout(ms(now), &none, &[], 0.5, &mut Vec::new());
     }
-    assert_eq!(pair.aggregated(ms(900)), Some(2));
+    assert_eq!(pair.aggregated_count(ms(900)), Some(2));
 }
--- a/crates/shared-state/tests/golden.rs
+++ b/crates/shared-state/tests/golden.rs
@@ -1,5 +1,6 @@
-//! Golden bytes of the messages about shared state. `postcard` writes by position: the order of fields and variants is the
-//! format, and old and new programs of a fleet exchange it. The files under `golden/` never change.
+//! Golden bytes of the messages about shared state. `postcard` encodes by position: the order of
+//! fields and variants is the format, and old and new versions of the program in a fleet exchange
+//! it. The files under `golden/` never change.
 
 use shared_state::aggregation::{AggregateReply, Coverage, EchoedStamp, Report, ServiceTally};
 use shared_state::health::HealthCounts;
@@ -86,7 +87,7 @@
 /// A message and the name of its line in the golden file.
 type Case = (&'static str, Message);
 
-/// Every message, and every variant of its contents.
+/// Returns every message, and every variant of its contents.
 fn cases() -> Vec<Case> {
     let mut cases = vote_cases();
     cases.extend(lease_cases());
@@ -255,7 +256,7 @@
 }
 
 #[test]
-fn golden_messages_are_understood() {
+fn golden_messages_are_decoded() {
     let golden = include_str!("golden/messages.txt");
     assert_eq!(golden.lines().count(), cases().len());
     for (line, (name, message)) in golden.lines().zip(cases()) {
@@ -266,7 +267,7 @@
     }
 }
 
-/// Nodes count a tenant in the same counters, or their sums mean nothing.
+/// All nodes must count a tenant in the same counters; otherwise their sums mean nothing.
 #[test]
 fn counter_indices_of_a_key_are_stable() {
     let keys = [0, 1, 0x0123_4567_89ab_cdef, u64::MAX];
@@ -277,7 +278,7 @@
     assert_eq!(written, include_str!("golden/cells.txt"));
 }
 
-/// The tools print snapshots as JSON: names, order and shapes of the fields may not change.
+/// Tools print snapshots as JSON: the names, order and shapes of the fields must not change.
 #[test]
 fn snapshot_json_is_stable() {
     let mut written = String::new();
--- a/crates/shared-state/tests/health.rs
+++ b/crates/shared-state/tests/health.rs
@@ -1,4 +1,4 @@
-//! Observed and concluded health of a dependency.
+//! Tests of the observed and the concluded health of a dependency.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
     Duration::from_millis(ms)
 }
 
-/// Counts in the order sound, slow, failing: at this node's site, and at each other site.
+/// Counts observations at this node's site and at each other site, each in the order sound, slow,
+/// failing.
 fn tally(here: [u32; 3], other_sites: &[[u32; 3]]) -> Tally {
     let counts = |[sound, slow, failing]: [u32; 3]| HealthCounts {
         sound,
@@ -20,39 +21,40 @@
     Tally::new(counts(here), other_sites.iter().map(|site| counts(*site)))
 }
 
-/// Neither one node nor one site can declare the database down for all, and what works here is not down here.
+/// Neither one node nor one site can declare the database down for all, and a database that works
+/// for a node is not down for that node.
 #[test]
-fn neither_one_node_nor_one_site_speaks_for_all() {
-    let fine = tally([3, 0, 0], &[[4, 0, 0], [4, 0, 0]]);
+fn neither_one_node_nor_one_site_declares_a_dependency_down() {
+    let all_sound = tally([3, 0, 0], &[[4, 0, 0], [4, 0, 0]]);
     assert_eq!(
-        evaluate_health(Some(Failing), &fine, 3),
+        evaluate_health(Some(Failing), &all_sound, 3),
         DependencyHealth::OnlyHere
     );
-    let site = tally([0, 0, 3], &[[4, 0, 0], [4, 0, 0]]);
+    let own_site_failing = tally([0, 0, 3], &[[4, 0, 0], [4, 0, 0]]);
     assert_eq!(
-        evaluate_health(Some(Failing), &site, 3),
+        evaluate_health(Some(Failing), &own_site_failing, 3),
         DependencyHealth::OnlyHere,
-        "its site's path"
+        "the fault is on the path of its site"
     );
     assert_eq!(
-        evaluate_health(None, &site, 3),
+        evaluate_health(None, &own_site_failing, 3),
         DependencyHealth::Sound,
-        "no other node limits its calls"
+        "a node that has not tried does not limit its calls"
     );
     assert_eq!(
         evaluate_health(Some(Failing), &tally([0, 0, 9], &[]), 3),
         DependencyHealth::Unsure,
-        "no other site tried"
+        "no other site has tried"
     );
     assert_eq!(
         evaluate_health(Some(Failing), &tally([0, 0, 0], &[]), 1),
         DependencyHealth::Unsure,
-        "one node of one site"
+        "a single node of a single site"
     );
     assert_eq!(
         evaluate_health(Some(Failing), &tally([0, 0, 1], &[]), 1),
         DependencyHealth::Down,
-        "two nodes of the only site"
+        "two nodes of a single site"
     );
     let down = tally([0, 0, 2], &[[0, 0, 4], [1, 0, 3]]);
     assert_eq!(
@@ -64,7 +66,7 @@
         evaluate_health(Some(Sound), &down, 3),
         DependencyHealth::Sound
     );
-    // Nine of one site fail, four of two others don't: most, but of one site.
+    // Nine nodes of one site fail and four of two other sites do not: a majority, but of one site.
     assert_eq!(
         evaluate_health(None, &tally([2, 0, 0], &[[0, 0, 9], [2, 0, 0]]), 3),
         DependencyHealth::Sound
@@ -79,8 +81,9 @@
     );
 }
 
-/// A conclusion that holds for a moment is not reported; each change for the worse within a minute doubles the delay of the
-/// better one; and a fault of this node alone is not reported from observations that are older than this node's first failure.
+/// A conclusion that holds only for a moment is not reported. Each degradation within a minute
+/// doubles the delay of the recovery. A fault of this node alone is not reported from observations
+/// that are older than this node's first failure.
 #[test]
 fn changes_of_health_are_damped() {
     let mut evaluator = HealthEvaluator::default();
@@ -122,7 +125,8 @@
     );
 }
 
-/// A few attempts show nothing, half of them failing shows a failing dependency, and attempts count for two seconds.
+/// Too few attempts show no health, failures of half of the attempts show a failing dependency, and
+/// attempts count for two seconds.
 #[test]
 fn attempts_show_health_for_two_seconds() {
     let mut window = AttemptWindow::default();
--- a/crates/shared-state/tests/sibling_process.rs
+++ b/crates/shared-state/tests/sibling_process.rs
@@ -1,4 +1,4 @@
-//! A voter that is replaced: two processes of one name have one vote.
+//! Tests the replacement of a voter's process: two processes of one name have one vote.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     )
 }
 
-/// Whether the process promises a term to the voter n1.
+/// Returns true if the process promises a term to the voter n1.
 fn promises(process: &mut Budgets, number: u64, now: Duration) -> bool {
     let mut out = Vec::new();
     let prepare = Message::Vote(Vote::Prepare(Term { number, voter: 1 }));
@@ -39,10 +39,11 @@
         .any(|outgoing| matches!(outgoing.message, Message::Vote(Vote::Promise(..))))
 }
 
-/// A voter whose earlier process still runs must promise nothing, however long it has run itself, and must promise again once
-/// everything that the earlier process promised has expired: otherwise there could be two leaders.
+/// A voter whose earlier process is still running must promise nothing, however long it has been
+/// running itself. It must promise again once everything that the earlier process promised has
+/// expired. Otherwise there could be two leaders.
 #[test]
-fn voter_beside_its_earlier_process_abstains() {
+fn voter_abstains_while_its_earlier_process_is_running() {
     let mut second = process_of_n0();
     second.yield_to_sibling();
     assert!(!promises(&mut second, 1, ms(60_000)));
@@ -51,7 +52,7 @@
     assert!(
         !out.iter()
             .any(|outgoing| matches!(outgoing.message, Message::Vote(_))),
-        "it is no candidate either: {out:?}"
+        "it must not become a candidate either: {out:?}"
     );
     second.resume_after_sibling(ms(61_000));
     assert!(!promises(&mut second, 2, ms(62_900)));
