--- a/crates/shared-state-model/src/lib.rs
+++ b/crates/shared-state-model/src/lib.rs
@@ -1,6 +1,7 @@
-//! Shared budgets as a model for `stateright`: holders that request quota, start calls, crash and restart, a leader that is
-//! followed by another, and a network that loses, duplicates and delays messages. The lease table and the lease holders are
-//! the production ones. Leaders are given, one after the other, as the election guarantees.
+//! Model of shared budgets for `stateright`: holders that request quota, start calls, crash and
+//! restart; leaders that follow one another; and a network that loses, duplicates and delays
+//! messages. The lease table and the lease holders are the production code. The model does not run
+//! the election: as the election guarantees, there is one leader at a time.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,57 +10,57 @@
 use shared_state::{LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LeaseTimings, QuotaUsage};
 use stateright::{Model, Property};
 
-/// A bug put into the use of the state machines on purpose, to show that the check finds it.
+/// A bug that is injected into the use of the state machines, to show that the check finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
-    /// A new leader considers the whole pool free.
+    /// A new leader treats the whole pool as free.
     NoWaitForPreviousGrants,
     /// Requests under an earlier leader's term are granted.
     RequestsOfAnyTerm,
-    /// A holder's lease counts from the arrival of the grant.
+    /// A holder's lease is counted from the arrival of the grant instead of from the request.
     LeaseFromGrant,
     /// Calls may last longer than configured.
     CallsOverMaxDuration,
 }
 
-/// Bounds of the model, and its injected bug if it has one.
+/// Bounds of the model, and the injected bug if there is one.
 #[derive(Clone, Debug)]
 pub struct QuotaModel {
-    /// Steps of time in all.
-    pub steps: u64,
-    /// Requests of all holders, over their incarnations.
-    pub requests: u8,
-    /// Crashes of holders in all.
-    pub crashes: u8,
-    /// Leaders after the first.
-    pub leader_changes: u8,
-    /// What is wrong on purpose.
+    /// Maximum number of time steps.
+    pub max_steps: u64,
+    /// Maximum number of requests of all holders in all of their incarnations.
+    pub max_requests: u8,
+    /// Maximum number of crashes of all holders.
+    pub max_crashes: u8,
+    /// Maximum number of leaders after the first.
+    pub max_leader_changes: u8,
+    /// The injected bug.
     pub bug: Option<InjectedBug>,
 }
 
-/// The total of the budget; no node has a guaranteed quota.
-const TOTAL: u64 = 1;
+/// Total units of the budget. No node has a guaranteed quota.
+const TOTAL_UNITS: u64 = 1;
 /// Number of holders.
-const HOLDERS: usize = 2;
-/// The first step of time, late enough for the times that are counted back from it.
+const HOLDER_COUNT: usize = 2;
+/// The first time step. It leaves room for times that are calculated backwards from it.
 const FIRST_STEP: u64 = 10;
-/// Steps that a call lasts at the most.
+/// Maximum number of steps that a call lasts.
 const MAX_CALL_STEPS: u64 = 1;
-/// Steps that a call lasts with [`InjectedBug::CallsOverMaxDuration`].
+/// Number of steps that a call lasts with [`InjectedBug::CallsOverMaxDuration`].
 const TOO_LONG_CALL_STEPS: u64 = 4;
 
-/// The time of a step, or the duration of a number of steps.
-fn time(steps: u64) -> Duration {
+/// Returns the time of a step, or the duration of a number of steps.
+fn steps_to_duration(steps: u64) -> Duration {
     Duration::from_millis(steps)
 }
 
 fn timings() -> LeaseTimings {
     LeaseTimings {
-        lease_duration: time(3),
-        request_interval: time(1),
-        min_request_interval: time(1),
-        max_call_duration: time(MAX_CALL_STEPS),
-        leadership_duration: time(1),
+        lease_duration: steps_to_duration(3),
+        request_interval: steps_to_duration(1),
+        min_request_interval: steps_to_duration(1),
+        max_call_duration: steps_to_duration(MAX_CALL_STEPS),
+        leadership_duration: steps_to_duration(1),
         max_drift_ppm: 0,
     }
 }
@@ -68,25 +69,25 @@
     format!("h{holder}").into()
 }
 
-/// A holder.
+/// The state of a holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
-    /// Its lease, in this incarnation.
+    /// The lease of this incarnation.
     pub lease: LeaseHolder,
-    /// Rises with each start.
+    /// Increases with each start.
     pub incarnation: u64,
-    /// The leader's term that it knows.
+    /// The leader's term that the holder knows.
     pub term: u8,
-    /// Requests so far.
+    /// Number of requests so far, in all incarnations.
     pub requests: u8,
-    /// Calls of this incarnation in flight.
+    /// Number of calls of this incarnation in flight.
     pub in_flight: u64,
 }
 
-/// A message between a holder and the leader that was sent and may arrive, or arrive again.
+/// A message between a holder and the leader that was sent and may arrive once or several times.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Envelope<M> {
-    /// Index of the holder that sent or is to receive it.
+    /// Index of the holder that sent the message or is to receive it.
     pub holder: usize,
     /// The holder's incarnation.
     pub incarnation: u64,
@@ -101,16 +102,16 @@
 pub struct Call {
     /// Index of the holder that started it.
     pub holder: usize,
-    /// The holder's incarnation then.
+    /// The holder's incarnation when it started the call.
     pub incarnation: u64,
-    /// The step by which it has ended.
+    /// The step at which the call ends.
     pub ends_at: u64,
 }
 
 /// The state of the whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SystemState {
-    /// The step of time.
+    /// The present time step.
     pub now: u64,
     /// The holders.
     pub holders: Vec<Holder>,
@@ -118,23 +119,25 @@
     pub table: LeaseTable,
     /// The leader's term.
     pub term: u8,
-    /// Requests that may arrive.
+    /// Requests that may still arrive.
     pub requests: BTreeSet<Envelope<LeaseRequest>>,
-    /// Grants that may arrive.
+    /// Grants that may still arrive.
     pub grants: BTreeSet<Envelope<LeaseGrant>>,
     /// Calls in flight at the dependency.
     pub calls: Vec<Call>,
-    /// Crashes so far.
+    /// Number of crashes so far.
     pub crashes: u8,
 }
 
 impl SystemState {
-    /// What a holder may spend now.
+    /// Returns the units that a holder may spend now.
     fn limit(&self, holder: usize) -> u64 {
-        self.holders[holder].lease.limit(time(self.now))
+        self.holders[holder]
+            .lease
+            .limit(steps_to_duration(self.now))
     }
 
-    /// Time passes; calls that are due end.
+    /// Advances time by one step and ends the calls that are due.
     fn advance(&mut self) {
         self.now += 1;
         for (index, holder) in self.holders.iter_mut().enumerate() {
@@ -148,15 +151,15 @@
         self.calls.retain(|call| call.ends_at > self.now);
     }
 
-    /// A holder requests the whole total.
+    /// Sends a holder's request for the whole total.
     fn request(&mut self, index: usize) {
         let holder = &mut self.holders[index];
         holder.requests += 1;
         holder.lease.set_usage(QuotaUsage {
             in_use: holder.in_flight,
-            demand: TOTAL,
+            demand: TOTAL_UNITS,
         });
-        let request = holder.lease.next_request(time(self.now));
+        let request = holder.lease.next_request(steps_to_duration(self.now));
         self.requests.insert(Envelope {
             holder: index,
             incarnation: holder.incarnation,
@@ -165,7 +168,7 @@
         });
     }
 
-    /// A holder starts a call that lasts this many steps.
+    /// Starts a call of a holder that lasts this many steps.
     fn start_call(&mut self, index: usize, steps: u64) {
         let holder = &mut self.holders[index];
         holder.in_flight += 1;
@@ -177,30 +180,31 @@
         self.calls.sort_unstable();
     }
 
-    /// A holder's process ends and starts again.
+    /// Ends a holder's process and starts it again.
     fn restart(&mut self, index: usize) {
         self.crashes += 1;
         let holder = &mut self.holders[index];
-        holder.lease = LeaseHolder::new(&timings(), 0, time(self.now));
+        holder.lease = LeaseHolder::new(&timings(), 0, steps_to_duration(self.now));
         holder.incarnation += 1;
         holder.in_flight = 0;
     }
 }
 
-/// An event.
+/// An event of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Time passes.
+    /// Time advances by one step.
     AdvanceTime,
     /// A holder requests the whole total.
     Request(usize),
-    /// A request arrives, for the first time or again.
+    /// A request arrives, for the first time or repeatedly.
     DeliverRequest(Envelope<LeaseRequest>),
-    /// A grant arrives, for the first time or again.
+    /// A grant arrives, for the first time or repeatedly.
     DeliverGrant(Envelope<LeaseGrant>),
     /// A holder starts a call.
     StartCall(usize),
-    /// A holder's process ends and starts again at once: a later start is no harder.
+    /// A holder's process ends and starts again immediately. A later start would not be a harder
+    /// case.
     Restart(usize),
     /// Another leader follows.
     ChangeLeader,
@@ -215,24 +219,25 @@
         }
     }
 
-    /// The lease table of a leader that begins at this step.
+    /// Returns the lease table of a leader that begins at this step.
     fn new_table(&self, now: u64) -> LeaseTable {
         let began_at = match self.bug {
-            // As if it had been the leader for long.
+            // As if it had been the leader for a long time.
             Some(InjectedBug::NoWaitForPreviousGrants) => Duration::ZERO,
-            _ => time(now),
+            _ => steps_to_duration(now),
         };
-        LeaseTable::new(&timings(), TOTAL, began_at)
+        LeaseTable::new(&timings(), TOTAL_UNITS, began_at)
     }
 
     fn deliver_request(&self, state: &mut SystemState, request: &Envelope<LeaseRequest>) {
         let accepts_any_term = self.bug == Some(InjectedBug::RequestsOfAnyTerm);
-        // A second delivery has no effect, because its number is known or its term has passed; so it need not be kept.
+        // A second delivery has no effect, because the sequence number is known or the term has
+        // passed. The request therefore need not be kept.
         if !accepts_any_term {
             state.requests.remove(request);
         }
         if request.term != state.term && !accepts_any_term {
-            // The holder learns the present term; its request is not granted.
+            // The holder learns the present term. Its request is not granted.
             state.holders[request.holder].term = state.term;
             return;
         }
@@ -240,7 +245,7 @@
             &name(request.holder),
             request.incarnation,
             request.message,
-            time(state.now),
+            steps_to_duration(state.now),
         );
         if let Some(grant) = grant {
             state.grants.insert(Envelope {
@@ -255,7 +260,7 @@
     fn deliver_grant(&self, state: &mut SystemState, envelope: &Envelope<LeaseGrant>) {
         // A second delivery would be outdated by the first.
         state.grants.remove(envelope);
-        let now = time(state.now);
+        let now = steps_to_duration(state.now);
         let holder = &mut state.holders[envelope.holder];
         if holder.incarnation != envelope.incarnation {
             return;
@@ -263,7 +268,7 @@
         holder.term = holder.term.max(envelope.term);
         let mut grant = envelope.message;
         if self.bug == Some(InjectedBug::LeaseFromGrant) {
-            // As if it had been requested just now.
+            // As if the grant had been requested just now.
             grant.seq = holder.lease.next_request(now).seq;
         }
         holder.lease.apply_grant(grant);
@@ -276,7 +281,7 @@
 
     fn init_states(&self) -> Vec<SystemState> {
         let holder = Holder {
-            lease: LeaseHolder::new(&timings(), 0, time(FIRST_STEP)),
+            lease: LeaseHolder::new(&timings(), 0, steps_to_duration(FIRST_STEP)),
             incarnation: 1,
             term: 0,
             requests: 0,
@@ -284,9 +289,9 @@
         };
         vec![SystemState {
             now: FIRST_STEP,
-            holders: vec![holder; HOLDERS],
+            holders: vec![holder; HOLDER_COUNT],
             // Grants of leaders before the first have expired.
-            table: LeaseTable::new(&timings(), TOTAL, Duration::ZERO),
+            table: LeaseTable::new(&timings(), TOTAL_UNITS, Duration::ZERO),
             term: 0,
             requests: BTreeSet::new(),
             grants: BTreeSet::new(),
@@ -296,24 +301,24 @@
     }
 
     fn actions(&self, state: &SystemState, actions: &mut Vec<Action>) {
-        if state.now < FIRST_STEP + self.steps {
+        if state.now < FIRST_STEP + self.max_steps {
             actions.push(Action::AdvanceTime);
         }
-        let requests: u8 = state.holders.iter().map(|h| h.requests).sum();
+        let request_count: u8 = state.holders.iter().map(|h| h.requests).sum();
         for (index, holder) in state.holders.iter().enumerate() {
-            if requests < self.requests {
+            if request_count < self.max_requests {
                 actions.push(Action::Request(index));
             }
             if holder.in_flight < state.limit(index) {
                 actions.push(Action::StartCall(index));
             }
-            if state.crashes < self.crashes {
+            if state.crashes < self.max_crashes {
                 actions.push(Action::Restart(index));
             }
         }
         actions.extend(state.requests.iter().cloned().map(Action::DeliverRequest));
         actions.extend(state.grants.iter().cloned().map(Action::DeliverGrant));
-        if state.term < self.leader_changes {
+        if state.term < self.max_leader_changes {
             actions.push(Action::ChangeLeader);
         }
     }
@@ -338,22 +343,27 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "what is in flight never exceeds the total",
-                |_, state: &SystemState| state.calls.len() as u64 <= TOTAL,
+                "units in flight never exceed the total",
+                |_, state: &SystemState| state.calls.len() as u64 <= TOTAL_UNITS,
             ),
             Property::always(
-                "what may be spent never exceeds the total",
+                "units that may be spent never exceed the total",
                 |_, state: &SystemState| {
                     let limits = (0..state.holders.len()).map(|index| state.limit(index));
-                    limits.sum::<u64>() <= TOTAL
+                    limits.sum::<u64>() <= TOTAL_UNITS
                 },
             ),
-            Property::sometimes("all of the total is in flight", |_, state: &SystemState| {
-                state.calls.len() as u64 == TOTAL
-            }),
-            Property::sometimes("a quota has moved", |_, state: &SystemState| {
-                state.limit(1) == TOTAL && state.holders[0].requests > 0 && !state.calls.is_empty()
+            Property::sometimes("the whole total is in flight", |_, state: &SystemState| {
+                state.calls.len() as u64 == TOTAL_UNITS
             }),
+            Property::sometimes(
+                "the quota has moved to another holder",
+                |_, state: &SystemState| {
+                    state.limit(1) == TOTAL_UNITS
+                        && state.holders[0].requests > 0
+                        && !state.calls.is_empty()
+                },
+            ),
         ]
     }
 }
--- a/crates/shared-state-model/tests/model.rs
+++ b/crates/shared-state-model/tests/model.rs
@@ -1,14 +1,15 @@
-//! The check itself: the total holds under everything that the model can do, and each injected bug is found.
+//! Model checking: the total is never exceeded, whatever the model can do, and each injected bug is
+//! found.
 
 use shared_state_model::{InjectedBug, QuotaModel};
 use stateright::{Checker, HasDiscoveries, Model};
 
 fn with_leader_change() -> QuotaModel {
     QuotaModel {
-        steps: 5,
-        requests: 3,
-        crashes: 0,
-        leader_changes: 1,
+        max_steps: 5,
+        max_requests: 3,
+        max_crashes: 0,
+        max_leader_changes: 1,
         bug: None,
     }
 }
@@ -16,7 +17,7 @@
 fn assert_holds(model: QuotaModel) {
     let checker = model.checker().threads(4).spawn_bfs().join();
     println!(
-        "{} states, {} of them different",
+        "{} states, {} unique",
         checker.state_count(),
         checker.unique_state_count()
     );
@@ -31,15 +32,15 @@
 #[test]
 fn total_holds_through_a_crash_with_quota_in_use() {
     assert_holds(QuotaModel {
-        steps: 4,
-        requests: 2,
-        crashes: 1,
-        leader_changes: 0,
+        max_steps: 4,
+        max_requests: 2,
+        max_crashes: 1,
+        max_leader_changes: 0,
         bug: None,
     });
 }
 
-/// The check must be able to fail.
+/// Each injected bug must make the check fail; otherwise the check would show nothing.
 #[test]
 fn each_injected_bug_is_found() {
     for bug in [
@@ -59,12 +60,12 @@
             .spawn_bfs()
             .join();
         let properties = [
-            "what is in flight never exceeds the total",
-            "what may be spent never exceeds the total",
+            "units in flight never exceed the total",
+            "units that may be spent never exceed the total",
         ];
         assert!(
             properties.iter().any(|p| checker.discovery(p).is_some()),
-            "{bug:?} is not found"
+            "{bug:?} was not found"
         );
     }
 }
