--- a/crates/fleet-runtime/src/actor/aggregation.rs
+++ b/crates/fleet-runtime/src/actor/aggregation.rs
@@ -137,7 +137,7 @@
         };
         let aggregate = aggregation.node.aggregate().clone();
         let observation = aggregation.counters.observe_ledger();
-        let others = aggregate.tally(LEDGER, now);
+        let others = aggregate.observation_counts(LEDGER, now);
         let previous_health = aggregation.ledger_health.health();
         if self.config.shares_ledger_health {
             let site_count = self.membership.sites().len();
--- a/crates/fleet-simulation/src/aggregation/checks.rs
+++ b/crates/fleet-simulation/src/aggregation/checks.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rand::RngExt;
-use shared_state::{evaluate_health, Aggregate, DependencyHealth, Tally, LEDGER};
+use shared_state::{evaluate_health, Aggregate, DependencyHealth, ObservationCounts, LEDGER};
 
 use super::simulation::{AggregationSimulation, Node, SITE_COUNT, TENANT_COUNT};
 use super::LedgerOutage;
@@ -43,8 +43,8 @@
                 self.report.ages_ms.push(age.as_millis() as u64);
             }
         }
-        let tally = aggregate.tally(LEDGER, clock);
-        self.check_conclusion(id, clock, &tally, aggregate.as_of);
+        let counts = aggregate.observation_counts(LEDGER, clock);
+        self.check_conclusion(id, clock, &counts, aggregate.as_of);
     }
 
     fn check_estimate(
@@ -85,9 +85,15 @@
         }
     }
 
-    fn check_conclusion(&mut self, id: usize, clock: Duration, tally: &Tally, as_of: Duration) {
+    fn check_conclusion(
+        &mut self,
+        id: usize,
+        clock: Duration,
+        counts: &ObservationCounts,
+        as_of: Duration,
+    ) {
         let node = &mut self.nodes[id];
-        let current = evaluate_health(node.window.observed_health(clock), tally, SITE_COUNT);
+        let current = evaluate_health(node.window.observed_health(clock), counts, SITE_COUNT);
         let health = node.evaluator.update(clock, current, as_of);
         self.report.conclusions += 1;
         self.report.wrong_conclusions += u64::from(self.is_wrong_conclusion(id, health));
--- a/crates/shared-state/src/aggregation/aggregator.rs
+++ b/crates/shared-state/src/aggregation/aggregator.rs
@@ -6,11 +6,11 @@
 use membership::Name;
 
 use super::message::{
-    AggregateReply, Coverage, Report, ServiceObservation, ServiceTally, SumVersion,
+    AggregateReply, Coverage, Report, ServiceObservation, ServiceObservationCounts, SumVersion,
 };
 use super::settings::ReportingSettings;
 use super::{ServiceId, MAX_SERVICES};
-use crate::health::{HealthCounts, Tally};
+use crate::health::{HealthCounts, ObservationCounts};
 use crate::sketch_counters::{CounterChange, SketchCounters, COUNTERS};
 
 /// The last report of a node.
@@ -112,7 +112,7 @@
             counters: self.changes_since(base_version),
             coverage: self.coverage(now),
             present_nodes: member_count as u32,
-            tallies: self.tallies_for(from),
+            observation_counts: self.observation_counts_for(from),
         })
     }
 
@@ -273,22 +273,25 @@
     }
 
     /// Returns the observations of all dependencies by nodes other than the receiver.
-    fn tallies_for(&self, receiver: &Name) -> Vec<ServiceTally> {
+    fn observation_counts_for(&self, receiver: &Name) -> Vec<ServiceObservationCounts> {
         (0..MAX_SERVICES as ServiceId)
             .filter_map(|service| {
-                let tally = self.tally_for(receiver, service)?;
-                Some(ServiceTally { service, tally })
+                let counts = self.service_counts_for(receiver, service)?;
+                Some(ServiceObservationCounts { service, counts })
             })
             .collect()
     }
 
-    fn tally_for(&self, receiver: &Name, service: ServiceId) -> Option<Tally> {
+    fn service_counts_for(&self, receiver: &Name, service: ServiceId) -> Option<ObservationCounts> {
         let sites = self
             .health_by_site
             .get(usize::from(service))
             .filter(|sites| !sites.is_empty())?;
         let Some(own) = self.reporters.get(receiver) else {
-            return Some(Tally::new(HealthCounts::default(), sites.values().copied()));
+            return Some(ObservationCounts::new(
+                HealthCounts::default(),
+                sites.values().copied(),
+            ));
         };
         let mut same_site = sites.get(&own.site).copied().unwrap_or_default();
         for observation in own.observations.iter().filter(|o| o.service == service) {
@@ -298,6 +301,6 @@
             .iter()
             .filter(|(site, _)| **site != own.site)
             .map(|(_, counts)| *counts);
-        Some(Tally::new(same_site, other_sites))
+        Some(ObservationCounts::new(same_site, other_sites))
     }
 }
--- a/crates/shared-state/src/aggregation/message.rs
+++ b/crates/shared-state/src/aggregation/message.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::ServiceId;
-use crate::health::{ObservedHealth, Tally};
+use crate::health::{ObservationCounts, ObservedHealth};
 use crate::sketch_counters::CounterChange;
 
 /// A message between a reporting node and an aggregator.
@@ -62,7 +62,8 @@
     /// Number of nodes that the aggregator considers present.
     pub present_nodes: u32,
     /// The other nodes' observations of dependencies.
-    pub tallies: Vec<ServiceTally>,
+    #[serde(rename = "tallies")]
+    pub observation_counts: Vec<ServiceObservationCounts>,
 }
 
 /// An aggregator's time stamp that a reporting node sends back.
@@ -105,9 +106,11 @@
 
 /// The other nodes' observations of one dependency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServiceTally {
+#[serde(expecting = "struct ServiceTally")]
+pub struct ServiceObservationCounts {
     /// The dependency.
     pub service: ServiceId,
     /// The observations.
-    pub tally: Tally,
+    #[serde(rename = "tally")]
+    pub counts: ObservationCounts,
 }
--- a/crates/shared-state/src/aggregation/mod.rs
+++ b/crates/shared-state/src/aggregation/mod.rs
@@ -19,12 +19,12 @@
 
 use membership::Name;
 
-use crate::health::Tally;
+use crate::health::ObservationCounts;
 use crate::sketch_counters::SketchCounters;
 
 pub use message::{
     AggregateReply, AggregationMessage, Coverage, EchoedStamp, Report, ServiceObservation,
-    ServiceTally, SumVersion,
+    ServiceObservationCounts, SumVersion,
 };
 pub use node::{AggregationNode, ReportingMember};
 pub use settings::ReportingSettings;
@@ -56,7 +56,7 @@
     /// Identifies the sum among those of its aggregator.
     pub sum: SumVersion,
     /// The other nodes' observations of dependencies.
-    pub tallies: Vec<ServiceTally>,
+    pub observation_counts: Vec<ServiceObservationCounts>,
 }
 
 impl Aggregate {
@@ -68,14 +68,14 @@
 
     /// Returns the other nodes' observations of a dependency. They are empty without a recent
     /// aggregate.
-    pub fn tally(&self, service: ServiceId, now: Duration) -> Tally {
+    pub fn observation_counts(&self, service: ServiceId, now: Duration) -> ObservationCounts {
         if now >= self.expires_at {
-            return Tally::default();
+            return ObservationCounts::default();
         }
-        self.tallies
+        self.observation_counts
             .iter()
-            .find(|tally| tally.service == service)
-            .map(|tally| tally.tally)
+            .find(|service_counts| service_counts.service == service)
+            .map(|service_counts| service_counts.counts)
             .unwrap_or_default()
     }
 }
--- a/crates/shared-state/src/aggregation/node.rs
+++ b/crates/shared-state/src/aggregation/node.rs
@@ -157,7 +157,7 @@
             max_in_flight: known.others.max_estimate(),
             ledger,
             calls,
-            others: known.tally(LEDGER, now),
+            others: known.observation_counts(LEDGER, now),
         }
     }
 
@@ -277,7 +277,7 @@
             present_nodes: sum.present_nodes,
             aggregator: Some(session.aggregator().clone()),
             sum: sum.version,
-            tallies: sum.tallies.clone(),
+            observation_counts: sum.observation_counts.clone(),
         };
     }
 }
--- a/crates/shared-state/src/aggregation/reporter.rs
+++ b/crates/shared-state/src/aggregation/reporter.rs
@@ -7,7 +7,7 @@
 
 use super::message::{AggregateReply, EchoedStamp, Report, ServiceObservation, SumVersion};
 use super::settings::ReportingSettings;
-use super::ServiceTally;
+use super::ServiceObservationCounts;
 use crate::sketch_counters::SketchCounters;
 
 /// Maximum number of reports that await a reply. A reply to an older report is too late to be
@@ -55,7 +55,7 @@
     pub(super) as_of: Duration,
     pub(super) covered_nodes: u32,
     pub(super) present_nodes: u32,
-    pub(super) tallies: Vec<ServiceTally>,
+    pub(super) observation_counts: Vec<ServiceObservationCounts>,
 }
 
 /// A reporting node's session with one aggregator.
@@ -185,7 +185,7 @@
             as_of,
             covered_nodes: reply.coverage.nodes,
             present_nodes: reply.present_nodes,
-            tallies: reply.tallies,
+            observation_counts: reply.observation_counts,
         };
     }
 
--- a/crates/shared-state/src/aggregation/snapshot.rs
+++ b/crates/shared-state/src/aggregation/snapshot.rs
@@ -4,7 +4,7 @@
 use membership::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::health::{DependencyHealth, Tally};
+use crate::health::{DependencyHealth, ObservationCounts};
 use crate::tuple_format::serialize_as_tuple;
 
 /// A node's knowledge of the fleet's counts and of the shared database.
@@ -29,7 +29,7 @@
     /// The node's own recent calls to the shared database.
     pub calls: CallCounts,
     /// The other nodes' observations of the shared database.
-    pub others: Tally,
+    pub others: ObservationCounts,
 }
 
 /// Numbers of nodes in a sum and of nodes present.
--- a/crates/shared-state/src/health/evaluation.rs
+++ b/crates/shared-state/src/health/evaluation.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{ObservedHealth, Tally};
+use super::{ObservationCounts, ObservedHealth};
 
 /// Duration for which a worse health has to hold until it is reported.
 const DEGRADATION_DELAY: Duration = Duration::from_millis(300);
@@ -74,7 +74,7 @@
 /// `site_count` is the number of sites in the fleet.
 pub fn evaluate_health(
     own: Option<ObservedHealth>,
-    others: &Tally,
+    others: &ObservationCounts,
     site_count: usize,
 ) -> DependencyHealth {
     // A dependency that works for this node is not down for it, whatever the others observe.
@@ -105,7 +105,11 @@
 
 /// Returns true if a failure is observed at two sites or, in a fleet with a single site, by two
 /// nodes.
-fn is_confirmed(own: Option<ObservedHealth>, others: &Tally, site_count: usize) -> bool {
+fn is_confirmed(
+    own: Option<ObservedHealth>,
+    others: &ObservationCounts,
+    site_count: usize,
+) -> bool {
     if site_count <= 1 {
         return others.all_nodes(own).failing >= 2;
     }
--- a/crates/shared-state/src/health/mod.rs
+++ b/crates/shared-state/src/health/mod.rs
@@ -4,8 +4,8 @@
 
 mod attempts;
 mod evaluation;
-mod tally;
+mod observation_counts;
 
 pub use attempts::{AttemptCounts, AttemptWindow, ObservedHealth, ATTEMPT_WINDOW};
 pub use evaluation::{evaluate_health, DependencyHealth, HealthEvaluator};
-pub use tally::{HealthCounts, Tally};
+pub use observation_counts::{HealthCounts, ObservationCounts};
--- a/crates/shared-state/src/health/tally.rs
+++ b/crates/shared-state/src/health/observation_counts.rs
@@ -67,7 +67,8 @@
 
 /// Observations of a dependency by all nodes except the one that evaluates them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Tally {
+#[serde(expecting = "struct Tally")]
+pub struct ObservationCounts {
     /// Other nodes at the evaluating node's own site.
     pub here: HealthCounts,
     /// Nodes of all other sites.
@@ -76,20 +77,23 @@
     pub sites: HealthCounts,
 }
 
-impl Tally {
+impl ObservationCounts {
     /// Counts the observations at the evaluating node's own site and at each other site.
-    pub fn new(here: HealthCounts, other_sites: impl Iterator<Item = HealthCounts>) -> Tally {
-        let mut tally = Tally {
+    pub fn new(
+        here: HealthCounts,
+        other_sites: impl Iterator<Item = HealthCounts>,
+    ) -> ObservationCounts {
+        let mut counts = ObservationCounts {
             here,
-            ..Tally::default()
+            ..ObservationCounts::default()
         };
         for site in other_sites.filter(|site| site.total() > 0) {
-            tally.elsewhere.sound += site.sound;
-            tally.elsewhere.slow += site.slow;
-            tally.elsewhere.failing += site.failing;
-            tally.sites.add(site.majority());
+            counts.elsewhere.sound += site.sound;
+            counts.elsewhere.slow += site.slow;
+            counts.elsewhere.failing += site.failing;
+            counts.sites.add(site.majority());
         }
-        tally
+        counts
     }
 
     /// Returns the observations of all nodes, including the evaluating node's own if it has one.
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -42,7 +42,8 @@
 };
 pub use election::{Election, KnownLeader, OwnLeadership, Term, Vote};
 pub use health::{
-    evaluate_health, AttemptWindow, DependencyHealth, HealthEvaluator, ObservedHealth, Tally,
+    evaluate_health, AttemptWindow, DependencyHealth, HealthEvaluator, ObservationCounts,
+    ObservedHealth,
 };
 pub use lease_holder::{LeaseGrant, LeaseHolder, LeaseRequest};
 pub use lease_table::LeaseTable;
--- a/crates/shared-state/tests/golden.rs
+++ b/crates/shared-state/tests/golden.rs
@@ -2,25 +2,27 @@
 //! fields and variants is the format, and old and new versions of the program in a fleet exchange
 //! it. The files under `golden/` never change.
 
-use shared_state::aggregation::{AggregateReply, Coverage, EchoedStamp, Report, ServiceTally};
+use shared_state::aggregation::{
+    AggregateReply, Coverage, EchoedStamp, Report, ServiceObservationCounts,
+};
 use shared_state::health::HealthCounts;
 use shared_state::{
     counter_indices, AggregateSnapshot, AggregationMessage, BudgetSnapshot, CallCounts,
     CounterChange, CoverageSnapshot, DependencyHealth, GuaranteedSnapshot, HealthState,
-    HolderRequest, HolderSnapshot, LeaseSnapshot, Message, ObservedHealth, QuotaUsage,
-    ServiceObservation, SharedStateSnapshot, SumVersion, Tally, Term, Vote, LEDGER,
+    HolderRequest, HolderSnapshot, LeaseSnapshot, Message, ObservationCounts, ObservedHealth,
+    QuotaUsage, ServiceObservation, SharedStateSnapshot, SumVersion, Term, Vote, LEDGER,
 };
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
-fn tally(n: u32) -> Tally {
+fn observation_counts(n: u32) -> ObservationCounts {
     let counts = |n| HealthCounts {
         sound: n,
         slow: n + 1,
         failing: n + 2,
     };
-    Tally {
+    ObservationCounts {
         here: counts(n),
         elsewhere: counts(n + 10),
         sites: counts(n + 20),
@@ -44,7 +46,7 @@
             total: 44,
             failed: 45,
         },
-        others: tally(60),
+        others: observation_counts(60),
     };
     Message::SnapshotReply(
         46,
@@ -72,10 +74,10 @@
 fn observation(service: u8, health: ObservedHealth) -> ServiceObservation {
     ServiceObservation { service, health }
 }
-fn service_tally(service: u8, n: u32) -> ServiceTally {
-    ServiceTally {
+fn service_observation_counts(service: u8, n: u32) -> ServiceObservationCounts {
+    ServiceObservationCounts {
         service,
-        tally: tally(n),
+        counts: observation_counts(n),
     }
 }
 
@@ -221,7 +223,10 @@
             oldest_age_ms: 2_007,
         },
         present_nodes: 2_008,
-        tallies: vec![service_tally(LEDGER, 1), service_tally(3, 100)],
+        observation_counts: vec![
+            service_observation_counts(LEDGER, 1),
+            service_observation_counts(3, 100),
+        ],
     }
 }
 
--- a/crates/shared-state/tests/health.rs
+++ b/crates/shared-state/tests/health.rs
@@ -4,7 +4,9 @@
 
 use shared_state::health::HealthCounts;
 use shared_state::ObservedHealth::{Failing, Slow, Sound};
-use shared_state::{evaluate_health, AttemptWindow, DependencyHealth, HealthEvaluator, Tally};
+use shared_state::{
+    evaluate_health, AttemptWindow, DependencyHealth, HealthEvaluator, ObservationCounts,
+};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -12,25 +14,25 @@
 
 /// Counts observations at this node's site and at each other site, each in the order sound, slow,
 /// failing.
-fn tally(here: [u32; 3], other_sites: &[[u32; 3]]) -> Tally {
+fn observation_counts(here: [u32; 3], other_sites: &[[u32; 3]]) -> ObservationCounts {
     let counts = |[sound, slow, failing]: [u32; 3]| HealthCounts {
         sound,
         slow,
         failing,
     };
-    Tally::new(counts(here), other_sites.iter().map(|site| counts(*site)))
+    ObservationCounts::new(counts(here), other_sites.iter().map(|site| counts(*site)))
 }
 
 /// Neither one node nor one site can declare the database down for all, and a database that works
 /// for a node is not down for that node.
 #[test]
 fn neither_one_node_nor_one_site_declares_a_dependency_down() {
-    let all_sound = tally([3, 0, 0], &[[4, 0, 0], [4, 0, 0]]);
+    let all_sound = observation_counts([3, 0, 0], &[[4, 0, 0], [4, 0, 0]]);
     assert_eq!(
         evaluate_health(Some(Failing), &all_sound, 3),
         DependencyHealth::OnlyHere
     );
-    let own_site_failing = tally([0, 0, 3], &[[4, 0, 0], [4, 0, 0]]);
+    let own_site_failing = observation_counts([0, 0, 3], &[[4, 0, 0], [4, 0, 0]]);
     assert_eq!(
         evaluate_health(Some(Failing), &own_site_failing, 3),
         DependencyHealth::OnlyHere,
@@ -42,21 +44,21 @@
         "a node that has not tried does not limit its calls"
     );
     assert_eq!(
-        evaluate_health(Some(Failing), &tally([0, 0, 9], &[]), 3),
+        evaluate_health(Some(Failing), &observation_counts([0, 0, 9], &[]), 3),
         DependencyHealth::Unsure,
         "no other site has tried"
     );
     assert_eq!(
-        evaluate_health(Some(Failing), &tally([0, 0, 0], &[]), 1),
+        evaluate_health(Some(Failing), &observation_counts([0, 0, 0], &[]), 1),
         DependencyHealth::Unsure,
         "a single node of a single site"
     );
     assert_eq!(
-        evaluate_health(Some(Failing), &tally([0, 0, 1], &[]), 1),
+        evaluate_health(Some(Failing), &observation_counts([0, 0, 1], &[]), 1),
         DependencyHealth::Down,
         "two nodes of a single site"
     );
-    let down = tally([0, 0, 2], &[[0, 0, 4], [1, 0, 3]]);
+    let down = observation_counts([0, 0, 2], &[[0, 0, 4], [1, 0, 3]]);
     assert_eq!(
         evaluate_health(Some(Failing), &down, 3),
         DependencyHealth::Down
@@ -68,15 +70,19 @@
     );
     // Nine nodes of one site fail and four of two other sites do not: a majority, but of one site.
     assert_eq!(
-        evaluate_health(None, &tally([2, 0, 0], &[[0, 0, 9], [2, 0, 0]]), 3),
+        evaluate_health(
+            None,
+            &observation_counts([2, 0, 0], &[[0, 0, 9], [2, 0, 0]]),
+            3
+        ),
         DependencyHealth::Sound
     );
     assert_eq!(
-        evaluate_health(Some(Slow), &tally([0, 1, 0], &[[0, 2, 0]]), 3),
+        evaluate_health(Some(Slow), &observation_counts([0, 1, 0], &[[0, 2, 0]]), 3),
         DependencyHealth::Slow
     );
     assert_eq!(
-        evaluate_health(None, &Tally::default(), 3),
+        evaluate_health(None, &ObservationCounts::default(), 3),
         DependencyHealth::Unknown
     );
 }
