--- a/crates/shared-state/src/aggregation/aggregator.rs
+++ b/crates/shared-state/src/aggregation/aggregator.rs
@@ -11,7 +11,7 @@
 use super::settings::ReportingSettings;
 use super::{ServiceId, MAX_SERVICES};
 use crate::health::{HealthCounts, ObservationCounts};
-use crate::sketch_counters::{CounterChange, SketchCounters, COUNTERS};
+use crate::sketch_counters::{CounterChange, SketchCounters, SKETCH_COUNTERS};
 
 /// The last report of a node.
 struct ReporterState {
@@ -49,7 +49,7 @@
             reporters: BTreeMap::new(),
             sum: SketchCounters::default(),
             version: 1,
-            changed_in: vec![0; COUNTERS].into(),
+            changed_in: vec![0; SKETCH_COUNTERS].into(),
             by_made_at: BTreeSet::new(),
             by_received_at: BTreeSet::new(),
             health_by_site: Default::default(),
@@ -251,7 +251,7 @@
     /// Returns the counters of the sum that changed after a version or, for version 0, all that are
     /// not zero.
     fn changes_since(&self, base_version: u64) -> Vec<CounterChange> {
-        (0..COUNTERS)
+        (0..SKETCH_COUNTERS)
             .filter(|index| base_version == 0 || self.changed_in[*index] > base_version)
             .map(|index| CounterChange {
                 index: index as u8,
--- a/crates/shared-state/src/aggregation/node.rs
+++ b/crates/shared-state/src/aggregation/node.rs
@@ -13,7 +13,7 @@
 use super::snapshot::{AggregateSnapshot, CallCounts, CoverageSnapshot, HealthState};
 use super::{Aggregate, LEDGER};
 use crate::budgets::Outgoing;
-use crate::sketch_counters::{SketchCounters, COUNTERS};
+use crate::sketch_counters::{SketchCounters, SKETCH_COUNTERS};
 
 /// Number of aggregators that a node reports to, each at a different site.
 const AGGREGATORS_PER_NODE: usize = 2;
@@ -169,9 +169,9 @@
     /// Returns an upper bound of the memory that aggregation takes on this node, including the
     /// reports of other nodes, in bytes.
     pub fn memory_bytes(&self) -> usize {
-        let counters = COUNTERS * size_of::<u32>();
+        let counters = SKETCH_COUNTERS * size_of::<u32>();
         let session = counters * (MAX_UNANSWERED_REPORTS + 3);
-        let versions = COUNTERS * 2 * size_of::<u64>();
+        let versions = SKETCH_COUNTERS * 2 * size_of::<u64>();
         self.aggregator.reporter_count() * (counters + REPORTER_OVERHEAD_BYTES)
             + self.sessions.len() * session
             + versions
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -49,5 +49,6 @@
 pub use lease_table::LeaseTable;
 pub use lease_timings::LeaseTimings;
 pub use sketch_counters::{
-    counter_indices, AtomicSketchCounters, CounterChange, SketchCounters, COLUMNS, COUNTERS, ROWS,
+    counter_indices, AtomicSketchCounters, CounterChange, SketchCounters, SKETCH_COLUMNS,
+    SKETCH_COUNTERS, SKETCH_ROWS,
 };
--- a/crates/shared-state/src/sketch_counters.rs
+++ b/crates/shared-state/src/sketch_counters.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 
 /// Number of rows. Fewer than one key in 50 is overestimated in all rows by more than the bound
-/// given at [`COLUMNS`].
-pub const ROWS: usize = 4;
+/// given at [`SKETCH_COLUMNS`].
+pub const SKETCH_ROWS: usize = 4;
 /// Number of counters per row. For all but one key in e, a row overestimates by at most e/64 (1/23)
 /// of all requests in flight.
-pub const COLUMNS: usize = 64;
+pub const SKETCH_COLUMNS: usize = 64;
 /// Number of counters of the whole sketch.
-pub const COUNTERS: usize = ROWS * COLUMNS;
+pub const SKETCH_COUNTERS: usize = SKETCH_ROWS * SKETCH_COLUMNS;
 /// Largest value of a counter on the wire. It takes three bytes, so that all counters fit one
 /// datagram.
 pub(crate) const MAX_WIRE_COUNT: u32 = (1 << 21) - 1;
@@ -28,12 +28,12 @@
 
 /// Returns the indices of a key's counters, one in each row, which are the same on every machine.
 /// Each row hashes the key with `splitmix64` and a seed of its own.
-pub fn counter_indices(key: u64) -> [usize; ROWS] {
+pub fn counter_indices(key: u64) -> [usize; SKETCH_ROWS] {
     std::array::from_fn(|row| {
         let mut hash = key ^ (row as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
         hash = (hash ^ (hash >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
         hash = (hash ^ (hash >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-        row * COLUMNS + (hash ^ (hash >> 31)) as usize % COLUMNS
+        row * SKETCH_COLUMNS + (hash ^ (hash >> 31)) as usize % SKETCH_COLUMNS
     })
 }
 
@@ -43,7 +43,7 @@
 
 impl Default for SketchCounters {
     fn default() -> SketchCounters {
-        SketchCounters(vec![0; COUNTERS].into())
+        SketchCounters(vec![0; SKETCH_COUNTERS].into())
     }
 }
 
@@ -84,7 +84,7 @@
                 .clone()
                 .any(|other| other.get(*index) != self.get(*index))
         };
-        (0..COUNTERS)
+        (0..SKETCH_COUNTERS)
             .filter(differs)
             .map(|index| CounterChange {
                 index: index as u8,
@@ -101,7 +101,7 @@
     /// Returns an upper bound of the estimates of all keys.
     pub fn max_estimate(&self) -> u32 {
         self.0
-            .chunks(COLUMNS)
+            .chunks(SKETCH_COLUMNS)
             .map(|row| row.iter().copied().max().unwrap_or(0))
             .min()
             .unwrap_or(0)
@@ -124,7 +124,7 @@
 
 impl Default for AtomicSketchCounters {
     fn default() -> AtomicSketchCounters {
-        AtomicSketchCounters((0..COUNTERS).map(|_| AtomicU32::new(0)).collect())
+        AtomicSketchCounters((0..SKETCH_COUNTERS).map(|_| AtomicU32::new(0)).collect())
     }
 }
 
