--- a/crates/fleet-simulation/src/aggregation/checks.rs
+++ b/crates/fleet-simulation/src/aggregation/checks.rs
@@ -63,7 +63,7 @@
         let as_of = self.now.saturating_sub(age);
         let contributors = self
             .sum_contributors
-            .get(&aggregate.sum)
+            .get(&aggregate.sum_version)
             .map_or(&[][..], Vec::as_slice);
         let least: u32 = contributors
             .iter()
--- a/crates/shared-state/src/aggregation/mod.rs
+++ b/crates/shared-state/src/aggregation/mod.rs
@@ -54,7 +54,7 @@
     /// The aggregator that computed the sum; `None` before the first sum.
     pub aggregator: Option<Name>,
     /// Identifies the sum among those of its aggregator.
-    pub sum: SumVersion,
+    pub sum_version: SumVersion,
     /// The other nodes' observations of dependencies.
     pub observation_counts: Vec<ServiceObservationCounts>,
 }
--- a/crates/shared-state/src/aggregation/node.rs
+++ b/crates/shared-state/src/aggregation/node.rs
@@ -276,7 +276,7 @@
             covered_nodes: sum.covered_nodes,
             present_nodes: sum.present_nodes,
             aggregator: Some(session.aggregator().clone()),
-            sum: sum.version,
+            sum_version: sum.version,
             observation_counts: sum.observation_counts.clone(),
         };
     }
