--- a/crates/shared-state/src/aggregation/message.rs
+++ b/crates/shared-state/src/aggregation/message.rs
@@ -104,13 +104,13 @@
     pub health: ObservedHealth,
 }
 
-/// The other nodes' observations of one dependency.
+/// Counts of the other nodes' observations of one dependency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "struct ServiceTally")]
 pub struct ServiceObservationCounts {
     /// The dependency.
     pub service: ServiceId,
-    /// The observations.
+    /// Counts of the observations.
     #[serde(rename = "tally")]
     pub counts: ObservationCounts,
 }
--- a/crates/shared-state/src/budgets/mod.rs
+++ b/crates/shared-state/src/budgets/mod.rs
@@ -239,7 +239,7 @@
         let tables = self
             .configs
             .iter()
-            .map(|config| LeaseTable::new(&self.timings, config.pool(), own.since.max(now)))
+            .map(|config| LeaseTable::new(&self.timings, config.pool(), own.started_at.max(now)))
             .collect();
         self.leadership = Some(Leadership { term, tables });
         for member in members.iter().filter(|member| **member != self.name) {
--- a/crates/shared-state/src/election.rs
+++ b/crates/shared-state/src/election.rs
@@ -77,7 +77,7 @@
     /// Term in which the leadership began. Renewals do not change it.
     pub term: Term,
     /// Time at which the leadership began.
-    pub since: Duration,
+    pub started_at: Duration,
     /// Time at which the leadership ends unless it is renewed.
     expires_at: Duration,
 }
@@ -337,7 +337,7 @@
         let renewed = self.own_leadership(now);
         self.leadership = Some(OwnLeadership {
             term: renewed.map_or(term, |own| own.term),
-            since: renewed.map_or(now, |own| own.since),
+            started_at: renewed.map_or(now, |own| own.started_at),
             expires_at,
         });
     }
--- a/crates/shared-state/src/health/observation_counts.rs
+++ b/crates/shared-state/src/health/observation_counts.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// Observations of a dependency by all nodes except the one that evaluates them.
+/// Counts of the observations of a dependency by all nodes except the one that evaluates them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(expecting = "struct Tally")]
 pub struct ObservationCounts {
