--- a/crates/shared-state/tests/golden.rs
+++ b/crates/shared-state/tests/golden.rs
@@ -1,25 +1,28 @@
-//! Golden bytes of the messages about shared state. `postcard` writes by position: the order of fields and variants is the
-//! format, and old and new programs of a fleet exchange it. The files under `golden/` never change.
+//! Golden bytes of the messages about shared state. `postcard` encodes by position: the order of
+//! fields and variants is the format, and old and new versions of the program in a fleet exchange
+//! it. The files under `golden/` never change.
 
-use shared_state::aggregation::{AggregateReply, Coverage, EchoedStamp, Report, ServiceTally};
+use shared_state::aggregation::{
+    AggregateReply, Coverage, EchoedStamp, Report, ServiceObservationCounts,
+};
 use shared_state::health::HealthCounts;
 use shared_state::{
     counter_indices, AggregateSnapshot, AggregationMessage, BudgetSnapshot, CallCounts,
     CounterChange, CoverageSnapshot, DependencyHealth, GuaranteedSnapshot, HealthState,
-    HolderRequest, HolderSnapshot, LeaseSnapshot, Message, ObservedHealth, QuotaUsage,
-    ServiceObservation, SharedStateSnapshot, SumVersion, Tally, Term, Vote, LEDGER,
+    HolderRequest, HolderSnapshot, LeaseSnapshot, Message, ObservationCounts, ObservedHealth,
+    QuotaUsage, ServiceObservation, SharedStateSnapshot, SumVersion, Term, Vote, LEDGER,
 };
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
-fn tally(n: u32) -> Tally {
+fn observation_counts(n: u32) -> ObservationCounts {
     let counts = |n| HealthCounts {
         sound: n,
         slow: n + 1,
         failing: n + 2,
     };
-    Tally {
+    ObservationCounts {
         here: counts(n),
         elsewhere: counts(n + 10),
         sites: counts(n + 20),
@@ -43,7 +46,7 @@
             total: 44,
             failed: 45,
         },
-        others: tally(60),
+        others: observation_counts(60),
     };
     Message::SnapshotReply(
         46,
@@ -71,10 +74,10 @@
 fn observation(service: u8, health: ObservedHealth) -> ServiceObservation {
     ServiceObservation { service, health }
 }
-fn service_tally(service: u8, n: u32) -> ServiceTally {
-    ServiceTally {
+fn service_observation_counts(service: u8, n: u32) -> ServiceObservationCounts {
+    ServiceObservationCounts {
         service,
-        tally: tally(n),
+        counts: observation_counts(n),
     }
 }
 
@@ -86,7 +89,7 @@
 /// A message and the name of its line in the golden file.
 type Case = (&'static str, Message);
 
-/// Every message, and every variant of its contents.
+/// Returns every message, and every variant of its contents.
 fn cases() -> Vec<Case> {
     let mut cases = vote_cases();
     cases.extend(lease_cases());
@@ -220,7 +223,10 @@
             oldest_age_ms: 2_007,
         },
         present_nodes: 2_008,
-        tallies: vec![service_tally(LEDGER, 1), service_tally(3, 100)],
+        observation_counts: vec![
+            service_observation_counts(LEDGER, 1),
+            service_observation_counts(3, 100),
+        ],
     }
 }
 
@@ -255,7 +261,7 @@
 }
 
 #[test]
-fn golden_messages_are_understood() {
+fn golden_messages_are_decoded() {
     let golden = include_str!("golden/messages.txt");
     assert_eq!(golden.lines().count(), cases().len());
     for (line, (name, message)) in golden.lines().zip(cases()) {
@@ -266,7 +272,7 @@
     }
 }
 
-/// Nodes count a tenant in the same counters, or their sums mean nothing.
+/// All nodes must count a tenant in the same counters; otherwise their sums mean nothing.
 #[test]
 fn counter_indices_of_a_key_are_stable() {
     let keys = [0, 1, 0x0123_4567_89ab_cdef, u64::MAX];
@@ -277,7 +283,7 @@
     assert_eq!(written, include_str!("golden/cells.txt"));
 }
 
-/// The tools print snapshots as JSON: names, order and shapes of the fields may not change.
+/// Tools print snapshots as JSON: the names, order and shapes of the fields must not change.
 #[test]
 fn snapshot_json_is_stable() {
     let mut written = String::new();
