--- a/src/net/database/connect.rs
+++ b/src/net/database/connect.rs
@@ -1,4 +1,4 @@
-//! New connections to the database.
+//! Opening connections to the database.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,16 +8,17 @@
 use mio::{Interest, Registry, Token};
 use socket2::{SockRef, TcpKeepalive};
 
-/// Probes of an idle connection within the time in which the other machine has to acknowledge one.
+/// Number of TCP keepalive probes sent on an idle connection within the unreachable timeout.
 const KEEPALIVE_PROBES: u32 = 3;
-/// The system counts the time between probes in seconds.
+/// The operating system takes the interval between keepalive probes in whole seconds.
 const MIN_KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Begins to connect. The events of the connection have this token. It ends by itself once the other machine has not acknowledged anything
-/// for `unreachable_timeout`, if that is not zero.
+/// Begins to connect, without blocking, and registers the connection for events under `token`. The
+/// operating system ends the connection once the peer's host has acknowledged nothing for
+/// `unreachable_timeout`; zero disables this.
 ///
 /// # Errors
-/// Where the system has no connection to give, or can't reach the address: nothing was sent.
+/// Returns an error if the system has no free socket or cannot reach the address. Nothing was sent.
 pub(super) fn connect(
     address: SocketAddr,
     registry: &Registry,
@@ -25,22 +26,25 @@
     unreachable_timeout: Duration,
 ) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(address)?;
-    // Without that the system takes some 15 minutes, and the call is made all the same.
-    let _ = end_if_unreachable(&stream, unreachable_timeout);
+    // If this fails, the call is made all the same; an unreachable host is then detected only
+    // after some 15 minutes.
+    let _ = set_unreachable_timeout(&stream, unreachable_timeout);
     let interest = Interest::READABLE | Interest::WRITABLE;
     registry.register(&mut stream, Token(token), interest)?;
     Ok(stream)
 }
 
-/// Has the system end the connection once the other machine has not acknowledged anything for this long. Nothing else tells that it is
-/// gone: what is written to it is repeated for some 15 minutes, and nothing is ever read.
-fn end_if_unreachable(stream: &TcpStream, timeout: Duration) -> io::Result<()> {
+/// Makes the operating system end the connection once the peer's host has acknowledged nothing for
+/// this long. Nothing else detects an unreachable host: by default the system retransmits written
+/// data for some 15 minutes, and a read never returns.
+fn set_unreachable_timeout(stream: &TcpStream, timeout: Duration) -> io::Result<()> {
     if timeout.is_zero() {
         return Ok(());
     }
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(timeout))?;
-    // Where all that was written has been acknowledged, only probes show that the machine has gone since.
+    // Once all written data is acknowledged, only keepalive probes detect a host that has become
+    // unreachable since.
     let probe_interval = (timeout / KEEPALIVE_PROBES).max(MIN_KEEPALIVE_INTERVAL);
     let probes = TcpKeepalive::new()
         .with_time(probe_interval)
--- a/src/net/database/exchange.rs
+++ b/src/net/database/exchange.rs
@@ -1,4 +1,4 @@
-//! One call on its connection: connect, write the request, read the reply.
+//! One database call on its own connection: connect, write the request, read the reply.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::SocketAddr;
@@ -17,15 +17,16 @@
     pub(super) started_at: Instant,
     pub(super) is_connected: bool,
     request: Vec<u8>,
-    /// Bytes of the request that have been written.
+    /// Number of bytes of the request that have been written.
     written: usize,
     received: Vec<u8>,
-    /// When the exchange is given up.
+    /// Time at which the exchange times out.
     pub(super) deadline: Instant,
 }
 
 impl HttpExchange {
-    /// An exchange on a stream that is being connected, which takes until `connect_deadline` at the most.
+    /// Creates an exchange on a stream that is being connected. Connecting times out at
+    /// `connect_deadline`.
     pub(super) fn new(
         call: DatabaseCall,
         stream: TcpStream,
@@ -45,11 +46,11 @@
         }
     }
 
-    /// Advances as far as the connection allows. Returns the reply once it is complete, and `None` while the database is
-    /// to do something.
+    /// Advances as far as is possible without blocking. Returns the reply once it is complete, and
+    /// `None` while the exchange waits for the database.
     pub(super) fn advance(
         &mut self,
-        chunk: &mut [u8],
+        read_buffer: &mut [u8],
         limits: &DatabaseLimits,
     ) -> Result<Option<HttpReply>, ReplyError> {
         if !self.is_connected && !self.finish_connecting()? {
@@ -58,10 +59,10 @@
         if !self.write_request()? {
             return Ok(None);
         }
-        self.read_reply(chunk, limits)
+        self.read_reply(read_buffer, limits)
     }
 
-    /// Whether the connection is established.
+    /// Returns true once the connection is established.
     fn finish_connecting(&mut self) -> Result<bool, ReplyError> {
         match self.stream.take_error() {
             Ok(None) => {}
@@ -77,8 +78,8 @@
         Ok(true)
     }
 
-    /// Whether the whole request is written. From its first byte on, a broken connection proves nothing: the call may
-    /// have had its effect.
+    /// Returns true once the whole request is written. After its first byte, a broken connection no
+    /// longer proves that the call did not run: it may have taken effect.
     fn write_request(&mut self) -> Result<bool, ReplyError> {
         while self.written < self.request.len() {
             match self.stream.write(&self.request[self.written..]) {
@@ -93,19 +94,19 @@
 
     fn read_reply(
         &mut self,
-        chunk: &mut [u8],
+        read_buffer: &mut [u8],
         limits: &DatabaseLimits,
     ) -> Result<Option<HttpReply>, ReplyError> {
         loop {
-            match self.stream.read(chunk) {
+            match self.stream.read(read_buffer) {
                 Ok(0) => return Err(ReplyError::Truncated),
                 Ok(n) => {
                     if self.received.is_empty() {
-                        // A reply that has begun is complete in a moment, or never.
+                        // The rest of a reply follows its first byte promptly, or never.
                         let reply_deadline = Instant::now() + limits.reply_timeout;
                         self.deadline = self.deadline.min(reply_deadline);
                     }
-                    self.received.extend_from_slice(&chunk[..n]);
+                    self.received.extend_from_slice(&read_buffer[..n]);
                     if let Some(reply) = parse_reply(&self.received, limits)? {
                         return Ok(Some(reply));
                     }
@@ -118,7 +119,7 @@
     }
 }
 
-/// The HTTP request of a call.
+/// Encodes the HTTP request of a call.
 pub(super) fn encode_request(call: &DatabaseCall, address: SocketAddr) -> Vec<u8> {
     let body = call.payload.to_bytes().unwrap_or_default();
     let mut request = format!(
--- a/src/net/database/mod.rs
+++ b/src/net/database/mod.rs
@@ -1,11 +1,14 @@
-//! The database's actor: one thread makes all calls, each on its own non-blocking connection. A call has one timeout to
-//! connect, one for its reply, and one from the reply's first byte to its last.
+//! The database actor: one thread makes all calls, each on its own non-blocking connection. A call
+//! has three timeouts: for connecting, for its reply, and from the first byte of the reply to the
+//! last.
 //!
-//! Two threads for each connection made 48 of a node's 55 threads; `docs/architecture.md` has the figures.
+//! The earlier design with two threads per connection used 48 of a node's 55 threads;
+//! `docs/architecture.md` has the figures.
 //!
-//! Connections are not reused. A reply may be followed by a second copy of it or by noise, at any time, and HTTP/1.1
-//! cannot tell that from the next call's reply; and a connection that the database has forgotten is reset at the next
-//! call, which looks as if that call might have run. A fresh connection has neither problem.
+//! Connections are not reused. The database may send a duplicate of a reply or stray bytes after it
+//! at any time, and HTTP/1.1 cannot distinguish these from the reply to the next call. A reused
+//! connection that the database has already dropped would be reset by the next call, which then
+//! looks as if it might have run. A new connection for each call avoids both problems.
 
 mod budget;
 mod connect;
@@ -29,27 +32,32 @@
 use crate::node::{DatabaseCall, Limits, PolicyMessage, RequestUid};
 use pool::CallPool;
 
-const MAILBOX: Token = Token(0);
+/// Poll token of the waker that signals new messages in the mailbox.
+const MAILBOX_TOKEN: Token = Token(0);
 
-/// Calls that wait in the mailbox, for each connection.
+/// Capacity of the mailbox in calls, per connection.
 const MAILBOX_CALLS_PER_CONNECTION: usize = 4;
 
 /// The sending side of the actor's mailbox.
 pub struct CallSender {
     sender: Sender<DatabaseCall>,
-    /// Requests whose runs are over. There are no more of them than runs in a while, and none may be lost.
+    /// Requests whose runs have ended. The channel is unbounded because no message may be lost; the
+    /// rate of runs limits how many are queued.
     ended_runs: Sender<RequestUid>,
-    /// How many calls earlier processes of the node left behind as they ended.
+    /// Number of calls that earlier processes of the node left running when they exited.
     inherited_calls: Sender<usize>,
+    /// Number of calls that the database may have in progress.
     in_flight: Arc<AtomicUsize>,
+    /// The same number while the database is unresponsive, otherwise 0.
     at_unresponsive: Arc<AtomicUsize>,
     waker: Arc<Waker>,
-    /// Whether the actor has been woken and has not read its mailbox since.
+    /// True if the actor has been woken and has not read its mailbox since.
     is_woken: Arc<AtomicBool>,
 }
 
 impl CallSender {
-    /// Sends a call to the actor without blocking. Returns false where the mailbox is full: the call was never made.
+    /// Sends a call to the actor without blocking. Returns false if the mailbox is full; the call
+    /// is then never made.
     pub fn try_send(&self, call: DatabaseCall) -> bool {
         let was_sent = self.sender.try_send(call).is_ok();
         if was_sent {
@@ -58,26 +66,28 @@
         was_sent
     }
 
-    /// Tells the actor that the run of a request is over: a call that it still makes for it is given up.
+    /// Notifies the actor that the run of a request has ended, so that it abandons the calls that
+    /// are in flight for that request.
     pub fn run_ended(&self, uid: RequestUid) {
         if self.ended_runs.send(uid).is_ok() {
             self.wake();
         }
     }
 
-    /// Has the actor count calls that an earlier process of the node left behind.
+    /// Makes the actor count calls that an earlier process of the node left running.
     pub fn inherit_calls(&self, calls: usize) {
         if self.inherited_calls.send(calls).is_ok() {
             self.wake();
         }
     }
 
-    /// How many calls the database may have in progress.
+    /// Returns the number of calls that the database may have in progress.
     pub fn calls_in_flight(&self) -> usize {
         self.in_flight.load(SeqCst)
     }
 
-    /// How many calls the database may have in progress, if it does not reply, or leaves closes without a reaction; 0 otherwise.
+    /// Returns the number of calls that the database may have in progress if it is unresponsive,
+    /// that is, if it does not reply or does not react to closed connections; otherwise 0.
     pub fn calls_at_unresponsive_database(&self) -> usize {
         self.at_unresponsive.load(SeqCst)
     }
@@ -94,17 +104,17 @@
     inbox: Receiver<DatabaseCall>,
     ended_runs: Receiver<RequestUid>,
     inherited_calls: Receiver<usize>,
-    /// Where the number of calls is published that the database may have in progress.
+    /// Published number of calls that the database may have in progress.
     in_flight: Arc<AtomicUsize>,
-    /// The same while the database does not respond.
+    /// Published: the same number while the database is unresponsive, otherwise 0.
     at_unresponsive: Arc<AtomicUsize>,
     is_woken: Arc<AtomicBool>,
 }
 
-/// Starts the actor on a thread of its own. The results of calls go to `policy`.
+/// Starts the actor on its own thread. It sends the results of calls to `policy`.
 ///
 /// # Errors
-/// Where no poll or thread can be had from the system.
+/// Returns an error if the system cannot create the poll or the thread.
 pub fn start(
     address: &Arc<PeerAddress>,
     budget: Option<SharedCallBudget>,
@@ -113,7 +123,7 @@
     log: &Logger,
 ) -> io::Result<CallSender> {
     let poll = Poll::new()?;
-    let waker = Arc::new(Waker::new(poll.registry(), MAILBOX)?);
+    let waker = Arc::new(Waker::new(poll.registry(), MAILBOX_TOKEN)?);
     if let Some(budget) = &budget {
         budget.set_waker(waker.clone());
     }
--- a/src/net/database/pool.rs
+++ b/src/net/database/pool.rs
@@ -1,4 +1,5 @@
-//! The actor's loop: starts calls while there is capacity, advances those in flight and gives up the late ones.
+//! The event loop of the actor: starts calls while there is capacity, advances those in flight and
+//! abandons those that have timed out.
 
 use std::collections::{HashMap, VecDeque};
 use std::io::ErrorKind;
@@ -15,10 +16,10 @@
 use super::reply::{HttpReply, ReplyError};
 use super::silence::ReplyHistory;
 use super::unconfirmed::UnconfirmedCalls;
-use super::{CallReceiver, PeerAddress, SharedCallBudget, MAILBOX};
+use super::{CallReceiver, PeerAddress, SharedCallBudget, MAILBOX_TOKEN};
 use crate::node::{CallResult, DatabaseCall, Limits, PolicyMessage, RateLimitedLog, RequestUid};
 
-/// The policy's actor has ended: nobody waits for calls any more.
+/// The policy actor has terminated, so that nothing receives the results of calls.
 pub(super) struct Disconnected;
 
 /// A call that waits for capacity.
@@ -27,27 +28,27 @@
     call: DatabaseCall,
 }
 
-/// How many calls may be in flight now.
+/// The current limit on calls in flight.
 struct CallCapacity {
     max_calls: usize,
-    /// Whether the limit is due to the health of the ledger.
-    is_ledger_suspect: bool,
+    /// True if the limit is due to the health of the ledger.
+    is_ledger_unavailable: bool,
 }
 
-/// All calls of the node to the database.
+/// All database calls of the node.
 pub(super) struct CallPool {
     address: Arc<PeerAddress>,
     budget: Option<SharedCallBudget>,
     queue: VecDeque<QueuedCall>,
-    /// Calls that were given up and that the database may still have in progress.
+    /// Abandoned calls that the database may still have in progress.
     unconfirmed: UnconfirmedCalls,
-    replies: ReplyHistory,
-    /// When calls that the database has not let go of are next observed.
-    stuck_calls_due: Instant,
-    /// The number of these that the policy was last notified of.
+    reply_history: ReplyHistory,
+    /// Time at which abandoned calls that the database has not ended are next recorded as failures.
+    next_stuck_call_record: Instant,
+    /// Number of unconfirmed calls in the last notification to the policy.
     notified_unconfirmed: usize,
-    timed_out_in_queue: RateLimitedLog,
-    /// The call limit that the policy was last notified of.
+    queue_timeout_log: RateLimitedLog,
+    /// Call limit in the last notification to the policy.
     notified_call_limit: usize,
     limits: Limits,
     poll: Poll,
@@ -56,11 +57,11 @@
     log: Logger,
     exchanges: HashMap<usize, HttpExchange>,
     next_token: usize,
-    chunk: Vec<u8>,
+    read_buffer: Vec<u8>,
 }
 
 impl CallPool {
-    /// A pool without calls, which reads them from `mailbox`.
+    /// Creates an empty pool that receives calls from `mailbox`.
     pub(super) fn new(
         address: Arc<PeerAddress>,
         budget: Option<SharedCallBudget>,
@@ -75,23 +76,23 @@
             budget,
             queue: VecDeque::new(),
             unconfirmed: UnconfirmedCalls::default(),
-            replies: ReplyHistory::default(),
-            stuck_calls_due: Instant::now(),
+            reply_history: ReplyHistory::default(),
+            next_stuck_call_record: Instant::now(),
             notified_unconfirmed: 0,
-            timed_out_in_queue: RateLimitedLog::new(limits.repeated_log_interval),
+            queue_timeout_log: RateLimitedLog::new(limits.repeated_log_interval),
             notified_call_limit: usize::MAX,
-            chunk: vec![0; limits.read_bytes],
+            read_buffer: vec![0; limits.read_bytes],
             limits,
             poll,
             mailbox,
             policy,
             log,
             exchanges: HashMap::new(),
-            next_token: MAILBOX.0 + 1,
+            next_token: MAILBOX_TOKEN.0 + 1,
         }
     }
 
-    /// Runs until the policy's actor has ended.
+    /// Runs until the policy actor has terminated.
     pub(super) fn run(mut self) {
         let mut events = Events::with_capacity(self.limits.database.connections * 2);
         while self.run_once(&mut events).is_ok() {}
@@ -103,24 +104,25 @@
         let ready: Vec<usize> = events
             .iter()
             .map(|event| event.token().0)
-            .filter(|token| *token != MAILBOX.0)
+            .filter(|token| *token != MAILBOX_TOKEN.0)
             .collect();
         for token in ready {
             self.advance(token)?;
         }
-        self.give_up_late_exchanges()?;
-        // The calls that were sent before a run was over are in progress then, and are given up as well.
+        self.time_out_exchanges()?;
+        // Pending calls are started before ended runs are handled, so that calls sent before their
+        // run ended are in flight and are abandoned with it.
         self.start_calls()?;
-        self.give_up_calls_of_ended_runs();
+        self.abandon_calls_of_ended_runs();
         self.inherit_calls();
         self.notify_unconfirmed()?;
-        self.observe_stuck_calls();
+        self.record_stuck_calls();
         self.start_calls()?;
         self.publish_in_flight();
         Ok(())
     }
 
-    /// Counts the calls that an earlier process of the node left behind.
+    /// Counts the calls that an earlier process of the node left running.
     fn inherit_calls(&mut self) {
         let calls: usize = self.mailbox.inherited_calls.try_iter().sum();
         let ignored_close_time = self.limits.database.ignored_close_time;
@@ -132,24 +134,25 @@
         let in_flight = self.exchanges.len() + unconfirmed;
         self.mailbox.in_flight.store(in_flight, SeqCst);
         let now = Instant::now();
-        let is_unresponsive = self.replies.is_silent(now)
+        let is_unresponsive = self.reply_history.is_silent(now)
             || self.unconfirmed.ignores_closes(now, &self.limits.database);
         let at_unresponsive = if is_unresponsive { in_flight } else { 0 };
         self.mailbox.at_unresponsive.store(at_unresponsive, SeqCst);
     }
 
-    /// Records calls that the database has not let go of as failures, again and again: they leave no capacity for calls whose
-    /// failure would tell the fleet of a database that does not react.
-    fn observe_stuck_calls(&mut self) {
+    /// Periodically records abandoned calls that the database has not ended as failures. They may
+    /// use up the capacity for new calls, whose failures would otherwise show the fleet that the
+    /// database does not react.
+    fn record_stuck_calls(&mut self) {
         let now = Instant::now();
         let stuck = self.unconfirmed.open_connections();
         let Some(budget) = self.budget.as_ref().filter(|_| stuck > 0) else {
             return;
         };
-        if now < self.stuck_calls_due {
+        if now < self.next_stuck_call_record {
             return;
         }
-        self.stuck_calls_due = now + self.limits.database.stuck_call_interval;
+        self.next_stuck_call_record = now + self.limits.database.stuck_call_interval;
         for _ in 0..stuck {
             budget.record_call(|| None);
         }
@@ -159,7 +162,7 @@
         let timeout = self.poll_timeout(Instant::now());
         match self.poll.poll(events, timeout) {
             Err(e) if e.kind() != ErrorKind::Interrupted => {
-                // Nothing that the database does causes this.
+                // Not caused by anything that the database does.
                 warn!(self.log, "database: poll failed"; "error" => %e);
                 std::thread::sleep(self.limits.reconnect_backoff);
             }
@@ -167,26 +170,30 @@
         }
     }
 
-    /// How long there is nothing to do without an event.
+    /// Returns how long the pool has nothing to do unless an event arrives.
     fn poll_timeout(&self, now: Instant) -> Option<Duration> {
         let deadlines = self.exchanges.values().map(|e| e.deadline);
-        let observes_stuck_calls = self.budget.is_some() && self.unconfirmed.open_connections() > 0;
-        let silence_changes = self.replies.silence_changes(self.earliest_open());
+        let records_stuck_calls = self.budget.is_some() && self.unconfirmed.open_connections() > 0;
+        let silence_changes = self
+            .reply_history
+            .silence_change_times(self.earliest_open());
         let next_deadline = deadlines
             .chain(self.unconfirmed.next_change(now, &self.limits.database))
-            .chain(observes_stuck_calls.then_some(self.stuck_calls_due))
+            .chain(records_stuck_calls.then_some(self.next_stuck_call_record))
             .chain(silence_changes.filter(|at| *at > now))
             .min();
         let timeout = next_deadline.map(|deadline| deadline.saturating_duration_since(now));
         if self.budget.is_none() || self.queue.is_empty() {
             return timeout;
         }
-        // Capacity may come by time alone, as with a lease or the end of an abandoned call.
+        // Capacity may become available without an event, as with a lease or the end of an
+        // abandoned call.
         let poll_interval = self.limits.database.poll_interval;
         Some(timeout.map_or(poll_interval, |timeout| timeout.min(poll_interval)))
     }
 
-    /// Starts calls while there are connections for them, and capacity in the fleet's budget where there is one.
+    /// Starts calls while there are free connections, and capacity in the fleet's budget if there
+    /// is one.
     fn start_calls(&mut self) -> Result<(), Disconnected> {
         let now = Instant::now();
         let unconfirmed = self.unconfirmed.count(now);
@@ -200,7 +207,7 @@
             };
             let waited = now.saturating_duration_since(queued.queued_at);
             if self.budget.is_some() && waited >= queued.call.timeout {
-                self.drop_late_call(&queued.call, &capacity, in_flight)?;
+                self.drop_expired_call(&queued.call, &capacity, in_flight)?;
             } else if connections < self.limits.database.connections
                 && in_flight < capacity.max_calls
             {
@@ -212,8 +219,8 @@
         }
     }
 
-    /// Moves calls from the mailbox to the queue. No more than one for each connection waits there; the rest stays in
-    /// the mailbox, which is bounded.
+    /// Moves calls from the mailbox to the queue, which holds at most one call per connection. The
+    /// rest stays in the mailbox, which is bounded.
     fn receive_calls(&mut self, now: Instant, in_flight: usize) -> Result<(), Disconnected> {
         while self.queue.len() < self.limits.database.connections {
             match self.mailbox.inbox.try_recv() {
@@ -230,14 +237,15 @@
         Ok(())
     }
 
-    /// Reports the demand to the fleet and a changed limit to the policy; how many calls may be in flight.
+    /// Reports the demand to the fleet and a changed limit to the policy. Returns the current
+    /// capacity.
     fn update_capacity(&mut self, in_flight: usize) -> Result<CallCapacity, Disconnected> {
         let connections = self.limits.database.connections;
         let Some(budget) = &self.budget else {
-            // The policy keeps to the node's quota, and there is no other.
+            // There is no quota of the fleet, and the policy enforces that of the node.
             return Ok(CallCapacity {
                 max_calls: usize::MAX,
-                is_ledger_suspect: false,
+                is_ledger_unavailable: false,
             });
         };
         let call_limit = budget.call_limit();
@@ -246,32 +254,32 @@
             self.notified_call_limit = limit;
             self.notify_policy(PolicyMessage::CallLimitChanged(limit))?;
         }
-        let is_ledger_suspect = budget.is_ledger_suspect();
+        let is_ledger_unavailable = budget.is_ledger_unavailable();
         let max_calls = call_limit.unwrap_or(connections);
         Ok(CallCapacity {
-            max_calls: if is_ledger_suspect {
+            max_calls: if is_ledger_unavailable {
                 max_calls.min(1)
             } else {
                 max_calls
             },
-            is_ledger_suspect,
+            is_ledger_unavailable,
         })
     }
 
-    /// Ends a call whose timeout has passed in the queue.
-    fn drop_late_call(
+    /// Drops a call whose timeout has expired in the queue.
+    fn drop_expired_call(
         &self,
         call: &DatabaseCall,
         capacity: &CallCapacity,
         in_flight: usize,
     ) -> Result<(), Disconnected> {
-        self.timed_out_in_queue.log(|suppressed| {
-            let reason = if capacity.is_ledger_suspect {
+        self.queue_timeout_log.log(|suppressed| {
+            let reason = if capacity.is_ledger_unavailable {
                 "ledger health"
             } else {
                 "quota"
             };
-            warn!(self.log, "call not made: no capacity before its timeout"; "limited_by" => reason,
+            warn!(self.log, "database call not made: no capacity before its timeout"; "limited_by" => reason,
                 "call_limit" => capacity.max_calls, "in_flight" => in_flight, "suppressed" => suppressed);
         });
         self.notify_policy(PolicyMessage::CallEnded {
@@ -285,7 +293,7 @@
         call.timeout = self.effective_timeout(&call);
         let started_at = Instant::now();
         let Some(address) = self.address.get() else {
-            // The site has no database: no call can be made, and none was.
+            // The site has no database, so nothing was sent.
             let error = ReplyError::NotSent(ErrorKind::AddrNotAvailable.into());
             return self.report_end(&call, started_at, Err(error));
         };
@@ -300,11 +308,12 @@
         let connect_deadline = started_at + self.limits.connect_timeout.min(call.timeout);
         let exchange = HttpExchange::new(call, stream, request, started_at, connect_deadline);
         self.exchanges.insert(token, exchange);
-        self.replies.call_began(started_at);
+        self.reply_history.record_start(started_at);
         self.advance(token)
     }
 
-    /// How long a call may take: the policy's timeout, and no longer than the fleet's quota allows.
+    /// Returns the timeout of a call: that of the policy, limited by the maximum under the fleet's
+    /// quota.
     fn effective_timeout(&self, call: &DatabaseCall) -> Duration {
         let max_duration = self.budget.as_ref().and_then(|b| b.max_call_duration());
         max_duration.map_or(call.timeout, |max| call.timeout.min(max))
@@ -313,25 +322,26 @@
     fn advance(&mut self, token: usize) -> Result<(), Disconnected> {
         let Some(exchange) = self.exchanges.get_mut(&token) else {
             let limits = &self.limits.database;
-            self.unconfirmed.advance(token, &mut self.chunk, limits);
+            self.unconfirmed
+                .advance(token, &mut self.read_buffer, limits);
             return Ok(());
         };
-        let progress = exchange.advance(&mut self.chunk, &self.limits.database);
+        let progress = exchange.advance(&mut self.read_buffer, &self.limits.database);
         match progress.transpose() {
             Some(outcome) => self.close(token, outcome),
             None => Ok(()),
         }
     }
 
-    fn give_up_late_exchanges(&mut self) -> Result<(), Disconnected> {
+    fn time_out_exchanges(&mut self) -> Result<(), Disconnected> {
         let now = Instant::now();
-        let late: Vec<(usize, bool)> = self
+        let timed_out: Vec<(usize, bool)> = self
             .exchanges
             .iter()
             .filter(|(_, exchange)| exchange.deadline <= now)
             .map(|(token, exchange)| (*token, exchange.is_connected))
             .collect();
-        for (token, is_connected) in late {
+        for (token, is_connected) in timed_out {
             let error = if is_connected {
                 ReplyError::TimedOut
             } else {
@@ -342,7 +352,8 @@
         Ok(())
     }
 
-    /// Ends an exchange. A call that the database may still have in progress is given up, and counts until that is known.
+    /// Ends an exchange. A call that the database may still have in progress is abandoned, and
+    /// counts as unconfirmed until it is known to have ended.
     fn close(
         &mut self,
         token: usize,
@@ -365,19 +376,20 @@
             }
             Err(ReplyError::NotSent(_)) => {}
             Err(ReplyError::Truncated | ReplyError::Broken(_)) => {
-                let is_silent = self.replies.is_silent(now);
+                let is_silent = self.reply_history.is_silent(now);
                 let limits = &self.limits.database;
                 self.unconfirmed
                     .connection_broke(call.uid, is_silent, limits);
             }
             Err(_) => self.unconfirmed.close(token, call.uid, stream),
         }
-        // The policy learns first that the call may go on, and then that nobody waits for it any more.
+        // The policy must be notified that the call may still be in progress before it is notified
+        // of the end of the call.
         self.notify_unconfirmed()?;
         self.report_end(&call, started_at, outcome)
     }
 
-    /// When the first of the calls in progress began.
+    /// Returns the start of the earliest call in progress.
     fn earliest_open(&self) -> Option<Instant> {
         self.exchanges.values().map(|e| e.started_at).min()
     }
@@ -385,11 +397,12 @@
     fn record_reply(&mut self, began_at: Instant, now: Instant) {
         let in_progress = self.exchanges.values().map(|e| e.started_at);
         let next_began_at = in_progress.filter(|at| *at > began_at).min();
-        self.replies.call_replied(began_at, next_began_at, now);
+        self.reply_history
+            .record_reply(began_at, next_began_at, now);
     }
 
-    /// Gives up the calls of runs that are over, which nobody waits for any more.
-    fn give_up_calls_of_ended_runs(&mut self) {
+    /// Abandons the calls of runs that have ended, as their replies are no longer needed.
+    fn abandon_calls_of_ended_runs(&mut self) {
         let ended: Vec<RequestUid> = self.mailbox.ended_runs.try_iter().collect();
         for uid in ended {
             let tokens = self.exchanges.iter().filter(|(_, e)| e.call.uid == uid);
@@ -406,17 +419,18 @@
         let Some(exchange) = self.exchanges.remove(&token) else {
             return;
         };
-        // Before the connection is there, nothing was written.
+        // Nothing was written before the connection was established.
         if exchange.is_connected {
             let uid = exchange.call.uid;
             self.unconfirmed.close(token, uid, exchange.stream);
         }
     }
 
-    /// Notifies the policy of the number of calls that may still be in progress, if that has changed.
+    /// Notifies the policy of the number of abandoned calls that may still be in progress, if it
+    /// has changed.
     fn notify_unconfirmed(&mut self) -> Result<(), Disconnected> {
         let now = Instant::now();
-        let silence = self.replies.silence(self.earliest_open(), now);
+        let silence = self.reply_history.silence(self.earliest_open(), now);
         self.unconfirmed
             .recount_if_unresponsive(now, silence, &self.limits.database);
         let count = self.unconfirmed.count(now);
--- a/src/net/database/reply.rs
+++ b/src/net/database/reply.rs
@@ -1,4 +1,4 @@
-//! Parsing the HTTP reply of the database.
+//! Parses the HTTP replies of the database.
 
 use std::io;
 
@@ -17,13 +17,13 @@
 #[derive(Debug, PartialEq)]
 pub(super) struct HttpReply {
     pub(super) status: u16,
-    /// Whether the database says that the call was never started.
+    /// True if the database reports that the call was never started.
     never_started: bool,
     body: Vec<u8>,
 }
 
 impl HttpReply {
-    /// What the reply says of the call.
+    /// Converts the reply to the result of the call.
     pub(super) fn into_call_result(self) -> CallResult {
         match self.status {
             OK => CallResult::Reply(Payload::from_bytes(&self.body)),
@@ -33,14 +33,14 @@
     }
 }
 
-/// Why a call has no reply.
+/// Reason why a call has no usable reply.
 #[derive(Debug, Error)]
 pub(super) enum ReplyError {
     /// The connection was never established, so nothing was sent.
     #[error("no connection: {0}")]
     NotSent(#[source] io::Error),
-    /// The reply did not come within its timeout.
-    #[error("timed out")]
+    /// The reply did not arrive within its timeout.
+    #[error("no reply within the timeout")]
     TimedOut,
     /// The connection ended before the reply was complete.
     #[error("connection ended before the reply was complete")]
@@ -48,19 +48,19 @@
     /// The connection broke before the reply was complete.
     #[error("connection broke: {0}")]
     Broken(#[source] io::Error),
-    /// The head is not HTTP, or has no end.
-    #[error("not an HTTP reply")]
+    /// The head is not valid HTTP or exceeds the size limit.
+    #[error("invalid or oversized HTTP head in the reply")]
     InvalidHead,
-    /// There is no length, or none that is valid.
-    #[error("no valid length")]
+    /// The length of the body is missing or invalid, or the reply has a transfer encoding.
+    #[error("missing or invalid body length in the reply")]
     InvalidLength,
-    /// The body is longer than any reply.
-    #[error("too long")]
+    /// The body exceeds the size limit.
+    #[error("reply body exceeds the size limit")]
     TooLong,
 }
 
-/// Parses the reply in `received`; `None` while it is not complete. Replies of the 1xx kind before it are skipped, and
-/// bytes behind it are ignored.
+/// Parses the reply in `received`; returns `None` while it is incomplete. Skips informational (1xx)
+/// replies before it and ignores bytes after it.
 pub(super) fn parse_reply(
     received: &[u8],
     limits: &DatabaseLimits,
@@ -84,7 +84,7 @@
             continue;
         }
         let length = body_length(status, head.headers, limits)?;
-        let never_started = values(head.headers, "Never-Started").next() == Some(b"1");
+        let never_started = header_values(head.headers, "Never-Started").next() == Some(b"1");
         let body = received.get(offset..offset + length);
         return Ok(body.map(|body| HttpReply {
             status,
@@ -94,26 +94,27 @@
     }
 }
 
-/// Whether another reply follows this one. After 101 the connection would be something else than HTTP.
+/// Returns true for a 1xx reply that another reply follows. After 101 the connection would no
+/// longer carry HTTP.
 fn is_informational(status: u16) -> bool {
     (100..200).contains(&status) && status != SWITCHING_PROTOCOLS
 }
 
-/// The length of the body that follows the head.
+/// Returns the length of the body that follows the head.
 fn body_length(
     status: u16,
     headers: &[httparse::Header<'_>],
     limits: &DatabaseLimits,
 ) -> Result<usize, ReplyError> {
-    if values(headers, "Transfer-Encoding").next().is_some() {
+    if header_values(headers, "Transfer-Encoding").next().is_some() {
         return Err(ReplyError::InvalidLength);
     }
-    let mut lengths = values(headers, "Content-Length").map(parse_length);
+    let mut lengths = header_values(headers, "Content-Length").map(parse_length);
     let length = match lengths.next() {
         Some(first) if lengths.all(|other| other == first) => {
             first.ok_or(ReplyError::InvalidLength)?
         }
-        // A reply without a body is complete with its status.
+        // A reply with another status may have no body, and is then complete with its head.
         None if status != OK => 0,
         _ => return Err(ReplyError::InvalidLength),
     };
@@ -123,8 +124,8 @@
     Ok(length)
 }
 
-/// The values of all headers of this name.
-fn values<'a>(
+/// Returns the values of all headers with this name.
+fn header_values<'a>(
     headers: &'a [httparse::Header<'a>],
     name: &'a str,
 ) -> impl Iterator<Item = &'a [u8]> {
@@ -134,7 +135,7 @@
         .map(|header| header.value)
 }
 
-/// Parses a length as HTTP writes it: digits and nothing else.
+/// Parses a `Content-Length` value, which consists of digits alone.
 fn parse_length(value: &[u8]) -> Option<usize> {
     let text = std::str::from_utf8(value).ok()?.trim();
     if !text.bytes().all(|b| b.is_ascii_digit()) {
--- a/src/net/database/silence.rs
+++ b/src/net/database/silence.rs
@@ -1,67 +1,72 @@
-//! Whether the database has stopped to reply, as far as the calls of this process show.
+//! Detects a database that has stopped replying, from the calls of this process.
 
 use std::time::{Duration, Instant};
 
-/// The database is silent once it has left a call without a reply for this multiple of the usual time.
+/// The database counts as silent once a call has had no reply for this multiple of the average
+/// reply time.
 const SILENCE_MULTIPLE: f64 = 8.0;
-/// The weight of the latest reply in the usual time.
-const LATEST_WEIGHT: f64 = 0.125;
+/// Weight of the latest reply in the moving average of the reply time.
+const LATEST_REPLY_WEIGHT: f64 = 0.125;
 
-/// Whether the database has stopped to reply.
+/// Estimate of whether the database has stopped replying.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Silence {
-    /// It has replied to the last calls.
+    /// The database has replied to the latest calls.
     #[default]
     Absent,
-    /// No open call has waited for long yet: it may be silent, or the connections of earlier calls broke for another reason.
+    /// No call begun since `since` has had a reply, but no open call has waited long yet: the
+    /// database may be silent, or the connections of earlier calls broke for another reason.
     Possible {
-        /// When the earliest call began that it has not replied to.
+        /// Start of the earliest call without a reply.
         since: Instant,
     },
-    /// It has left an open call without a reply for long, and each one that was begun since as well.
+    /// An open call has waited long, and neither it nor any call begun since has had a reply.
     Known {
-        /// When the earliest call began that it has not replied to.
+        /// Start of the earliest call without a reply.
         since: Instant,
     },
 }
 
-/// What the replies of the database have shown.
+/// History of the database's replies.
 #[derive(Debug, Default)]
 pub(super) struct ReplyHistory {
-    /// Seconds that a reply usually takes; `None` before the first one.
-    usual_seconds: Option<f64>,
-    /// When the earliest call began that was begun after every call that was replied to.
+    /// Moving average of the reply time in seconds; `None` before the first reply.
+    average_reply_seconds: Option<f64>,
+    /// Start of the earliest call that began after every call that has had a reply.
     unanswered_since: Option<Instant>,
 }
 
 impl ReplyHistory {
-    /// A call has begun.
-    pub(super) fn call_began(&mut self, now: Instant) {
+    /// Records the start of a call.
+    pub(super) fn record_start(&mut self, now: Instant) {
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// The database has replied to a call that began at `began_at`; of those in progress `next_began_at` is the first that began later.
-    pub(super) fn call_replied(
+    /// Records the reply to a call that began at `began_at`. Of the calls in progress, the first
+    /// that began later did so at `next_began_at`.
+    pub(super) fn record_reply(
         &mut self,
         began_at: Instant,
         next_began_at: Option<Instant>,
         now: Instant,
     ) {
         let seconds = now.saturating_duration_since(began_at).as_secs_f64();
-        let usual = self.usual_seconds.get_or_insert(seconds);
-        *usual += LATEST_WEIGHT * (seconds - *usual);
+        let average = self.average_reply_seconds.get_or_insert(seconds);
+        *average += LATEST_REPLY_WEIGHT * (seconds - *average);
         if self.unanswered_since.is_some_and(|at| at <= began_at) {
             self.unanswered_since = next_began_at;
         }
     }
 
-    /// Whether the database has left a call without a reply for much longer than usual, and each one that was begun since as well.
+    /// Returns true if a call has been without a reply for much longer than the average reply time,
+    /// and no call that began since has had a reply.
     pub(super) fn is_silent(&self, now: Instant) -> bool {
         self.unanswered_since
             .is_some_and(|since| self.is_overdue(since, now))
     }
 
-    /// Whether the database is silent. `earliest_open` is when the first of the calls in progress began.
+    /// Estimates whether the database is silent. `earliest_open` is the start of the earliest call
+    /// in progress.
     pub(super) fn silence(&self, earliest_open: Option<Instant>, now: Instant) -> Silence {
         match self.unanswered_since {
             None => Silence::Absent,
@@ -72,8 +77,8 @@
         }
     }
 
-    /// When the silence becomes more certain unless the database replies before.
-    pub(super) fn silence_changes(
+    /// Returns the times at which the estimate changes unless the database replies before.
+    pub(super) fn silence_change_times(
         &self,
         earliest_open: Option<Instant>,
     ) -> impl Iterator<Item = Instant> + '_ {
@@ -85,9 +90,9 @@
         self.overdue_from(began_at).is_some_and(|from| now >= from)
     }
 
-    /// From when on a reply takes much longer than usual.
+    /// Returns the time from which the reply to a call that began at `began_at` is overdue.
     fn overdue_from(&self, began_at: Instant) -> Option<Instant> {
-        let usual = self.usual_seconds?;
-        Some(began_at + Duration::from_secs_f64(SILENCE_MULTIPLE * usual))
+        let average = self.average_reply_seconds?;
+        Some(began_at + Duration::from_secs_f64(SILENCE_MULTIPLE * average))
     }
 }
--- a/src/net/database/unconfirmed.rs
+++ b/src/net/database/unconfirmed.rs
@@ -1,10 +1,14 @@
-//! Calls that were given up, and what proves that the database has ended them.
+//! Unconfirmed calls: calls that the node has abandoned and that the database may still have in
+//! progress, and the evidence that the database has ended them.
 //!
-//! Giving a call up closes this side of its connection; the other side stays open, so that the database's own end can be seen. Until
-//! then the database may have the call in progress, however long that takes, and it counts as one of the node's calls.
+//! Abandoning a call closes this side of its connection. The other side stays open, so that the
+//! close by the database can be observed. Until then the database may have the call in progress,
+//! however long that takes, and the call counts as one of the node's calls.
 //!
-//! A connection may also end because it broke: one that ends as another breaks is taken to have broken as well. An end that comes long
-//! after the close is not taken for the database's reaction: it has ignored the close until then, and may go on with the call.
+//! A connection may also end because it broke. A connection that ends at the same time as another
+//! one breaks is assumed to have broken as well. An end long after the close is not treated as the
+//! database's reaction to it: the database has ignored the close until then, and may still be
+//! running the call.
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read};
@@ -18,70 +22,74 @@
 use crate::node::limits::DatabaseLimits;
 use crate::node::RequestUid;
 
-/// Connections that end within this time of each other have one cause.
-const BREAK_SPREAD: Duration = Duration::from_millis(50);
+/// Connections that end within this time of each other are assumed to have ended for the same
+/// reason.
+const BREAK_CORRELATION_TIME: Duration = Duration::from_millis(50);
 
-/// A call that was given up and whose connection is still open.
+/// An abandoned call whose connection is still open.
 struct ClosingCall {
     uid: RequestUid,
     stream: TcpStream,
     closed_at: Instant,
-    is_run_over: bool,
-    /// What the database has sent of a reply. It ends the call, but nobody waits for it any more.
+    has_run_ended: bool,
+    /// Bytes of the reply received so far. A complete reply shows that the call has ended, but is
+    /// discarded.
     received: Vec<u8>,
 }
 
 /// A call whose connection broke before its reply.
 struct BrokenCall {
     broke_at: Instant,
-    /// Whether the database had left a close without a reaction by then, or calls without a reply.
+    /// True if the database was unresponsive at that time: it had ignored a close or was not
+    /// replying to calls.
     was_unresponsive: bool,
 }
 
-/// A call that counts as in progress until a time.
+/// A call that counts as in progress until a fixed time.
 struct LingeringCall {
-    /// The request that it was made for, unless an earlier process made it.
+    /// The request that made the call; `None` if an earlier process made it.
     uid: Option<RequestUid>,
-    /// When its connection ended, unless that was in an earlier process.
+    /// Time at which its connection ended; `None` if that was in an earlier process.
     ended_at: Option<Instant>,
-    /// Whether its connection broke, or may have.
+    /// True if its connection broke, or may have broken.
     is_broken: bool,
     until: Instant,
-    /// Until when it counts once the database turns out not to have responded.
+    /// Time until which the call counts if the database turns out to have been unresponsive.
     until_if_unresponsive: Instant,
 }
 
-/// How far the end of a call that was given up is known.
+/// State of the connection of an abandoned call.
 enum ClosingProgress {
     /// The database has not reacted yet.
     Open,
-    /// It has replied: the call is over.
+    /// The database has sent a complete reply: the call has ended.
     Replied,
-    /// It has closed its side: it lets go of the call within the settings' time for that.
+    /// The database has closed its side: it ends the call within the linger time of the settings.
     Closed,
-    /// The connection is of no use any more, and what became of the call is not known.
+    /// The connection is no longer usable, and the state of the call is unknown.
     Unusable,
 }
 
-/// Calls that were given up and may still be in progress at the database.
+/// Abandoned calls that may still be in progress at the database.
 #[derive(Default)]
 pub(super) struct UnconfirmedCalls {
-    /// Those whose connections are open, by the token of the connection.
+    /// Calls whose connections are open, by the token of the connection.
     closing: HashMap<usize, ClosingCall>,
-    /// The calls of each request that were on connections that broke.
+    /// Calls whose connections broke, by request.
     broken: HashMap<RequestUid, Vec<BrokenCall>>,
-    /// Until when the database may go on with calls that it knows to be given up, or whose end nothing else can show.
+    /// Calls that the database may continue for a limited time: it knows that they are abandoned,
+    /// or nothing but time can show that they have ended.
     lingering: Vec<LingeringCall>,
-    /// Whether the database was last found silent.
+    /// Latest estimate of whether the database is silent.
     silence: Silence,
     /// When a connection last broke that was not closed from this side.
     last_break_at: Option<Instant>,
-    /// When the end of a connection last showed that the database had ignored its close.
+    /// Time at which the end of a connection last showed that the database had ignored its close.
     close_ignored_at: Option<Instant>,
 }
 
 impl UnconfirmedCalls {
-    /// How many calls the database may have in progress at this time.
+    /// Returns the number of unconfirmed calls that the database may have in progress at this time.
     pub(super) fn count(&mut self, now: Instant) -> usize {
         self.lingering
             .retain(|call| call.until.max(call.until_if_unresponsive) > now);
@@ -89,12 +97,13 @@
         self.closing.len()
             + self.broken.values().map(Vec::len).sum::<usize>()
             + lingering.count()
-            + self.possible_count(now)
+            + self.possibly_running_count(now)
     }
 
-    /// How many calls count in addition as long as the database may have been silent as their connections broke. One place is left for a
-    /// call that shows whether it was.
-    fn possible_count(&self, now: Instant) -> usize {
+    /// Returns the number of calls that count in addition while the database may have been silent
+    /// as their connections broke. The number is reduced by one, to leave a slot for a new call
+    /// that shows whether the database is silent.
+    fn possibly_running_count(&self, now: Instant) -> usize {
         let Silence::Possible { since } = self.silence else {
             return 0;
         };
@@ -103,15 +112,19 @@
         calls.saturating_sub(1)
     }
 
-    /// When the count changes by time alone.
+    /// Returns the next time at which the count changes without an event.
     pub(super) fn next_change(&self, now: Instant, limits: &DatabaseLimits) -> Option<Instant> {
         let ends = self.lingering.iter().map(|call| call.until);
-        let reactions = self.closing.values().map(|call| call.reaction_due(limits));
+        let reactions = self
+            .closing
+            .values()
+            .map(|call| call.reaction_deadline(limits));
         ends.chain(reactions).filter(|at| *at > now).min()
     }
 
-    /// Counts calls again that were taken to be over with their runs, if it has turned out since that the database leaves closes without
-    /// a reaction, or that it was silent as their connections broke: it may go on with them as well.
+    /// Counts calls again that were assumed to have ended with their runs, if the database has
+    /// since turned out to ignore closes, or to have been silent when their connections broke. It
+    /// may still be running them.
     pub(super) fn recount_if_unresponsive(
         &mut self,
         now: Instant,
@@ -135,27 +148,29 @@
         }
     }
 
-    /// How many connections are open.
+    /// Returns the number of open connections.
     pub(super) fn open_connections(&self) -> usize {
         self.closing.len()
     }
 
-    /// Gives up a call on an open connection: the database reads the end of its input.
+    /// Abandons a call on an open connection by shutting down the sending side, which the database
+    /// reads as end of input.
     pub(super) fn close(&mut self, token: usize, uid: RequestUid, stream: TcpStream) {
-        // A connection that can't be shut down has ended, which is read from it.
+        // Shutting down fails only for a connection that has ended, which the next read reports.
         let _ = stream.shutdown(Shutdown::Write);
         let call = ClosingCall {
             uid,
             stream,
             closed_at: Instant::now(),
-            is_run_over: false,
+            has_run_ended: false,
             received: Vec::new(),
         };
         self.closing.insert(token, call);
     }
 
-    /// The open connection of a call broke before its reply. That does not show that the database has noticed, least of all one that is
-    /// silent: there nothing may tell for a while whether it ignores closes as well.
+    /// Records that the open connection of a call broke before the reply. This does not show that
+    /// the database has detected the break. This applies above all to a silent database, where
+    /// nothing may show for a while whether it also ignores closes.
     pub(super) fn connection_broke(
         &mut self,
         uid: RequestUid,
@@ -165,7 +180,9 @@
         let now = Instant::now();
         self.last_break_at = Some(now);
         for call in &mut self.lingering {
-            call.is_broken |= call.ended_at.is_some_and(|at| now <= at + BREAK_SPREAD);
+            call.is_broken |= call
+                .ended_at
+                .is_some_and(|at| now <= at + BREAK_CORRELATION_TIME);
         }
         self.add_broken(uid, is_silent, limits);
     }
@@ -180,7 +197,7 @@
         });
     }
 
-    /// Whether the database has left a close without a reaction, now or not long ago.
+    /// Returns true if the database is ignoring a close, or has done so recently.
     pub(super) fn ignores_closes(&self, now: Instant, limits: &DatabaseLimits) -> bool {
         let was_ignored = self
             .close_ignored_at
@@ -192,31 +209,32 @@
                 .any(|call| call.is_close_ignored(now, limits))
     }
 
-    /// The database has replied in full to a later call of the same request, and thereby ended the earlier ones.
+    /// Removes the earlier calls of a request after the database has replied in full to a later
+    /// one, and thereby ended them.
     pub(super) fn later_call_replied(&mut self, uid: RequestUid) {
         self.broken.remove(&uid);
         self.closing.retain(|_, call| call.uid != uid);
         self.lingering.retain(|call| call.uid != Some(uid));
     }
 
-    /// The run that made the calls is over, so that the database lets go of those on broken connections within the time that the
-    /// settings give it.
+    /// Records that the run which made the calls has ended. The database then ends those on broken
+    /// connections within the linger time of the settings.
     pub(super) fn run_ended(&mut self, uid: RequestUid, limits: &DatabaseLimits) {
         for call in self.closing.values_mut().filter(|call| call.uid == uid) {
-            call.is_run_over = true;
+            call.has_run_ended = true;
         }
         let now = Instant::now();
         for call in self.broken.remove(&uid).unwrap_or_default() {
-            let heard_until = now + limits.linger;
+            let until_if_responsive = now + limits.linger;
             let until_if_unresponsive = call.broke_at + limits.ignored_close_time;
             self.lingering.push(LingeringCall {
                 uid: Some(uid),
                 ended_at: Some(call.broke_at),
                 is_broken: true,
                 until: if call.was_unresponsive {
-                    heard_until.max(until_if_unresponsive)
+                    until_if_responsive.max(until_if_unresponsive)
                 } else {
-                    heard_until
+                    until_if_responsive
                 },
                 until_if_unresponsive,
             });
@@ -224,8 +242,9 @@
         self.recount_if_unresponsive(now, self.silence, limits);
     }
 
-    /// Counts calls of an earlier process, whose connections have ended with it. Nothing shows whether the database has heard that, or
-    /// when it is done with them, so that they count for as long as it goes on with calls where it hears no close.
+    /// Counts calls of an earlier process, whose connections ended with it. Nothing shows whether
+    /// the database has detected that, or when it has finished the calls, so they count for as long
+    /// as it may continue calls whose closes it ignores.
     pub(super) fn inherit(&mut self, calls: usize, ignored_close_time: Duration) {
         let until = Instant::now() + ignored_close_time;
         let inherited = std::iter::repeat_with(|| LingeringCall {
@@ -238,12 +257,17 @@
         self.lingering.extend(inherited.take(calls));
     }
 
-    /// Reads what the database does on the connection of a call that was given up.
-    pub(super) fn advance(&mut self, token: usize, chunk: &mut [u8], limits: &DatabaseLimits) {
+    /// Processes an event on the connection of an abandoned call.
+    pub(super) fn advance(
+        &mut self,
+        token: usize,
+        read_buffer: &mut [u8],
+        limits: &DatabaseLimits,
+    ) {
         let Some(call) = self.closing.get_mut(&token) else {
             return;
         };
-        let progress = call.read(chunk, limits);
+        let progress = call.read(read_buffer, limits);
         if matches!(progress, ClosingProgress::Open) {
             return;
         }
@@ -262,14 +286,14 @@
                 self.lingering.push(LingeringCall {
                     uid: Some(call.uid),
                     ended_at: Some(now),
-                    is_broken: last_break.is_some_and(|at| now <= at + BREAK_SPREAD),
+                    is_broken: last_break.is_some_and(|at| now <= at + BREAK_CORRELATION_TIME),
                     until: now + limits.linger,
                     until_if_unresponsive: now + limits.ignored_close_time,
                 });
             }
             ClosingProgress::Closed | ClosingProgress::Unusable => {
                 self.add_broken(call.uid, false, limits);
-                if call.is_run_over {
+                if call.has_run_ended {
                     self.run_ended(call.uid, limits);
                 }
             }
@@ -278,29 +302,29 @@
 }
 
 impl LingeringCall {
-    /// Whether its connection broke at this time or later.
+    /// Returns true if its connection broke at this time or later.
     fn broke_since(&self, since: Instant) -> bool {
         self.is_broken && self.ended_at.is_some_and(|at| since <= at)
     }
 }
 
 impl ClosingCall {
-    /// Whether the database has not reacted to the close in the time that it takes it.
+    /// Returns true if the database has not reacted to the close within the expected time.
     fn is_close_ignored(&self, now: Instant, limits: &DatabaseLimits) -> bool {
-        now >= self.reaction_due(limits)
+        now >= self.reaction_deadline(limits)
     }
 
-    /// By when the database has reacted to the close, if it does.
-    fn reaction_due(&self, limits: &DatabaseLimits) -> Instant {
+    /// Returns the time by which a database that detects the close has reacted to it.
+    fn reaction_deadline(&self, limits: &DatabaseLimits) -> Instant {
         self.closed_at + limits.linger + limits.close_reaction
     }
 
-    fn read(&mut self, chunk: &mut [u8], limits: &DatabaseLimits) -> ClosingProgress {
+    fn read(&mut self, read_buffer: &mut [u8], limits: &DatabaseLimits) -> ClosingProgress {
         loop {
-            match self.stream.read(chunk) {
+            match self.stream.read(read_buffer) {
                 Ok(0) => return ClosingProgress::Closed,
                 Ok(n) => {
-                    self.received.extend_from_slice(&chunk[..n]);
+                    self.received.extend_from_slice(&read_buffer[..n]);
                     if matches!(parse_reply(&self.received, limits), Ok(Some(_))) {
                         return ClosingProgress::Replied;
                     }
@@ -310,7 +334,7 @@
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return ClosingProgress::Open,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // The peer resets a connection whose other side it has closed already.
+                // The database resets a connection that it has closed already.
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => return ClosingProgress::Closed,
                 Err(_) => return ClosingProgress::Unusable,
             }
