--- a/src/net/executor/connection.rs
+++ b/src/net/executor/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the executor, from its handshake to its end.
+//! One connection to the executor, from the handshake until it ends.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -14,42 +14,43 @@
 use crate::net::spawn;
 use crate::node::{ExecutorCommand, Limits};
 
-/// Events of the reader that wait for the actor.
-const READER_EVENTS: usize = 4;
+/// Capacity of the queue of events from the reader to the actor.
+const READER_EVENT_CAPACITY: usize = 4;
 
-/// Why a connection ended.
+/// Reason why a connection ended.
 pub(super) enum ConnectionEnd {
-    /// The policy's actor or the main thread has ended.
+    /// The policy actor or the main thread has terminated.
     MailboxDisconnected,
     /// The connection broke.
     Broken {
-        /// Whether the executor had said that it is up.
+        /// True if the executor had sent its welcome.
         was_welcomed: bool,
     },
-    /// The executor's address has changed.
+    /// The address of the executor has changed.
     Moved {
         /// The new address.
         address: SocketAddr,
-        /// Whether the executor had said that it is up.
+        /// True if the executor had sent its welcome.
         was_welcomed: bool,
-        /// Whether all that was written is known to have been read.
+        /// True if the executor is known to have read every command that was written.
         is_flushed: bool,
     },
 }
 
-/// An open connection, with a thread that reads its notices.
+/// An open connection, whose notices are read by a separate thread.
 pub(super) struct Connection<'a> {
     stream: Arc<TcpStream>,
     reader_events: Receiver<ReaderEvent>,
     limits: &'a Limits,
     log: &'a Logger,
     was_welcomed: bool,
-    /// Fires when a welcome is overdue.
+    /// Fires when the welcome is overdue.
     welcome_overdue: Receiver<Instant>,
 }
 
 impl<'a> Connection<'a> {
-    /// Connects and joins the executor from the last notice read. With a timeout, a connection without a welcome ends after it.
+    /// Connects to the executor and joins it after the last notice read. A connection on which no
+    /// welcome arrives within `welcome_timeout` ends; without a timeout it waits indefinitely.
     pub(super) fn open(
         address: SocketAddr,
         limits: &'a Limits,
@@ -68,7 +69,7 @@
             pos: position.get(),
         };
         write_line(&stream, &join)?;
-        let (events, reader_events) = bounded(READER_EVENTS);
+        let (events, reader_events) = bounded(READER_EVENT_CAPACITY);
         let reader = NoticeReader {
             policy: mailboxes.policy.clone(),
             position: position.clone(),
@@ -89,11 +90,11 @@
         })
     }
 
-    /// Writes commands until the connection ends. Where the executor moves or a write fails, the reader has handed on
-    /// all that it read before this returns.
+    /// Writes commands until the connection ends. If the executor moves or a write fails, this
+    /// returns only after the reader has passed on everything that it read.
     pub(super) fn serve(mut self, mailboxes: &Mailboxes) -> ConnectionEnd {
         loop {
-            // Nothing is sent before the welcome: until then the executor may not be up.
+            // No command is sent before the welcome: until then the executor may not be up.
             let commands = if self.was_welcomed {
                 mailboxes.commands.clone()
             } else {
@@ -113,7 +114,7 @@
                     return self.broken();
                 }
                 recv(mailboxes.moves) -> address => match address {
-                    Ok(address) => return self.leave_for(address),
+                    Ok(address) => return self.close_for_move(address),
                     Err(_) => return ConnectionEnd::MailboxDisconnected,
                 },
                 recv(commands) -> command => match command {
@@ -134,8 +135,8 @@
 
     fn send(&self, command: &ExecutorCommand) -> Result<(), ConnectionEnd> {
         write_command(&self.stream, command).map_err(|e| {
-            // It may have arrived in part or completely, like those before it: the policy is notified of the break and
-            // decides what may be sent again.
+            // This command and earlier ones may have arrived, in part or completely. The policy is
+            // notified of the disconnect and decides which may be sent again.
             warn!(self.log, "executor write failed"; "error" => %e);
             self.close();
             self.broken()
@@ -148,8 +149,9 @@
         }
     }
 
-    /// Sends nothing more to the old address. Commands wait until the executor confirms that it has read the last one.
-    fn leave_for(&self, address: SocketAddr) -> ConnectionEnd {
+    /// Stops sending commands to the old address, waits for the executor to confirm that it has
+    /// read the last one, and closes the connection. New commands stay in the mailbox meanwhile.
+    fn close_for_move(&self, address: SocketAddr) -> ConnectionEnd {
         let is_flushed = !self.was_welcomed || self.flush();
         self.close();
         ConnectionEnd::Moved {
@@ -159,7 +161,8 @@
         }
     }
 
-    /// Whether the executor confirms in time that it has read all that was written.
+    /// Returns true if the executor confirms within the move timeout that it has read everything
+    /// that was written.
     fn flush(&self) -> bool {
         let request = CommandLine::Meter { echo: FLUSH_ECHO };
         if write_line(&self.stream, &request).is_err() {
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Closes the connection and waits until the reader has handed on all that it read.
+    /// Closes the connection and waits until the reader has passed on everything that it read.
     fn close(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
         while let Ok(event) = self.reader_events.recv() {
--- a/src/net/executor/mod.rs
+++ b/src/net/executor/mod.rs
@@ -1,4 +1,4 @@
-//! The executor's actor: it keeps one connection, writes commands to it and reads notices from it.
+//! The executor actor: maintains one connection, writes commands to it and reads notices from it.
 
 mod connection;
 mod notice_reader;
@@ -16,17 +16,17 @@
 use connection::{Connection, ConnectionEnd};
 use notice_reader::NoticePosition;
 
-/// The mailboxes of the executor's actor.
+/// The channels between the executor actor and other threads.
 pub struct Mailboxes {
-    /// Commands of the policy.
+    /// Commands from the policy.
     pub commands: Receiver<ExecutorCommand>,
-    /// New addresses of the executor.
+    /// Changes of the executor's address.
     pub moves: Receiver<SocketAddr>,
-    /// Where notices go.
+    /// Receiver of the notices.
     pub policy: Sender<PolicyMessage>,
 }
 
-/// Keeps a connection to the executor until a mailbox is disconnected.
+/// Maintains a connection to the executor until a mailbox is disconnected.
 pub fn run(address: SocketAddr, limits: &Limits, mailboxes: &Mailboxes, log: &Logger) {
     let mut actor = ExecutorActor {
         address,
@@ -44,7 +44,8 @@
     address: SocketAddr,
     backoff: Backoff,
     position: Arc<NoticePosition>,
-    /// Whether the executor was ever up: until then a connection may be left without a welcome for as long as it takes.
+    /// True if the executor has been up before. Until then a connection may wait for its welcome
+    /// without a timeout.
     has_been_up: bool,
     limits: &'a Limits,
     mailboxes: &'a Mailboxes,
@@ -52,7 +53,8 @@
 }
 
 impl ExecutorActor<'_> {
-    /// Connects and serves the connection until it ends; breaks if the actor is to end.
+    /// Connects and serves the connection until it ends. Returns `Break` if the actor must
+    /// terminate.
     fn run_connection(&mut self) -> ControlFlow<()> {
         let connection = Connection::open(
             self.address,
@@ -86,20 +88,20 @@
         self.wait_to_reconnect()
     }
 
-    /// Changes the address, to which the next connection is made at once.
+    /// Changes the address; the next connection is made there without delay.
     fn follow_move(&mut self, address: SocketAddr, is_flushed: bool) -> ControlFlow<()> {
         info!(self.log, "executor moved"; "to" => %address, "flushed" => is_flushed);
         self.address = address;
         self.backoff.reset();
-        // Where all that was written is known to have been read, no command is in doubt.
+        // If the executor has read everything that was written, no command is in doubt.
         if is_flushed {
             return ControlFlow::Continue(());
         }
         self.notify_disconnected()
     }
 
-    /// Waits for the backoff or a new address. Commands stay in the mailbox meanwhile: they have not been sent, so they
-    /// may be sent later.
+    /// Waits until the backoff expires or the address changes. Commands remain in the mailbox: they
+    /// have not been sent, so they can be sent on the next connection.
     fn wait_to_reconnect(&mut self) -> ControlFlow<()> {
         select! {
             recv(self.mailboxes.moves) -> address => match address {
--- a/src/net/executor/notice_reader.rs
+++ b/src/net/executor/notice_reader.rs
@@ -1,4 +1,4 @@
-//! The thread that reads the executor's notices and hands them to the policy.
+//! The thread that reads the executor's notices and passes them to the policy.
 
 use std::net::{Shutdown, TcpStream};
 use std::ops::ControlFlow;
@@ -19,17 +19,17 @@
 const RUN_NEVER_STARTED: &str = "MOOT";
 const REJECTED_RUN: &str = "EXEC";
 
-/// What the reader of a connection tells the actor.
+/// An event that the reader of a connection reports to the actor.
 pub(super) enum ReaderEvent {
     /// The executor is up.
     Welcomed,
-    /// All that was written before the actor asked for this has been read.
+    /// The executor has read everything that was written before the flush request.
     Flushed,
-    /// The connection has ended, and nothing follows.
+    /// The connection has ended. This is the last event.
     Ended,
 }
 
-/// The number of the last notice read, kept over connections.
+/// The number of the last notice read, kept across connections.
 #[derive(Default)]
 pub(super) struct NoticePosition(AtomicU64);
 
@@ -38,7 +38,8 @@
         self.0.load(SeqCst)
     }
 
-    /// Advances to the number of a notice; false if it was read before, as notices may be repeated after a reconnect.
+    /// Advances to the number of a notice. Returns false if that notice was read before, as a
+    /// reconnect may repeat notices.
     fn advance(&self, number: u64) -> bool {
         self.0.fetch_max(number, SeqCst) < number
     }
@@ -53,7 +54,7 @@
 }
 
 impl NoticeReader {
-    /// Reads until the connection ends or nobody receives the notices.
+    /// Reads until the connection ends or the receiver of the notices is disconnected.
     pub(super) fn run(self, stream: &TcpStream, limits: &Limits) {
         self.read_all(stream, limits);
         let _ = stream.shutdown(Shutdown::Both);
@@ -74,28 +75,28 @@
                         return;
                     }
                 }
-                // Kinds of notices may be added; an unknown one is skipped.
-                Err(e) => warn!(self.log, "executor notice not understood"; "error" => %e),
+                // Skips unknown notices: the protocol may add new kinds.
+                Err(e) => warn!(self.log, "invalid or unknown executor notice"; "error" => %e),
             }
         }
     }
 
-    /// Hands a notice on; breaks once nobody receives it.
+    /// Passes a notice on. Returns `Break` if its receiver is disconnected.
     fn handle_notice(&self, notice: Notice) -> ControlFlow<()> {
         match notice {
-            Notice::Welcome { code, wall_ms } => self.welcome(&code, wall_ms),
+            Notice::Welcome { code, wall_ms } => self.handle_welcome(&code, wall_ms),
             Notice::Exit {
                 pos,
                 uid,
                 code,
                 content,
-            } => self.run_ended(pos, &uid, &code, content),
-            Notice::Callout { pos, uid, content } => self.call_requested(pos, &uid, content),
+            } => self.handle_exit(pos, &uid, &code, content),
+            Notice::Callout { pos, uid, content } => self.handle_callout(pos, &uid, content),
             Notice::Meters { echo, .. } if echo == FLUSH_ECHO => {
                 self.notify_actor(ReaderEvent::Flushed)
             }
-            Notice::Meters { echo, meters } => self.gauges_read(&echo, meters),
-            Notice::Bad { code, uid } => self.command_rejected(&code, uid.as_deref()),
+            Notice::Meters { echo, meters } => self.handle_gauges(&echo, meters),
+            Notice::Bad { code, uid } => self.handle_rejected_command(&code, uid.as_deref()),
             Notice::Log { pos, code } => {
                 self.position.advance(pos);
                 debug!(self.log, "executor log"; "text" => code.unwrap_or_default());
@@ -104,7 +105,7 @@
         }
     }
 
-    fn welcome(&self, code: &str, wall_ms: f64) -> ControlFlow<()> {
+    fn handle_welcome(&self, code: &str, wall_ms: f64) -> ControlFlow<()> {
         let age = Duration::try_from_secs_f64(wall_ms / 1e3).unwrap_or_default();
         // The policy first: its commands are sent only once the actor is notified too.
         self.notify_policy(PolicyMessage::ExecutorConnected {
@@ -114,7 +115,7 @@
         self.notify_actor(ReaderEvent::Welcomed)
     }
 
-    fn run_ended(
+    fn handle_exit(
         &self,
         number: u64,
         uid: &str,
@@ -136,7 +137,7 @@
         }
     }
 
-    fn call_requested(&self, number: u64, uid: &str, content: String) -> ControlFlow<()> {
+    fn handle_callout(&self, number: u64, uid: &str, content: String) -> ControlFlow<()> {
         if !self.position.advance(number) {
             return ControlFlow::Continue(());
         }
@@ -150,14 +151,14 @@
         }
     }
 
-    fn gauges_read(&self, echo: &str, values: Vec<f64>) -> ControlFlow<()> {
+    fn handle_gauges(&self, echo: &str, values: Vec<f64>) -> ControlFlow<()> {
         match echo.parse() {
             Ok(tag) => self.notify_policy(PolicyMessage::GaugesRead { tag, values }),
             Err(_) => ControlFlow::Continue(()),
         }
     }
 
-    fn command_rejected(&self, code: &str, uid: Option<&str>) -> ControlFlow<()> {
+    fn handle_rejected_command(&self, code: &str, uid: Option<&str>) -> ControlFlow<()> {
         debug!(self.log, "executor rejected a command"; "command" => code, "uid" => uid.unwrap_or(""));
         let rejected_run = uid
             .and_then(RequestUid::parse)
--- a/src/net/executor/wire.rs
+++ b/src/net/executor/wire.rs
@@ -1,4 +1,5 @@
-//! The messages of the executor's protocol: one JSON object a line. Names of fields and actions are the protocol's.
+//! The messages of the executor's protocol: one JSON object per line. The names of fields and
+//! actions are fixed by the protocol.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
@@ -7,60 +8,60 @@
 
 use crate::node::ExecutorCommand;
 
-/// The echo of the gauge reading that the actor itself asks for to know that the executor has read all that was written
-/// before. Those of the policy are numbers.
+/// The echo value of the gauge request that the actor sends to learn that the executor has read
+/// everything written before it. The echo values of the policy are numbers.
 pub(super) const FLUSH_ECHO: &str = "quiet";
 
-/// A line to the executor.
+/// A command to the executor.
 #[derive(Serialize)]
 #[serde(tag = "action", rename_all = "UPPERCASE")]
 pub(super) enum CommandLine<'a> {
-    /// Begin a connection, with the number of the last notice read.
+    /// Begins a connection; `pos` is the number of the last notice read.
     Join { pos: u64 },
-    /// Run a request.
+    /// Runs a request.
     Exec {
         uid: &'a str,
         lane: &'a str,
         content: &'a str,
     },
-    /// Stop a run.
+    /// Stops a run.
     Kill { uid: &'a str },
-    /// Give a run the reply to its call.
+    /// Passes the reply to a database call to the run that made it.
     Return { uid: &'a str, content: &'a str },
-    /// Continue a run without the call that it asked for.
+    /// Continues a run without the database call that it requested in notice `pos`.
     Bypass { uid: &'a str, pos: u64 },
-    /// Read the gauges.
+    /// Requests a reading of the gauges.
     Meter { echo: &'a str },
 }
 
-/// A line from the executor. `pos` numbers those that a reconnect repeats.
+/// A notice from the executor. `pos` numbers the notices that are repeated after a reconnect.
 #[derive(Deserialize)]
 #[serde(tag = "action", rename_all = "UPPERCASE")]
 pub(super) enum Notice {
     /// The executor is up.
     Welcome { code: String, wall_ms: f64 },
-    /// A run ended.
+    /// A run has ended.
     Exit {
         pos: u64,
         uid: String,
         code: String,
         content: Option<String>,
     },
-    /// A run asks for a database call.
+    /// A run requests a database call.
     Callout {
         pos: u64,
         uid: String,
         content: String,
     },
-    /// The gauges.
+    /// A reading of the gauges.
     Meters { echo: String, meters: Vec<f64> },
-    /// A command was not carried out.
+    /// A command was rejected.
     Bad { code: String, uid: Option<String> },
-    /// Something for the log.
+    /// A log message.
     Log { pos: u64, code: Option<String> },
 }
 
-/// Writes a command of the policy.
+/// Writes a command from the policy.
 pub(super) fn write_command(stream: &TcpStream, command: &ExecutorCommand) -> io::Result<()> {
     match command {
         ExecutorCommand::Run {
@@ -90,7 +91,7 @@
                 pos: *notice,
             },
         ),
-        // The connection itself carries this out.
+        // Handled by the connection itself; nothing is written.
         ExecutorCommand::Reconnect => Ok(()),
         ExecutorCommand::ReadGauges { tag } => write_line(
             stream,
