--- a/src/net/jsonrpc/answer.rs
+++ b/src/net/jsonrpc/answer.rs
@@ -1,4 +1,4 @@
-//! The lines that clients get: answers, health answers, errors and the goodbye.
+//! The lines sent to clients: answers to requests and health checks, and errors.
 
 use client_listener::protocol::{FAILED, REJECTED};
 use serde::Serialize;
@@ -56,7 +56,7 @@
         result,
         error,
     };
-    // Numbers and strings alone: this can't fail.
+    // Cannot fail: the line contains only numbers and strings.
     let mut text = serde_json::to_string(&line).unwrap_or_default();
     text.push('\n');
     text
@@ -75,7 +75,7 @@
     response_line(id, None, Some(error))
 }
 
-/// The answer to a request.
+/// Returns the answer to a request.
 pub(super) fn answer_line(id: u64, answer: &Answer) -> String {
     let hint = answer.capacity_hint;
     match &answer.outcome {
@@ -117,7 +117,7 @@
     }
 }
 
-/// The answer to a health check.
+/// Returns the answer to a health check.
 pub(super) fn health_line(id: u64, is_ready: bool, hint: Option<f64>) -> String {
     let result = ResponseResult {
         ready: Some(is_ready),
@@ -127,13 +127,14 @@
     result_line(id, result)
 }
 
-/// The rejection of a request on a connection that has too many open.
+/// Returns the rejection of a request on a connection with too many open requests.
 pub(super) fn too_many_requests_line(id: u64) -> String {
     let message = "refused: too many requests are open on this connection";
     error_line(id, REJECTED, message, ErrorData::default())
 }
 
-/// The last line on a connection whose peer breaks the protocol. It answers no request unless it has the id of one.
+/// Returns the last line on a connection whose client violates the protocol. It answers a request
+/// only if it has the id of one.
 pub(super) fn violation_line(id: Option<u64>, code: i64, message: &str) -> String {
     let error = json!({"code": code, "message": message});
     json!({"jsonrpc": "2.0", "id": id, "error": error}).to_string() + "\n"
--- a/src/net/jsonrpc/handler.rs
+++ b/src/net/jsonrpc/handler.rs
@@ -1,5 +1,5 @@
-//! What the JSON-RPC server does with the messages of its clients: requests go to the policy, answers come back through
-//! the mailbox.
+//! Handles the messages of the JSON-RPC server's clients: passes requests to the policy, whose
+//! answers arrive through the mailbox.
 
 use std::collections::HashMap;
 use std::io;
@@ -18,17 +18,18 @@
 use super::server_loop::NodeContext;
 use crate::node::{Arrival, PolicyMessage, RateLimitedLog, RequestUid, Responder};
 
-/// The protocol of the JSON-RPC server.
+/// The JSON-RPC handler of the client listener.
 pub(super) struct RequestHandler {
     pub(super) context: NodeContext,
     pub(super) mailbox: Arc<Mailbox>,
     pub(super) commands: Receiver<ServerCommand>,
     pub(super) log: Logger,
-    /// Log lines that any peer can cause.
+    /// For log lines that any client can trigger.
     pub(super) rate_limited_log: RateLimitedLog,
 }
 
-/// Open requests of a connection by their ids, at sites whose clients say when they no longer wait.
+/// Open requests of a connection by id. Only kept at sites whose clients report when they stop
+/// waiting.
 type OpenRequests = HashMap<u64, RequestUid>;
 
 impl ClientHandler for RequestHandler {
@@ -73,7 +74,7 @@
                 open_requests.insert(handle.id, arrival.uid);
             }
         }
-        // Without the policy's thread the node has ended.
+        // Fails only if the policy's thread has terminated, and then the node terminates as well.
         let _ = self
             .context
             .policy
@@ -86,8 +87,8 @@
         handle: RequestHandle,
         now: Instant,
     ) {
-        // A request that is answered or was never here needs no cancelling.
-        let Some(uid) = forget_request(clients, handle) else {
+        // The request has been answered, or there was none with this id.
+        let Some(uid) = remove_open_request(clients, handle) else {
             return;
         };
         clients.abandon_request(handle, now);
@@ -104,18 +105,18 @@
         for command in mailbox.drain(&commands) {
             match command {
                 ServerCommand::Answer(handle, answer) => {
-                    forget_request(clients, handle);
+                    remove_open_request(clients, handle);
                     if clients.close_request(handle, now) {
                         let line = answer_line(handle.id, &answer);
                         clients.enqueue_line(handle.connection, &line, now);
                         answered.push(handle.connection);
                     }
                 }
-                ServerCommand::SayGoodbye => clients.send_goodbye_to_all(now),
+                ServerCommand::SendCloseNotices => clients.send_goodbye_to_all(now),
                 ServerCommand::Listen(socket) => {
                     if let Err(e) = listen_on(clients, socket, now) {
-                        // Nothing that a peer does leads here.
-                        warn!(self.log, "listen"; "error" => %e);
+                        // Not caused by anything that a client does.
+                        warn!(self.log, "JSON-RPC server: listen failed"; "error" => %e);
                     }
                 }
                 ServerCommand::StopListening => clients.stop_listening(self, now),
@@ -126,19 +127,19 @@
 
     fn connection_rejected(&self, error: &io::Error) {
         self.rate_limited_log.log(
-            |suppressed| warn!(self.log, "connection"; "error" => %error, "more" => suppressed),
+            |suppressed| warn!(self.log, "client connection rejected"; "error" => %error, "more" => suppressed),
         );
     }
 
     fn protocol_violated(&self, peer: &TcpStream, answer: &str) {
         self.rate_limited_log.log(|suppressed| {
             let peer = peer.peer_addr().map(|a| a.to_string()).unwrap_or_default();
-            info!(self.log, "protocol broken"; "peer" => peer, "answer" => answer.trim_end(), "more" => suppressed);
+            info!(self.log, "client violated the protocol"; "peer" => peer, "answer" => answer.trim_end(), "more" => suppressed);
         });
     }
 }
 
-fn forget_request(
+fn remove_open_request(
     clients: &mut ClientListener<RequestHandler>,
     handle: RequestHandle,
 ) -> Option<RequestUid> {
@@ -147,7 +148,7 @@
         .remove(&handle.id)
 }
 
-/// Accepts connections of this socket from now on.
+/// Starts accepting connections on this socket.
 pub(super) fn listen_on(
     clients: &mut ClientListener<RequestHandler>,
     socket: std::net::TcpListener,
--- a/src/net/jsonrpc/mailbox.rs
+++ b/src/net/jsonrpc/mailbox.rs
@@ -9,24 +9,24 @@
 
 use crate::node::Answer;
 
-/// What the server's thread is to do.
+/// A command to the server's thread.
 pub(super) enum ServerCommand {
-    /// Send the answer to a request.
+    /// Sends the answer to a request.
     Answer(RequestHandle, Answer),
-    /// Send all clients a goodbye.
-    SayGoodbye,
-    /// Accept connections of this socket.
+    /// Sends a close notice to all clients.
+    SendCloseNotices,
+    /// Starts accepting connections on this socket.
     Listen(TcpListener),
-    /// Accept the connections that wait to be accepted, and stop listening.
+    /// Accepts the connections that wait to be accepted, and stops listening.
     StopListening,
 }
 
-/// The mailbox of the server's thread. Its channel is unbounded, so that no sender waits; each request is answered once, so
-/// it holds no more answers than there are open requests.
+/// The mailbox of the server's thread. Its channel is unbounded, so that senders never block. It
+/// holds no more answers than there are open requests, as each request is answered once.
 pub(super) struct Mailbox {
     sender: Sender<ServerCommand>,
     waker: Waker,
-    /// The thread has been woken and has not emptied the mailbox since.
+    /// True if the thread has been woken and has not emptied the mailbox since.
     is_woken: AtomicBool,
 }
 
@@ -41,13 +41,14 @@
 
     /// Sends a command and wakes the thread.
     pub(super) fn send(&self, command: ServerCommand) {
-        // Without the thread no client is left to answer, and the node ends.
+        // If the thread has terminated, there is no client left to answer and the node terminates.
         if self.sender.send(command).is_ok() && !self.is_woken.swap(true, SeqCst) {
             let _ = self.waker.wake();
         }
     }
 
-    /// The commands in the mailbox, for the thread. A command that is sent from now on wakes it again.
+    /// Returns the commands in the mailbox, for the thread. Commands sent after this call wake the
+    /// thread again.
     pub(super) fn drain<'a>(
         &self,
         receiver: &'a Receiver<ServerCommand>,
--- a/src/net/jsonrpc/message.rs
+++ b/src/net/jsonrpc/message.rs
@@ -1,4 +1,4 @@
-//! What a line of a client means in JSON-RPC 2.0.
+//! Parses the lines of clients as JSON-RPC 2.0 messages.
 
 use client_listener::protocol::{
     HEALTH_METHOD, INVALID_PARAMS, INVALID_REQUEST, METHOD_NOT_FOUND, PARSE_ERROR,
@@ -12,7 +12,8 @@
 use crate::wire::Site;
 use crate::ClassId;
 
-/// The notification by which a client says that it no longer waits for a request.
+/// The method of the notification by which a client reports that it has stopped waiting for a
+/// request.
 const CANCEL_METHOD: &str = "cancelRequest";
 
 /// A request with valid parameters.
@@ -21,7 +22,7 @@
     pub(super) params: Params,
 }
 
-/// A line that breaks the protocol; its answer is built from this.
+/// A protocol violation in a line, from which its answer is built.
 struct MalformedLine {
     id: Option<u64>,
     code: i64,
@@ -35,7 +36,7 @@
     }
 }
 
-/// Parses a line and checks it against the site.
+/// Parses a line and checks it against the settings of the site.
 pub(super) fn parse_line(line: &[u8], site: &Site) -> ClientMessage<ClassifiedRequest> {
     parse(line, site).unwrap_or_else(|malformed| {
         let answer = violation_line(malformed.id, malformed.code, &malformed.text);
@@ -88,7 +89,7 @@
     }
 }
 
-/// The parameters of a request, or the text of what is wrong with them.
+/// Parses and checks the parameters of a request. An error is the text for the client.
 fn parse_params(value: &Value, class: ClassId, site: &Site) -> Result<Params, String> {
     let params = value.get("params").unwrap_or(&Value::Null);
     let params = Params::deserialize(params).map_err(|e| e.to_string())?;
--- a/src/net/jsonrpc/mod.rs
+++ b/src/net/jsonrpc/mod.rs
@@ -1,10 +1,12 @@
-//! The JSON-RPC 2.0 server, one message per line. One thread accepts, reads, frames and answers, and keeps the timers of
-//! all connections: the loop is the crate `client_listener`, and the states of a connection and the evictions are decided
-//! in the crate `connections`. `docs/front.md` has the figures for one thread against two for each connection.
+//! The JSON-RPC 2.0 server, with one message per line. One thread accepts connections, reads,
+//! frames and answers messages, and manages the timers of all connections. The event loop is in the
+//! crate `client_listener`; connection states and evictions are decided in the crate `connections`.
+//! `docs/front.md` has the figures for one thread compared with two threads per connection.
 //!
-//! Slots are for connections that use them. A connection on which nothing valid arrives is closed soon, one that breaks
-//! the protocol at once, and when slots run short the one that has been silent or idle the longest is evicted. None is
-//! closed while a request of a peer that keeps to the protocol is open on it.
+//! Slots are reserved for connections that use them. A connection on which nothing valid arrives is
+//! closed after a short time, and one that violates the protocol immediately. When slots run short,
+//! the connection that has been silent or idle the longest is evicted. No connection is closed
+//! while it has an open request of a client that follows the protocol.
 
 mod answer;
 mod handler;
@@ -28,17 +30,17 @@
 use mailbox::{Mailbox, ServerCommand};
 pub use server_loop::{NodeContext, ServerLoop};
 
-/// The JSON-RPC server, as the node's main thread controls it.
+/// Handle through which the node's main thread controls the JSON-RPC server.
 pub struct JsonRpcServer {
     mailbox: Arc<Mailbox>,
     counters: Arc<ListenerCounters>,
 }
 
 impl JsonRpcServer {
-    /// Starts the server's thread, which accepts no connection before [`JsonRpcServer::listen`].
+    /// Starts the server's thread, which accepts no connections before [`JsonRpcServer::listen`].
     ///
     /// # Errors
-    /// An error of the system: no poll or no thread.
+    /// Returns an error if the system cannot create the poll or the thread.
     pub fn start(
         site: Arc<Site>,
         limits: &Limits,
@@ -60,31 +62,31 @@
         Ok(server)
     }
 
-    /// Accepts connections of this socket from now on.
+    /// Starts accepting connections on this socket.
     pub fn listen(&self, socket: TcpListener) {
         self.counters.is_listening.store(true, SeqCst);
         self.mailbox.send(ServerCommand::Listen(socket));
     }
 
-    /// The number of requests whose answer is not written, plus that of connections with bytes left to write: 0 once all is
-    /// written.
+    /// Returns the number of requests whose answers have not been written, plus the number of
+    /// connections with unsent bytes: 0 once everything is written.
     pub fn unfinished_count(&self) -> usize {
         self.counters.open_requests.load(SeqCst) + self.counters.unsent_connections.load(SeqCst)
     }
 
-    /// Whether the server listens, so that connections may still wait to be accepted.
+    /// Returns true while the server listens, so that connections may wait to be accepted.
     pub fn is_listening(&self) -> bool {
         self.counters.is_listening.load(SeqCst)
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn connection_count(&self) -> usize {
         self.counters.connections.load(SeqCst)
     }
 
-    /// Sends all clients a goodbye.
+    /// Sends a close notice to all clients.
     pub fn say_goodbye(&self) {
-        self.mailbox.send(ServerCommand::SayGoodbye);
+        self.mailbox.send(ServerCommand::SendCloseNotices);
     }
 
     /// Accepts the connections that wait to be accepted, and stops listening.
--- a/src/net/jsonrpc/request.rs
+++ b/src/net/jsonrpc/request.rs
@@ -1,4 +1,4 @@
-//! The fields of a request: their ranges, and the request that the policy gets.
+//! The parameters of a request: their validation and conversion for the policy.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
@@ -9,19 +9,20 @@
 use crate::wire::Site;
 use crate::{CallerId, ClassId, Idempotency, Span};
 
-/// Bytes of a body at most.
+/// Maximum size of a body in bytes.
 const MAX_BODY_BYTES: usize = 2048;
-/// Hex digits of an idempotency key.
-const KEY_DIGITS: usize = 32;
-/// The longest wait that a caller may ask for, in milliseconds: the deadline of no class is later.
+/// Number of hex digits of an idempotency key.
+const IDEMPOTENCY_KEY_DIGITS: usize = 32;
+/// Maximum time in milliseconds that a caller may wait; no class has a longer deadline.
 const MAX_BUDGET_MS: f64 = 3.6e6;
-/// Unix milliseconds up to which a floating-point number holds each exactly.
+/// Upper limit, exclusive, of timestamps in Unix milliseconds, up to which a 64-bit floating-point
+/// number represents every millisecond exactly.
 const MAX_TIMESTAMP_MS: f64 = 9e15;
-/// Memory in kB below which the size of a request has to be.
+/// Upper limit, exclusive, of the memory size of a request in kB.
 const MAX_MEMORY_KB: f64 = 2000.0;
 
-/// The parameters of a request as they stand in its line. The name of the struct and the number of its fields are part of
-/// error texts that clients get.
+/// The parameters of a request as received. The name of the struct and the number of its fields
+/// appear in error texts sent to clients.
 #[derive(Deserialize)]
 pub(super) struct Params {
     #[serde(rename = "rid")]
@@ -48,7 +49,8 @@
 }
 
 impl Params {
-    /// The request for the policy. The parameters were checked with [`Params::check`].
+    /// Converts the parameters to a request for the policy. Requires that [`Params::check`] has
+    /// succeeded.
     pub(super) fn into_arrival(self, class: ClassId, site: &Site, responder: Responder) -> Arrival {
         let tenant_name = self.tenant.filter(|name| !name.is_empty());
         let budget = self.budget_ms.filter(|_| site.passes_deadline);
@@ -73,10 +75,10 @@
         }
     }
 
-    /// Checks that every field is what the protocol allows at this site.
+    /// Checks that every field is valid under the protocol at this site.
     ///
     /// # Errors
-    /// The text that names the first field that is not.
+    /// Returns the text for the client on the first invalid field.
     pub(super) fn check(&self, class: ClassId, site: &Site) -> Result<(), &'static str> {
         let budget = self.budget_ms;
         let key = self.idempotency_key.as_deref();
@@ -111,7 +113,7 @@
                 "body is too long",
             ),
         ];
-        match rules.iter().find(|(is_kept, _)| !is_kept) {
+        match rules.iter().find(|(is_valid, _)| !is_valid) {
             Some((_, text)) => Err(text),
             None => Ok(()),
         }
@@ -145,10 +147,10 @@
 }
 
 fn is_idempotency_key(text: &str) -> bool {
-    text.len() == KEY_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit())
+    text.len() == IDEMPOTENCY_KEY_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-/// Whether requests of this class have an effect that their key makes idempotent.
+/// Returns true if requests of this class have an effect that only their key makes idempotent.
 fn needs_idempotency_key(class: ClassId, site: &Site) -> bool {
     let settings = site.settings.classes.get(class.0);
     settings.is_some_and(|class| class.idempotency == Idempotency::ByKey)
--- a/src/net/jsonrpc/server_loop.rs
+++ b/src/net/jsonrpc/server_loop.rs
@@ -1,4 +1,5 @@
-//! The thread of the JSON-RPC server: its listener and handler, run together or stepped by a test.
+//! The event loop of the JSON-RPC server: its listener and handler, run on a thread or stepped by a
+//! test.
 
 use std::io;
 use std::sync::Arc;
@@ -15,29 +16,30 @@
 use crate::node::{Limits, NodeStatus, PolicyMessage, RateLimitedLog};
 use crate::wire::Site;
 
-/// Clients' lines take no more than one part in this many of the policy's mailbox: the rest is for its other senders.
+/// Divisor of the policy's mailbox capacity that gives the share for requests of clients. The rest
+/// is reserved for its other senders.
 const MAILBOX_SHARE_DIVISOR: usize = 2;
 
-/// What the server needs of the node.
+/// The parts of the node that the server uses.
 #[derive(Clone)]
 pub struct NodeContext {
-    /// What requests are checked against.
+    /// The site against whose settings requests are checked.
     pub site: Arc<Site>,
-    /// Health, the capacity hint and the idle time of connections.
+    /// Source of the health, the capacity hint and the idle timeout of connections.
     pub node_status: Arc<NodeStatus>,
-    /// Where requests go.
+    /// Receiver of requests.
     pub policy: Sender<PolicyMessage>,
 }
 
-/// The limits that the node changes while it runs.
+/// Limits that the node may change while it runs.
 struct NodeLiveLimits {
     context: NodeContext,
-    /// Connections that the node may have; this process has a share of them.
+    /// Maximum number of connections of the node, of which this process has a share.
     max_node_connections: usize,
     default_idle_timeout: Duration,
     lines_per_turn: usize,
-    max_waiting_messages: usize,
-    pause: Duration,
+    max_queued_messages: usize,
+    backpressure_pause: Duration,
 }
 
 impl LiveLimits for NodeLiveLimits {
@@ -55,15 +57,17 @@
         )
     }
 
-    /// Lines are read while the policy's mailbox has room for those of a turn, so that passing them on never waits.
+    /// Lines are read only while the policy's mailbox has capacity for those of one turn, so that
+    /// passing them on never blocks.
     fn read_pause(&self) -> Option<Duration> {
-        let has_room = self.context.policy.len() + self.lines_per_turn <= self.max_waiting_messages;
-        (!has_room).then_some(self.pause)
+        let has_capacity =
+            self.context.policy.len() + self.lines_per_turn <= self.max_queued_messages;
+        (!has_capacity).then_some(self.backpressure_pause)
     }
 }
 
-/// The event loop of the JSON-RPC server. It runs on a thread of its own ([`ServerLoop::run`]), or a test takes its steps
-/// one by one, to have something happen between two.
+/// The event loop of the JSON-RPC server. It runs on its own thread ([`ServerLoop::run`]), or a
+/// test calls [`ServerLoop::step`], to act between two steps.
 pub struct ServerLoop {
     clients: ClientListener<RequestHandler>,
     handler: RequestHandler,
@@ -71,18 +75,18 @@
 }
 
 impl ServerLoop {
-    /// A loop that does not listen and does not run yet.
+    /// Creates a loop that neither listens nor runs yet.
     ///
     /// # Errors
-    /// An error of the system's poll.
+    /// Returns an error of the system's poll.
     pub fn new(context: NodeContext, limits: &Limits, log: &Logger) -> io::Result<ServerLoop> {
         let live_limits = NodeLiveLimits {
             context: context.clone(),
             max_node_connections: limits.front.max_connections,
             default_idle_timeout: limits.listener.idle_timeout,
             lines_per_turn: limits.front.lines_per_turn,
-            max_waiting_messages: limits.policy.mailbox / MAILBOX_SHARE_DIVISOR,
-            pause: limits.listener.backpressure_interval,
+            max_queued_messages: limits.policy.mailbox / MAILBOX_SHARE_DIVISOR,
+            backpressure_pause: limits.listener.backpressure_interval,
         };
         let clients = ClientListener::new(listener_settings(limits), Box::new(live_limits), log)?;
         let (sender, commands) = unbounded();
@@ -109,29 +113,29 @@
         self.clients.counters()
     }
 
-    /// Runs as long as the process does.
+    /// Runs until the process exits.
     pub fn run(mut self) {
         loop {
             if let Err(e) = self.step(None) {
-                // Nothing that a peer does leads here.
-                warn!(self.handler.log, "poll"; "error" => %e);
+                // Not caused by anything that a client does.
+                warn!(self.handler.log, "JSON-RPC server: poll failed"; "error" => %e);
                 std::thread::sleep(self.retry_pause);
             }
         }
     }
 
-    /// Waits for something to do, for `max_wait` at most, and does it.
+    /// Waits up to `max_wait` for events and handles them.
     ///
     /// # Errors
-    /// An error of the system's poll.
+    /// Returns an error of the system's poll.
     pub fn step(&mut self, max_wait: Option<Duration>) -> io::Result<()> {
         self.clients.step(&mut self.handler, max_wait)
     }
 
-    /// Accepts connections of this socket.
+    /// Starts accepting connections on this socket.
     ///
     /// # Errors
-    /// An error of the system.
+    /// Returns an error of the system.
     pub fn listen(&mut self, socket: std::net::TcpListener, now: Instant) -> io::Result<()> {
         listen_on(&mut self.clients, socket, now)
     }
@@ -141,12 +145,12 @@
         self.clients.stop_listening(&mut self.handler, now);
     }
 
-    /// Closes all connections once what has arrived on them is read and answered.
+    /// Closes each connection once everything that has arrived on it is read and answered.
     pub fn begin_close_all(&mut self, now: Instant) {
         self.clients.begin_close_all(&mut self.handler, now);
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn connection_count(&self) -> usize {
         self.clients.connection_count()
     }
