--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,6 +1,7 @@
-//! The admin server: operators send a line and receive a line, on an address of its own. One thread serves all clients
-//! by readiness and waits for no other actor, so that it answers however busy the rest of the node is. The number of
-//! clients is bounded, and their descriptors are reserved: see [`AdminLimits::max_clients`].
+//! The admin server: operators send a command and receive a reply, one line each, on a separate
+//! address. One thread serves all clients with non-blocking I/O and waits for no other actor, so
+//! that it answers however busy the rest of the node is. The number of clients is bounded, and
+//! their descriptors are reserved: see [`AdminLimits::max_clients`].
 //!
 //! [`AdminLimits::max_clients`]: crate::node::limits::AdminLimits::max_clients
 
@@ -20,32 +21,33 @@
 use super::spawn;
 use crate::node::{Limits, NodeStatus, RateLimitedLog};
 
-const LISTENER: Token = Token(0);
+const LISTENER_TOKEN: Token = Token(0);
 
-/// Bytes read from a client at once.
+/// Size of one read from a client in bytes.
 const READ_BYTES: usize = 256;
 
-/// Reads from one client before others have their turn.
+/// Maximum number of reads from one client before the others are served.
 const READS_PER_TURN: usize = 16;
 
 /// A connected client.
 struct AdminClient {
     stream: TcpStream,
     line: LineBuffer,
-    /// Whether it has its answer, and is only given time to read it: closed with unread bytes, the operating system would
-    /// reset the connection and lose the answer.
+    /// True if the client has been answered and the connection is open only for it to read the
+    /// answer. If it were closed with unread input, the operating system would reset it and the
+    /// answer could be lost.
     is_answered: bool,
-    /// When it is disconnected.
+    /// Time by which it must have sent its command or, once answered, have read the answer.
     deadline: Instant,
 }
 
-/// What one read from a client has brought.
+/// The result of one read from a client.
 enum ReadOutcome {
     Command(AdminCommand),
     Invalid(AdminRequestError),
-    /// No complete line yet, or bytes after the answer, which are discarded.
+    /// There is no complete line yet, or the input came after the answer and is discarded.
     Incomplete,
-    /// Nothing to read.
+    /// There is nothing to read.
     WouldBlock,
     /// The client has closed its connection, or the connection broke.
     Closed,
@@ -70,27 +72,27 @@
     }
 }
 
-/// The server's thread.
+/// The state of the server's thread.
 struct AdminServer {
     poll: Poll,
     listener: TcpListener,
-    /// By number; those that connected first have the lowest numbers.
+    /// Clients by number, numbered in the order in which they connected.
     clients: BTreeMap<usize, AdminClient>,
     next_number: usize,
     node_status: Arc<NodeStatus>,
-    /// Notified after each change of state.
+    /// Notified after each change of the process state.
     state_changes: Sender<()>,
     limits: Limits,
-    too_many_clients: RateLimitedLog,
-    accept_failures: RateLimitedLog,
+    too_many_clients_log: RateLimitedLog,
+    accept_failure_log: RateLimitedLog,
     log: Logger,
 }
 
-/// Starts the server. `state_changes` is notified of each change of state that a command causes. Returns the address at
-/// which the server listens.
+/// Starts the server and returns its listen address. `state_changes` is notified of each change of
+/// the process state that a command causes.
 ///
 /// # Errors
-/// Where the listener can't be used or no thread can be started.
+/// Returns an error if the listener cannot be used or the thread cannot be started.
 pub fn start(
     listener: std::net::TcpListener,
     node_status: &Arc<NodeStatus>,
@@ -103,17 +105,17 @@
     let address = listener.local_addr()?;
     let poll = Poll::new()?;
     poll.registry()
-        .register(&mut listener, LISTENER, Interest::READABLE)?;
+        .register(&mut listener, LISTENER_TOKEN, Interest::READABLE)?;
     let server = AdminServer {
         poll,
         listener,
         clients: BTreeMap::new(),
-        next_number: LISTENER.0 + 1,
+        next_number: LISTENER_TOKEN.0 + 1,
         node_status: node_status.clone(),
         state_changes,
         limits: limits.clone(),
-        too_many_clients: RateLimitedLog::new(limits.repeated_log_interval),
-        accept_failures: RateLimitedLog::new(limits.repeated_log_interval),
+        too_many_clients_log: RateLimitedLog::new(limits.repeated_log_interval),
+        accept_failure_log: RateLimitedLog::new(limits.repeated_log_interval),
         log: log.clone(),
     };
     spawn("admin", limits.stack_bytes, move || server.run())?;
@@ -123,22 +125,26 @@
 impl AdminServer {
     fn run(mut self) {
         let mut events = Events::with_capacity(self.limits.admin.max_clients * 2);
-        // When there may be a client to accept.
+        // Time at which the next client may be waiting to be accepted.
         let mut acceptable_at = None;
         loop {
             self.wait_for_events(&mut events, acceptable_at);
             let now = Instant::now();
-            if events.iter().any(|event| event.token() == LISTENER) {
+            if events.iter().any(|event| event.token() == LISTENER_TOKEN) {
                 acceptable_at = Some(now);
             }
-            // Clients with something to read have their turn before a new one may take their place.
-            for Token(number) in events.iter().map(Event::token).filter(|t| *t != LISTENER) {
+            // Clients with input are served before a new client may evict one of them.
+            for Token(number) in events
+                .iter()
+                .map(Event::token)
+                .filter(|t| *t != LISTENER_TOKEN)
+            {
                 self.serve_client(number);
             }
             if acceptable_at.is_some_and(|at| at <= now) {
                 acceptable_at = self.accept(now);
             }
-            self.disconnect_late_clients();
+            self.handle_expired_deadlines();
         }
     }
 
@@ -149,7 +155,7 @@
         let timeout = next_step.map(|at| at.saturating_duration_since(now));
         match self.poll.poll(events, timeout) {
             Err(e) if e.kind() != ErrorKind::Interrupted => {
-                // Nothing that a client does causes this.
+                // Not caused by anything that a client does.
                 warn!(self.log, "admin: poll failed"; "error" => %e);
                 std::thread::sleep(self.limits.reconnect_backoff);
             }
@@ -157,7 +163,8 @@
         }
     }
 
-    /// Accepts one client. Returns when there may be another; `None` once none waits.
+    /// Accepts one client. Returns the time at which another one may be accepted; `None` if none is
+    /// waiting.
     fn accept(&mut self, now: Instant) -> Option<Instant> {
         match self.listener.accept() {
             Ok((stream, _)) => {
@@ -168,17 +175,18 @@
             Err(e) if e.kind() == ErrorKind::WouldBlock => None,
             Err(e) if is_transient(&e) => Some(now),
             Err(e) => {
-                // Out of descriptors, for example. The socket reports no event for a client that waits already.
-                self.accept_failures.log(|suppressed| {
-                    warn!(self.log, "admin: accept"; "error" => %e, "suppressed" => suppressed);
+                // For example, no free descriptors. The socket reports no further event for a
+                // client that is already waiting.
+                self.accept_failure_log.log(|suppressed| {
+                    warn!(self.log, "admin: accept failed"; "error" => %e, "suppressed" => suppressed);
                 });
                 Some(now + self.limits.reconnect_backoff)
             }
         }
     }
 
-    /// Where there are as many clients as allowed, disconnects one: the first that has its answer, else the one that
-    /// connected first.
+    /// If the maximum number of clients is reached, disconnects one: the oldest that has been
+    /// answered, or else the oldest.
     fn evict_client_if_full(&mut self) {
         if self.clients.len() < self.limits.admin.max_clients {
             return;
@@ -193,7 +201,7 @@
         };
         self.serve_client(number);
         if self.is_unanswered(number) {
-            self.too_many_clients.log(
+            self.too_many_clients_log.log(
                 |suppressed| warn!(self.log, "admin: too many clients"; "suppressed" => suppressed),
             );
             self.answer(
@@ -221,11 +229,12 @@
             deadline: Instant::now() + self.limits.admin.request_timeout,
         };
         self.clients.insert(number, client);
-        // Most have sent their line with the connection.
+        // Most clients send their command as soon as they connect.
         self.serve_client(number);
     }
 
-    /// Reads what a client has sent, and answers once that is a line. What it sends after its answer is discarded.
+    /// Reads the input of a client and answers once a line is complete. Discards input after the
+    /// answer.
     fn serve_client(&mut self, number: usize) {
         for _ in 0..READS_PER_TURN {
             let Some(client) = self.clients.get_mut(&number) else {
@@ -257,7 +266,8 @@
         });
         if before != after {
             info!(self.log, "process state changed"; "from" => %before, "to" => %after, "command" => ?command);
-            // The receiver reads the state itself, so a notification that waits stands for any that follow.
+            // The receiver reads the state itself, so one queued notification is enough for several
+            // changes.
             let _ = self.state_changes.try_send(());
         }
         response
@@ -267,7 +277,7 @@
         let Some(client) = self.clients.get_mut(&number) else {
             return;
         };
-        // A line fits into the empty send buffer of any socket.
+        // The line fits into the send buffer, which is empty.
         let _ = client.stream.write_all(format!("{response}\n").as_bytes());
         let _ = client.stream.shutdown(Shutdown::Write);
         client.is_answered = true;
@@ -280,16 +290,17 @@
             .is_some_and(|client| !client.is_answered)
     }
 
-    /// Answers the clients that have sent no line in time, and disconnects those that have had time to read their answer.
-    fn disconnect_late_clients(&mut self) {
+    /// Answers clients that have sent no line in time, and disconnects those whose time to read the
+    /// answer has expired.
+    fn handle_expired_deadlines(&mut self) {
         let now = Instant::now();
-        let late: Vec<usize> = self
+        let expired: Vec<usize> = self
             .clients
             .iter()
             .filter(|(_, client)| client.deadline <= now)
             .map(|(number, _)| *number)
             .collect();
-        for number in late {
+        for number in expired {
             if self.is_unanswered(number) {
                 self.answer(
                     number,
@@ -302,7 +313,7 @@
     }
 }
 
-/// Whether the next client may be accepted at once.
+/// Returns true if the next client may be accepted immediately after this error.
 fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/src/net/backoff.rs
+++ b/src/net/backoff.rs
@@ -10,7 +10,7 @@
 }
 
 impl Backoff {
-    /// Delays from `first` up to `max`.
+    /// Creates a backoff whose delays start at `first` and grow up to `max`.
     pub fn new(first: Duration, max: Duration) -> Backoff {
         Backoff {
             next: first,
@@ -19,14 +19,14 @@
         }
     }
 
-    /// Returns the delay before the next attempt, and doubles the one after it.
+    /// Returns the delay before the next attempt and doubles the one after it, up to the maximum.
     pub fn next_delay(&mut self) -> Duration {
         let delay = self.next;
         self.next = (delay * 2).min(self.max);
         delay
     }
 
-    /// Starts again from the first delay, after an attempt that succeeded.
+    /// Resets to the first delay, after a successful attempt.
     pub fn reset(&mut self) {
         self.next = self.first;
     }
--- a/src/net/endpoint_list.rs
+++ b/src/net/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list's actor: it reports the node to the service that keeps the list.
+//! The endpoint list actor: reports the node's state to the service that maintains the list.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
@@ -10,19 +10,19 @@
 
 use crate::node::{Limits, NodeStatus};
 
-/// While there is nothing to report, the state is checked this many times in a report interval: the first report should
-/// not wait long.
+/// Number of checks of the state per report interval while there is nothing to report, so that the
+/// first report is not delayed for long.
 const CHECKS_PER_INTERVAL: u32 = 20;
 
-/// A message to the endpoint list's actor.
+/// A message to the endpoint list actor.
 pub enum EndpointListMessage {
-    /// The state of the process has changed: report it at once.
+    /// The state of the process has changed and must be reported immediately.
     StateChanged,
-    /// The service has moved to this address.
+    /// The address of the service has changed.
     AddressChanged(SocketAddr),
 }
 
-/// Sends the reports that the state of the process asks for, until the mailbox is disconnected; see
+/// Sends the reports that the state of the process requires until the mailbox is disconnected; see
 /// [`ProcessState::endpoint_report`].
 ///
 /// [`ProcessState::endpoint_report`]: lifecycle::ProcessState::endpoint_report
@@ -36,12 +36,12 @@
 ) {
     let mut socket = match bind_for(address) {
         Ok(socket) => socket,
-        Err(e) => return warn!(log, "no socket for the endpoint list"; "error" => %e),
+        Err(e) => return warn!(log, "cannot bind a socket for endpoint reports"; "error" => %e),
     };
     loop {
         let status = status_word(node_status.process_state().endpoint_report());
         if let Some(status) = status {
-            // There is no reply, and the next report makes up for a lost one.
+            // Reports have no reply; the next report makes up for a lost one.
             if let Err(e) = socket.send_to(format!("HB {name} {status}").as_bytes(), address) {
                 warn!(log, "endpoint report not sent"; "error" => %e);
             }
@@ -57,7 +57,7 @@
                     address = new_address;
                     match bind_for(address) {
                         Ok(new_socket) => socket = new_socket,
-                        Err(e) => warn!(log, "no new socket for the endpoint list"; "error" => %e),
+                        Err(e) => warn!(log, "cannot bind a socket for the new address of the endpoint list"; "error" => %e),
                     }
                 }
                 Err(_) => return,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The status in a report, as the protocol spells it; `None` if nothing is to be reported.
+/// Returns the status word of the protocol; `None` if nothing is to be reported.
 fn status_word(report: EndpointReport) -> Option<&'static str> {
     match report {
         EndpointReport::Nothing => None,
--- a/src/net/line_reader.rs
+++ b/src/net/line_reader.rs
@@ -1,4 +1,4 @@
-//! Lines from a stream.
+//! Reading lines from a stream.
 
 use std::io::{self, BufRead, BufReader, Read};
 
@@ -10,7 +10,7 @@
 }
 
 impl<R: Read> LineReader<R> {
-    /// A reader of lines of at most `max_bytes`, which reads `buffer_bytes` at once.
+    /// Creates a reader of lines of at most `max_bytes`, with a buffer of `buffer_bytes`.
     pub fn new(stream: R, max_bytes: usize, buffer_bytes: usize) -> LineReader<R> {
         LineReader {
             stream: BufReader::with_capacity(buffer_bytes, stream),
@@ -19,11 +19,13 @@
         }
     }
 
-    /// The next line without its end; `None` at the end of the stream, where an incomplete line is dropped. A line that
-    /// is too long is an error of the kind `InvalidData`: a peer must not fill our memory with one line.
+    /// Returns the next line without its line ending; `None` at the end of the stream, where an
+    /// incomplete line is dropped. The length is limited so that a peer cannot exhaust the memory
+    /// with one line.
     ///
     /// # Errors
-    /// Where the stream can't be read or the line is too long.
+    /// Returns an error if the stream cannot be read, or of the kind `InvalidData` if the line is
+    /// too long.
     pub fn next_line(&mut self) -> io::Result<Option<&[u8]>> {
         self.line.clear();
         let read = (&mut self.stream)
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! The node's connections to the platform, on `std::net` and threads with small stacks: an actor for each peer.
+//! The node's network connections, on `std::net` or `mio` and threads with small stacks, with one
+//! actor per peer.
 
 pub mod admin;
 pub mod database;
@@ -17,10 +18,10 @@
 pub use backoff::Backoff;
 pub use line_reader::LineReader;
 
-/// Starts a named thread with a stack of this many bytes.
+/// Starts a named thread with the given stack size.
 ///
 /// # Errors
-/// Where the system starts no further thread.
+/// Returns an error if the system cannot start another thread.
 pub fn spawn(
     name: &str,
     stack_bytes: usize,
