--- a/src/net/jsonrpc/mod.rs
+++ b/src/net/jsonrpc/mod.rs
@@ -85,7 +85,7 @@
     }
 
     /// Sends a close notice to all clients.
-    pub fn say_goodbye(&self) {
+    pub fn send_close_notices(&self) {
         self.mailbox.send(ServerCommand::SendCloseNotices);
     }
 
--- a/src/run_loop.rs
+++ b/src/run_loop.rs
@@ -213,7 +213,7 @@
             if !is_closed && is_idle && began_at.elapsed() > self.drain_grace() {
                 is_closed = true;
                 self.actors.json_rpc.stop_listening();
-                self.actors.json_rpc.say_goodbye();
+                self.actors.json_rpc.send_close_notices();
             }
             // The process that takes over counts the runs of this one as long as this one holds its share.
             let has_runs = is_replaced && self.status.open_runs() > 0;
@@ -274,7 +274,7 @@
             // New clients connect to the other process.
             self.actors.json_rpc.stop_listening();
         }
-        self.actors.json_rpc.say_goodbye();
+        self.actors.json_rpc.send_close_notices();
         self.actors.amqp.begin_shutdown();
         Shutdown {
             is_replaced,
