--- a/src/net/database/unconfirmed.rs
+++ b/src/net/database/unconfirmed.rs
@@ -82,7 +82,7 @@
     lingering: Vec<LingeringCall>,
     /// Latest estimate of whether the database is silent.
     silence: Silence,
-    /// When a connection last broke that was not closed from this side.
+    /// Time at which a connection that this side had not closed last broke.
     last_break_at: Option<Instant>,
     /// Time at which the end of a connection last showed that the database had ignored its close.
     close_ignored_at: Option<Instant>,
