--- a/crates/routing/src/availability.rs
+++ b/crates/routing/src/availability.rs
@@ -1,19 +1,20 @@
-//! Whether a node is available before anything is sent to it: by the fleet's membership view, or by health checks where
-//! there is none.
+//! Availability of a node before any request is sent to it, taken from the fleet's membership view
+//! or, without one, from health checks.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use cells::{Name, Node};
 
-/// Whether a node is available.
+/// Availability of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// Nothing is sent to it.
+    /// No requests are sent to the node.
     Unavailable,
-    /// Some member got no answer from it: requests are sent to it only while no node of its cell is available.
+    /// A member of the fleet got no answer from the node. Requests are sent to it only while no
+    /// node of its cell is available.
     Suspect,
-    /// Requests are sent to it.
+    /// Requests are sent to the node.
     Available,
 }
 
@@ -27,7 +28,8 @@
     }
 }
 
-/// The nodes that a request may be sent to: the available ones, or else the suspects.
+/// Returns the nodes that a request may be sent to: the available ones, or the suspect ones if none
+/// is available.
 pub(crate) fn usable_nodes<'a, A: Into<Availability>>(
     nodes: Vec<&'a Node>,
     availability: &impl Fn(&str) -> A,
@@ -49,7 +51,7 @@
         .collect()
 }
 
-/// The results of health checks: a node is available while its last good result is recent.
+/// Results of health checks: a node is available while its last good result is recent.
 #[derive(Clone, Debug)]
 pub struct HealthChecks {
     validity: Duration,
@@ -57,7 +59,7 @@
 }
 
 impl HealthChecks {
-    /// Starts without results; a good one is valid for `validity`.
+    /// Creates an empty record in which a good result is valid for `validity`.
     pub fn new(validity: Duration) -> HealthChecks {
         HealthChecks {
             validity,
@@ -65,7 +67,8 @@
         }
     }
 
-    /// Records that a node answered a check at `now`.
+    /// Records that a node answered a health check at `now`. A bad result revokes the last good
+    /// one.
     pub fn record(&mut self, node: &Name, is_ready: bool, now: Duration) {
         if is_ready {
             self.last_good.insert(node.clone(), now);
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Whether a node is available.
+    /// Returns the availability of a node at `now`.
     pub fn availability(&self, node: &str, now: Duration) -> Availability {
         self.last_good
             .get(node)
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,6 +1,8 @@
-//! The decisions of a router in front of the nodes: which node of a tenant's cell a request is sent to, whether it is
-//! queued, rejected or retried, and which nodes are ejected for a while. Times, random numbers and events come in,
-//! decisions go out; there is no I/O. One value decides for all cells of one router.
+//! Routing decisions of a router in front of the nodes: which node of a tenant's cell a request is
+//! sent to, whether it is queued, rejected or retried, and which nodes are temporarily ejected.
+//!
+//! The crate does no I/O: it takes times, a random seed and events, and returns decisions. One
+//! [`Router`] value decides for all cells of one router process.
 
 mod availability;
 mod node_selection;
--- a/crates/routing/src/node_selection.rs
+++ b/crates/routing/src/node_selection.rs
@@ -1,4 +1,5 @@
-//! Selects the node for an attempt: of two random candidates the one with less load for its capacity.
+//! Selection of the node for an attempt: of two random candidates, the one with the lower load
+//! relative to its capacity.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,18 +10,19 @@
 use crate::request::AttemptOutcome;
 use crate::settings::RoutingSettings;
 
-/// The least capacity hint that is followed; a node that reports less is treated as if it reported this.
+/// Smallest capacity hint that is used; a node that reports less is treated as if it reported this.
 const MIN_CAPACITY_HINT: f64 = 0.05;
-/// The largest capacity hint that is followed.
+/// Largest capacity hint that is used; a higher one is treated as if it were this.
 const MAX_CAPACITY_HINT: f64 = 4.0;
-/// The capacity hint of a node that has reported none.
+/// Capacity hint that is assumed for a node that has reported none.
 const DEFAULT_CAPACITY_HINT: f64 = 1.0;
 
 /// The result of a selection.
 pub(crate) enum Selection {
-    /// This node.
+    /// This node was selected.
     Node(Name),
-    /// All nodes have as many requests in flight as they may.
+    /// No node could be selected, and at least one is available: each is ejected or has reached its
+    /// limit of requests in flight.
     AllBusy,
     /// No node is available.
     NoneAvailable,
@@ -29,18 +31,18 @@
 #[derive(Clone, Debug, Default)]
 struct NodeLoad {
     in_flight: usize,
-    /// The fraction of the usual traffic that the node wants, as it last reported.
+    /// Fraction of the usual traffic that the node asks for, as last reported.
     capacity_hint: Option<f64>,
 }
 
 /// A node that may be selected.
 struct Candidate<'a> {
     name: &'a Name,
-    /// The load that one request more leads to, relative to the node's capacity.
+    /// Load relative to the node's capacity if it gets one more request.
     relative_load: f64,
 }
 
-/// The load of the nodes, and the outliers among them.
+/// Selects nodes by their load, leaving out ejected ones.
 #[derive(Debug)]
 pub(crate) struct NodeSelector {
     max_in_flight_per_node: usize,
@@ -69,12 +71,12 @@
         self.outliers.state(node, now)
     }
 
-    /// Records that an attempt is sent to a node.
+    /// Records that an attempt was sent to a node.
     pub(crate) fn begin_attempt(&mut self, node: &Name) {
         self.loads.entry(node.clone()).or_default().in_flight += 1;
     }
 
-    /// Records that an attempt at a node has ended, with the capacity hint of its answer.
+    /// Records that an attempt at a node has ended, and the capacity hint in the node's answer.
     pub(crate) fn finish_attempt(
         &mut self,
         node: &Name,
@@ -90,8 +92,8 @@
             .record_outcome(node, outcome.is_healthy(), now);
     }
 
-    /// Selects one of some available nodes. An ejected node gets a probe now and then, which is always an idempotent
-    /// request.
+    /// Selects one of the available `nodes`. A node whose ejection has expired is selected for a
+    /// probe, which is always an idempotent request.
     pub(crate) fn select(
         &mut self,
         nodes: &[&Node],
@@ -101,7 +103,7 @@
         if nodes.is_empty() {
             return Selection::NoneAvailable;
         }
-        // With too many ejected, none of them is an outlier any more: all are used.
+        // If too much of the cell is ejected, the ejected nodes are no outliers: use all nodes.
         let ignores_ejections = self.ejected_fraction_is_exceeded(nodes, now);
         let mut candidates = Vec::with_capacity(nodes.len());
         for node in nodes {
@@ -129,7 +131,8 @@
         ejected > total * self.max_ejected_fraction
     }
 
-    /// The node as a candidate that gets this fraction of its usual requests; none if it is busy.
+    /// Returns the node as a candidate that gets `fraction` of its usual requests, or `None` if it
+    /// has reached its limit of requests in flight.
     fn candidate<'a>(&self, node: &'a Node, fraction: f64) -> Option<Candidate<'a>> {
         let load = self.loads.get(&node.name);
         let in_flight = load.map_or(0, |load| load.in_flight) as f64;
@@ -163,7 +166,7 @@
         }
     }
 
-    /// A number below `bound`, from a sequence that the seed determines (`splitmix64`).
+    /// Returns a number below `bound` from the `splitmix64` sequence of the seed.
     fn random_below(&mut self, bound: usize) -> usize {
         self.random_state = self.random_state.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.random_state;
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -1,35 +1,39 @@
-//! Outlier detection: nodes that fail too often are ejected for a while, then probed, then readmitted by degrees.
+//! Outlier detection: nodes that fail too often are ejected temporarily, then probed, then
+//! gradually readmitted.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use cells::Name;
 
-/// The smallest fraction of its usual requests that a readmitted node gets.
+/// Smallest fraction of its usual requests that a readmitted node gets.
 const MIN_RAMP_FRACTION: f64 = 0.1;
-/// The ejection time is doubled this often at most.
+/// Largest number of times that the ejection time is doubled.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// When a node is ejected, and how it is readmitted.
+/// Settings of when a node is ejected and how it is readmitted.
 #[derive(Clone, Debug)]
 pub struct OutlierSettings {
-    /// The number of consecutive failures that ejects a node.
+    /// Number of consecutive failures after which a node is ejected.
     pub max_consecutive_failures: u32,
-    /// The failure rate that ejects a node.
+    /// Failure rate above which a node is ejected.
     pub max_failure_rate: f64,
-    /// The number of attempts over which the failure rate is measured. Before so many attempts it ejects no node.
+    /// Number of attempts over which the failure rate is measured. A node with fewer attempts is
+    /// not ejected for its failure rate.
     pub failure_rate_window: u32,
-    /// The time of a first ejection; it doubles each time.
+    /// Duration of a first ejection; each further ejection lasts twice as long.
     pub first_ejection: Duration,
-    /// The longest ejection.
+    /// Maximum duration of an ejection.
     pub max_ejection: Duration,
-    /// The time without an ejection after which the next is a first one again.
-    pub forget_after: Duration,
-    /// The time after which a probe without a result is given up; there is one at a time.
+    /// Duration after readmission, without a new ejection, after which the next ejection counts as
+    /// a first one.
+    pub backoff_reset_after: Duration,
+    /// Duration after which a probe without a result is abandoned and another may be sent; a node
+    /// has one probe at a time.
     pub probe_timeout: Duration,
-    /// The time over which a readmitted node gets its usual requests again.
+    /// Duration over which a readmitted node ramps up to its usual share of requests.
     pub recovery_ramp: Duration,
-    /// The largest fraction of a cell's weight that may be ejected at once.
+    /// Largest fraction of a cell's weight that may be ejected at the same time.
     pub max_ejected_fraction: f64,
 }
 
@@ -41,7 +45,7 @@
             failure_rate_window: 32,
             first_ejection: Duration::from_secs(1),
             max_ejection: Duration::from_secs(30),
-            forget_after: Duration::from_secs(60),
+            backoff_reset_after: Duration::from_secs(60),
             probe_timeout: Duration::from_secs(2),
             recovery_ramp: Duration::from_secs(5),
             max_ejected_fraction: 0.5,
@@ -49,22 +53,23 @@
     }
 }
 
-/// Whether a node is ejected.
+/// The ejection state of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EjectionState {
-    /// It gets requests.
+    /// The node gets requests.
     Admitted {
-        /// The fraction of its usual requests, above 0; 1 unless it was readmitted recently.
+        /// Fraction of its usual requests that the node gets: above 0, and 1 unless the node was
+        /// readmitted recently.
         fraction: f64,
     },
-    /// It gets nothing.
+    /// The node gets no requests.
     Ejected,
-    /// It may get one request, to find out whether it is healthy again.
+    /// The node may get one request as a probe of whether it is healthy again.
     Probing,
 }
 
 impl EjectionState {
-    /// Whether it gets nothing, or a probe at most.
+    /// Returns true if the node gets no requests, or a probe at most.
     pub fn is_ejected(self) -> bool {
         !matches!(self, EjectionState::Admitted { .. })
     }
@@ -74,9 +79,10 @@
 struct NodeRecord {
     consecutive_failures: u32,
     attempts: u32,
-    /// A moving average over the window.
+    /// Moving average of failures, in which a new outcome weighs 1 / number of attempts, and at
+    /// least 1 / [`OutlierSettings::failure_rate_window`].
     failure_rate: f64,
-    /// The end of the present ejection; the node is probed from then on.
+    /// End of the current ejection; the node is probed from then on.
     ejected_until: Option<Duration>,
     probed_at: Option<Duration>,
     ejections: u32,
@@ -145,7 +151,7 @@
     }
 }
 
-/// Detects outliers among the nodes by the outcomes of attempts.
+/// Detects outliers among the nodes from the outcomes of attempts.
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
     settings: OutlierSettings,
@@ -153,7 +159,7 @@
 }
 
 impl OutlierDetector {
-    /// Starts with all nodes admitted.
+    /// Creates a detector with all nodes admitted.
     pub fn new(settings: OutlierSettings) -> OutlierDetector {
         OutlierDetector {
             settings,
@@ -161,7 +167,7 @@
         }
     }
 
-    /// Whether a node is ejected now.
+    /// Returns the ejection state of a node at `now`.
     pub fn state(&self, node: &str, now: Duration) -> EjectionState {
         match self.records.get(node) {
             Some(record) => record.state(&self.settings, now),
@@ -169,7 +175,7 @@
         }
     }
 
-    /// Records that a probe is sent to a node.
+    /// Records that a probe was sent to a node.
     pub fn record_probe(&mut self, node: &str, now: Duration) {
         if let Some(record) = self.records.get_mut(node) {
             record.probed_at = Some(now);
@@ -184,7 +190,8 @@
             None => records.entry(node.into()).or_default(),
         };
         if let Some(ejected_until) = record.ejected_until {
-            // Outcomes of attempts that were sent before the ejection reveal nothing new.
+            // Only the outcome of a probe counts: attempts that were sent before the ejection
+            // provide no new information.
             let is_probe = record.probed_at.is_some() && now >= ejected_until;
             match (is_probe, is_success) {
                 (true, true) => record.readmit(now),
@@ -195,7 +202,7 @@
         }
         record.count_attempt(settings, is_success);
         let was_stable = record.readmitted_at.is_some_and(|readmitted_at| {
-            now.saturating_sub(readmitted_at) >= settings.forget_after
+            now.saturating_sub(readmitted_at) >= settings.backoff_reset_after
         });
         if was_stable {
             record.ejections = 0;
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -1,75 +1,77 @@
-//! Requests, and the decisions on them.
+//! Requests and the routing decisions on them.
 
 use std::time::Duration;
 
 use cells::Name;
 
-/// The number of a request at the router.
+/// The router's own number for a request, unique within one router process.
 pub type Ticket = u64;
 
-/// A request as the router sees it.
+/// The properties of a request that routing depends on.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its tenant.
+    /// Tenant that sent the request.
     pub tenant: Name,
-    /// What it concerns, where the tenant is split by subject.
+    /// Subject of the request, for tenants that are split by subject.
     pub subject: Option<Name>,
-    /// Whether it may run more than once. One that is not idempotent is never retried once it may have run.
+    /// True if the request may run more than once. A request that is not idempotent is never
+    /// retried once it may have run.
     pub is_idempotent: bool,
-    /// The time at which an answer is of no use any more.
+    /// Time at which an answer is too late to be useful.
     pub deadline: Duration,
 }
 
-/// The decision on a request that has arrived or was queued.
+/// The decision on a request that has just arrived or is queued.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouteDecision {
-    /// Send it to this node.
+    /// Send the request to this node.
     Forward(Name),
-    /// Keep it queued; [`Router::route_next_queued`](crate::Router::route_next_queued) decides on it later.
+    /// Keep the request queued;
+    /// [`Router::route_next_queued`](crate::Router::route_next_queued) decides on it later.
     Queue,
-    /// Reject it: it never ran.
+    /// Reject the request: it never ran.
     Reject(Rejection),
 }
 
-/// Why a router rejects a request.
+/// Reason for which the router rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Rejection {
-    /// No cell serves its tenant.
+    /// No cell serves the tenant of the request.
     NoCell,
-    /// No node of its cell is available.
+    /// No node of the cell is available.
     NoNode {
-        /// The time after which the client may try again.
+        /// Duration after which the client may try again.
         retry_after: Duration,
     },
-    /// Too many requests are queued for its cell.
+    /// The queue of the cell is full.
     QueueFull {
-        /// The time after which the client may try again.
+        /// Duration after which the client may try again.
         retry_after: Duration,
     },
-    /// Its deadline has passed, or is too near.
+    /// The deadline has passed, or too little time is left for an attempt.
     DeadlinePassed,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt to run a request at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The node served it.
+    /// The node served the request.
     Served,
-    /// The node rejected it: it never ran there.
+    /// The node rejected the request: it never ran there.
     Rejected {
-        /// Whether the node asks not to try another one.
+        /// True if the node asks the router not to try another node.
         is_final: bool,
     },
-    /// The node answered with an error: it may have run.
+    /// The node answered with an error: the request may have run.
     Failed,
-    /// Nothing of it was written: the node could not be reached.
+    /// No byte of the request was written: the node could not be reached.
     NotSent,
-    /// The connection broke, or no answer came: it may have run.
+    /// The connection broke or no answer arrived: the request may have run.
     Lost,
 }
 
 impl AttemptOutcome {
-    /// Whether the node answered as a healthy one does.
+    /// Returns true if the node answered as a healthy node does. Rejecting is healthy too.
     pub(crate) fn is_healthy(self) -> bool {
         matches!(
             self,
@@ -78,18 +80,20 @@
     }
 }
 
-/// What to do after an attempt.
+/// The decision on a request after an attempt has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RetryDecision {
     /// Return the node's answer to the client.
     ReturnAnswer,
     /// Send the request to this node next.
     Retry(Name),
-    /// Report that it failed and may have run; there is no answer, and no further attempt.
+    /// Report to the client that the request failed and may have run. There is no answer from a
+    /// node, and no further attempt.
     MayHaveRun,
-    /// Report that it never ran; there is no answer, and no further attempt.
+    /// Report to the client that the request never ran. There is no answer from a node, and no
+    /// further attempt.
     NeverRan {
-        /// The time after which the client may try again.
+        /// Duration after which the client may try again.
         retry_after: Duration,
     },
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router's state: open requests, the queue of each cell, and the decisions on them.
+//! State of the router: open requests, the queue of each cell, and the decisions on them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -17,26 +17,26 @@
 struct OpenRequest {
     request: Request,
     cell: Name,
-    /// The nodes of earlier attempts.
-    tried: Vec<Name>,
-    /// The node of the present attempt; none while the request is queued.
+    /// Nodes of earlier attempts.
+    tried_nodes: Vec<Name>,
+    /// Node of the current attempt; `None` while the request is queued.
     node: Option<Name>,
 }
 
-/// The decisions of one router, for all cells.
+/// Makes the routing decisions of one router process, for all cells.
 #[derive(Debug)]
 pub struct Router {
     settings: RoutingSettings,
     selector: NodeSelector,
     retry_budgets: RetryBudgets,
     open: BTreeMap<Ticket, OpenRequest>,
-    /// The queued requests of each cell, in order of arrival.
+    /// Queued requests of each cell, in order of arrival.
     queues: BTreeMap<Name, VecDeque<Ticket>>,
     next_ticket: Ticket,
 }
 
 impl Router {
-    /// A router without requests. Equal seeds and events lead to equal decisions.
+    /// Creates a router without requests. Equal seeds and events lead to equal decisions.
     pub fn new(settings: RoutingSettings, seed: u64) -> Router {
         Router {
             selector: NodeSelector::new(&settings, seed),
@@ -52,27 +52,27 @@
         }
     }
 
-    /// The number of requests that are in flight or queued.
+    /// Returns the number of requests that are in flight or queued.
     pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
-    /// The number of requests in flight at this node.
+    /// Returns the number of requests in flight at this node.
     pub fn in_flight(&self, node: &str) -> usize {
         self.selector.in_flight(node)
     }
 
-    /// The retry budgets, to set the router's quota and read its use.
+    /// Returns the retry budgets, for setting the router's quota and reading its use.
     pub fn retry_budgets(&mut self) -> &mut RetryBudgets {
         &mut self.retry_budgets
     }
 
-    /// Whether a node is ejected.
+    /// Returns the ejection state of a node at `now`.
     pub fn ejection_state(&self, node: &str, now: Duration) -> EjectionState {
         self.selector.ejection_state(node, now)
     }
 
-    /// Decides on a request that has arrived. `availability` tells whether a node is available.
+    /// Decides on a request that has arrived. `availability` returns the availability of a node.
     pub fn route_request<A: Into<Availability>>(
         &mut self,
         request: Request,
@@ -105,7 +105,7 @@
         let mut open = OpenRequest {
             request,
             cell: cell.name.clone(),
-            tried: Vec::new(),
+            tried_nodes: Vec::new(),
             node: None,
         };
         let retry_after = self.settings.retry_after;
@@ -130,8 +130,9 @@
         decision
     }
 
-    /// Decides what follows an attempt that has ended, with the capacity hint of the node's answer. The node can take
-    /// another request afterwards; see [`Router::route_next_queued`].
+    /// Decides on a request whose attempt has ended. `capacity_hint` is the one in the node's
+    /// answer, if any. The slot at the node is free afterwards, so a queued request may be
+    /// forwardable; see [`Router::route_next_queued`].
     pub fn finish_attempt<A: Into<Availability>>(
         &mut self,
         ticket: Ticket,
@@ -147,7 +148,7 @@
         if let Some(node) = open.node.take() {
             self.selector
                 .finish_attempt(&node, outcome, capacity_hint, now);
-            open.tried.push(node);
+            open.tried_nodes.push(node);
         }
         if let Some(node) = self.retry_node(&mut open, outcome, map, &availability, now) {
             self.begin_attempt(&mut open, &node);
@@ -165,7 +166,8 @@
         }
     }
 
-    /// The node for a retry, which is paid for; none where no retry is made.
+    /// Returns the node for a retry and deducts the retry from its budget, or returns `None` if the
+    /// request is not retried.
     fn retry_node<A: Into<Availability>>(
         &mut self,
         open: &mut OpenRequest,
@@ -180,12 +182,13 @@
             AttemptOutcome::NotSent => true,
             AttemptOutcome::Lost => open.request.is_idempotent,
         };
-        let has_attempts_left = open.tried.len() < usize::from(self.settings.max_attempts);
+        let has_attempts_left = open.tried_nodes.len() < usize::from(self.settings.max_attempts);
         if !may_retry || !self.has_time_left(&open.request, now) || !has_attempts_left {
             return None;
         }
         let cell = cell_for(map, &open.request)?;
-        // The tenant may have migrated: what may be in flight in its earlier cell is never sent to another.
+        // The tenant may have migrated: a request that may still run in its previous cell must not
+        // be sent to another cell.
         if cell.name != open.cell && outcome == AttemptOutcome::Lost {
             return None;
         }
@@ -198,7 +201,7 @@
             .then_some(node)
     }
 
-    /// Removes a queued request whose deadline has passed. Returns false where it is not queued.
+    /// Removes a queued request whose deadline has passed. Returns false if it is not queued.
     pub fn remove_queued(&mut self, ticket: Ticket) -> bool {
         let Some(open) = self.open.get(&ticket).filter(|open| open.node.is_none()) else {
             return false;
@@ -210,7 +213,8 @@
         true
     }
 
-    /// Decides on the next queued request that can be forwarded or has to be rejected; none where all remain queued.
+    /// Decides on the next queued request that can be forwarded or has to be rejected. Returns
+    /// `None` if all requests remain queued.
     pub fn route_next_queued<A: Into<Availability>>(
         &mut self,
         map: &CellMap,
@@ -238,7 +242,8 @@
         None
     }
 
-    /// The first request in the queue of a cell; drops tickets of requests that are not open any more.
+    /// Returns the first request in the queue of a cell. Drops tickets of requests that are no
+    /// longer open.
     fn first_queued(&mut self, cell: &Name) -> Option<(Ticket, OpenRequest)> {
         let queue = self.queues.get_mut(cell)?;
         while let Some(ticket) = queue.front() {
@@ -275,7 +280,7 @@
         }
     }
 
-    /// Selects a node of the cell that the request was not sent to yet.
+    /// Selects a node of the cell that the request has not been sent to.
     fn select_node<A: Into<Availability>>(
         &mut self,
         open: &OpenRequest,
@@ -285,7 +290,7 @@
         now: Duration,
     ) -> Selection {
         let mut nodes = map.shard_nodes(cell, &open.request.tenant);
-        nodes.retain(|node| !open.tried.contains(&node.name));
+        nodes.retain(|node| !open.tried_nodes.contains(&node.name));
         let nodes = usable_nodes(nodes, availability);
         self.selector
             .select(&nodes, open.request.is_idempotent, now)
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -1,30 +1,30 @@
-//! The settings of a router's decisions.
+//! Settings of the routing decisions.
 
 use std::time::Duration;
 
 use crate::outlier::OutlierSettings;
 
-/// How a router decides.
+/// Limits and intervals of the routing decisions.
 #[derive(Clone, Debug)]
 pub struct RoutingSettings {
-    /// The requests in flight at a node of weight 1; more are queued.
+    /// Maximum number of requests in flight at a node of weight 1; further requests are queued.
     pub max_in_flight_per_node: usize,
-    /// The requests that are queued for a cell; more are rejected.
+    /// Maximum number of requests queued for a cell; further requests are rejected.
     pub max_queued_per_cell: usize,
-    /// The attempts of one request in all.
+    /// Maximum number of attempts of one request, including the first.
     pub max_attempts: u8,
-    /// What a first attempt adds to the retry budget of its tenant in its cell, in attempts.
+    /// Number of retries that a first attempt adds to the budget of its tenant in its cell.
     pub retry_budget_ratio: f64,
-    /// The most that a retry budget holds, in attempts; it starts full.
+    /// Maximum number of retries that a budget holds; it starts full.
     pub retry_budget_burst: f64,
-    /// The number of retry budgets that are remembered. The least recently used one is dropped first, and starts full if
-    /// its tenant comes back.
+    /// Maximum number of retry budgets that are kept. The least recently used one is evicted
+    /// first; if its tenant sends requests again, its budget starts full.
     pub max_retry_budgets: usize,
-    /// The time before its deadline that a request needs for an attempt.
+    /// Least time that must remain before the deadline for an attempt to be made.
     pub min_time_left: Duration,
-    /// The time after which a client that found no node may try again, at the earliest.
+    /// Duration after which a client may try again if no node took its request.
     pub retry_after: Duration,
-    /// When nodes are ejected.
+    /// Settings of the outlier detection.
     pub outliers: OutlierSettings,
 }
 
--- a/crates/routing/tests/routing/fixtures.rs
+++ b/crates/routing/tests/routing/fixtures.rs
@@ -1,4 +1,4 @@
-//! A small fleet, requests and routers for the tests.
+//! Fixtures: the cell map of a small fleet, requests and routers.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
     Duration::from_millis(ms)
 }
 
-/// Two cells of three nodes; alpenergia is assigned to `a`, solpiana to `b`.
+/// Returns a map of two cells with three nodes each; alpenergia is assigned to `a`, solpiana to
+/// `b`.
 pub(crate) fn map() -> CellMap {
     let mut layout = Layout {
         slack: 1.0,
@@ -34,11 +35,11 @@
             },
         );
     }
-    CellMap::from_layout(&layout).expect("a map")
+    CellMap::from_layout(&layout).expect("the layout is valid")
 }
 
-/// An idempotent request.
-pub(crate) fn read(tenant: &str) -> Request {
+/// Returns an idempotent request.
+pub(crate) fn read_request(tenant: &str) -> Request {
     Request {
         tenant: tenant.into(),
         subject: None,
@@ -47,11 +48,11 @@
     }
 }
 
-/// A request that must not run twice.
-pub(crate) fn post(tenant: &str) -> Request {
+/// Returns a request that must not run twice.
+pub(crate) fn settlement_request(tenant: &str) -> Request {
     Request {
         is_idempotent: false,
-        ..read(tenant)
+        ..read_request(tenant)
     }
 }
 
@@ -65,7 +66,7 @@
     Router::new(settings, 7)
 }
 
-pub(crate) fn forwarded_node(decision: RouteDecision) -> String {
+pub(crate) fn expect_forwarded(decision: RouteDecision) -> String {
     match decision {
         RouteDecision::Forward(node) => node.to_string(),
         other => panic!("not forwarded: {other:?}"),
--- a/crates/routing/tests/routing/main.rs
+++ b/crates/routing/tests/routing/main.rs
@@ -1,4 +1,4 @@
-//! The router's decisions: the cases they are made for, and invariants under random steps.
+//! Tests of the routing decisions: individual cases, and invariants under random steps.
 
 mod fixtures;
 mod forwarding;
--- a/crates/routing/tests/routing/random_steps.rs
+++ b/crates/routing/tests/routing/random_steps.rs
@@ -6,7 +6,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use routing::{AttemptOutcome, Request, RetryDecision, RouteDecision, Router, Ticket};
 
-use crate::fixtures::{map, ms, read, router_with};
+use crate::fixtures::{map, ms, read_request, router_with};
 
 const MAX_IN_FLIGHT_PER_NODE: usize = 2;
 const MAX_QUEUED_PER_CELL: usize = 3;
@@ -14,19 +14,17 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A request arrives; `time_left` is that to its deadline in milliseconds.
+    /// A request arrives; `time_left_ms` is the time to its deadline.
     Arrive {
         runs_once: bool,
         is_for_second_cell: bool,
-        time_left: u16,
-    },
-    /// The attempt of one of the requests in flight ends.
-    Finish {
-        request: u8,
-        outcome: u8,
+        time_left_ms: u16,
     },
+    /// The attempt of one of the requests in flight ends. Both fields are indices.
+    Finish { request: u8, outcome: u8 },
+    /// The router decides on the next queued request.
     RouteQueued,
-    /// So many milliseconds pass.
+    /// This number of milliseconds passes.
     Wait(u16),
     /// A node becomes unavailable, or available again.
     ToggleNode(u8),
@@ -38,7 +36,7 @@
             0..=4 => Step::Arrive {
                 runs_once: bool::arbitrary(g),
                 is_for_second_cell: bool::arbitrary(g),
-                time_left: u16::arbitrary(g) % 3000,
+                time_left_ms: u16::arbitrary(g) % 3000,
             },
             5..=8 => Step::Finish {
                 request: u8::arbitrary(g),
@@ -59,20 +57,20 @@
     AttemptOutcome::Lost,
 ];
 
-/// A request in flight and the nodes that it was sent to, the present one last.
+/// A request in flight and the nodes that it was sent to, the current one last.
 struct InFlight {
     request: Request,
     nodes: Vec<String>,
 }
 
-/// A step broke an invariant.
+/// A step that broke an invariant.
 struct Violation;
 
-/// A router beside what its decisions should add up to.
+/// A router, and the requests that should be open at it according to its decisions.
 struct Model {
     map: CellMap,
     router: Router,
-    now: u64,
+    now_ms: u64,
     unavailable: BTreeSet<String>,
     in_flight: BTreeMap<Ticket, InFlight>,
     queued: BTreeMap<Ticket, Request>,
@@ -89,7 +87,7 @@
         Model {
             map: map(),
             router,
-            now: 0,
+            now_ms: 0,
             unavailable: BTreeSet::new(),
             in_flight: BTreeMap::new(),
             queued: BTreeMap::new(),
@@ -102,7 +100,7 @@
             Step::Arrive {
                 runs_once,
                 is_for_second_cell,
-                time_left,
+                time_left_ms,
             } => {
                 let tenant = if *is_for_second_cell {
                     "solpiana"
@@ -111,8 +109,8 @@
                 };
                 let request = Request {
                     is_idempotent: !runs_once,
-                    deadline: ms(self.now + u64::from(*time_left)),
-                    ..read(tenant)
+                    deadline: ms(self.now_ms + u64::from(*time_left_ms)),
+                    ..read_request(tenant)
                 };
                 self.arrive(request)
             }
@@ -124,8 +122,8 @@
                 }
             }
             Step::RouteQueued => self.route_queued(),
-            Step::Wait(time) => {
-                self.now += u64::from(*time);
+            Step::Wait(time_ms) => {
+                self.now_ms += u64::from(*time_ms);
                 Ok(())
             }
             Step::ToggleNode(n) => {
@@ -142,7 +140,7 @@
         let is_available = |node: &str| !self.unavailable.contains(node);
         let (ticket, decision) =
             self.router
-                .route_request(request.clone(), &self.map, is_available, ms(self.now));
+                .route_request(request.clone(), &self.map, is_available, ms(self.now_ms));
         self.record_decision(ticket, request, decision)
     }
 
@@ -150,7 +148,7 @@
         let is_available = |node: &str| !self.unavailable.contains(node);
         let routed = self
             .router
-            .route_next_queued(&self.map, is_available, ms(self.now));
+            .route_next_queued(&self.map, is_available, ms(self.now_ms));
         let Some((ticket, decision)) = routed else {
             return Ok(());
         };
@@ -158,7 +156,8 @@
         self.record_decision(ticket, request, decision)
     }
 
-    /// A request is only forwarded to an available node of its cell.
+    /// Records a decision, and checks that a request is forwarded only to an available node of its
+    /// cell.
     fn record_decision(
         &mut self,
         ticket: Ticket,
@@ -182,7 +181,8 @@
         Ok(())
     }
 
-    /// A request is retried at another node, and only if it did not run or may run again.
+    /// Finishes an attempt, and checks that a request is retried only at another node, and only if
+    /// it did not run or is idempotent.
     fn finish(&mut self, ticket: Ticket, outcome: AttemptOutcome) -> Result<(), Violation> {
         let mut finished = self.in_flight.remove(&ticket).ok_or(Violation)?;
         let is_available = |node: &str| !self.unavailable.contains(node);
@@ -192,7 +192,7 @@
             None,
             &self.map,
             is_available,
-            ms(self.now),
+            ms(self.now_ms),
         );
         self.decisions.push(format!("{decision:?}"));
         let RetryDecision::Retry(node) = decision else {
@@ -209,7 +209,7 @@
         Ok(())
     }
 
-    /// The router's counts are those of the model, and within the limits.
+    /// Checks that the router's counts equal those of the model and are within the limits.
     fn check_counts(&self) -> Result<(), Violation> {
         let mut loads: BTreeMap<&String, usize> = BTreeMap::new();
         for request in self.in_flight.values() {
@@ -239,9 +239,9 @@
     Ok(model.decisions)
 }
 
-/// Whatever happens: open requests are those that have arrived and not ended, a settlement is sent nowhere else once it may
-/// have run, no request is sent to a node twice, to a busy node or to another cell, and equal steps lead to equal
-/// decisions.
+/// Under any sequence of steps: open requests are those that have arrived and not ended, a
+/// settlement that may have run is not sent to another node, no request is sent to a node twice, to
+/// a busy node or to another cell, and equal steps lead to equal decisions.
 #[test]
 fn random_steps_keep_the_invariants() {
     #[expect(clippy::needless_pass_by_value, reason = "quickcheck passes values")]
