--- a/crates/router/src/client_message.rs
+++ b/crates/router/src/client_message.rs
@@ -1,4 +1,5 @@
-//! What a line of a client means to the router. It reads what it needs to route a request; the node checks the rest.
+//! Parsing of a line from a client. The router reads only what it needs to route a request; the
+//! node checks the rest.
 
 use std::collections::BTreeMap;
 
@@ -11,21 +12,21 @@
 use crate::config::RequestClass;
 use crate::error_line::error_line;
 
-/// A request to be forwarded.
+/// A request to forward to a node.
 pub(crate) struct ClientRequest {
     pub(crate) class: RequestClass,
     pub(crate) method: String,
-    /// The parameters as they arrived, in JSON.
+    /// Parameters as received, in JSON.
     pub(crate) params: String,
-    /// Unix milliseconds at which the request arrived at the machine.
+    /// Unix time in milliseconds at which the request arrived at the machine.
     pub(crate) arrived_at_ms: f64,
-    /// The tenant; empty where the request names none.
+    /// Tenant of the request; empty if the request names none.
     pub(crate) tenant: Name,
-    /// What the request is about, where the tenant is split.
+    /// Subject of the request, for tenants that are split by subject.
     pub(crate) subject: Option<Name>,
 }
 
-/// The fields of a message.
+/// The fields of a JSON-RPC message.
 #[derive(Deserialize)]
 struct MessageFields<'a> {
     #[serde(default)]
@@ -48,7 +49,7 @@
     subject: Option<&'a str>,
 }
 
-/// Parses a line of a client.
+/// Parses a line from a client.
 pub(crate) fn parse_line(
     line: &[u8],
     classes: &BTreeMap<String, RequestClass>,
--- a/crates/router/src/config/file.rs
+++ b/crates/router/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The router's own file: its fields, their ranges and defaults.
+//! The router's own configuration file: its fields, their ranges and defaults.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -12,15 +12,15 @@
 
 use super::{ConfigError, RequestClass};
 
-/// The version of the file's format.
-const VERSION: u32 = 1;
-const CLIENTS_RANGE: RangeInclusive<usize> = 8..=100_000;
-const DEFAULT_CLIENTS: usize = 400;
-const PER_NODE_RANGE: RangeInclusive<usize> = 1..=64;
-const DEFAULT_PER_NODE: usize = 8;
+/// Version of the file format.
+const FORMAT_VERSION: u32 = 1;
+const MAX_CLIENTS_RANGE: RangeInclusive<usize> = 8..=100_000;
+const DEFAULT_MAX_CLIENTS: usize = 400;
+const CONNECTIONS_PER_NODE_RANGE: RangeInclusive<usize> = 1..=64;
+const DEFAULT_CONNECTIONS_PER_NODE: usize = 8;
 const DEADLINE_MS_RANGE: RangeInclusive<u64> = 1..=3_600_000;
 
-/// The fields as they stand in the file.
+/// The fields of the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ConfigFile {
@@ -29,25 +29,28 @@
     pub(super) cells: PathBuf,
     pub(super) fleet: Option<PathBuf>,
     classes: BTreeMap<String, ClassFields>,
-    #[serde(default = "default_clients")]
+    #[serde(default = "default_max_clients")]
+    /// Maximum number of client connections.
     pub(super) clients: usize,
-    #[serde(default = "default_per_node")]
+    #[serde(default = "default_connections_per_node")]
+    /// Maximum number of connections to one node.
     pub(super) per_node: usize,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ClassFields {
+    /// True if a request of the class must not run twice.
     once: bool,
     deadline_ms: u64,
 }
 
-fn default_clients() -> usize {
-    DEFAULT_CLIENTS
+fn default_max_clients() -> usize {
+    DEFAULT_MAX_CLIENTS
 }
 
-fn default_per_node() -> usize {
-    DEFAULT_PER_NODE
+fn default_connections_per_node() -> usize {
+    DEFAULT_CONNECTIONS_PER_NODE
 }
 
 impl ConfigFile {
@@ -62,12 +65,12 @@
     }
 
     fn check(&self) -> Result<(), InvalidField> {
-        if self.version != VERSION {
-            let message = format!("{} is not known here: {VERSION} is", self.version);
+        if self.version != FORMAT_VERSION {
+            let message = format!("{} is not known here: {FORMAT_VERSION} is", self.version);
             return Err(InvalidField::new("version", message));
         }
-        check_range("clients", &self.clients, &CLIENTS_RANGE)?;
-        check_range("per_node", &self.per_node, &PER_NODE_RANGE)?;
+        check_range("clients", &self.clients, &MAX_CLIENTS_RANGE)?;
+        check_range("per_node", &self.per_node, &CONNECTIONS_PER_NODE_RANGE)?;
         for (class, fields) in &self.classes {
             let field = format!("classes.{class}.deadline_ms");
             check_range(&field, &fields.deadline_ms, &DEADLINE_MS_RANGE)?;
@@ -75,7 +78,7 @@
         Ok(())
     }
 
-    /// The classes of the file.
+    /// Returns the classes by their methods.
     pub(super) fn into_classes(self) -> BTreeMap<String, RequestClass> {
         self.classes
             .into_iter()
--- a/crates/router/src/config/mod.rs
+++ b/crates/router/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The router's configuration: its own file in JSON5, and the cells file and fleet file that it names.
+//! The router's configuration: its own JSON5 file, and the cells file and fleet file that it names.
 
 mod error;
 mod file;
@@ -18,38 +18,39 @@
 /// A class of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Its requests may run more than once without a further effect.
+    /// True if requests of the class may run more than once without a further effect.
     pub is_idempotent: bool,
-    /// How long after its arrival at the machine a request may be answered.
+    /// Duration after its arrival at the machine within which a request must be answered.
     pub deadline: Duration,
 }
 
 /// The configuration of a router.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where clients connect.
+    /// Address on which the router accepts clients.
     pub listen_address: SocketAddr,
-    /// The classes, by their methods.
+    /// Request classes by their JSON-RPC methods.
     pub classes: BTreeMap<String, RequestClass>,
-    /// Client connections at the same time.
+    /// Maximum number of concurrent client connections.
     pub max_clients: usize,
-    /// Connections to one node at the same time.
+    /// Maximum number of concurrent connections to one node for requests.
     pub max_connections_per_node: usize,
-    /// The cells.
+    /// Layout of the cells.
     pub layout: Layout,
-    /// The cells file, which is read again on a reload.
+    /// Path of the cells file, which is read again on a reload.
     pub layout_path: PathBuf,
-    /// The fleet whose members tell which nodes are available; without it the router checks each node.
+    /// Fleet whose membership determines which nodes are available; without it, the router sends
+    /// health checks to each node.
     pub fleet: Option<fleet::Config>,
-    /// The fleet file, which is read again on a reload.
+    /// Path of the fleet file, which is read again on a reload.
     pub fleet_path: Option<PathBuf>,
 }
 
 impl Config {
-    /// Reads a router's file, and the files that it names, relative to its folder.
+    /// Reads a router's file and the files that it names, whose paths are relative to its folder.
     ///
     /// # Errors
-    /// The first thing that can't be used in any of them.
+    /// The first error in any of the files.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
         let file = ConfigFile::read(path)?;
         let folder = path.parent().unwrap_or(Path::new(""));
@@ -69,7 +70,7 @@
         })
     }
 
-    /// Reads a fleet file that names the router.
+    /// Reads a fleet file, which must have a name for the router.
     ///
     /// # Errors
     /// The file can't be used, or has no name for the router.
@@ -82,7 +83,7 @@
         Ok(fleet)
     }
 
-    /// Reads a cells file in which every node has an address.
+    /// Reads a cells file, in which every node must have an address.
     ///
     /// # Errors
     /// The file can't be used, or a node has no address.
--- a/crates/router/src/error_line.rs
+++ b/crates/router/src/error_line.rs
@@ -1,15 +1,15 @@
-//! The errors that the router itself answers with.
+//! Lines of the errors that the router itself answers with.
 
 use std::time::Duration;
 
 use client_listener::protocol::REJECTED;
 
-/// The line of an error. Without an id it answers no request.
+/// Returns the line of an error. Without an id, the error answers no particular request.
 pub(crate) fn error_line(id: Option<u64>, code: i64, message: &str) -> String {
     format_error(id, code, message, "")
 }
 
-/// The line of a rejection, with the time after which the client may retry.
+/// Returns the line of a rejection, with the duration after which the client may retry.
 pub(crate) fn rejection_line(id: u64, message: &str, retry_after: Option<Duration>) -> String {
     let data = retry_after.map_or(String::new(), |retry_after| {
         let ms = retry_after.as_millis() as u64;
--- a/crates/router/src/handle.rs
+++ b/crates/router/src/handle.rs
@@ -6,27 +6,27 @@
 
 use mio::Waker;
 
-/// Counters of a router that other threads may read.
+/// Counters of a router that other threads can read.
 #[derive(Debug, Default)]
 pub struct RouterCounters {
-    /// Requests that were accepted and are not answered.
+    /// Number of requests that were accepted and are unanswered.
     pub open: AtomicUsize,
-    /// Requests answered with a node's answer.
+    /// Number of requests that were answered with a node's answer.
     pub answered: AtomicUsize,
-    /// Retries.
+    /// Number of retries.
     pub retried: AtomicUsize,
-    /// Requests rejected by the router itself.
+    /// Number of requests that the router itself rejected.
     pub rejected: AtomicUsize,
-    /// Requests that failed here and may have run.
+    /// Number of requests that lost their attempt and may have run; not those that timed out.
     pub may_have_run: AtomicUsize,
 }
 
 /// Controls a running router from another thread.
 #[derive(Clone)]
 pub struct RouterHandle {
-    /// Where the router listens.
+    /// Address on which the router accepts clients.
     pub address: SocketAddr,
-    /// What it counts.
+    /// Counters of the router.
     pub counters: Arc<RouterCounters>,
     pub(crate) should_stop: Arc<AtomicBool>,
     pub(crate) should_reload: Arc<AtomicBool>,
@@ -34,14 +34,14 @@
 }
 
 impl RouterHandle {
-    /// Has the router stop listening, answer its open requests and end.
+    /// Makes the router stop listening, answer its open requests and return from its loop.
     pub fn stop(&self) {
         self.should_stop.store(true, SeqCst);
         let _ = self.waker.wake();
     }
 
-    /// Has the router read its cells file and its fleet file again. A file that can't be used is logged and changes
-    /// nothing.
+    /// Makes the router reload its cells file and its fleet file. A file that can't be used is
+    /// logged and changes nothing.
     pub fn reload(&self) {
         self.should_reload.store(true, SeqCst);
         let _ = self.waker.wake();
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,6 +1,8 @@
-//! `protocol-gateway route`: clients speak JSON-RPC to the router as they would to a node, and it forwards each request to
-//! a node of the tenant's cell. Which node, whether a request waits, is rejected or tried again is decided in `routing`;
-//! this crate has the sockets: one readiness loop over clients and nodes.
+//! The router behind `protocol-gateway route`: clients send JSON-RPC to it as they would to a node,
+//! and it forwards each request to a node of the tenant's cell.
+//!
+//! The crate `routing` decides which node gets a request and whether a request is queued, rejected
+//! or retried. This crate does the I/O: one readiness loop over the sockets of clients and nodes.
 
 mod client_message;
 mod config;
--- a/crates/router/src/node_directory.rs
+++ b/crates/router/src/node_directory.rs
@@ -1,5 +1,6 @@
-//! Which nodes are available and where: from the fleet's membership where the router is a member, else from health
-//! checks. A membership in which the router is isolated tells nothing of the nodes; then they are checked as without one.
+//! Addresses and availability of the nodes: from the fleet's membership if the router is a member,
+//! otherwise from health checks. While the router is isolated in the fleet, its membership view
+//! says nothing about the nodes, so health checks are used then too.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -12,10 +13,10 @@
 use membership::{Liveness, PartitionStatus};
 use routing::{Availability, HealthChecks};
 
-/// How long a good answer to a health check counts.
+/// Duration for which a good answer to a health check is valid.
 const HEALTH_CHECK_VALIDITY: Duration = Duration::from_secs(1);
 
-/// The router's place in the fleet, and the latest membership it has taken over.
+/// The router's membership in the fleet, and the latest snapshot that is in use.
 struct FleetMembership {
     handle: FleetHandle,
     snapshot: Arc<MembershipSnapshot>,
@@ -31,12 +32,13 @@
 pub(crate) struct NodeDirectory {
     health_checks: HealthChecks,
     fleet: Option<FleetMembership>,
-    /// Addresses in the cells file.
+    /// Addresses from the cells file.
     configured_addresses: HashMap<Name, SocketAddr>,
-    /// Addresses in use: those that members advertise come before those of the file.
+    /// Addresses in use: an address that a member advertises takes precedence over that of the
+    /// cells file.
     addresses: HashMap<Name, SocketAddr>,
-    /// The availability that was reported last.
-    reported: BTreeMap<Name, Availability>,
+    /// Availability of each node as of the last [`NodeDirectory::take_changes`].
+    reported_availability: BTreeMap<Name, Availability>,
 }
 
 impl NodeDirectory {
@@ -46,33 +48,33 @@
             fleet: None,
             configured_addresses: HashMap::new(),
             addresses: HashMap::new(),
-            reported: BTreeMap::new(),
+            reported_availability: BTreeMap::new(),
         }
     }
 
-    /// Uses the membership of a fleet that the router has joined.
+    /// Uses the membership of the fleet that the router has joined.
     pub(crate) fn use_fleet(&mut self, handle: FleetHandle) {
         let snapshot = handle.snapshot();
         self.fleet = Some(FleetMembership { handle, snapshot });
     }
 
-    /// The router's place in the fleet, if it is a member.
+    /// Returns the handle of the fleet if the router is a member.
     pub(crate) fn fleet(&self) -> Option<&FleetHandle> {
         self.fleet.as_ref().map(|fleet| &fleet.handle)
     }
 
-    /// Takes over the nodes of a map.
+    /// Replaces the nodes by those of a cell map.
     pub(crate) fn set_map(&mut self, map: &CellMap) {
         self.configured_addresses = map
             .cells()
             .flat_map(|cell| &cell.nodes)
             .filter_map(|node| Some((node.name.clone(), node.address?)))
             .collect();
-        self.resolve_addresses();
+        self.update_addresses();
     }
 
-    /// An address that a member advertises is used instead of that of the file.
-    fn resolve_addresses(&mut self) {
+    /// Recomputes the addresses in use from the cells file and the membership.
+    fn update_addresses(&mut self) {
         self.addresses = self
             .configured_addresses
             .iter()
@@ -88,7 +90,7 @@
         record.client_address.filter(|_| record.state.is_present())
     }
 
-    /// Takes over the fleet's current membership.
+    /// Updates to the fleet's current membership.
     pub(crate) fn refresh(&mut self, now: Duration) {
         let Some(fleet) = &mut self.fleet else {
             return;
@@ -103,11 +105,11 @@
         if became_isolated {
             self.assume_healthy(&previous, now);
         }
-        self.resolve_addresses();
+        self.update_addresses();
     }
 
-    /// The router is isolated from now on: nodes that took requests before count as healthy until a health check says
-    /// otherwise.
+    /// Treats the nodes that accepted requests before the router became isolated as healthy, until
+    /// a health check shows otherwise or the validity of a health check expires.
     fn assume_healthy(&mut self, previous: &MembershipSnapshot, now: Duration) {
         for name in self.configured_addresses.keys() {
             let record = previous.member(name);
@@ -117,7 +119,7 @@
         }
     }
 
-    /// The fleet's membership, unless the router is isolated in it.
+    /// Returns the fleet's membership unless the router is isolated or not a member.
     fn usable_membership(&self) -> Option<&MembershipSnapshot> {
         self.fleet
             .as_ref()
@@ -125,7 +127,7 @@
             .filter(|snapshot| snapshot.partition_status != PartitionStatus::Isolated)
     }
 
-    /// Whether the nodes have to be checked one by one.
+    /// Returns true if the availability of nodes comes from health checks.
     pub(crate) fn needs_health_checks(&self) -> bool {
         self.usable_membership().is_none()
     }
@@ -135,17 +137,17 @@
         self.health_checks.record(node, is_ready, now);
     }
 
-    /// The address of a node, if the map has it.
+    /// Returns the address of a node, if the cell map has one.
     pub(crate) fn address(&self, node: &Name) -> Option<SocketAddr> {
         self.addresses.get(node).copied()
     }
 
-    /// The nodes of the map.
+    /// Returns the nodes of the cell map that have an address.
     pub(crate) fn nodes(&self) -> impl Iterator<Item = &Name> {
         self.addresses.keys()
     }
 
-    /// The availability of a node.
+    /// Returns the availability of a node at `now`.
     pub(crate) fn availability(&self, node: &str, now: Duration) -> Availability {
         let Some(membership) = self.usable_membership() else {
             return self.health_checks.availability(node, now);
@@ -157,13 +159,13 @@
         }
     }
 
-    /// Whether any node is available.
+    /// Returns true if any node is available or suspect.
     pub(crate) fn has_available_node(&self, now: Duration) -> bool {
         self.nodes()
             .any(|node| self.availability(node, now) != Availability::Unavailable)
     }
 
-    /// Nodes whose availability has changed since this was last called.
+    /// Returns the nodes whose availability has changed since the last call.
     pub(crate) fn take_changes(&mut self, now: Duration) -> Vec<AvailabilityChange> {
         let current: Vec<AvailabilityChange> = self
             .configured_addresses
@@ -177,7 +179,7 @@
             .into_iter()
             .filter(|change| {
                 let previous = self
-                    .reported
+                    .reported_availability
                     .insert(change.node.clone(), change.availability);
                 previous != Some(change.availability)
             })
--- a/crates/router/src/node_reply.rs
+++ b/crates/router/src/node_reply.rs
@@ -1,16 +1,16 @@
-//! What a node replies, and how a reply is forwarded: with another id and nothing else changed.
+//! Parsing of a node's replies. A reply is forwarded with another id and otherwise unchanged.
 
 use client_listener::protocol::GOODBYE_METHOD;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// The error code for an error that can't be read.
-const UNKNOWN_CODE: i64 = 0;
+/// Error code that stands for an error object that can't be parsed.
+const UNPARSED_ERROR_CODE: i64 = 0;
 
-/// A line of a node.
+/// A line from a node.
 #[derive(Deserialize)]
 pub(crate) struct NodeReply<'a> {
-    /// The id of the request that is answered; none for a notification.
+    /// Id of the request that is answered; `None` for a notification.
     #[serde(default)]
     pub(crate) id: Option<u64>,
     #[serde(default)]
@@ -21,34 +21,35 @@
     error: Option<&'a RawValue>,
 }
 
-/// What a node adds to its answers for routers.
+/// The data for routers in a node's answer.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(crate) struct ReplyData {
-    /// The answer to a health check.
+    /// True if the node is ready; part of the answer to a health check.
     ready: Option<bool>,
-    /// How much of the usual traffic the node wants.
+    /// Fraction of the usual traffic that the node asks for.
     #[serde(rename = "hint")]
     pub(crate) capacity_hint: Option<f64>,
+    /// 1 if the router should not try another node.
     #[serde(rename = "final")]
     final_flag: Option<u8>,
 }
 
 impl ReplyData {
-    /// Whether the node reports that it is ready.
+    /// Returns true if the node reports that it is ready.
     pub(crate) fn is_ready(&self) -> bool {
         self.ready == Some(true)
     }
 
-    /// Whether no other node should be tried.
+    /// Returns true if the router should not try another node.
     pub(crate) fn is_final(&self) -> bool {
         self.final_flag == Some(1)
     }
 }
 
-/// The content of a reply.
+/// The parts of a reply that the router evaluates.
 pub(crate) struct ReplyContent {
-    /// The code of an error; none for a result.
+    /// Code of the error; `None` for a result.
     pub(crate) error_code: Option<i64>,
     pub(crate) data: ReplyData,
 }
@@ -61,17 +62,18 @@
 }
 
 impl<'a> NodeReply<'a> {
-    /// Parses a line of a node; none where it is no message.
+    /// Parses a line from a node. Returns `None` if the line is not a valid message.
     pub(crate) fn parse(line: &'a [u8]) -> Option<NodeReply<'a>> {
         serde_json::from_slice(line).ok()
     }
 
-    /// Whether it asks for no new requests on its connection.
-    pub(crate) fn is_goodbye(&self) -> bool {
+    /// Returns true if the line is a close notice: the node accepts no new requests on this
+    /// connection.
+    pub(crate) fn is_close_notice(&self) -> bool {
         self.method == Some(GOODBYE_METHOD)
     }
 
-    /// The error code, if it is an error, and the data for routers.
+    /// Returns the error code, if the reply is an error, and the data for routers.
     pub(crate) fn content(&self) -> ReplyContent {
         if let Some(error) = self.error {
             return match serde_json::from_str::<ErrorObject>(error.get()) {
@@ -80,7 +82,7 @@
                     data: error.data,
                 },
                 Err(_) => ReplyContent {
-                    error_code: Some(UNKNOWN_CODE),
+                    error_code: Some(UNPARSED_ERROR_CODE),
                     data: ReplyData::default(),
                 },
             };
@@ -94,7 +96,7 @@
         }
     }
 
-    /// The same answer with another id.
+    /// Returns the line of the same answer with another id.
     pub(crate) fn line_with_id(&self, id: u64) -> String {
         match (self.error, self.result) {
             (Some(error), _) => format!(
--- a/crates/router/src/request_router/attempts.rs
+++ b/crates/router/src/request_router/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests: sending them to nodes, and what follows from how they end.
+//! Attempts of requests: sending them to nodes and handling their outcomes.
 
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
@@ -11,16 +11,16 @@
 use crate::error_line::{error_line, rejection_line};
 use crate::upstream_state::UpstreamRequest;
 
-/// How an attempt ended, and what the node replied.
+/// The outcome of an attempt, and what the node replied.
 pub(super) struct AttemptResult {
     pub(super) outcome: AttemptOutcome,
     pub(super) capacity_hint: Option<f64>,
-    /// The node's answer as a line for the client.
+    /// Line for the client with the node's answer, if there is one.
     pub(super) answer_line: Option<String>,
 }
 
 impl AttemptResult {
-    /// An attempt that ended without an answer.
+    /// Creates the result of an attempt that ended without an answer.
     pub(super) fn without_answer(outcome: AttemptOutcome) -> AttemptResult {
         AttemptResult {
             outcome,
@@ -31,7 +31,7 @@
 }
 
 impl RequestRouter {
-    /// Does what was decided for a request.
+    /// Carries out the routing decision on a request.
     pub(super) fn apply_route(
         &mut self,
         clients: &mut Clients,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Writes the one answer to a request.
+    /// Writes the answer to a request and closes the request.
     fn answer(&mut self, clients: &mut Clients, ticket: Ticket, line: &str, now: Instant) {
         let Some(open) = self.open_requests.remove(&ticket) else {
             return;
@@ -129,8 +129,8 @@
         self.flush_upstream(clients, token, now);
     }
 
-    /// An attempt has ended: the request is tried again or answered. Without an open request, which was answered at its
-    /// deadline, only its place at the node is free now.
+    /// Retries or answers a request whose attempt has ended. If the request is no longer open
+    /// because it was answered at its deadline, only its slot at the node is freed.
     pub(super) fn finish_attempt(
         &mut self,
         clients: &mut Clients,
--- a/crates/router/src/request_router/client_handler.rs
+++ b/crates/router/src/request_router/client_handler.rs
@@ -1,4 +1,4 @@
-//! What the router does with the messages of its clients, and the order of its work in each step of the loop.
+//! Handling of messages from clients, and the order of the router's work in each step of the loop.
 
 use std::cmp::Reverse;
 use std::io;
@@ -98,7 +98,7 @@
     fn after_turns(&mut self, clients: &mut Clients, now: Instant) {
         self.run_periodic_work(clients, now);
         self.expire_requests(clients, now);
-        self.route_waiting_requests(clients, now);
+        self.route_queued_requests(clients, now);
     }
 
     fn connection_rejected(&self, error: &io::Error) {
@@ -106,7 +106,7 @@
     }
 }
 
-/// How long a request that arrived at this Unix time may still be answered.
+/// Returns the time left to answer a request that arrived at this Unix time.
 fn remaining_time(deadline: Duration, arrived_at_ms: f64) -> Duration {
     let age = ClockReading::now().age_of(UnixTime::from_ms(arrived_at_ms));
     deadline.saturating_sub(age)
--- a/crates/router/src/request_router/deadlines.rs
+++ b/crates/router/src/request_router/deadlines.rs
@@ -1,4 +1,4 @@
-//! Requests past their deadline, and requests that wait for a place at a node.
+//! Requests past their deadline, and queued requests that wait for a free slot at a node.
 
 use std::cmp::Reverse;
 use std::time::Instant;
@@ -8,7 +8,8 @@
 use super::{Clients, RequestRouter};
 
 impl RequestRouter {
-    /// Answers requests past their deadline. A node's later answer frees their place there and is discarded.
+    /// Answers requests past their deadline. A request that was sent keeps occupying its slot at
+    /// the node until the node answers; that answer is discarded.
     pub(super) fn expire_requests(&mut self, clients: &mut Clients, now: Instant) {
         while let Some(Reverse((deadline, ticket))) = self.deadlines.peek().copied() {
             if deadline > now {
@@ -24,7 +25,8 @@
             } else {
                 "may have run"
             };
-            // A waiting request was never sent, and those before it in the queue may have later deadlines.
+            // A queued request was never sent. It may be anywhere in the queue, as requests before
+            // it may have later deadlines.
             if self.router.remove_queued(ticket) {
                 let route = RouteDecision::Reject(Rejection::DeadlinePassed);
                 self.apply_route(clients, ticket, route, now);
@@ -34,8 +36,9 @@
         }
     }
 
-    /// Sends waiting requests, as far as there are places at nodes, or rejects them.
-    pub(super) fn route_waiting_requests(&mut self, clients: &mut Clients, now: Instant) {
+    /// Sends queued requests as long as nodes have free slots, and rejects those that can't be
+    /// sent.
+    pub(super) fn route_queued_requests(&mut self, clients: &mut Clients, now: Instant) {
         let elapsed = self.elapsed(now);
         loop {
             let nodes = &self.nodes;
--- a/crates/router/src/request_router/mod.rs
+++ b/crates/router/src/request_router/mod.rs
@@ -1,4 +1,5 @@
-//! The router between its two sides: open requests, the nodes they are sent to, and the answers to clients.
+//! The router between clients and nodes: open requests, the nodes that they are sent to, and the
+//! answers to clients.
 
 mod attempts;
 mod client_handler;
@@ -23,22 +24,22 @@
 use crate::node_directory::NodeDirectory;
 use crate::upstream_pool::UpstreamPool;
 
-/// The client side of the router.
+/// The listener for the router's clients.
 pub(crate) type Clients = ClientListener<RequestRouter>;
 
-/// A request that is not answered.
+/// A request that has not been answered.
 struct OpenRequest {
     client: RequestHandle,
     method: String,
-    /// Its parameters as they arrived, in JSON.
+    /// Parameters as received, in JSON.
     params: String,
     is_idempotent: bool,
     deadline: Instant,
-    /// The connection of its latest attempt.
+    /// Connection of the latest attempt; `None` if the request was not sent.
     upstream: Option<Token>,
 }
 
-/// Forwards requests of clients to nodes, as the crate `routing` decides.
+/// Forwards clients' requests to nodes as the crate `routing` decides.
 pub(crate) struct RequestRouter {
     classes: BTreeMap<String, RequestClass>,
     log: Logger,
@@ -49,15 +50,15 @@
     router: Router,
     upstreams: UpstreamPool,
     open_requests: HashMap<Ticket, OpenRequest>,
-    /// Deadlines of requests, also of some that are answered.
+    /// Deadlines of requests, including some that are already answered.
     deadlines: BinaryHeap<Reverse<(Instant, Ticket)>>,
     next_periodic_work_at: Instant,
-    /// Retries per second that were wanted recently.
-    wanted_retry_rate: u64,
+    /// Retries per second that were requested recently, whether or not they were sent.
+    requested_retry_rate: u64,
 }
 
 impl RequestRouter {
-    /// A router without nodes.
+    /// Creates a router without nodes.
     pub(crate) fn new(
         config: &Config,
         settings: RoutingSettings,
@@ -78,19 +79,20 @@
             open_requests: HashMap::new(),
             deadlines: BinaryHeap::new(),
             next_periodic_work_at: now,
-            wanted_retry_rate: 0,
+            requested_retry_rate: 0,
         }
     }
 
-    /// The counters of the router.
+    /// Returns the counters of the router.
     pub(crate) fn counters(&self) -> Arc<RouterCounters> {
         self.counters.clone()
     }
 
-    /// Applies a layout of cells. Tenants that it assigns to other cells stay where they are until they are migrated.
+    /// Applies a layout of cells. Tenants that it assigns to other cells stay in their current cell
+    /// until they are migrated.
     ///
     /// # Errors
-    /// The layout can't follow the map in force, which then stays.
+    /// The layout can't follow the map in use; the map is unchanged then.
     pub(crate) fn set_layout(&mut self, layout: &Layout) -> Result<(), LayoutError> {
         let AppliedLayout { map, migrations } = self.map.apply_layout(layout)?;
         if !migrations.is_empty() {
@@ -101,17 +103,17 @@
         Ok(())
     }
 
-    /// The epoch of the cell map in use.
+    /// Returns the epoch of the cell map in use.
     pub(crate) fn map_epoch(&self) -> u64 {
         self.map.epoch()
     }
 
-    /// Whether any request is not answered.
+    /// Returns true if any request has not been answered.
     pub(crate) fn has_open_requests(&self) -> bool {
         !self.open_requests.is_empty()
     }
 
-    /// The time since the router started, which is the clock of its decisions.
+    /// Returns the time since the router started, which routing decisions use as their clock.
     fn elapsed(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.started_at)
     }
--- a/crates/router/src/request_router/periodic_work.rs
+++ b/crates/router/src/request_router/periodic_work.rs
@@ -1,5 +1,5 @@
-//! Work at regular intervals: the quota of retries, health checks, connections that are no longer needed, and the timers
-//! of client connections.
+//! Periodic work: the quota of retries, health checks, closing connections that are no longer
+//! needed, and the timers of client connections.
 
 use std::time::{Duration, Instant};
 
@@ -11,14 +11,14 @@
 use super::{Clients, RequestRouter};
 use crate::upstream_state::UpstreamRequest;
 
-/// The time between two rounds of periodic work, and so between two health checks of a node.
+/// Interval of the periodic work, and so of the health checks of a node.
 const PERIODIC_WORK_INTERVAL: Duration = Duration::from_millis(200);
 const MS_PER_SECOND: u64 = 1000;
-/// Health checks of a node that may be unanswered at the same time.
+/// Maximum number of unanswered health checks of a node.
 const MAX_OPEN_HEALTH_CHECKS: usize = 4;
 
 impl RequestRouter {
-    /// Does the regular work, if it is time.
+    /// Runs the periodic work if it is due.
     pub(super) fn run_periodic_work(&mut self, clients: &mut Clients, now: Instant) {
         if now < self.next_periodic_work_at {
             return;
@@ -31,12 +31,12 @@
         for change in self.nodes.take_changes(self.elapsed(now)) {
             info!(self.log, "node availability changed"; "node" => &*change.node, "availability" => ?change.availability);
         }
-        self.drop_unneeded_upstreams(clients, now);
+        self.close_unneeded_upstreams(clients, now);
         clients.check_all_timers(self, now);
     }
 
-    /// Where the fleet has a budget of retries: reports how many were made and wanted, and takes over how many may be made
-    /// from now on.
+    /// If the fleet has a retry budget, reports how many retries were sent and requested, and sets
+    /// how many this router may send from now on.
     fn update_retry_quota(&mut self, now: Instant) {
         let Some(fleet) = self.nodes.fleet() else {
             return;
@@ -45,15 +45,17 @@
             return;
         };
         let usage = self.router.retry_budgets().take_usage();
-        // What was wanted a moment ago may be wanted again before a quota that was given up could come back.
-        self.wanted_retry_rate = (per_second(usage.requested) + 1).max(self.wanted_retry_rate / 2);
+        // The requested rate decays only by half per round: retries that were requested a moment
+        // ago may be requested again sooner than quota that was released could be regained.
+        self.requested_retry_rate =
+            (per_second(usage.requested) + 1).max(self.requested_retry_rate / 2);
         let limit = quota.limit();
-        quota.report_usage(per_second(usage.sent).min(limit), self.wanted_retry_rate);
+        quota.report_usage(per_second(usage.sent).min(limit), self.requested_retry_rate);
         let elapsed = self.elapsed(now);
         self.router.retry_budgets().set_quota(Some(limit), elapsed);
     }
 
-    /// Sends a health check to each node, on a connection of its own.
+    /// Sends a health check to each node, on the connection that is reserved for health checks.
     fn run_health_checks(&mut self, clients: &mut Clients, now: Instant) {
         let nodes: Vec<Name> = self.nodes.nodes().cloned().collect();
         for node in nodes {
@@ -72,7 +74,7 @@
         let Some(connection) = self.upstreams.get_mut(token) else {
             return;
         };
-        if connection.state.has_goodbye {
+        if connection.state.has_close_notice {
             self.upstreams.remove(token);
         } else if connection.state.open_request_count() < MAX_OPEN_HEALTH_CHECKS {
             let id = connection.state.next_id();
@@ -85,19 +87,19 @@
         }
     }
 
-    fn drop_unneeded_upstreams(&mut self, clients: &mut Clients, now: Instant) {
+    fn close_unneeded_upstreams(&mut self, clients: &mut Clients, now: Instant) {
         let nodes = &self.nodes;
         let is_known = |node: &Name| nodes.address(node).is_some();
         let unneeded = self
             .upstreams
             .unneeded(is_known, nodes.needs_health_checks());
         for token in unneeded {
-            self.drop_upstream(clients, token, now);
+            self.close_upstream(clients, token, now);
         }
     }
 }
 
-/// The number of events a second, from the number between two rounds of periodic work.
+/// Converts a number of events in one interval of the periodic work to a rate per second.
 fn per_second(count: u64) -> u64 {
     count * MS_PER_SECOND / PERIODIC_WORK_INTERVAL.as_millis() as u64
 }
--- a/crates/router/src/request_router/upstream_events.rs
+++ b/crates/router/src/request_router/upstream_events.rs
@@ -26,11 +26,11 @@
             return;
         };
         if event.is_error() {
-            return self.drop_upstream(clients, token, now);
+            return self.close_upstream(clients, token, now);
         }
         if !connection.state.is_connected && event.is_writable() && !connection.finish_connecting()
         {
-            return self.drop_upstream(clients, token, now);
+            return self.close_upstream(clients, token, now);
         }
         self.flush_upstream(clients, token, now);
         if event.is_readable() || event.is_read_closed() {
@@ -38,17 +38,17 @@
         }
     }
 
-    /// Writes what the socket accepts.
+    /// Writes unsent bytes as far as the socket accepts them.
     pub(super) fn flush_upstream(&mut self, clients: &mut Clients, token: Token, now: Instant) {
         let Some(connection) = self.upstreams.get_mut(token) else {
             return;
         };
         if connection.write_unsent().is_err() {
-            self.drop_upstream(clients, token, now);
+            self.close_upstream(clients, token, now);
         }
     }
 
-    /// Reads and handles all that has arrived.
+    /// Reads and handles all replies that have arrived.
     fn read_upstream(&mut self, clients: &mut Clients, token: Token, now: Instant) {
         loop {
             match self.upstreams.read(token) {
@@ -58,7 +58,7 @@
                     }
                 }
                 ReadOutcome::Empty => return,
-                ReadOutcome::Ended => return self.drop_upstream(clients, token, now),
+                ReadOutcome::Closed => return self.close_upstream(clients, token, now),
             }
         }
     }
@@ -68,11 +68,11 @@
             return;
         };
         let Some(reply) = NodeReply::parse(line) else {
-            // A line that is not understood may be the answer to any open request.
-            return self.drop_upstream(clients, token, now);
+            // A line that can't be parsed may be the answer to any of the open requests.
+            return self.close_upstream(clients, token, now);
         };
-        if reply.is_goodbye() {
-            connection.state.has_goodbye = true;
+        if reply.is_close_notice() {
+            connection.state.has_close_notice = true;
         }
         let Some(request) = reply.id.and_then(|id| connection.state.close_request(id)) else {
             return;
@@ -90,7 +90,7 @@
         }
     }
 
-    /// A node has answered an attempt.
+    /// Handles a node's answer to an attempt.
     fn handle_answer(
         &mut self,
         clients: &mut Clients,
@@ -109,23 +109,23 @@
         };
         self.finish_attempt(clients, ticket, result, now);
         if is_open {
-            self.drop_finished_upstream(token);
+            self.close_upstream_after_notice(token);
         }
     }
 
-    /// Closes a connection whose node has sent a goodbye, once no request is open on it.
-    fn drop_finished_upstream(&mut self, token: Token) {
+    /// Closes a connection whose node has sent a close notice, once no request is open on it.
+    fn close_upstream_after_notice(&mut self, token: Token) {
         let Some(connection) = self.upstreams.get_mut(token) else {
             return;
         };
-        if connection.state.has_goodbye && connection.state.open_request_count() == 0 {
-            debug!(self.log, "node connection closed after its goodbye"; "node" => &*connection.node);
+        if connection.state.has_close_notice && connection.state.open_request_count() == 0 {
+            debug!(self.log, "node connection closed after its close notice"; "node" => &*connection.node);
             self.upstreams.remove(token);
         }
     }
 
-    /// Drops a connection; its attempts end without an answer.
-    pub(super) fn drop_upstream(&mut self, clients: &mut Clients, token: Token, now: Instant) {
+    /// Closes a connection. Its open attempts end without an answer.
+    pub(super) fn close_upstream(&mut self, clients: &mut Clients, token: Token, now: Instant) {
         let Some(mut connection) = self.upstreams.remove(token) else {
             return;
         };
@@ -143,7 +143,7 @@
     }
 }
 
-/// How an attempt ended, by the node's answer.
+/// Returns the outcome of an attempt from the node's answer.
 fn attempt_outcome(content: &ReplyContent) -> AttemptOutcome {
     match content.error_code {
         None => AttemptOutcome::Served,
--- a/crates/router/src/router_loop.rs
+++ b/crates/router/src/router_loop.rs
@@ -1,4 +1,4 @@
-//! The thread of the router: binding, the fleet, reloads and the end.
+//! The event loop of the router: binding the socket, joining the fleet, reloads and shutdown.
 
 use std::io;
 use std::sync::atomic::Ordering::SeqCst;
@@ -18,17 +18,17 @@
 use crate::handle::RouterHandle;
 use crate::request_router::{Clients, RequestRouter};
 
-/// Stack of the thread that takes part in the fleet.
+/// Stack size of the thread of the fleet actor.
 const FLEET_STACK_BYTES: usize = 160 * 1024;
-/// How long a client connection that was used may be idle.
+/// Idle time after which a client connection that was used is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Readiness events handled in one step.
+/// Maximum number of readiness events handled in one step.
 const MAX_EVENTS: usize = 512;
-/// Bytes read from a client at once.
+/// Size of the buffer for one read from a client.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// Pause after an error of accepting.
+/// Pause after an error while accepting a connection.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// Clients accepted in one step.
+/// Maximum number of clients accepted in one step.
 const ACCEPTS_PER_STEP: usize = 16;
 
 /// A router that is not yet running.
@@ -40,7 +40,7 @@
     handle: RouterHandle,
 }
 
-/// The limits of the client side, which do not change.
+/// Limits of the client listener that do not change while the router runs.
 struct FixedLimits {
     max_connections: usize,
 }
@@ -59,7 +59,7 @@
     /// Binds the socket and joins the fleet, if the configuration names one.
     ///
     /// # Errors
-    /// An error of the system, or a layout of cells that can't be used.
+    /// An error of the operating system, or a layout of cells that can't be used.
     pub fn bind(
         config: Config,
         settings: RoutingSettings,
@@ -96,7 +96,7 @@
         Ok(router_loop)
     }
 
-    /// Becomes a member of the configured fleet, one that serves no requests.
+    /// Joins the configured fleet as a member that serves no requests.
     fn join_fleet(&mut self) -> io::Result<()> {
         let Some(config) = self.config.fleet.clone() else {
             return Ok(());
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// A handle for other threads.
+    /// Returns a handle that controls the router from other threads.
     pub fn handle(&self) -> RouterHandle {
         self.handle.clone()
     }
@@ -125,7 +125,7 @@
     /// Runs until [`RouterHandle::stop`] is called and every request is answered.
     ///
     /// # Errors
-    /// An error of the system's poll.
+    /// An error of the operating system while polling for events.
     pub fn run(mut self) -> io::Result<()> {
         loop {
             if self.handle.should_stop.load(SeqCst) {
@@ -148,11 +148,11 @@
         }
     }
 
-    /// Reads the cells file and the fleet file again. One that can't be used changes nothing.
+    /// Reloads the cells file and the fleet file. A file that can't be used changes nothing.
     fn reload(&mut self) {
         match self.reload_layout() {
-            Ok(()) => info!(self.log, "cells read again"; "epoch" => self.router.map_epoch()),
-            Err(e) => warn!(self.log, "the new cells are not used"; "error" => e),
+            Ok(()) => info!(self.log, "cells file reloaded"; "epoch" => self.router.map_epoch()),
+            Err(e) => warn!(self.log, "cells file rejected; previous layout kept"; "error" => e),
         }
         let Some(fleet) = self.router.nodes.fleet() else {
             return;
@@ -162,7 +162,7 @@
         };
         match Config::read_fleet(path) {
             Ok(config) => fleet.reload(config),
-            Err(e) => warn!(self.log, "the new fleet's file is not used"; "error" => %e),
+            Err(e) => warn!(self.log, "fleet file rejected; previous one kept"; "error" => %e),
         }
     }
 
--- a/crates/router/src/upstream_pool.rs
+++ b/crates/router/src/upstream_pool.rs
@@ -1,4 +1,5 @@
-//! The router's connections to nodes: their sockets, and which of them a request is written to.
+//! The router's connections to nodes: their sockets, and the selection of a connection for a
+//! request.
 
 use std::collections::HashMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -11,11 +12,11 @@
 
 use crate::upstream_state::UpstreamState;
 
-/// Requests that the protocol allows to be open on one connection.
-const MAX_OPEN_REQUESTS: usize = 32;
-/// Open requests on each connection from which on another connection is opened.
-const PREFERRED_OPEN_REQUESTS: usize = 16;
-/// Bytes read from a connection at once.
+/// Maximum number of open requests on one connection that the protocol allows.
+const MAX_OPEN_REQUESTS_PER_CONNECTION: usize = 32;
+/// Number of open requests on every connection to a node at which another connection is opened.
+const PREFERRED_OPEN_REQUESTS_PER_CONNECTION: usize = 16;
+/// Size of the buffer for one read from a connection.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// A connection to a node.
@@ -23,24 +24,26 @@
     pub(crate) node: Name,
     stream: TcpStream,
     pub(crate) state: UpstreamState,
-    /// It carries the health checks of its node, and nothing else.
+    /// True if the connection carries only health checks of its node.
     pub(crate) is_for_health_checks: bool,
 }
 
-/// What a read from a connection gave.
+/// The outcome of a read from a connection.
 pub(crate) enum ReadOutcome {
-    /// The lines that are complete now.
+    /// Bytes were read, and these lines are complete now; there may be none.
     Lines(Vec<Vec<u8>>),
     /// There is nothing to read.
     Empty,
-    /// The connection has ended or failed.
-    Ended,
+    /// The connection was closed or failed.
+    Closed,
 }
 
 impl UpstreamConnection {
-    /// Completes the connection on its first event that reports it writable; false if it could not be established.
+    /// Completes the connection on the first event that reports it writable. Returns false if it
+    /// could not be established.
     pub(crate) fn finish_connecting(&mut self) -> bool {
-        // Writable without an error means established, if the system agrees.
+        // A connecting socket may become writable without a pending error and still not be
+        // connected; peer_addr fails then.
         let has_no_error = matches!(self.stream.take_error(), Ok(None));
         if !has_no_error || self.stream.peer_addr().is_err() {
             return false;
@@ -64,7 +67,7 @@
     }
 }
 
-/// All connections to nodes.
+/// All connections to nodes, by the token under which they are registered.
 pub(crate) struct UpstreamPool {
     connections: HashMap<Token, UpstreamConnection>,
     max_connections_per_node: usize,
@@ -94,7 +97,8 @@
         self.connections.remove(&token)
     }
 
-    /// The connection to this node with the fewest open requests, or a new one.
+    /// Returns the connection to this node with the fewest open requests, or a new one if there is
+    /// none or it has too many. Returns `None` if the limits allow neither or connecting fails.
     pub(crate) fn connection_for_request<H: ClientHandler>(
         &mut self,
         clients: &mut ClientListener<H>,
@@ -107,16 +111,16 @@
             .filter(|(_, connection)| {
                 connection.node == *node
                     && !connection.is_for_health_checks
-                    && !connection.state.has_goodbye
+                    && !connection.state.has_close_notice
             })
             .map(|(token, connection)| (connection.state.open_request_count(), *token))
             .collect();
         let may_connect = usable.len() < self.max_connections_per_node;
         if let Some((open_requests, token)) = usable.iter().min().copied() {
             let limit = if may_connect {
-                PREFERRED_OPEN_REQUESTS
+                PREFERRED_OPEN_REQUESTS_PER_CONNECTION
             } else {
-                MAX_OPEN_REQUESTS
+                MAX_OPEN_REQUESTS_PER_CONNECTION
             };
             if open_requests < limit {
                 return Some(token);
@@ -128,7 +132,7 @@
         self.connect(clients, node, address?, false)
     }
 
-    /// Begins a connection to a node.
+    /// Starts connecting to a node.
     fn connect<H: ClientHandler>(
         &mut self,
         clients: &mut ClientListener<H>,
@@ -148,7 +152,7 @@
         Some(token)
     }
 
-    /// The connection for the health checks of a node, or a new one.
+    /// Returns the connection for the health checks of a node, or a new one.
     pub(crate) fn connection_for_health_checks<H: ClientHandler>(
         &mut self,
         clients: &mut ClientListener<H>,
@@ -171,19 +175,20 @@
             return ReadOutcome::Empty;
         };
         match connection.stream.read(&mut self.read_buffer) {
-            Ok(0) => ReadOutcome::Ended,
+            Ok(0) => ReadOutcome::Closed,
             Ok(count) => connection
                 .state
                 .receive_bytes(&self.read_buffer[..count], self.max_line_bytes)
-                .map_or(ReadOutcome::Ended, ReadOutcome::Lines),
+                .map_or(ReadOutcome::Closed, ReadOutcome::Lines),
             Err(e) if e.kind() == ErrorKind::WouldBlock => ReadOutcome::Empty,
             Err(e) if e.kind() == ErrorKind::Interrupted => ReadOutcome::Lines(Vec::new()),
-            Err(_) => ReadOutcome::Ended,
+            Err(_) => ReadOutcome::Closed,
         }
     }
 
-    /// Connections that are no longer needed: those to nodes that `is_known` denies, once no request is open on them, and
-    /// those for health checks of unknown nodes, or of any node while none are checked.
+    /// Returns the connections that are no longer needed: those to unknown nodes (`is_known` is
+    /// false) once no request is open on them, those for health checks of unknown nodes, and all
+    /// those for health checks while health checks are not needed.
     pub(crate) fn unneeded(
         &self,
         is_known: impl Fn(&Name) -> bool,
@@ -192,10 +197,10 @@
         self.connections
             .iter()
             .filter(|(_, connection)| {
-                let is_check = connection.is_for_health_checks;
+                let is_for_checks = connection.is_for_health_checks;
                 let is_idle = connection.state.open_request_count() == 0;
-                let is_unused_check = is_check && !needs_health_checks;
-                is_unused_check || !is_known(&connection.node) && (is_check || is_idle)
+                let is_unused = is_for_checks && !needs_health_checks;
+                is_unused || !is_known(&connection.node) && (is_for_checks || is_idle)
             })
             .map(|(token, _)| *token)
             .collect()
--- a/crates/router/src/upstream_state.rs
+++ b/crates/router/src/upstream_state.rs
@@ -1,31 +1,31 @@
-//! One connection to a node as a state machine without its socket: its open requests, the bytes to be written, and which
-//! requests may have reached the node.
+//! State machine of a connection to a node, without its socket: the open requests, the bytes to be
+//! written, and which requests may have reached the node.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use routing::Ticket;
 
-/// What a request on an upstream connection is for.
+/// Purpose of a request on an upstream connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamRequest {
     /// An attempt of the routed request with this ticket.
     Attempt(Ticket),
-    /// A health check of the router's.
+    /// A health check by the router.
     HealthCheck,
 }
 
-/// A request that was open when its connection ended.
+/// A request that was open when its connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InterruptedRequest {
-    /// What it was for.
+    /// Purpose of the request.
     pub request: UpstreamRequest,
-    /// Whether any byte of it was written, so that the node may have it.
+    /// True if any byte of the request was written, so that the node may have received it.
     pub may_have_arrived: bool,
 }
 
-/// A node has sent a line that is longer than any answer.
+/// A node sent a line that is longer than any answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a line is too long")]
+#[error("the node sent a line that exceeds the maximum length")]
 pub struct LineTooLong;
 
 /// The state of a connection to a node.
@@ -34,25 +34,25 @@
     last_id: u64,
     open_requests: BTreeMap<u64, OpenUpstreamRequest>,
     output: VecDeque<u8>,
-    /// Bytes enqueued since the connection began.
+    /// Number of bytes enqueued since the connection was opened.
     enqueued_bytes: u64,
-    /// Bytes written since the connection began.
+    /// Number of bytes written since the connection was opened.
     written_bytes: u64,
     input: Vec<u8>,
-    /// The node has sent a goodbye: it gets no new requests on this connection.
-    pub has_goodbye: bool,
-    /// The connection is established.
+    /// True if the node has sent a close notice: it gets no new requests on this connection.
+    pub has_close_notice: bool,
+    /// True if the connection is established.
     pub is_connected: bool,
 }
 
 struct OpenUpstreamRequest {
     request: UpstreamRequest,
-    /// The position of its first byte among all that was enqueued.
+    /// Position of the first byte of the request among all enqueued bytes.
     first_byte: u64,
 }
 
 impl UpstreamState {
-    /// An id for the request that is enqueued next.
+    /// Returns an id for the next request.
     pub fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
@@ -72,28 +72,29 @@
         self.output.extend(line.as_bytes());
     }
 
-    /// Records that the request with this id is answered; none if no such request is open.
+    /// Closes the request with this id, which was answered. Returns `None` if no such request is
+    /// open.
     pub fn close_request(&mut self, id: u64) -> Option<UpstreamRequest> {
         self.open_requests.remove(&id).map(|open| open.request)
     }
 
-    /// Requests that are open on the connection.
+    /// Returns the number of open requests on the connection.
     pub fn open_request_count(&self) -> usize {
         self.open_requests.len()
     }
 
-    /// Bytes to be written next; more may follow once they are.
+    /// Returns bytes to be written next. There may be more after these are written.
     pub fn unsent(&self) -> &[u8] {
         self.output.as_slices().0
     }
 
-    /// Records that so many bytes were written.
+    /// Records that this number of bytes was written.
     pub fn record_write(&mut self, bytes: usize) {
         self.output.drain(..bytes);
         self.written_bytes += bytes as u64;
     }
 
-    /// The connection has ended: removes and returns its open requests.
+    /// Removes and returns the open requests of a connection that was closed.
     pub fn interrupt_requests(&mut self) -> Vec<InterruptedRequest> {
         let written_bytes = self.written_bytes;
         std::mem::take(&mut self.open_requests)
@@ -108,7 +109,7 @@
     /// Appends received bytes and returns the lines that are complete now.
     ///
     /// # Errors
-    /// [`LineTooLong`] once an unfinished line has more than `max_line_bytes`.
+    /// [`LineTooLong`] if an incomplete line has more than `max_line_bytes`.
     pub fn receive_bytes(
         &mut self,
         bytes: &[u8],
--- a/crates/router/tests/config.rs
+++ b/crates/router/tests/config.rs
@@ -1,4 +1,4 @@
-//! The errors of a router's configuration, as they reach its operators.
+//! Tests of a router's configuration and of the error messages that operators see.
 use router::Config;
 use std::path::Path;
 
@@ -8,12 +8,13 @@
     "{ version: 1, listen: '127.0.0.1:0', cells: 'cells.json5', clients: 8, per_node: 64, \
                       classes: { 'statement-read': { once: false, deadline_ms: 3600000 } } }";
 
-/// Reads a router's file and cells file with these texts; the folder stands as `DIR` in the error.
+/// Reads a router's file and a cells file with these contents. In an error, `DIR` replaces the path
+/// of the folder.
 fn read(router: &str, cells: &str) -> Result<Config, String> {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a temporary folder");
     let write = |file: &str, text: &str| std::fs::write(dir.path().join(file), text);
-    write("router.json5", router).expect("a file");
-    write("cells.json5", cells).expect("a file");
+    write("router.json5", router).expect("the router's file is written");
+    write("cells.json5", cells).expect("the cells file is written");
     let folder = dir.path().display().to_string();
     Config::read(&dir.path().join("router.json5"))
         .map_err(|e| e.to_string().replace(&folder, "DIR"))
@@ -21,7 +22,7 @@
 
 #[test]
 fn a_file_with_every_field_in_its_range_is_read() {
-    let config = read(ROUTER, CELLS).expect("a configuration");
+    let config = read(ROUTER, CELLS).expect("the configuration is valid");
     assert_eq!(
         (config.max_clients, config.max_connections_per_node),
         (8, 64)
@@ -72,7 +73,7 @@
 
 #[test]
 fn a_file_that_does_not_exist_is_named() {
-    let error = Config::read(Path::new("none.json5")).expect_err("no file");
+    let error = Config::read(Path::new("none.json5")).expect_err("the file does not exist");
     assert_eq!(
         error.to_string(),
         "none.json5: No such file or directory (os error 2)"
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -1,4 +1,5 @@
-//! The router between clients and fake nodes, on loopback. The body of a request says what a node does with it.
+//! Tests of the router between clients and fake nodes on loopback. The body of a request determines
+//! how a fake node handles it.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -13,17 +14,17 @@
 use serde_json::{json, Value};
 use slog::{o, Discard, Logger};
 
-fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + Duration::from_secs(20);
-    while !holds() {
-        assert!(Instant::now() < end, "timed out: {what}");
+fn wait_until(condition: &str, mut is_met: impl FnMut() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while !is_met() {
+        assert!(Instant::now() < deadline, "timed out: {condition}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A node that records its requests and does as their body says: `serve`, `refuse`, `last` (a final rejection), `fail`,
-/// `cut` (closes the connection) or `hang`, each with `@NAME` where only the node of that name does so and the others
-/// serve.
+/// A node that records its requests and handles each as the body says: `serve`, `reject`,
+/// `reject-final` (with the flag `final`), `fail`, `close` (closes the connection) or `hang` (never
+/// answers). With `@NAME` appended, only the node of that name does so and the others serve.
 struct FakeNode {
     address: SocketAddr,
     requests: Arc<Mutex<Vec<Value>>>,
@@ -31,13 +32,13 @@
 
 impl FakeNode {
     fn start(name: &str) -> FakeNode {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback socket is bound");
+        let address = listener.local_addr().expect("the socket has an address");
         let requests: Arc<Mutex<Vec<Value>>> = Arc::default();
         let (name, recorded) = (name.to_string(), requests.clone());
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                stream.set_nodelay(true).expect("an option");
+                stream.set_nodelay(true).expect("the socket option is set");
                 let (name, recorded) = (name.clone(), recorded.clone());
                 thread::spawn(move || FakeNode::serve(&stream, &name, &recorded));
             }
@@ -47,26 +48,27 @@
     fn serve(stream: &TcpStream, name: &str, requests: &Mutex<Vec<Value>>) {
         let mut writer = stream;
         for line in BufReader::new(stream).lines().map_while(Result::ok) {
-            let call: Value = serde_json::from_str(&line).expect("a message");
-            let id = &call["id"];
-            if call["method"] == "alive" {
+            let request: Value = serde_json::from_str(&line).expect("the line is JSON");
+            let id = &request["id"];
+            if request["method"] == "alive" {
                 let answer = json!({"jsonrpc": "2.0", "id": id, "result": {"ready": true}});
                 let _ = writer.write_all(format!("{answer}\n").as_bytes());
                 continue;
             }
-            requests.lock().expect("not poisoned").push(call.clone());
-            let body = call["params"]["body"].as_str().expect("a body");
+            requests.lock().expect("not poisoned").push(request.clone());
+            let body = request["params"]["body"]
+                .as_str()
+                .expect("the body is a string");
             let (action, node) = body.split_once('@').unwrap_or((body, name));
-            let error =
-                |code: i64, data: Value| json!({"code": code, "message": "told", "data": data});
+            let error = |code: i64, data: Value| json!({"code": code, "message": "test error", "data": data});
             let mut answer = match action {
                 _ if node != name => json!({"result": {"body": name, "hint": 0.5}}),
-                "refuse" => json!({"error": error(-32002, json!({"backoff": 70}))}),
-                "last" => {
+                "reject" => json!({"error": error(-32002, json!({"backoff": 70}))}),
+                "reject-final" => {
                     json!({"error": error(-32002, json!({"backoff": 250, "final": 1, "hint": 0.25}))})
                 }
                 "fail" => json!({"error": error(-32000, json!({}))}),
-                "cut" => {
+                "close" => {
                     let _ = stream.shutdown(Shutdown::Both);
                     return;
                 }
@@ -85,44 +87,48 @@
 struct TestSetup {
     nodes: BTreeMap<String, FakeNode>,
     router: RouterHandle,
-    running: Option<thread::JoinHandle<std::io::Result<()>>>,
+    router_thread: Option<thread::JoinHandle<std::io::Result<()>>>,
     dir: tempfile::TempDir,
 }
 
 const TENANTS: &str = "alpenergia: { cell: 'a' }, solpiana: { cell: 'b' }";
 
 impl TestSetup {
-    /// Two cells of three nodes and a router in front of them.
+    /// Starts two cells with three nodes each, and a router in front of them.
     fn start() -> TestSetup {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("a temporary folder");
         let names = ["a0", "a1", "a2", "b0", "b1", "b2"];
         let nodes: BTreeMap<String, FakeNode> = names
             .iter()
             .map(|n| (n.to_string(), FakeNode::start(n)))
             .collect();
-        std::fs::write(dir.path().join("cells.json5"), TestSetup::cells(&nodes)).expect("a file");
+        std::fs::write(dir.path().join("cells.json5"), TestSetup::cells(&nodes))
+            .expect("the cells file is written");
         let classes = "'statement-read': { once: false, deadline_ms: 3000 }, 'settlement-post': { once: true, deadline_ms: 1000 }";
         let file = format!(
             "{{ version: 1, listen: '127.0.0.1:0', cells: 'cells.json5', classes: {{ {classes} }} }}"
         );
-        std::fs::write(dir.path().join("router.json5"), file).expect("a file");
-        let config = Config::read(&dir.path().join("router.json5")).expect("a configuration");
+        std::fs::write(dir.path().join("router.json5"), file)
+            .expect("the router's file is written");
+        let config =
+            Config::read(&dir.path().join("router.json5")).expect("the configuration is valid");
         let router = RouterLoop::bind(
             config,
             RoutingSettings::default(),
             7,
             &Logger::root(Discard, o!()),
         )
-        .expect("a router");
+        .expect("the router starts");
         let handle = router.handle();
-        let running = Some(thread::spawn(move || router.run()));
+        let router_thread = Some(thread::spawn(move || router.run()));
         let setup = TestSetup {
             nodes,
             router: handle,
-            running,
+            router_thread,
             dir,
         };
-        // Until every node is known to be available: tenants of both cells are served by all of their nodes.
+        // Wait until every node is known to be available, that is, until all nodes of both cells
+        // have served a request.
         for tenant in ["alpenergia", "solpiana"] {
             let mut client = setup.client();
             let cell = if tenant == "solpiana" { "b" } else { "a" };
@@ -147,23 +153,23 @@
     }
     fn client(&self) -> Client {
         let stream = TcpStream::connect(self.router.address).expect("the router listens");
-        stream.set_nodelay(true).expect("an option");
+        stream.set_nodelay(true).expect("the socket option is set");
         stream
             .set_read_timeout(Some(Duration::from_secs(20)))
-            .expect("an option");
+            .expect("the socket option is set");
         Client {
-            reader: BufReader::new(stream.try_clone().expect("a connection")),
+            reader: BufReader::new(stream.try_clone().expect("the stream is cloned")),
             stream,
             last_id: 0,
         }
     }
-    /// The nodes that requests with this body have reached, one entry for each request.
+    /// Returns the nodes that requests with this body have reached, one entry for each request.
     fn received(&self, body: &str) -> Vec<String> {
         let entries = |(name, node): (&String, &FakeNode)| {
             let count = node
                 .received()
                 .iter()
-                .filter(|call| call["params"]["body"] == body)
+                .filter(|request| request["params"]["body"] == body)
                 .count();
             vec![name.clone(); count]
         };
@@ -173,10 +179,12 @@
 impl Drop for TestSetup {
     fn drop(&mut self) {
         self.router.stop();
-        if let Some(running) = self.running.take() {
-            let ended = running.join();
+        if let Some(router_thread) = self.router_thread.take() {
+            let result = router_thread.join();
             if !thread::panicking() {
-                ended.expect("no panic").expect("it ends well");
+                result
+                    .expect("the router does not panic")
+                    .expect("the router ends without an error");
             }
         }
     }
@@ -196,15 +204,15 @@
         let line = json!({"jsonrpc": "2.0", "id": self.last_id, "method": class, "params": params});
         self.stream
             .write_all(format!("{line}\n").as_bytes())
-            .expect("written");
+            .expect("the request is written");
         self.last_id
     }
     fn receive(&mut self) -> Value {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(0) => Value::Null,
-            Ok(_) => serde_json::from_str(&line).expect("JSON"),
-            Err(e) => panic!("no message: {e}"),
+            Ok(_) => serde_json::from_str(&line).expect("the line is JSON"),
+            Err(e) => panic!("no line received: {e}"),
         }
     }
     fn request(&mut self, tenant: &str, class: &str, body: &str) -> Value {
@@ -215,7 +223,8 @@
     }
 }
 
-/// Each tenant's requests reach the nodes of its own cell, and a node's answer reaches the client unchanged.
+/// Each tenant's requests reach the nodes of its own cell only, and a node's answer reaches the
+/// client unchanged except for its id.
 #[test]
 fn requests_reach_their_cell_and_answers_come_back_unchanged() {
     let setup = TestSetup::start();
@@ -230,7 +239,7 @@
         assert!(
             answer["result"]["body"]
                 .as_str()
-                .expect("a body")
+                .expect("the body is a string")
                 .starts_with(cell),
             "{answer}"
         );
@@ -245,16 +254,20 @@
         assert!(
             node.received()
                 .iter()
-                .all(|call| call["params"]["acct"] == tenant),
+                .all(|request| request["params"]["acct"] == tenant),
             "{name}"
         );
     }
-    let answer = client.request("alpenergia", "settlement-post", "last");
+    let answer = client.request("alpenergia", "settlement-post", "reject-final");
     assert_eq!(
         answer["error"],
-        json!({"code": -32002, "message": "told", "data": {"backoff": 250, "final": 1, "hint": 0.25}})
+        json!({"code": -32002, "message": "test error", "data": {"backoff": 250, "final": 1, "hint": 0.25}})
+    );
+    assert_eq!(
+        setup.received("reject-final").len(),
+        1,
+        "no other node is tried"
     );
-    assert_eq!(setup.received("last").len(), 1, "no other node is tried");
     let answer = client.request("nobody", "statement-read", "serve:nobody");
     assert_eq!(
         (
@@ -263,24 +276,25 @@
         ),
         (Some(-32002), 0)
     );
-    let sent: Vec<u64> = (0..32)
+    let sent_ids: Vec<u64> = (0..32)
         .map(|_| client.send("solpiana", "statement-read", "serve"))
         .collect();
-    let mut answered: Vec<u64> = sent
+    let mut answered_ids: Vec<u64> = sent_ids
         .iter()
-        .map(|_| client.receive()["id"].as_u64().expect("a number"))
+        .map(|_| client.receive()["id"].as_u64().expect("the id is a number"))
         .collect();
-    answered.sort_unstable();
-    assert_eq!(answered, sent);
+    answered_ids.sort_unstable();
+    assert_eq!(answered_ids, sent_ids);
 }
 
-/// A settlement whose connection broke may have run and is never retried; a read is, and a rejected settlement too.
+/// A settlement whose connection broke may have run and is never retried. A read is retried then,
+/// and so is a rejected settlement.
 #[test]
 fn requests_that_may_have_run_are_retried_only_if_idempotent() {
     let setup = TestSetup::start();
     let mut client = setup.client();
     for round in 0..10 {
-        let answer = client.request("alpenergia", "settlement-post", "cut");
+        let answer = client.request("alpenergia", "settlement-post", "close");
         assert_eq!(
             (
                 answer["error"]["code"].as_i64(),
@@ -288,23 +302,23 @@
             ),
             (Some(-32000), Some("may have run"))
         );
-        assert_eq!(setup.received("cut").len(), round + 1);
+        assert_eq!(setup.received("close").len(), round + 1);
         if round == 1 {
             break;
         }
     }
-    let answer = client.request("solpiana", "statement-read", "cut@b0");
+    let answer = client.request("solpiana", "statement-read", "close@b0");
     assert!(answer["result"].is_object(), "{answer}");
-    // Repeated until the node that rejects was tried: another one has served the request.
+    // Repeat until the node that rejects was tried; another node serves the request each time.
     wait_until("the node that rejects is tried", || {
-        let answer = client.request("solpiana", "settlement-post", "refuse@b1");
+        let answer = client.request("solpiana", "settlement-post", "reject@b1");
         assert!(answer["result"].is_object(), "{answer}");
-        setup.received("refuse@b1").contains(&"b1".to_string())
+        setup.received("reject@b1").contains(&"b1".to_string())
     });
-    // All reject: the client gets the answer of the last one.
-    let answer = client.request("solpiana", "settlement-post", "refuse");
+    // If all nodes reject, the client gets the answer of the last one.
+    let answer = client.request("solpiana", "settlement-post", "reject");
     assert_eq!(answer["error"]["data"]["backoff"], 70);
-    // A node's failure is the answer.
+    // A node's error is returned without a retry.
     let answer = client.request("solpiana", "statement-read", "fail");
     assert_eq!(
         (
@@ -315,7 +329,7 @@
     );
 }
 
-/// A request whose node never answers fails at its deadline, as one that may have run.
+/// A request whose node never answers fails at its deadline and is reported as possibly run.
 #[test]
 fn a_request_without_an_answer_fails_at_its_deadline() {
     let setup = TestSetup::start();
@@ -332,14 +346,14 @@
     assert!(client.request("alpenergia", "settlement-post", "serve")["result"].is_object());
 }
 
-/// A reload of a broken cells file changes nothing; one of a valid file with another tenant does.
+/// Reloading an invalid cells file changes nothing; reloading a valid one with another tenant does.
 #[test]
-fn a_broken_cells_file_leaves_the_previous_layout_in_use() {
+fn an_invalid_cells_file_leaves_the_previous_layout_in_use() {
     let setup = TestSetup::start();
     let mut client = setup.client();
     let cells = setup.dir.path().join("cells.json5");
-    let good = std::fs::read_to_string(&cells).expect("a file");
-    std::fs::write(&cells, &good[..good.len() / 2]).expect("a file");
+    let valid = std::fs::read_to_string(&cells).expect("the cells file is read");
+    std::fs::write(&cells, &valid[..valid.len() / 2]).expect("the cells file is written");
     setup.router.reload();
     for tenant in ["alpenergia", "solpiana"] {
         assert!(client.request(tenant, "statement-read", "serve")["result"].is_object());
@@ -350,63 +364,67 @@
     ));
     std::fs::write(
         &cells,
-        good.replace(
+        valid.replace(
             "solpiana: { cell: 'b' }",
             "solpiana: { cell: 'b' }, vallesole: { cell: 'a' }",
         ),
     )
-    .expect("a file");
+    .expect("the cells file is written");
     setup.router.reload();
     wait_until("the new tenant is served", || {
         client.request("vallesole", "statement-read", "serve")["result"].is_object()
     });
 }
 
-/// A line that breaks the protocol gets an error and a close, and nothing of it reaches a node.
+/// A line that violates the protocol is answered with an error and its connection is closed;
+/// nothing of it reaches a node.
 #[test]
-fn malformed_input_gets_an_error_and_a_close() {
+fn malformed_input_gets_an_error_and_closes_the_connection() {
     let setup = TestSetup::start();
     for (line, code) in [
         ("{", -32600),
         ("{\"id\":1,\"method\":\"alive\"}", -32600),
         ("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"nonsense\"}", -32601),
         (
-            "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"statement-read\",\"params\":{\"body\":\"odd\"}}",
+            "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"statement-read\",\"params\":{\"body\":\"malformed\"}}",
             -32602,
         ),
     ] {
         let mut client = setup.client();
-        writeln!(client.stream, "{line}").expect("written");
+        writeln!(client.stream, "{line}").expect("the line is written");
         assert_eq!(client.receive()["error"]["code"], code, "{line}");
         assert_eq!(client.receive(), Value::Null, "closed after {line}");
     }
-    assert!(setup.received("odd").is_empty());
+    assert!(setup.received("malformed").is_empty());
 }
 
-/// The latency that the router adds to a request, and its throughput. Prints rows.
+/// Measures the latency that the router adds to a request and its throughput, and prints them.
 #[test]
 #[ignore = "a measurement"]
 fn latency_and_throughput_of_the_router() {
     let setup = TestSetup::start();
     let measure = |address: SocketAddr| {
-        let stream = TcpStream::connect(address).expect("it listens");
-        stream.set_nodelay(true).expect("an option");
+        let stream = TcpStream::connect(address).expect("the address accepts connections");
+        stream.set_nodelay(true).expect("the socket option is set");
         let mut client = Client {
-            reader: BufReader::new(stream.try_clone().expect("a connection")),
+            reader: BufReader::new(stream.try_clone().expect("the stream is cloned")),
             stream,
             last_id: 0,
         };
-        let mut took: Vec<u128> = (0..20_000)
+        let mut latencies_us: Vec<u128> = (0..20_000)
             .map(|_| {
-                let sent = Instant::now();
+                let sent_at = Instant::now();
                 client.request("alpenergia", "statement-read", "serve");
-                sent.elapsed().as_nanos() / 1000
+                sent_at.elapsed().as_nanos() / 1000
             })
             .collect();
-        took.sort_unstable();
-        (took[took.len() / 2], took[took.len() * 99 / 100])
+        latencies_us.sort_unstable();
+        (
+            latencies_us[latencies_us.len() / 2],
+            latencies_us[latencies_us.len() * 99 / 100],
+        )
     };
-    println!("way | µs median | µs 99th");
+    println!("path | µs median | µs 99th");
     for round in 0..3 {
         let (direct, routed) = (
             measure(setup.nodes["a0"].address),
@@ -415,7 +433,7 @@
         println!("direct {round} | {} | {}", direct.0, direct.1);
         println!("routed {round} | {} | {}", routed.0, routed.1);
     }
-    // All at once, 16 open on each of eight connections.
+    // Throughput: eight concurrent connections with 16 open requests each.
     let started_at = Instant::now();
     let clients: Vec<_> = (0..8)
         .map(|_| {
@@ -432,11 +450,11 @@
         })
         .collect();
     for client in clients {
-        client.join().expect("a client");
+        client.join().expect("the client does not panic");
     }
-    let each = started_at.elapsed().as_secs_f64();
+    let elapsed_s = started_at.elapsed().as_secs_f64();
     println!(
-        "{:.0} requests a second over eight connections, fake nodes and clients beside it",
-        160_000.0 / each
+        "{:.0} requests a second over eight connections, with fake nodes and clients in the same process",
+        160_000.0 / elapsed_s
     );
 }
--- a/crates/router/tests/upstream_state.rs
+++ b/crates/router/tests/upstream_state.rs
@@ -1,7 +1,7 @@
-//! The open requests and lines of a connection to a node.
+//! Tests of the open requests and received lines of a connection to a node.
 use router::upstream_state::{InterruptedRequest, LineTooLong, UpstreamRequest, UpstreamState};
 
-/// A request of which nothing was written never ran; any other may have.
+/// A request of which no byte was written can't have reached the node; any other may have.
 #[test]
 fn only_requests_with_written_bytes_may_have_arrived() {
     let mut state = UpstreamState::default();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn lines_are_complete_and_of_limited_length() {
+fn received_lines_are_complete_and_limited_in_length() {
     let mut state = UpstreamState::default();
     assert_eq!(state.receive_bytes(b"a\nb", 4), Ok(vec![b"a".to_vec()]));
     assert_eq!(state.receive_bytes(b"c\n", 4), Ok(vec![b"bc".to_vec()]));
