--- a/crates/router/src/config/file.rs
+++ b/crates/router/src/config/file.rs
@@ -29,11 +29,11 @@
     pub(super) cells: PathBuf,
     pub(super) fleet: Option<PathBuf>,
     classes: BTreeMap<String, ClassFields>,
-    #[serde(default = "default_max_clients")]
     /// Maximum number of client connections.
+    #[serde(default = "default_max_clients")]
     pub(super) clients: usize,
+    /// Maximum number of connections to one node for requests.
     #[serde(default = "default_connections_per_node")]
-    /// Maximum number of connections to one node.
     pub(super) per_node: usize,
 }
 
--- a/crates/router/src/handle.rs
+++ b/crates/router/src/handle.rs
@@ -17,7 +17,8 @@
     pub retried: AtomicUsize,
     /// Number of requests that the router itself rejected.
     pub rejected: AtomicUsize,
-    /// Number of requests that lost their attempt and may have run; not those that timed out.
+    /// Number of requests that were answered with "may have run" after their last attempt was lost.
+    /// Requests that passed their deadline are not counted.
     pub may_have_run: AtomicUsize,
 }
 
--- a/crates/router/src/request_router/deadlines.rs
+++ b/crates/router/src/request_router/deadlines.rs
@@ -9,7 +9,7 @@
 
 impl RequestRouter {
     /// Answers requests past their deadline. A request that was sent keeps occupying its slot at
-    /// the node until the node answers; that answer is discarded.
+    /// the node until the node answers or the connection closes; the node's answer is discarded.
     pub(super) fn expire_requests(&mut self, clients: &mut Clients, now: Instant) {
         while let Some(Reverse((deadline, ticket))) = self.deadlines.peek().copied() {
             if deadline > now {
--- a/crates/routing/src/outlier.rs
+++ b/crates/routing/src/outlier.rs
@@ -190,7 +190,7 @@
             None => records.entry(node.into()).or_default(),
         };
         if let Some(ejected_until) = record.ejected_until {
-            // Only the outcome of a probe counts: attempts that were sent before the ejection
+            // Ignore outcomes until a probe was sent: attempts that were sent before the ejection
             // provide no new information.
             let is_probe = record.probed_at.is_some() && now >= ejected_until;
             match (is_probe, is_success) {
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -22,7 +22,7 @@
     pub max_retry_budgets: usize,
     /// Least time that must remain before the deadline for an attempt to be made.
     pub min_time_left: Duration,
-    /// Duration after which a client may try again if no node took its request.
+    /// Duration that a client waits at least before it tries again, if no node took its request.
     pub retry_after: Duration,
     /// Settings of the outlier detection.
     pub outliers: OutlierSettings,
