--- a/crates/membership-model/src/actions.rs
+++ b/crates/membership-model/src/actions.rs
@@ -1,6 +1,6 @@
 //! What can happen in the modelled fleet.
 
-use membership::member_state::{declare_dead, new_incarnation, suspect, RANDOM_BITS};
+use membership::member_state::{declare_dead, new_incarnation, suspect, INCARNATION_RANDOM_BITS};
 use membership::{AdvertisedStatus, MemberState};
 
 use crate::state::{starting_state, FleetState, MemberProcess, SentState};
@@ -148,7 +148,7 @@
         let clock = if clock_went_back {
             1
         } else {
-            (previous >> RANDOM_BITS) + 1
+            (previous >> INCARNATION_RANDOM_BITS) + 1
         };
         let mut known = vec![None; fleet.members.len()];
         known[index] = Some(starting_state(new_incarnation(clock, random)));
--- a/crates/membership/src/member_state.rs
+++ b/crates/membership/src/member_state.rs
@@ -74,18 +74,18 @@
 
 /// Low bits of an incarnation that are random per process. Two processes that start under a clock that went back may both
 /// choose an incarnation above the same one; without these bits both would choose the same.
-pub const RANDOM_BITS: u32 = 20;
+pub const INCARNATION_RANDOM_BITS: u32 = 20;
 
 /// The incarnation of a process that starts now.
 ///
 /// `unix_ms` is the clock in milliseconds; of `random` the low 20 bits are used.
 pub fn new_incarnation(unix_ms: u64, random: u64) -> u64 {
-    unix_ms << RANDOM_BITS | random & ((1 << RANDOM_BITS) - 1)
+    unix_ms << INCARNATION_RANDOM_BITS | random & ((1 << INCARNATION_RANDOM_BITS) - 1)
 }
 
 /// An incarnation above `received` that keeps the random bits of `own`.
 fn incarnation_above(received: u64, own: u64) -> u64 {
-    new_incarnation((received >> RANDOM_BITS) + 1, own)
+    new_incarnation((received >> INCARNATION_RANDOM_BITS) + 1, own)
 }
 
 /// How a received state of another member changes the known one.
