--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,12 +1,13 @@
-//! Fleet membership: which members exist, in which state each is, and whether this node can still see a majority of them.
-//! The protocol is SWIM with suspicion and Lifeguard's local health, plus anti-entropy in the background and attempts to
-//! reconnect to members that were declared dead.
+//! Fleet membership: which members exist, in which state each is, and whether this node can still
+//! see a majority of them. The protocol is SWIM with suspicion and Lifeguard's local health, plus
+//! anti-entropy in the background and attempts to reconnect to members that were declared dead.
 //!
-//! This crate decides and performs no I/O. Times, decoded datagrams and random numbers are passed in, datagrams to send
-//! are returned as [`Effect`]s, so the node, the router, the simulated fleet and the model checker run the same code.
-//! `docs/fleet.md` describes the design.
+//! This crate makes the decisions and performs no I/O. Times, decoded datagrams and random numbers
+//! are passed in, and datagrams to send are returned as [`Effect`]s, so that the node, the router,
+//! the simulated fleet and the model checker run the same code. `docs/fleet.md` describes the
+//! design.
 //!
-//! - [`member_state`]: what is known of one member, and which of two states takes precedence.
+//! - [`member_state`]: the known state of one member, and which of two states takes precedence.
 //! - [`MembershipView`]: one node's view, driven by datagrams and time.
 //! - [`packet`]: datagrams as values, and their encoding.
 
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,5 +1,6 @@
-//! The members that a view knows, with everything that is derived from them: the bucket checksums by which views are
-//! compared, the names that probes and relays are chosen from, and the queue of updates to spread.
+//! The members that a view knows, with everything that is derived from them: the bucket checksums
+//! by which views are compared, the names from which probe targets and relays are chosen, and the
+//! queue of updates to spread.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -10,14 +11,16 @@
 use crate::member_state::{hash_name, Liveness, MemberRecord, MemberState, Name};
 use crate::suspicion_timer::SuspicionTimer;
 
-/// Buckets of names by which two views find where they differ: the checksums of all fit into one datagram.
+/// Number of buckets into which names are hashed, so that two views can find where they differ. The
+/// checksums of all buckets fit into one datagram.
 pub(crate) const BUCKET_COUNT: usize = 64;
 
-/// The place of an update in the queue: the least transmitted first, the newest first among those.
+/// The position of an update in the queue: the least transmitted first, and among those the newest
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct UpdatePriority {
     transmissions: u8,
-    /// Counts down, so that a newer update sorts before an older one.
+    /// Decreases with each queued update, so that a newer update sorts before an older one.
     order: u64,
 }
 
@@ -26,12 +29,13 @@
 pub(crate) struct MemberEntry {
     pub record: MemberRecord,
     pub suspicion: Option<Box<SuspicionTimer>>,
-    /// When its status or liveness last changed.
+    /// Time at which the member's status or liveness last changed.
     pub changed_at: Duration,
-    /// When it last sent a datagram.
+    /// Time at which the last datagram from the member was received.
     pub last_contact_at: Option<Duration>,
-    /// Its place in the queue of updates; none once it has been sent often enough.
-    queued: Option<UpdatePriority>,
+    /// The record's position in the queue of updates. `None` if it is not queued, for example
+    /// because it has been transmitted often enough.
+    queue_position: Option<UpdatePriority>,
 }
 
 /// The members that a view knows.
@@ -51,8 +55,8 @@
     (hash_name(name) >> 32) as usize % BUCKET_COUNT
 }
 
-/// What a member contributes to the checksum of its bucket. Members that are not present contribute nothing, as they are
-/// forgotten at different times.
+/// Returns what a member contributes to the checksum of its bucket. Members that are not present
+/// contribute nothing, as views forget them at different times.
 fn record_checksum(record: &MemberRecord) -> u64 {
     let MemberState {
         incarnation,
@@ -63,7 +67,8 @@
     if !record.state.is_present() {
         return 0;
     }
-    // Incarnation, version, status and liveness in a fixed layout, as members of all versions compare these checksums.
+    // Incarnation, version, status and liveness in a fixed layout, as members of all software
+    // versions compare these checksums.
     let mut bytes = [0; 8 + 4 + 1 + 1];
     bytes[..8].copy_from_slice(&incarnation.to_le_bytes());
     bytes[8..12].copy_from_slice(&version.to_le_bytes());
@@ -85,7 +90,7 @@
 }
 
 impl MemberTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub(crate) fn new() -> MemberTable {
         MemberTable {
             checksums: vec![0; BUCKET_COUNT],
@@ -101,31 +106,31 @@
         self.members.get_mut(name)
     }
 
-    /// The timer of a member's suspicion, where it is suspected.
+    /// Returns the timer of a member's suspicion if the member is suspected.
     pub(crate) fn suspicion_mut(&mut self, name: &str) -> Option<&mut SuspicionTimer> {
         self.members.get_mut(name)?.suspicion.as_deref_mut()
     }
 
-    /// All members, in the order of their names.
+    /// Returns all members in the order of their names.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &MemberEntry> {
         self.members.values()
     }
 
-    /// Records of the members that are present.
+    /// Returns the records of the members that are present.
     pub(crate) fn present_records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.iter()
             .map(|entry| &entry.record)
             .filter(|record| record.state.is_present())
     }
 
-    /// Records of the members that died without having left.
+    /// Returns the records of the members that were declared dead without having left.
     pub(crate) fn lost_records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.iter()
             .map(|entry| &entry.record)
             .filter(|record| is_lost(Some(record.state)))
     }
 
-    /// Members whose names sort after this one.
+    /// Returns the members whose names sort after this one.
     pub(crate) fn iter_after(&self, name: &str) -> impl Iterator<Item = &MemberEntry> {
         self.members
             .range::<str, _>((Bound::Excluded(name), Bound::Unbounded))
@@ -141,24 +146,24 @@
         &self.present
     }
 
-    /// How many members died without having left.
+    /// Returns the number of members that were declared dead without having left.
     pub(crate) fn lost_count(&self) -> usize {
         self.lost_count
     }
 
-    /// One checksum for each bucket of names.
+    /// Returns one checksum for each bucket of names.
     pub(crate) fn checksums(&self) -> &[u64] {
         &self.checksums
     }
 
-    /// One number for all checksums.
+    /// Returns a digest of all checksums.
     pub(crate) fn digest(&self) -> u64 {
         self.checksums
             .iter()
             .fold(0, |digest, checksum| digest.rotate_left(1) ^ checksum)
     }
 
-    /// Records of the members in buckets whose checksums differ from these.
+    /// Returns the records of the members in buckets whose checksums differ from these.
     pub(crate) fn records_differing_from(&self, checksums: &[u64]) -> Vec<MemberRecord> {
         let differs: Vec<bool> = self
             .checksums
@@ -176,7 +181,7 @@
             .collect()
     }
 
-    /// Inserts or replaces a member's record, and queues it as an update if wanted.
+    /// Inserts or replaces a member's record, and queues it as an update if `queue_update` is set.
     pub(crate) fn insert(&mut self, record: MemberRecord, now: Duration, queue_update: bool) {
         let name = record.name.clone();
         let bucket = bucket_index(&name);
@@ -199,7 +204,7 @@
                 suspicion: None,
                 changed_at: now,
                 last_contact_at: None,
-                queued: None,
+                queue_position: None,
             };
             self.members.insert(name.clone(), entry);
             None
@@ -215,7 +220,7 @@
             return;
         };
         self.checksums[bucket_index(name)] ^= record_checksum(&entry.record);
-        if let Some(priority) = entry.queued {
+        if let Some(priority) = entry.queue_position {
             self.update_queue.remove(&(priority, key.clone()));
         }
         self.update_counts(Some(entry.record.state), None, &key);
@@ -235,7 +240,7 @@
         self.left_count = self.left_count + usize::from(has_left(new)) - usize::from(has_left(old));
     }
 
-    /// Queues a member's record to be spread as an update, before all that are queued already.
+    /// Queues a member's record to be spread as an update, ahead of all queued updates.
     pub(crate) fn queue_update(&mut self, name: &Name) {
         self.update_counter += 1;
         let priority = UpdatePriority {
@@ -245,7 +250,7 @@
         let Some(entry) = self.members.get_mut(name) else {
             return;
         };
-        if let Some(previous) = entry.queued.replace(priority) {
+        if let Some(previous) = entry.queue_position.replace(priority) {
             self.update_queue.remove(&(previous, name.clone()));
         }
         self.update_queue.insert((priority, name.clone()));
@@ -255,13 +260,14 @@
         !self.update_queue.is_empty()
     }
 
-    /// Takes updates that fit into so many bytes, and counts a transmission of each. An update leaves the queue after
-    /// `max_transmissions`. The record of the member `except` is skipped.
+    /// Takes updates that fit into `max_bytes` and counts a transmission of each. An update leaves
+    /// the queue after `max_transmissions` transmissions. The record of the member `excluded_name`
+    /// is skipped.
     pub(crate) fn take_updates(
         &mut self,
         max_bytes: usize,
         max_transmissions: u8,
-        except: &str,
+        excluded_name: &str,
     ) -> Vec<MemberRecord> {
         let mut free_bytes = max_bytes;
         let mut taken = Vec::new();
@@ -274,7 +280,7 @@
             if len > free_bytes {
                 break;
             }
-            if &**name == except {
+            if &**name == excluded_name {
                 continue;
             }
             free_bytes -= len;
@@ -297,19 +303,20 @@
             ..priority
         });
         if let Some(entry) = self.members.get_mut(&name) {
-            entry.queued = next;
+            entry.queue_position = next;
         }
         if let Some(next) = next {
             self.update_queue.insert((next, name));
         }
     }
 
-    /// Empties the queue of updates, where there is nobody to send them to.
+    /// Empties the queue of updates when there is no member to send them to.
     pub(crate) fn discard_updates(&mut self) {
         self.take_updates(usize::MAX, 1, "");
     }
 
-    /// Forgets members that died or left `retention` ago or earlier, and the oldest of them beyond `max_count`.
+    /// Removes members that were declared dead or left at least `retention` ago, and the oldest
+    /// tombstones beyond `max_count`.
     pub(crate) fn forget_tombstones(
         &mut self,
         now: Duration,
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -1,7 +1,8 @@
-//! Datagrams as values, and their encoding: magic bytes, a version, `postcard`, and a checksum, so that a datagram that was
-//! damaged on its way changes nobody's state.
+//! Datagrams as values, and their encoding: magic bytes, a version, `postcard`, and a checksum, so
+//! that a datagram that was corrupted in transit changes no member's state.
 //!
-//! `postcard` encodes by position: the order of fields and variants is the wire format and must not change.
+//! `postcard` encodes by position: the order of fields and variants is the wire format and must not
+//! change.
 
 use std::net::SocketAddr;
 
@@ -14,25 +15,25 @@
 
 /// First bytes of each datagram.
 const MAGIC: [u8; 3] = *b"mwf";
-/// The version of the encoding; datagrams of other versions are dropped.
+/// Version of the encoding. Datagrams of other versions are dropped.
 pub const PROTOCOL_VERSION: u8 = 1;
 /// Length of the checksum at the end, in bytes.
 const CHECKSUM_LEN: usize = 4;
-/// The longest name of a member, a site or a fleet, in bytes.
+/// Maximum length of the name of a member, a site or a fleet, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
-/// The longest datagram that is decoded, in bytes.
+/// Maximum length of a datagram that is decoded, in bytes.
 pub const MAX_DATAGRAM_LEN: usize = 1400;
-/// Higher incarnations are rejected: there must be room above for refutations.
+/// Incarnations from this value on are rejected, so that a refutation can always use a higher one.
 const INCARNATION_LIMIT: u64 = 1 << 62;
-/// Higher versions are rejected: there must be room above for refutations.
+/// Versions from this value on are rejected, so that a refutation can always use a higher one.
 const VERSION_LIMIT: u32 = 1 << 31;
 
 /// A datagram between members, or between a member and a tool that queries it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
-    /// The fleet's name; members of other fleets drop the datagram.
+    /// The fleet's name. Members of other fleets drop the datagram.
     pub fleet: Name,
-    /// The sender's own record. None for a tool that only queries.
+    /// The sender's own record. `None` for a tool that only queries.
     pub sender: Option<MemberRecord>,
     /// The message.
     pub body: Body,
@@ -47,7 +48,7 @@
     Ping {
         /// The sender's sequence number.
         seq: u32,
-        /// The member that is to answer.
+        /// The member that must answer.
         target: Name,
     },
     /// Acknowledges a ping.
@@ -66,18 +67,19 @@
         /// The target's address.
         address: SocketAddr,
     },
-    /// Reports that a ping made on the receiver's behalf has no answer yet.
+    /// Reports that a ping sent on the receiver's behalf has not been answered yet.
     Nack {
         /// The sequence number of the request.
         seq: u32,
     },
     /// Carries updates only.
     Gossip,
-    /// Compares views by the checksums of their buckets: the receiver sends its records of the buckets that differ.
+    /// Compares views by the checksums of their buckets. The receiver sends its records of the
+    /// buckets that differ.
     CompareChecksums {
         /// One checksum for each bucket of names.
         checksums: Vec<u64>,
-        /// Whether this answers a comparison, so that no other answer is needed.
+        /// True if this answers a comparison, so that no further answer is needed.
         is_reply: bool,
     },
     /// Carries records of the sender's view, in answer to a comparison.
@@ -88,14 +90,14 @@
     Query {
         /// The sender's sequence number.
         seq: u32,
-        /// Members whose names sort after this one are wanted.
+        /// The reply covers the members whose names sort after this one.
         after: Name,
     },
-    /// Answers a query: members in the order of their names, in `updates`.
+    /// Answers a query. `updates` contains members in the order of their names.
     QueryReply {
         /// The sequence number of the query.
         seq: u32,
-        /// Whether further members follow after these.
+        /// True if there are further members after these.
         has_more: bool,
         /// A summary of the answering member's view.
         summary: ViewSummary,
@@ -107,37 +109,37 @@
 pub struct ViewSummary {
     /// The partition status: `whole`, `part` or `alone`.
     pub partition_status: Name,
-    /// For how long it has been so, in milliseconds.
+    /// Duration for which the view has had this partition status, in milliseconds.
     pub status_age_ms: u64,
     /// The digest of the view.
     pub digest: u64,
-    /// Members that are present, the answering one included.
+    /// Number of members that are present, including the answering one.
     pub present: u32,
-    /// Members that died without having left.
+    /// Number of members that were declared dead without having left.
     pub lost: u32,
-    /// The local health score, 0 for a healthy node.
+    /// The local health score; 0 for a healthy node.
     pub local_health: u32,
-    /// Datagrams that were dropped since the member's start.
+    /// Number of datagrams dropped since the member's start.
     pub dropped: u64,
 }
 
-/// Why bytes could not be decoded as a datagram of this fleet.
+/// The reason why bytes could not be decoded as a datagram of this fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// The magic bytes are missing.
-    #[error("no datagram of a fleet")]
+    #[error("not a fleet datagram")]
     UnknownProtocol,
-    /// The encoding has another version.
-    #[error("another version")]
+    /// The encoding has an unsupported version.
+    #[error("unsupported protocol version")]
     UnsupportedVersion,
     /// The datagram belongs to another fleet.
-    #[error("another fleet")]
+    #[error("datagram of another fleet")]
     WrongFleet,
-    /// The datagram is truncated, damaged or too long.
-    #[error("cut or garbled")]
+    /// The datagram is truncated, corrupted or too long.
+    #[error("truncated, corrupted or too long")]
     Corrupt,
-    /// The datagram is intact, but a value in it is out of bounds.
-    #[error("out of bounds")]
+    /// The datagram is intact, but contains a value that is out of bounds.
+    #[error("value out of bounds")]
     OutOfBounds,
 }
 
@@ -165,7 +167,8 @@
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = MAGIC.to_vec();
         bytes.push(PROTOCOL_VERSION);
-        // These types always serialize into a growing buffer; the receiver would drop an empty body.
+        // These types always serialize into a growable buffer. An empty body would be dropped by
+        // the receiver.
         let body = postcard::to_allocvec(self).unwrap_or_default();
         bytes.extend_from_slice(&body);
         let checksum = xxh3_64(&bytes) as u32;
@@ -173,10 +176,10 @@
         bytes
     }
 
-    /// Decodes a datagram that a member of this fleet received.
+    /// Decodes a datagram received by a member of this fleet.
     ///
     /// # Errors
-    /// The first check that failed, see [`DecodeError`].
+    /// Returns the first check that failed; see [`DecodeError`].
     pub fn decode(bytes: &[u8], fleet: &str) -> Result<Packet, DecodeError> {
         if bytes.len() > MAX_DATAGRAM_LEN {
             return Err(DecodeError::Corrupt);
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,14 +1,15 @@
-//! Probes in progress: the one of the current probe interval, and those made on behalf of other members.
+//! Probes in progress: the probe of the current probe interval, and those sent on behalf of other
+//! members.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::member_state::Name;
 
-/// How far a probe has escalated.
+/// The escalation stage of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeStage {
-    /// One ping was sent.
+    /// The first ping was sent.
     FirstPing,
     /// A second ping was sent.
     SecondPing,
@@ -23,16 +24,16 @@
     pub seq: u32,
     pub started_at: Duration,
     pub stage: ProbeStage,
-    /// When the probe escalates to its next stage, if no answer comes before.
+    /// Time at which the probe escalates to its next stage if no answer arrives before.
     pub escalates_at: Duration,
-    /// How many members were asked to ping the target.
+    /// Number of members that were asked to ping the target.
     pub relay_count: usize,
-    /// How many of them reported that they have no answer either.
+    /// Number of these members that reported that they have no answer either.
     pub nack_count: usize,
     pub is_answered: bool,
 }
 
-/// A probe made on behalf of another member.
+/// A probe sent on behalf of another member.
 #[derive(Clone, Debug)]
 pub(crate) struct IndirectProbe {
     /// The sequence number under which the target answers this node.
@@ -41,9 +42,9 @@
     pub requester: SocketAddr,
     /// The requester's own sequence number.
     pub requester_seq: u32,
-    /// When the requester is notified that there is no answer yet.
+    /// Time at which the requester is notified that there is no answer yet.
     pub nack_at: Duration,
     pub is_nacked: bool,
-    /// When the probe is abandoned.
+    /// Time at which the probe is discarded.
     pub expires_at: Duration,
 }
--- a/crates/membership/src/suspicion_timer.rs
+++ b/crates/membership/src/suspicion_timer.rs
@@ -1,14 +1,16 @@
-//! The timeout of one suspicion. It starts long, since the one member that reports it may itself be at fault, and shortens
-//! with each further member that confirms it (Lifeguard).
+//! The timeout of one suspicion. The timeout is long at first, as the only member that reports the
+//! suspicion may itself be faulty, and shortens with each further member that confirms it
+//! (Lifeguard).
 
 use std::time::Duration;
 
-/// The shortest and the longest timeout of a suspicion, and how many confirmations lead from one to the other.
+/// The shortest and the longest timeout of a suspicion, and the number of confirmations that leads
+/// from the longest to the shortest.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SuspicionTimeouts {
     pub min: Duration,
     pub max: Duration,
-    /// Confirmations after which the shortest timeout applies.
+    /// Number of confirmations after which the shortest timeout applies.
     pub wanted_confirmations: u32,
 }
 
@@ -17,12 +19,13 @@
 pub(crate) struct SuspicionTimer {
     started_at: Duration,
     timeouts: SuspicionTimeouts,
-    /// Hashes of the names of the members that suspect; the first began the suspicion.
+    /// Hashes of the names of the members that suspect this member. The first one began the
+    /// suspicion.
     suspected_by: Vec<u32>,
 }
 
 impl SuspicionTimer {
-    /// A suspicion that begins now, reported by one member.
+    /// Creates the timer of a suspicion that begins now, reported by one member.
     pub(crate) fn new(now: Duration, timeouts: SuspicionTimeouts, suspected_by: u32) -> Self {
         SuspicionTimer {
             started_at: now,
@@ -31,7 +34,7 @@
         }
     }
 
-    /// Counts a confirmation; returns whether it is new and still shortens the timeout.
+    /// Counts a confirmation. Returns true if it is new and still shortens the timeout.
     pub(crate) fn confirm(&mut self, suspected_by: u32) -> bool {
         let wanted = self.timeouts.wanted_confirmations as usize;
         let is_new = suspected_by != 0
@@ -43,7 +46,7 @@
         is_new
     }
 
-    /// When the member is to be declared dead.
+    /// Returns the time at which the member is declared dead.
     pub(crate) fn expires_at(&self) -> Duration {
         let SuspicionTimeouts {
             min,
@@ -69,7 +72,7 @@
         self.started_at += pause;
     }
 
-    /// Starts the timeout again.
+    /// Restarts the timeout.
     pub(crate) fn restart(&mut self, now: Duration) {
         self.started_at = now;
     }
--- a/crates/membership/src/view/anti_entropy.rs
+++ b/crates/membership/src/view/anti_entropy.rs
@@ -1,4 +1,5 @@
-//! Anti-entropy: two views compare the checksums of their buckets and exchange the records of those that differ.
+//! Anti-entropy: two views compare the checksums of their buckets and exchange the records of those
+//! that differ.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,16 +10,17 @@
 use crate::packet::Body;
 use crate::RandomIndex;
 
-/// Upper bound of the time between two comparisons that this node begins.
+/// Upper bound of the interval between two comparisons that this node begins.
 const MAX_COMPARISON_WAIT: Duration = Duration::from_secs(1);
-/// The window in which answered comparisons are counted.
+/// Window in which answered comparisons are counted.
 const REPLY_WINDOW: Duration = Duration::from_secs(1);
-/// How many comparisons are answered in a window: a sender that exceeds this is not a member of ours.
+/// Maximum number of comparisons answered in a window. Members of the fleet do not exceed it, so
+/// further comparisons come from a sender that is not a member.
 const MAX_REPLIES_PER_WINDOW: u32 = 64;
-/// Steps of the random part of a wait.
+/// Number of steps of the random part of a wait.
 const JITTER_STEPS: usize = 256;
 
-/// Limits how many comparisons are answered.
+/// Limits the number of comparisons that are answered.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplyBudget {
     window_started_at: Duration,
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Counts a comparison; returns whether it may be answered.
+    /// Counts a comparison. Returns true if it may be answered.
     fn try_use(&mut self, now: Duration) -> bool {
         if now.saturating_sub(self.window_started_at) >= REPLY_WINDOW {
             *self = ReplyBudget::new(now);
@@ -43,7 +45,8 @@
     }
 }
 
-/// A random fraction of a wait, from 0 to a half, which keeps nodes that started together from acting together.
+/// Returns a random fraction of a wait, from 0 to below one half, which prevents nodes that started
+/// together from acting at the same time.
 pub(super) fn random_jitter(random: RandomIndex) -> f64 {
     random(JITTER_STEPS) as f64 / (2 * JITTER_STEPS) as f64
 }
@@ -58,13 +61,13 @@
         effects: &mut Vec<Effect>,
     ) {
         let interval = self.settings.anti_entropy_interval;
-        if interval == Duration::MAX && self.has_met_others {
+        if interval == Duration::MAX && self.has_known_others {
             return;
         }
         let wait = interval.min(MAX_COMPARISON_WAIT);
         let jitter = wait.mul_f64(random_jitter(random));
         self.next_comparison_at = now + wait + jitter;
-        self.has_learned_since_comparison = false;
+        self.has_changed_since_comparison = false;
         self.send_checksums(to, false, effects);
     }
 
@@ -83,7 +86,8 @@
         self.send(to, body, vec![], effects);
     }
 
-    /// Answers a comparison with the records of the buckets that differ, and with this view's checksums.
+    /// Answers a comparison with the records of the buckets that differ, and with this view's
+    /// checksums.
     pub(super) fn handle_comparison(
         &mut self,
         checksums: &[u64],
@@ -97,7 +101,8 @@
             return;
         }
         let records = self.members.records_differing_from(checksums);
-        // What does not fit is sent another time, so the first record is chosen at random.
+        // Records that do not fit are sent in a later comparison, so the first record is chosen at
+        // random.
         let first = if records.is_empty() {
             0
         } else {
@@ -107,13 +112,14 @@
         self.send_pages(reply_to, after.iter().chain(before), effects);
         if !is_reply {
             self.send_checksums(reply_to, true, effects);
-        } else if self.has_learned_since_comparison && self.members.checksums() != checksums {
-            // There is more than one comparison can transfer: continue at once, as long as each brings something new.
+        } else if self.has_changed_since_comparison && self.members.checksums() != checksums {
+            // One comparison cannot transfer all differences. Continue immediately, as long as each
+            // comparison brings a change.
             self.begin_comparison(reply_to, now, random, effects);
         }
     }
 
-    /// Sends records, as many as fit on each page, up to the greatest number of pages.
+    /// Sends records, as many as fit on each page, up to the maximum number of pages.
     fn send_pages<'a>(
         &self,
         to: SocketAddr,
@@ -122,18 +128,18 @@
     ) {
         let page_len = self.free_record_bytes(PACKET_OVERHEAD);
         let mut page: Vec<MemberRecord> = Vec::new();
-        let mut used = 0;
+        let mut used_bytes = 0;
         let mut page_count = 0;
         for record in records {
-            if used + record.max_encoded_len() > page_len {
+            if used_bytes + record.max_encoded_len() > page_len {
                 self.send_page(to, std::mem::take(&mut page), effects);
-                used = 0;
+                used_bytes = 0;
                 page_count += 1;
                 if page_count >= self.settings.max_pages_per_comparison {
                     break;
                 }
             }
-            used += record.max_encoded_len();
+            used_bytes += record.max_encoded_len();
             page.push(record.clone());
         }
         if !page.is_empty() {
--- a/crates/membership/src/view/dissemination.rs
+++ b/crates/membership/src/view/dissemination.rs
@@ -1,4 +1,5 @@
-//! Spreading of updates: what is piggybacked on each datagram, rounds of gossip, and how received records are merged.
+//! Dissemination of updates: piggybacking on each datagram, rounds of gossip, and merging of
+//! received records.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,13 +11,14 @@
 use crate::packet::{Body, Packet};
 use crate::RandomIndex;
 
-/// Upper bound of a datagram's length without the fleet's name, records and the content of its message, in bytes.
+/// Upper bound of a datagram's length without the fleet's name, records and the content of its
+/// message, in bytes.
 pub(super) const PACKET_OVERHEAD: usize = 64;
 /// Upper bound of the length of an encoded checksum, in bytes.
 const MAX_CHECKSUM_LEN: usize = 10;
-/// Upper bound of the length of an encoded number of elements, in bytes.
+/// Upper bound of the encoded length of a number of elements, in bytes.
 const MAX_COUNT_LEN: usize = 4;
-/// How many random members are tried for each one that is wanted.
+/// Number of random picks that are tried for each member wanted.
 const PICKS_PER_MEMBER: usize = 4;
 
 /// Upper bound of the length of a message's content, in bytes.
@@ -31,12 +33,13 @@
 }
 
 impl MembershipView {
-    /// Whether this member sends nothing of its own accord: it has ended, or another process uses its name.
+    /// Returns true if this member sends nothing on its own initiative, because it has left or was
+    /// muted, or because another process uses its name.
     pub(super) fn is_silent(&self) -> bool {
         self.is_muted || self.is_superseded()
     }
 
-    /// A datagram from this member.
+    /// Returns a datagram from this member.
     pub(super) fn own_packet(&self, body: Body, updates: Vec<MemberRecord>) -> Packet {
         Packet {
             fleet: self.fleet.clone(),
@@ -46,7 +49,8 @@
         }
     }
 
-    /// How many bytes of a datagram are free for records, beside an overhead and this member's own record.
+    /// Returns the number of bytes of a datagram that are free for records, after an overhead and
+    /// this member's own record.
     pub(super) fn free_record_bytes(&self, overhead: usize) -> usize {
         let fixed = overhead + self.fleet.len() + self.own.max_encoded_len();
         self.settings.max_datagram_len.saturating_sub(fixed)
@@ -67,7 +71,7 @@
         let free_bytes =
             self.free_record_bytes(PACKET_OVERHEAD + max_body_len(&body) + records_len);
         let transmissions = self.settings.update_transmissions(self.present_count());
-        // Every datagram carries the sender's own record, so it needs no place among the updates.
+        // Every datagram carries the sender's own record, so it is not needed among the updates.
         let updates = self
             .members
             .take_updates(free_bytes, transmissions, &self.own.name);
@@ -76,7 +80,8 @@
         effects.push(Effect::Send { to, packet });
     }
 
-    /// Sends a message of a layer above membership to a member. Returns false where no member of this name is present.
+    /// Sends a message of a layer above membership to a member. Returns false if no member of this
+    /// name is present.
     pub fn send_application_message(
         &mut self,
         to: &str,
@@ -90,7 +95,7 @@
         true
     }
 
-    /// Sends gossip to this many random members.
+    /// Sends gossip to up to `count` random members.
     pub(super) fn send_gossip(
         &mut self,
         count: usize,
@@ -114,7 +119,7 @@
         self.next_gossip_at = now + self.settings.gossip_interval;
         self.send_gossip(self.settings.gossip_fanout, random, effects);
         if self.present_count() <= 1 {
-            // There is nobody to send them to; a member that joins compares checksums.
+            // There is no member to send the updates to. A member that joins compares checksums.
             self.members.discard_updates();
         }
     }
@@ -145,7 +150,8 @@
         picked
     }
 
-    /// Merges a received record of another member. `is_page` means that it came with a page of anti-entropy.
+    /// Merges a received record of another member. `is_page` is true if it came in a page of
+    /// anti-entropy.
     pub(super) fn merge_record(
         &mut self,
         record: &MemberRecord,
@@ -156,7 +162,8 @@
         let known = self.member(&record.name).map(|known| known.state);
         match merge(known.as_ref(), &record.state) {
             MergeOutcome::Ignore => {
-                // A member that has declared it dead confirms the suspicion as well as one that suspects it.
+                // A member that declared the subject dead confirms the suspicion, just as one that
+                // suspects it.
                 let is_same_version = known.is_some_and(|known| {
                     (known.incarnation, known.version)
                         == (record.state.incarnation, record.state.version)
@@ -182,7 +189,8 @@
         }
     }
 
-    /// Replaces a member's record, with what follows for suspicion and probing. `is_update` means that it is spread as an update.
+    /// Replaces a member's record and updates suspicion and probing accordingly. `is_update` is
+    /// true if the record is to be spread as an update.
     pub(super) fn apply_record(
         &mut self,
         record: MemberRecord,
@@ -195,29 +203,30 @@
         let suspected_by = record.suspected_by;
         let was_present = self.present_address(&name).is_some();
         effects.push(Effect::MemberChanged(record.clone()));
-        self.has_learned_since_comparison = true;
+        self.has_changed_since_comparison = true;
         self.members.insert(record, now, is_update);
-        self.has_met_others |= name != self.own.name;
+        self.has_known_others |= name != self.own.name;
         if state.liveness == Liveness::Suspect {
             self.start_suspicion(name, suspected_by, now);
             return;
         }
         self.suspects.remove(&name);
         if state.is_present() && !was_present {
-            self.queue_newcomer_for_probing(name);
+            self.queue_new_member_for_probing(name);
         }
     }
 
-    /// Has a newcomer probed within this round, at a place that differs from member to member.
-    fn queue_newcomer_for_probing(&mut self, name: Name) {
+    /// Queues a new member to be probed within this round, at a position that differs from member
+    /// to member.
+    fn queue_new_member_for_probing(&mut self, name: Name) {
         let hash = hash_name(&name) ^ hash_name(&self.own.name);
-        let place = hash as usize % (self.probe_queue.len() + 1);
+        let position = hash as usize % (self.probe_queue.len() + 1);
         self.probe_queue.push(name);
         let last = self.probe_queue.len() - 1;
-        self.probe_queue.swap(place, last);
+        self.probe_queue.swap(position, last);
     }
 
-    /// Sets another liveness of a member, as this node concludes it itself.
+    /// Applies a new liveness of a member that this node has concluded itself.
     pub(super) fn apply_own_conclusion(
         &mut self,
         record: MemberRecord,
@@ -227,7 +236,7 @@
     ) {
         let concluded = MemberRecord {
             state,
-            suspected_by: self.own_suspicion_mark(),
+            suspected_by: self.own_name_hash(),
             ..record
         };
         self.apply_record(concluded, true, now, effects);
--- a/crates/membership/src/view/mod.rs
+++ b/crates/membership/src/view/mod.rs
@@ -1,5 +1,5 @@
-//! One node's view of its fleet: the state that it keeps, and what other parts of the process can read of it. Each of the
-//! submodules holds one part of the protocol.
+//! One node's view of its fleet: its state, and the queries by which other parts of the process
+//! read it. Each submodule implements one part of the protocol.
 
 mod anti_entropy;
 mod dissemination;
@@ -25,7 +25,7 @@
 use anti_entropy::ReplyBudget;
 pub use partition::PartitionStatus;
 
-/// What the caller of a view is to do.
+/// An output of a view that its caller acts on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a datagram.
@@ -35,33 +35,35 @@
         /// The datagram.
         packet: Packet,
     },
-    /// A member is new, or its record changed. For logs: the members themselves are read from
-    /// [`MembershipView::members`].
+    /// A member is new, or its record has changed. Intended for logs: the members themselves are
+    /// read from [`MembershipView::members`].
     MemberChanged(MemberRecord),
 }
 
 /// One node's view of its fleet.
 ///
-/// Times are durations since a start that the caller chooses; they never go back.
+/// Times are durations since an arbitrary start that the caller chooses. They never decrease.
 #[derive(Clone, Debug)]
 pub struct MembershipView {
     settings: Settings,
     fleet: Name,
-    /// This member's own record: equal to the one in the table, unless another process uses the name.
+    /// This member's own record. Equal to the one in the table, unless another process uses the
+    /// name.
     own: MemberRecord,
-    /// When the process that uses the name now last sent anything, if there is one.
-    successor_last_contact: Option<Duration>,
+    /// Time of the last contact with the successor, which is the process that now uses the name.
+    /// `None` if there is no successor.
+    successor_last_contact_at: Option<Duration>,
     is_muted: bool,
     seeds: Vec<SocketAddr>,
     members: MemberTable,
     suspects: BTreeSet<Name>,
-    /// Members that are still to be probed in this round; the last is probed next.
+    /// Members that remain to be probed in this round. The last one is probed next.
     probe_queue: Vec<Name>,
     probe: Option<Probe>,
     indirect_probes: VecDeque<IndirectProbe>,
     last_seq: u32,
     local_health: u32,
-    /// Acknowledgements in a row that carried another digest.
+    /// Number of consecutive acknowledgements that carried a different digest.
     digest_mismatches: u32,
     next_probe_at: Duration,
     next_gossip_at: Duration,
@@ -70,16 +72,17 @@
     comparison_replies: ReplyBudget,
     partition_status: PartitionStatus,
     partition_status_since: Duration,
-    /// Whether any other member has ever been known.
-    has_met_others: bool,
-    /// When any other member last sent anything.
+    /// True if any other member has ever been known.
+    has_known_others: bool,
+    /// Time at which the last datagram from any other member was received.
     last_contact_at: Duration,
-    /// Whether a record has changed since this node last began a comparison.
-    has_learned_since_comparison: bool,
+    /// True if a record has changed since this node last began a comparison.
+    has_changed_since_comparison: bool,
 }
 
 impl MembershipView {
-    /// A member that knows only itself. Of `own.state` the incarnation is used; the other fields are reset.
+    /// Creates the view of a member that knows only itself. Only the incarnation of `own.state` is
+    /// used; the other fields are reset.
     pub fn new(
         settings: Settings,
         fleet: Name,
@@ -97,7 +100,7 @@
             settings,
             fleet,
             own,
-            successor_last_contact: None,
+            successor_last_contact_at: None,
             is_muted: false,
             seeds: Vec::new(),
             members: MemberTable::new(),
@@ -115,9 +118,9 @@
             comparison_replies: ReplyBudget::new(now),
             partition_status: PartitionStatus::Majority,
             partition_status_since: now,
-            has_met_others: false,
+            has_known_others: false,
             last_contact_at: now,
-            has_learned_since_comparison: false,
+            has_changed_since_comparison: false,
         };
         view.set_seeds(seeds);
         view.members.insert(view.own.clone(), now, true);
@@ -125,32 +128,33 @@
         view
     }
 
-    /// All known members in the order of their names, those that died or left included.
+    /// Returns all known members in the order of their names, including those that were declared
+    /// dead or left.
     pub fn members(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.iter().map(|entry| &entry.record)
     }
 
-    /// The member of this name, where it is known.
+    /// Returns the member of this name, if it is known.
     pub fn member(&self, name: &str) -> Option<&MemberRecord> {
         self.members.get(name).map(|entry| &entry.record)
     }
 
-    /// Names of the members that are present, in no particular order.
+    /// Returns the names of the members that are present, in no particular order.
     pub fn present_names(&self) -> &[Name] {
         self.members.present_names()
     }
 
-    /// How many members are present, this one included.
+    /// Returns the number of members that are present, including this one.
     pub fn present_count(&self) -> usize {
         self.members.present_names().len()
     }
 
-    /// How many members died without having left.
+    /// Returns the number of members that were declared dead without having left.
     pub fn lost_count(&self) -> usize {
         self.members.lost_count()
     }
 
-    /// The sites of the members that are present.
+    /// Returns the sites of the members that are present.
     pub fn sites(&self) -> BTreeSet<Name> {
         self.members
             .present_records()
@@ -158,34 +162,36 @@
             .collect()
     }
 
-    /// A hash of the states of all present members: equal where two views agree.
+    /// Returns a hash of the states of all present members, which is equal where two views agree.
     pub fn digest(&self) -> u64 {
         self.members.digest()
     }
 
-    /// This member's own record.
+    /// Returns this member's own record.
     pub fn own_record(&self) -> &MemberRecord {
         &self.own
     }
 
-    /// Whether another process uses this member's name, so that this one is silent.
+    /// Returns true if another process uses this member's name, so that this one is silent.
     pub fn is_superseded(&self) -> bool {
-        self.successor_last_contact.is_some()
+        self.successor_last_contact_at.is_some()
     }
 
-    /// How much of the fleet this node can see.
+    /// Returns how much of the fleet this node can see.
     pub fn partition_status(&self) -> PartitionStatus {
         self.partition_status
     }
 
-    /// The local health score: 0 for a healthy node, higher the more its probes seem to fail by its own fault.
+    /// Returns the local health score: 0 for a healthy node, and higher the more its probes seem to
+    /// fail because of the node itself.
     pub fn local_health(&self) -> u32 {
         self.local_health
     }
 
-    /// About how many bytes a member takes in a view, without its name; for sizing.
+    /// Returns the approximate memory use of a member in a view without its name, in bytes, for
+    /// sizing.
     pub fn bytes_per_member() -> usize {
-        // Its entry, and its name as a key, among the present members and in the probe queue.
+        // The entry, and the name as a key, among the present members and in the probe queue.
         std::mem::size_of::<MemberEntry>() + 3 * std::mem::size_of::<Name>()
     }
 
@@ -207,7 +213,7 @@
         self.last_seq
     }
 
-    /// The address of a present member.
+    /// Returns the address of a present member.
     fn present_address(&self, name: &str) -> Option<SocketAddr> {
         self.member(name)
             .filter(|record| record.state.is_present())
--- a/crates/membership/src/view/packets.rs
+++ b/crates/membership/src/view/packets.rs
@@ -1,4 +1,5 @@
-//! Received datagrams: merging the sender's record and the updates, and dispatching the message.
+//! Handling of received datagrams: merging the sender's record and the updates, and dispatching the
+//! message.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,19 +9,20 @@
 use crate::packet::{Body, Packet};
 use crate::RandomIndex;
 
-/// Where a datagram came from.
+/// The origin of a datagram.
 pub(super) struct PacketOrigin {
-    /// The sender's name; none for a tool.
+    /// The sender's name. `None` for a tool.
     pub sender: Option<Name>,
-    /// The address that the operating system reports.
+    /// The source address that the operating system reports.
     pub source: SocketAddr,
-    /// Where a member is to be answered: the address in its record.
+    /// The address for answers: for a member, the address in its record.
     pub reply_to: SocketAddr,
 }
 
 impl MembershipView {
-    /// Processes a datagram that came from `source`: merges its sender's record and the piggybacked updates, then handles the
-    /// message itself. What is to be done is added to `effects`.
+    /// Processes a datagram that was received from `source`: merges its sender's record and the
+    /// piggybacked updates, then handles the message itself. Appends the resulting actions to
+    /// `effects`.
     pub fn handle_packet(
         &mut self,
         packet: Packet,
@@ -38,12 +40,13 @@
         let mut is_sender_current = true;
         if let Some(sender) = &sender {
             if self.is_own_record(sender) {
-                // This node's own datagram, sent back.
+                // This node's own datagram, sent back to it.
                 return;
             }
             is_sender_current = self.merge_sender(sender, now, effects);
         }
-        // A page of anti-entropy holds what its sender has known for a while: it is not disseminated again.
+        // A page of anti-entropy contains what its sender has known for some time. Records of
+        // members that are new to this view are therefore not spread further.
         let is_page = matches!(body, Body::RecordPage);
         for update in &updates {
             if update.name == self.own.name {
@@ -67,8 +70,9 @@
             && record.address == self.own.address
     }
 
-    /// Merges the record that a sender gives of itself. Returns whether the sender is a present member in its current
-    /// incarnation: what others say of suspects and dead members is believed of these alone.
+    /// Merges the record that a sender provides about itself. Returns whether the sender is a
+    /// present member in its current incarnation: only from such a sender are claims about
+    /// suspected and dead members accepted.
     fn merge_sender(
         &mut self,
         sender: &MemberRecord,
@@ -90,15 +94,16 @@
             entry.last_contact_at = Some(now);
         }
         if known.precedence() > sender.state.precedence() {
-            // The sender does not know what is claimed of it, or that its name has a later incarnation.
+            // The sender does not know about a claim about itself, or about a later incarnation of
+            // its name.
             let claim = entry.record.clone();
             self.send(sender.address, Body::Gossip, vec![claim], effects);
         }
         known.is_present() && is_same_incarnation
     }
 
-    /// Handles the message of a datagram. Application messages are handled by the caller; a ping for another member and a
-    /// reply to a query need nothing here.
+    /// Handles the message of a datagram. Application messages are handled by the caller. A ping
+    /// for another member and a reply to a query need no action here.
     fn handle_body(
         &mut self,
         body: Body,
--- a/crates/membership/src/view/partition.rs
+++ b/crates/membership/src/view/partition.rs
@@ -1,4 +1,4 @@
-//! What a node concludes of itself from its view: whether it can see a majority of the fleet.
+//! The partition status of a node: whether it can see a majority of the fleet.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 /// How much of the fleet a node can see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PartitionStatus {
-    /// More than half of the members that have not left.
+    /// The node sees more than half of the members that have not left.
     Majority,
-    /// Half of them or fewer: the node must not decide on behalf of the others.
+    /// The node sees half of them or fewer, and must not decide on behalf of the others.
     Minority,
-    /// None, although others are known or expected.
+    /// The node sees no other member, although others are known or expected.
     Isolated,
 }
 
 impl PartitionStatus {
-    /// The status as it is named in datagrams, command output and logs.
+    /// Returns the name of the status in datagrams, command output and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             PartitionStatus::Majority => "whole",
@@ -27,13 +27,14 @@
 }
 
 impl MembershipView {
-    /// How long a node may receive nothing from others before it is isolated. Each member is probed by another about once
-    /// an interval.
+    /// Returns the time without any datagram from other members after which a node is isolated.
+    /// Each member is probed by another about once per interval.
     fn isolation_timeout(&self) -> Duration {
         self.settings.min_suspicion_timeout(self.present_count()) + self.settings.probe_interval * 2
     }
 
-    /// When the node becomes isolated if it receives nothing until then; none where that would change nothing.
+    /// Returns the time at which the node becomes isolated if it receives nothing until then.
+    /// `None` if that would not change the status.
     pub(super) fn isolation_deadline(&self) -> Option<Duration> {
         let can_become_isolated =
             self.present_count() > 1 && self.partition_status != PartitionStatus::Isolated;
@@ -52,12 +53,13 @@
         let present = self.present_count();
         let lost = self.lost_count();
         if present > 1 {
-            // A node that receives nothing knows it long before it has declared each of the others dead.
+            // A node that receives nothing can detect this long before it has declared each of the
+            // others dead.
             if now >= self.last_contact_at + self.isolation_timeout() {
                 return PartitionStatus::Isolated;
             }
         } else {
-            let expects_others = !self.has_met_others && !self.seeds.is_empty();
+            let expects_others = !self.has_known_others && !self.seeds.is_empty();
             if lost > 0 || expects_others {
                 return PartitionStatus::Isolated;
             }
--- a/crates/membership/src/view/probing.rs
+++ b/crates/membership/src/view/probing.rs
@@ -1,4 +1,5 @@
-//! Probes: each interval one member is pinged, then pinged again, then pinged by way of other members.
+//! Probes: in each interval one member is pinged, then pinged again, then pinged through other
+//! members.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,27 +12,29 @@
 use crate::probe::{IndirectProbe, Probe, ProbeStage};
 use crate::RandomIndex;
 
-/// Acknowledgements in a row with another digest before views are compared.
+/// Number of consecutive acknowledgements with a different digest before views are compared.
 const MISMATCHES_BEFORE_COMPARISON: u32 = 2;
-/// An indirect probe is abandoned after this many probe timeouts.
+/// An indirect probe is discarded after this many probe timeouts.
 const INDIRECT_PROBE_TIMEOUTS: u32 = 4;
-/// How many candidates are considered for each relay.
+/// Number of candidates that are considered for each relay.
 const CANDIDATES_PER_RELAY: usize = 4;
 
 impl MembershipView {
-    /// When the probe in progress escalates or the next one starts.
+    /// Returns the time at which the probe in progress escalates or the next one starts.
     pub(super) fn probe_deadline(&self) -> Duration {
         self.probe.as_ref().map_or(self.next_probe_at, |probe| {
             probe.escalates_at.min(self.next_probe_at)
         })
     }
 
-    /// How many times longer probes may take than the settings say, by this node's own health.
+    /// Returns the factor by which the time limits of probes are extended because of this node's
+    /// local health score.
     fn probe_time_factor(&self) -> u32 {
         1 + self.local_health
     }
 
-    /// Concludes the last probe and starts the next one at the end of an interval; before that, escalates the probe.
+    /// At the end of an interval, concludes the last probe and starts the next one. Before that,
+    /// escalates the probe when it is due.
     pub(super) fn advance_probe(
         &mut self,
         now: Duration,
@@ -58,7 +61,8 @@
         self.probe = Some(probe);
     }
 
-    /// Starts a probe of the next member in the queue, and fills the queue for the next round when it is empty.
+    /// Starts a probe of the next member in the queue, and refills an empty queue for the next
+    /// round.
     fn start_probe(&mut self, now: Duration, random: RandomIndex, effects: &mut Vec<Effect>) {
         while let Some(target) = self.probe_queue.pop() {
             let address = self.present_address(&target);
@@ -91,7 +95,7 @@
         }
     }
 
-    /// Pings a member, and sends it what it may have to refute.
+    /// Pings a member, and includes the claim about it that it may have to refute.
     fn send_ping(
         &mut self,
         seq: u32,
@@ -133,8 +137,8 @@
         }
     }
 
-    /// Chooses members to ping a target on this node's behalf, at as many other sites as possible: a fault that cuts this
-    /// node off from the target may not affect them.
+    /// Chooses members to ping a target on this node's behalf, at as many other sites as possible:
+    /// a fault that separates this node from the target may not affect them.
     fn choose_relays(&self, target: &Name, random: RandomIndex) -> Vec<SocketAddr> {
         let count = self.settings.indirect_probes;
         let is_eligible = |record: &MemberRecord| {
@@ -170,7 +174,8 @@
         let Some(entry) = self.members.get(&probe.target) else {
             return;
         };
-        // A target that has sent anything since is alive. Then the path to it is at fault, which others will find.
+        // A target that has sent anything since the probe started is alive. In that case the path
+        // to it is faulty, which other members will detect.
         let has_contact_since = entry
             .last_contact_at
             .is_some_and(|last_contact_at| last_contact_at >= probe.started_at);
@@ -178,18 +183,19 @@
             return;
         }
         let record = entry.record.clone();
-        // Most relays did not even report that they have no answer: this node may be at fault. One of the relays may be
-        // dead itself.
+        // Fewer than half of the relays reported that they have no answer, so this node may be
+        // faulty. Not all relays are required, as one of them may be dead itself.
         if probe.nack_count * 2 < probe.relay_count {
             self.degrade_local_health();
         }
         match suspect(&record.state) {
             Some(state) => self.apply_own_conclusion(record, state, now, effects),
-            None => self.confirm_suspicion(&probe.target, self.own_suspicion_mark()),
+            None => self.confirm_suspicion(&probe.target, self.own_name_hash()),
         }
     }
 
-    /// Processes the acknowledgement of a ping: by this member's successor, for an indirect probe, or for the own probe.
+    /// Processes the acknowledgement of a ping: from this member's successor, for an indirect
+    /// probe, or for this member's own probe.
     pub(super) fn handle_ack(
         &mut self,
         origin: &PacketOrigin,
@@ -200,19 +206,19 @@
         effects: &mut Vec<Effect>,
     ) {
         if let (Some(last_contact_at), Some(sender)) =
-            (&mut self.successor_last_contact, &origin.sender)
+            (&mut self.successor_last_contact_at, &origin.sender)
         {
             if *sender == self.own.name {
                 *last_contact_at = now;
             }
             return;
         }
-        if let Some(requested) = self.take_indirect_probe(seq) {
+        if let Some(indirect_probe) = self.take_indirect_probe(seq) {
             let ack = Body::Ack {
-                seq: requested.requester_seq,
+                seq: indirect_probe.requester_seq,
                 digest,
             };
-            self.send(requested.requester, ack, vec![], effects);
+            self.send(indirect_probe.requester, ack, vec![], effects);
             return;
         }
         let probe = self.probe.as_mut();
@@ -226,8 +232,8 @@
         self.compare_digest(&target, digest, now, random, effects);
     }
 
-    /// Begins a comparison with a member whose digest keeps differing. Views differ for a moment while updates spread; where
-    /// they stay different, an update was lost.
+    /// Begins a comparison with a member whose digest keeps differing. Views differ briefly while
+    /// updates spread. A lasting difference means that an update was lost.
     fn compare_digest(
         &mut self,
         target: &Name,
@@ -249,7 +255,7 @@
         }
     }
 
-    /// Prepares a probe that a member asked for.
+    /// Creates a probe that a member asked for.
     pub(super) fn new_indirect_probe(
         &mut self,
         requester: SocketAddr,
@@ -267,7 +273,8 @@
         }
     }
 
-    /// Pings a target on behalf of another member; the oldest such probe is abandoned where there are too many.
+    /// Pings a target on behalf of another member. If there are too many such probes, the oldest
+    /// one is discarded.
     pub(super) fn start_indirect_probe(
         &mut self,
         probe: IndirectProbe,
@@ -291,7 +298,8 @@
         self.indirect_probes.remove(index)
     }
 
-    /// Abandons indirect probes that took too long, and notifies requesters where there is no answer yet.
+    /// Discards indirect probes that took too long, and notifies requesters that there is no answer
+    /// yet.
     pub(super) fn expire_indirect_probes(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         self.indirect_probes.retain(|probe| probe.expires_at > now);
         let mut nacks = Vec::new();
@@ -306,7 +314,8 @@
         }
     }
 
-    /// When the next indirect probe is to be reported or abandoned.
+    /// Returns the time at which the next indirect probe must be reported as unanswered or
+    /// discarded.
     pub(super) fn next_indirect_probe_deadline(&self) -> Option<Duration> {
         self.indirect_probes
             .iter()
--- a/crates/membership/src/view/queries.rs
+++ b/crates/membership/src/view/queries.rs
@@ -1,4 +1,4 @@
-//! Answers to tools that query a member's view.
+//! Replies to tools that query a member's view.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -37,7 +37,8 @@
         effects.push(Effect::Send { to, packet });
     }
 
-    /// A summary of this view. The caller fills in how many datagrams were dropped, which the view does not know.
+    /// Returns a summary of this view. The caller fills in the number of dropped datagrams, which
+    /// the view does not know.
     pub fn summary(&self, now: Duration) -> ViewSummary {
         let status_age = now.saturating_sub(self.partition_status_since);
         ViewSummary {
--- a/crates/membership/src/view/reconnect.rs
+++ b/crates/membership/src/view/reconnect.rs
@@ -1,4 +1,5 @@
-//! Attempts to reach members that were declared dead and seeds that are not members, so that a partition heals.
+//! Attempts to reach members that were declared dead and seeds that are not members, so that a
+//! partition heals.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,15 +10,16 @@
 use crate::packet::Body;
 use crate::RandomIndex;
 
-/// Upper bound of the time between two attempts of a node that sees no other member.
-const MAX_WAIT_WHILE_ALONE: Duration = Duration::from_millis(500);
-/// Upper bound of the time between two attempts.
-const MAX_WAIT: Duration = Duration::from_secs(3600);
-/// The least fraction of the wait that passes between two attempts; the jitter comes on top.
-const MIN_WAIT_FRACTION: f64 = 0.75;
+/// Upper bound of the interval between two attempts of a node that sees no other member.
+const MAX_RECONNECT_WAIT_WHILE_ALONE: Duration = Duration::from_millis(500);
+/// Upper bound of the interval between two attempts.
+const MAX_RECONNECT_WAIT: Duration = Duration::from_secs(3600);
+/// Fraction of the wait that always passes between two attempts. Jitter is added to it.
+const MIN_RECONNECT_WAIT_FRACTION: f64 = 0.75;
 
 impl MembershipView {
-    /// Forgets old tombstones, then pings one dead member and contacts one seed that is not a member.
+    /// Removes old tombstones, then pings one dead member and contacts one seed that is not a
+    /// member.
     pub(super) fn reconnect(
         &mut self,
         now: Duration,
@@ -32,13 +34,14 @@
         let wait = if self.present_count() <= 1 {
             self.settings
                 .anti_entropy_interval
-                .min(MAX_WAIT_WHILE_ALONE)
+                .min(MAX_RECONNECT_WAIT_WHILE_ALONE)
         } else {
-            self.settings.reconnect_interval.min(MAX_WAIT)
+            self.settings.reconnect_interval.min(MAX_RECONNECT_WAIT)
         };
-        // From three quarters of the wait to one and a quarter: the wait itself on average.
-        self.next_reconnect_at = now + wait.mul_f64(MIN_WAIT_FRACTION + random_jitter(random));
-        if self.settings.reconnect_interval == Duration::MAX && self.has_met_others {
+        // Between 0.75 and 1.25 times the wait, so that the average is the wait itself.
+        self.next_reconnect_at =
+            now + wait.mul_f64(MIN_RECONNECT_WAIT_FRACTION + random_jitter(random));
+        if self.settings.reconnect_interval == Duration::MAX && self.has_known_others {
             return;
         }
         self.ping_lost_member(random, effects);
--- a/crates/membership/src/view/self_defence.rs
+++ b/crates/membership/src/view/self_defence.rs
@@ -1,5 +1,5 @@
-//! This member's own record: its changes, its refutation of false claims, and what happens when another process uses the
-//! same name.
+//! This member's own record: its changes, the refutation of false claims, and the handling of
+//! another process that uses the same name.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,11 +11,12 @@
 use crate::packet::Body;
 use crate::RandomIndex;
 
-/// A goodbye is sent to this many times the gossip fanout, as there is no later datagram to make up for a loss.
-const GOODBYE_FANOUT_FACTOR: usize = 2;
+/// The announcement that this member leaves is sent to this many times the gossip fanout, as there
+/// is no later datagram to make up for a loss.
+const LEAVE_FANOUT_FACTOR: usize = 2;
 
 impl MembershipView {
-    /// Advertises another status of this member's process. After `Left` there is no other.
+    /// Advertises another status of this member's process. `Left` is final.
     pub fn advertise_status(&mut self, status: AdvertisedStatus, now: Duration) {
         if self.own.state.status != status && !self.own.state.has_left() {
             self.own.state.status = status;
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Changes the address at which this member's clients connect.
+    /// Changes the address to which this member's clients connect.
     pub fn set_client_address(&mut self, client_address: Option<SocketAddr>, now: Duration) {
         if self.own.client_address != client_address {
             self.own.client_address = client_address;
@@ -46,22 +47,23 @@
         }
     }
 
-    /// Leaves the fleet with a goodbye. Nothing is sent afterwards.
+    /// Announces that this member leaves the fleet. Nothing is sent afterwards.
     pub fn leave(&mut self, now: Duration, random: RandomIndex, effects: &mut Vec<Effect>) {
         if !self.is_silent() {
             self.advertise_status(AdvertisedStatus::Left, now);
-            let count = self.settings.gossip_fanout * GOODBYE_FANOUT_FACTOR;
+            let count = self.settings.gossip_fanout * LEAVE_FANOUT_FACTOR;
             self.send_gossip(count, random, effects);
         }
         self.is_muted = true;
     }
 
-    /// Sends nothing from now on, not even a goodbye: another process continues under the name.
+    /// Stops all sending without announcing that this member leaves, as another process continues
+    /// under the name.
     pub fn mute(&mut self) {
         self.is_muted = true;
     }
 
-    /// Reacts to a record of this member that another one sent.
+    /// Handles a record of this member that another member sent.
     pub(super) fn handle_self_claim(
         &mut self,
         claim: &MemberRecord,
@@ -73,7 +75,7 @@
             SelfClaim::Refute(state) => self.refute(claim.state, state, now, effects),
             SelfClaim::Superseded => {
                 if !self.is_superseded() {
-                    self.successor_last_contact = Some(now);
+                    self.successor_last_contact_at = Some(now);
                     self.probe = None;
                 }
                 self.apply_record(claim.clone(), true, now, effects);
@@ -90,12 +92,13 @@
     ) {
         let is_same_incarnation = claimed.incarnation == self.own.state.incarnation;
         if is_same_incarnation && claimed.liveness != Liveness::Alive {
-            // Others did not receive its datagrams in time: a sign that it is slow.
+            // Others did not receive this member's datagrams in time, which indicates that this
+            // node is slow.
             self.degrade_local_health();
         }
         self.own.state = own;
-        if self.successor_last_contact.take().is_some() {
-            // Nothing was received from the others while another process used the name.
+        if self.successor_last_contact_at.take().is_some() {
+            // Nothing was received from other members while another process used the name.
             self.compensate_for_pause(Duration::ZERO, now);
             self.restart_suspicions(now);
         }
@@ -107,8 +110,8 @@
         self.local_health = (self.local_health + 1).min(self.settings.max_local_health);
     }
 
-    /// Pings the process that uses this member's name. If it does not answer for long enough, this member takes the name
-    /// back.
+    /// Pings the process that uses this member's name. If it does not answer within the shortest
+    /// suspicion timeout, this member takes the name back.
     pub(super) fn watch_successor(
         &mut self,
         last_contact_at: Duration,
--- a/crates/membership/src/view/suspicion.rs
+++ b/crates/membership/src/view/suspicion.rs
@@ -1,4 +1,5 @@
-//! Suspicion of members whose probes failed: its start, its confirmation by other members, and its end.
+//! Suspicion of members whose probes failed: its start, its confirmation by other members, and its
+//! end.
 
 use std::time::Duration;
 
@@ -7,7 +8,7 @@
 use crate::suspicion_timer::{SuspicionTimeouts, SuspicionTimer};
 
 impl MembershipView {
-    /// Starts the timeout of a suspicion; the member's record is already that of a suspect.
+    /// Starts the timeout of a suspicion. The member's record already has liveness `Suspect`.
     pub(super) fn start_suspicion(&mut self, name: Name, suspected_by: u32, now: Duration) {
         let timer = SuspicionTimer::new(now, self.suspicion_timeouts(), suspected_by);
         if let Some(entry) = self.members.get_mut(&name) {
@@ -19,16 +20,17 @@
     fn suspicion_timeouts(&self) -> SuspicionTimeouts {
         let member_count = self.present_count();
         let min = self.settings.min_suspicion_timeout(member_count);
-        // A small fleet may have nobody else to confirm a suspicion: an even split leaves so many on each side.
-        let possible = (member_count / 2).saturating_sub(1) as u32;
+        // A small fleet may have no other members to confirm a suspicion. After an even split each
+        // side has this many besides the member that suspects.
+        let max_confirmations = (member_count / 2).saturating_sub(1) as u32;
         SuspicionTimeouts {
             min,
             max: min.mul_f64(self.settings.max_suspicion_multiplier),
-            wanted_confirmations: self.settings.suspicion_confirmations.min(possible),
+            wanted_confirmations: self.settings.suspicion_confirmations.min(max_confirmations),
         }
     }
 
-    /// Another member suspects it too: the timeout shortens, and the confirmation is spread.
+    /// Counts a confirmation of a suspicion. A new confirmation shortens the timeout and is spread.
     pub(super) fn confirm_suspicion(&mut self, name: &Name, suspected_by: u32) {
         let Some(entry) = self.members.get_mut(name) else {
             return;
@@ -43,7 +45,8 @@
         }
     }
 
-    /// The record of a member that is not alive, to be sent to it so that it can refute; empty for one that is alive.
+    /// Returns the record of a member that is not alive, which is sent to the member so that it can
+    /// refute. Returns no record for a member that is alive.
     pub(super) fn claim_to_refute(&self, name: &str) -> Vec<MemberRecord> {
         self.member(name)
             .filter(|record| record.state.liveness != Liveness::Alive)
@@ -52,12 +55,12 @@
             .collect()
     }
 
-    /// How this member is named in records as the one that suspects; never 0.
-    pub(super) fn own_suspicion_mark(&self) -> u32 {
+    /// Returns the hash that identifies this member as the suspecting one in records; never 0.
+    pub(super) fn own_name_hash(&self) -> u32 {
         (hash_name(&self.own.name) as u32).max(1)
     }
 
-    /// Declares the suspects dead whose timeouts have ended.
+    /// Declares those suspects dead whose timeouts have expired.
     pub(super) fn expire_suspicions(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         let expired: Vec<MemberRecord> = self
             .suspects
@@ -71,7 +74,8 @@
             .collect();
         for record in expired {
             match declare_dead(&record.state) {
-                // Each member concludes this by its own timer, and thereby counts as one that suspects.
+                // Each member concludes this by its own timer, and thereby counts as a member that
+                // suspects.
                 Some(state) => self.apply_own_conclusion(record, state, now, effects),
                 None => {
                     self.suspects.remove(&record.name);
@@ -80,7 +84,7 @@
         }
     }
 
-    /// When the next suspicion ends.
+    /// Returns the time at which the next suspicion expires.
     pub(super) fn next_suspicion_deadline(&self) -> Option<Duration> {
         self.suspects
             .iter()
@@ -98,7 +102,7 @@
         }
     }
 
-    /// Starts the timeouts of all suspicions again.
+    /// Restarts the timeouts of all suspicions.
     pub(super) fn restart_suspicions(&mut self, now: Duration) {
         for name in &self.suspects {
             if let Some(timer) = self.members.suspicion_mut(name) {
--- a/crates/membership/src/view/timers.rs
+++ b/crates/membership/src/view/timers.rs
@@ -1,4 +1,4 @@
-//! The view's timers: when something is due next, and what is done then.
+//! The view's timers: the next deadline, and the work that is due.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use crate::RandomIndex;
 
 impl MembershipView {
-    /// When [`MembershipView::handle_timers`] is to be called at the latest.
+    /// Returns the time by which [`MembershipView::handle_timers`] must be called.
     pub fn next_deadline(&self) -> Duration {
         if self.is_muted {
             return Duration::MAX;
@@ -28,17 +28,18 @@
             .min(self.next_reconnect_at)
     }
 
-    /// Does everything that is due.
+    /// Performs all work that is due.
     pub fn handle_timers(&mut self, now: Duration, random: RandomIndex, effects: &mut Vec<Effect>) {
         if self.is_muted {
             return;
         }
-        // A probe is always due at some time; other work may have become overdue before there was anything to do.
+        // The delay is measured by the probe deadline, as a probe is always scheduled. Other
+        // deadlines may have passed while there was nothing to do.
         let delay = now.saturating_sub(self.probe_deadline());
         if delay > self.settings.probe_timeout {
             self.compensate_for_pause(delay, now);
         }
-        if let Some(last_contact_at) = self.successor_last_contact {
+        if let Some(last_contact_at) = self.successor_last_contact_at {
             self.watch_successor(last_contact_at, now, effects);
             return;
         }
@@ -52,7 +53,8 @@
         self.update_partition_status(now);
     }
 
-    /// This node did nothing for a while: nobody is suspected because of what it did not receive meanwhile.
+    /// Compensates for a pause of this node, so that no member is suspected because of datagrams
+    /// that this node did not receive during the pause.
     pub(super) fn compensate_for_pause(&mut self, pause: Duration, now: Duration) {
         self.probe = None;
         self.next_probe_at = self.next_probe_at.max(now);
