--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,5 +1,6 @@
-//! Golden bytes of the fleet's datagrams. Old and new programs of a fleet talk to each other, and `postcard` writes by
-//! position: the order of fields and variants is the format. The files under `golden/` never change.
+//! Golden bytes of the fleet's datagrams. Old and new releases communicate within a fleet, and
+//! `postcard` encodes by position: the order of fields and variants is the format. The files under
+//! `golden/` never change.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,8 +15,8 @@
 const V4: &str = "192.0.2.17:7946";
 const V6: &str = "[2001:db8::1:2]:7947";
 
-fn at(address: &str) -> SocketAddr {
-    address.parse().expect("an address")
+fn socket_address(address: &str) -> SocketAddr {
+    address.parse().expect("valid socket address")
 }
 fn record(
     name: &str,
@@ -27,8 +28,8 @@
     MemberRecord {
         name: name.into(),
         site: format!("site-of-{name}").into(),
-        address: at(address),
-        client_address: client_address.map(at),
+        address: socket_address(address),
+        client_address: client_address.map(socket_address),
         state: MemberState {
             incarnation: 0x0012_3456_789a_bcde,
             version: 0x0102_0304,
@@ -65,7 +66,7 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// Every kind of datagram, then every variant of what is inside a record.
+/// Returns every kind of datagram, then every variant of the fields of a record.
 #[expect(clippy::too_many_lines, reason = "a flat list of datagrams")]
 fn cases() -> Vec<(&'static str, Packet)> {
     let summary = ViewSummary {
@@ -80,7 +81,7 @@
     let checksums: Vec<u64> = (0..64).map(|n| n * 0x0001_0000_0001).collect();
     let a = record("a", AdvertisedStatus::Joining, Liveness::Alive, V4, None);
     let b = record("b", AdvertisedStatus::Left, Liveness::Dead, V6, Some(V4));
-    let asks = |body| Packet {
+    let query_packet = |body| Packet {
         fleet: "billing".into(),
         sender: None,
         body,
@@ -106,7 +107,7 @@
             packet(Body::PingRequest {
                 seq: 11,
                 target: "target".into(),
-                address: at(V4),
+                address: socket_address(V4),
             }),
         ),
         (
@@ -114,7 +115,7 @@
             packet(Body::PingRequest {
                 seq: 12,
                 target: "target".into(),
-                address: at(V6),
+                address: socket_address(V6),
             }),
         ),
         ("nack", packet(Body::Nack { seq: 13 })),
@@ -153,14 +154,14 @@
         ),
         (
             "query-first",
-            asks(Body::Query {
+            query_packet(Body::Query {
                 seq: 1,
                 after: "".into(),
             }),
         ),
         (
             "query-after",
-            asks(Body::Query {
+            query_packet(Body::Query {
                 seq: 300,
                 after: "n7".into(),
             }),
@@ -259,30 +260,33 @@
 
 #[test]
 fn datagram_bytes_are_stable() {
-    let lines = |(name, packet): &(&str, Packet)| format!("{name} {}\n", hex(&packet.encode()));
-    let written: String = cases().iter().map(lines).collect();
-    assert_eq!(written, include_str!("golden/datagrams.txt"));
+    let to_line = |(name, packet): &(&str, Packet)| format!("{name} {}\n", hex(&packet.encode()));
+    let actual: String = cases().iter().map(to_line).collect();
+    assert_eq!(actual, include_str!("golden/datagrams.txt"));
 }
 
 #[test]
-fn golden_datagrams_are_understood() {
+fn golden_datagrams_decode_to_the_expected_packets() {
     let golden = include_str!("golden/datagrams.txt");
     assert_eq!(golden.lines().count(), cases().len());
     for (line, (name, packet)) in golden.lines().zip(cases()) {
-        let (_, text) = line.split_once(' ').expect("a name and bytes");
-        let byte = |n| u8::from_str_radix(&text[n..n + 2], 16).expect("hex");
+        let (_, text) = line
+            .split_once(' ')
+            .expect("a case name and hexadecimal bytes");
+        let byte = |n| u8::from_str_radix(&text[n..n + 2], 16).expect("hexadecimal byte");
         let bytes: Vec<u8> = (0..text.len()).step_by(2).map(byte).collect();
         assert_eq!(Packet::decode(&bytes, "billing"), Ok(packet), "{name}");
     }
 }
 
-/// What members compute alike and compare by: hashes of names, incarnations, and the digest of a view.
+/// Values that all members must compute identically: hashes of names, incarnations, and the digest
+/// of a view.
 #[test]
 fn hashes_and_digests_are_stable() {
     let own = record("me", AdvertisedStatus::Joining, Liveness::Alive, V4, None);
     let now = Duration::from_secs(1);
     let mut view = MembershipView::new(Settings::default(), "billing".into(), own, vec![], now);
-    let alone = view.digest();
+    let digest_alone = view.digest();
     let members = vec![
         record("n1", AdvertisedStatus::Joining, Liveness::Alive, V4, None),
         record("n2", AdvertisedStatus::Up, Liveness::Alive, V4, Some(V6)),
@@ -307,18 +311,18 @@
         updates: members,
         ..packet(Body::Gossip)
     };
-    view.handle_packet(gossip, at(V4), now, &mut |_| 0, &mut vec![]);
-    let written = format!(
-        "hash-of-empty {:016x}\nhash-of-node-1 {:016x}\nlife {:016x}\ndigest-alone {alone:016x}\ndigest-of-all {:016x}\n",
+    view.handle_packet(gossip, socket_address(V4), now, &mut |_| 0, &mut vec![]);
+    let actual = format!(
+        "hash-of-empty {:016x}\nhash-of-node-1 {:016x}\nlife {:016x}\ndigest-alone {digest_alone:016x}\ndigest-of-all {:016x}\n",
         hash_name(""),
         hash_name("node-1"),
         new_incarnation(1_700_000_000_123, 0xfedc_ba98_7654_3210),
         view.digest(),
     );
-    assert_eq!(written, include_str!("golden/hashes.txt"));
+    assert_eq!(actual, include_str!("golden/hashes.txt"));
 }
 
-/// The names by which a partition status is reported in answers and status.
+/// The names of partition statuses in query replies and command output.
 #[test]
 fn names_of_partition_statuses_are_stable() {
     let names = [
--- a/crates/membership/tests/member_state.rs
+++ b/crates/membership/tests/member_state.rs
@@ -1,4 +1,4 @@
-//! Precedence of member states, in any order and however often they are received.
+//! Precedence of member states, received in any order and any number of times.
 
 use membership::member_state::{
     declare_dead, evaluate_self_claim, merge, new_incarnation, suspect, MergeOutcome, SelfClaim,
@@ -28,14 +28,15 @@
     })
 }
 
-/// A received state, and whether the suspicion of the member expires afterwards.
+/// Received states, each with a flag that is true if the suspicion of the member expires
+/// afterwards.
 fn any_receptions(
     count: std::ops::Range<usize>,
 ) -> impl Strategy<Value = Vec<(MemberState, bool)>> {
     prop::collection::vec((any_state(), any::<bool>()), count)
 }
 
-/// The state that is known after these receptions.
+/// Returns the state that is known after these receptions.
 fn known_after(receptions: &[(MemberState, bool)]) -> Option<MemberState> {
     let mut known: Option<MemberState> = None;
     for (state, suspicion_expires) in receptions {
@@ -57,7 +58,8 @@
 }
 
 proptest! {
-    /// A state of an earlier incarnation may arrive late: the known incarnation and version never decrease.
+    /// A state of an earlier incarnation may arrive late: the known incarnation and version never
+    /// decrease.
     #[test]
     fn an_older_state_never_replaces_a_newer_one(receptions in any_receptions(1..20)) {
         for count in 1..receptions.len() {
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Whatever was received before: a member's newest refutation is accepted.
+    /// A member's newest refutation is accepted, whatever was received before.
     #[test]
     fn the_newest_refutation_is_accepted(before in any_receptions(0..10)) {
         let mut own = MemberState {
@@ -102,18 +104,18 @@
         ..alive
     };
     assert_eq!(merge(Some(&alive), &dead), MergeOutcome::Suspect);
-    let suspected = suspect(&alive).expect("it is alive");
+    let suspected = suspect(&alive).expect("an alive member can be suspected");
     assert_eq!(
         merge(Some(&suspected), &dead),
         MergeOutcome::Ignore,
-        "its time to refute continues"
+        "the time to refute continues"
     );
     assert_eq!(declare_dead(&suspected), Some(dead));
     assert_eq!(suspect(&suspected), None);
     assert_eq!(suspect(&dead), None);
     assert_eq!(declare_dead(&alive), None);
     assert_eq!(declare_dead(&dead), None);
-    // A member that leaves is believed at once.
+    // An announcement that a member leaves is accepted at once.
     let left = MemberState {
         version: 1,
         status: AdvertisedStatus::Left,
@@ -122,10 +124,10 @@
     assert_eq!(merge(Some(&alive), &left), MergeOutcome::Accept);
 }
 
-/// The clock went back before a start: the new process takes an incarnation above the one that its name had, and a process
-/// that serves gives way to a later one.
+/// The clock went back before a process started. The new process takes an incarnation above the
+/// existing one of its name, and a process that is already serving gives way to the later one.
 #[test]
-fn the_younger_process_keeps_the_name() {
+fn the_newer_process_keeps_the_name() {
     let state = |incarnation, status| MemberState {
         incarnation,
         version: 0,
@@ -156,12 +158,12 @@
     assert_eq!(
         evaluate_self_claim(&serving, &ended),
         SelfClaim::Refute(state(new_incarnation(11, 5), AdvertisedStatus::Up)),
-        "the name is its own again"
+        "the serving process takes the name back"
     );
     assert_eq!(
         evaluate_self_claim(&raised, &serving),
         SelfClaim::Ignore,
-        "a late state of an earlier incarnation"
+        "a state of an earlier incarnation arrives late"
     );
     // Two processes that choose an incarnation above the same one choose different ones.
     let other = refutation(&joining(3, 8), &serving);
--- a/crates/membership/tests/packet.rs
+++ b/crates/membership/tests/packet.rs
@@ -1,4 +1,4 @@
-//! Decoding of datagrams: what is rejected, and why.
+//! Decoding of datagrams: which ones are rejected, and with which error.
 
 use std::net::SocketAddr;
 
@@ -93,17 +93,17 @@
 
 proptest! {
     #[test]
-    fn truncated_or_garbled_datagrams_are_dropped(
-        cut in 0usize..200,
-        place in 0usize..200,
-        flip in 1u8..,
+    fn truncated_or_corrupted_datagrams_are_rejected(
+        truncated_len in 0usize..200,
+        position in 0usize..200,
+        flipped_bits in 1u8..,
     ) {
         let bytes = ping().encode();
-        let truncated = &bytes[..cut.min(bytes.len() - 1)];
+        let truncated = &bytes[..truncated_len.min(bytes.len() - 1)];
         prop_assert!(Packet::decode(truncated, "few").is_err());
-        let mut garbled = bytes.clone();
-        let place = place % garbled.len();
-        garbled[place] ^= flip;
-        prop_assert!(Packet::decode(&garbled, "few").is_err());
+        let mut corrupted = bytes.clone();
+        let position = position % corrupted.len();
+        corrupted[position] ^= flipped_bits;
+        prop_assert!(Packet::decode(&corrupted, "few").is_err());
     }
 }
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -1,4 +1,4 @@
-//! Views of a few members; the test itself delivers or drops each datagram.
+//! Views of a few members. The test itself delivers or drops each datagram.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -30,9 +30,9 @@
 }
 
 /// Pseudo-random numbers that are the same in each run.
-struct Indices(usize);
+struct PseudoRandomIndices(usize);
 
-impl Indices {
+impl PseudoRandomIndices {
     fn next(&mut self, bound: usize) -> usize {
         self.0 += 1;
         (self.0 * 7919) % bound
@@ -43,20 +43,20 @@
     true
 }
 
-/// A few views, and a network that loses what the test chooses.
+/// A few views, and a network that drops the datagrams that the test selects.
 struct SmallFleet {
     views: Vec<Option<MembershipView>>,
     now: Duration,
-    random: Indices,
+    random: PseudoRandomIndices,
 }
 
 impl SmallFleet {
-    /// Members that have met each other.
+    /// Starts members and runs them until they know each other.
     fn start(count: u16) -> SmallFleet {
         let mut fleet = SmallFleet {
             views: Vec::new(),
             now: Duration::from_secs(1),
-            random: Indices(0),
+            random: PseudoRandomIndices(0),
         };
         for id in 0..count {
             fleet.add(id, 100);
@@ -79,14 +79,15 @@
     }
 
     fn view(&self, index: usize) -> &MembershipView {
-        self.views[index].as_ref().expect("it runs")
+        self.views[index].as_ref().expect("the member is running")
     }
 
     fn view_mut(&mut self, index: usize) -> &mut MembershipView {
-        self.views[index].as_mut().expect("it runs")
+        self.views[index].as_mut().expect("the member is running")
     }
 
-    /// Delivers datagrams, and those that are sent in answer, where `is_open` lets them pass from one address to another.
+    /// Delivers datagrams, and those that are sent in answer, if `is_open` lets them pass from one
+    /// address to another.
     fn deliver(&mut self, effects: Vec<Effect>, is_open: &dyn Fn(SocketAddr, SocketAddr) -> bool) {
         let mut in_transit = sent_packets(effects);
         while let Some((to, packet)) = in_transit.pop() {
@@ -94,7 +95,7 @@
             let len = bytes.len();
             assert!(len <= Settings::default().max_datagram_len, "{len} bytes");
             let from = packet.sender.as_ref().map_or(address(999), |r| r.address);
-            let packet = Packet::decode(&bytes, "few").expect("what is sent can be decoded");
+            let packet = Packet::decode(&bytes, "few").expect("a sent datagram can be decoded");
             for view in self.views.iter_mut().flatten() {
                 if view.own_record().address == to && is_open(from, to) {
                     let mut effects = Vec::new();
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn members_meet_and_learn_what_each_advertises() {
+fn members_discover_each_other_and_their_statuses() {
     let mut fleet = SmallFleet::start(4);
     fleet.assert_all_agree(4);
     assert_eq!(fleet.view(2).partition_status(), PartitionStatus::Majority);
@@ -153,21 +154,21 @@
         .advertise_status(AdvertisedStatus::Quiesced, now);
     fleet.run(Duration::from_millis(300), all_links);
     for index in 0..4 {
-        let record = fleet.view(index).member("n3").expect("it is known");
+        let record = fleet.view(index).member("n3").expect("the member is known");
         assert_eq!(record.state.status, AdvertisedStatus::Quiesced);
         assert!(!record.accepts_requests());
     }
 }
 
 #[test]
-fn a_member_that_is_cut_off_is_isolated_and_rejoins() {
+fn a_disconnected_member_is_isolated_and_rejoins() {
     let mut fleet = SmallFleet::start(4);
-    let cut_off = |from, to| (from == address(3)) == (to == address(3));
-    // It knows by hearing nobody, long before it has declared each of the others dead.
-    fleet.run(Duration::from_secs(4), cut_off);
+    let is_within_one_side = |from, to| (from == address(3)) == (to == address(3));
+    // Receiving nothing, it becomes isolated long before it has declared each of the others dead.
+    fleet.run(Duration::from_secs(4), is_within_one_side);
     assert_eq!(fleet.view(3).partition_status(), PartitionStatus::Isolated);
     assert_eq!(fleet.view(0).partition_status(), PartitionStatus::Majority);
-    fleet.run(Duration::from_secs(30), cut_off);
+    fleet.run(Duration::from_secs(30), is_within_one_side);
     assert_eq!(fleet.view(3).partition_status(), PartitionStatus::Isolated);
     let other = fleet.view(0);
     assert_eq!(other.partition_status(), PartitionStatus::Majority);
@@ -176,37 +177,37 @@
     fleet.assert_all_agree(4);
 }
 
-/// Of two processes with one name the later one has it. The other sends nothing, and takes the name back when the later
-/// one has died without leaving.
+/// If two processes have the same name, the later one keeps it. The earlier one sends nothing, and
+/// takes the name back when the later one has terminated without leaving.
 #[test]
-fn two_processes_of_one_name_are_one_member() {
+fn the_later_of_two_processes_with_one_name_is_the_member() {
     let mut fleet = SmallFleet::start(3);
     fleet.add(2, 200);
-    // The later one has an address of its own.
+    // The later process has its own address.
     let now = fleet.now;
     fleet.view_mut(3).set_address(address(3), now);
     fleet.run(Duration::from_secs(3), all_links);
     assert!(fleet.view(2).is_superseded());
     assert!(!fleet.view(3).is_superseded());
     assert_eq!(fleet.view(0).present_count(), 3);
-    let record = fleet.view(0).member("n2").expect("it is known");
+    let record = fleet.view(0).member("n2").expect("the member is known");
     assert_eq!(record.address, address(3));
     assert_eq!(record.state.incarnation, 200 << 20);
     fleet.views[3] = None;
     fleet.run(Duration::from_secs(20), all_links);
     assert!(!fleet.view(2).is_superseded());
-    let record = fleet.view(0).member("n2").expect("it is known");
+    let record = fleet.view(0).member("n2").expect("the member is known");
     assert!(record.state.is_present(), "{record:?}");
     assert_eq!(record.address, address(2));
     assert!(record.state.incarnation > 200 << 20, "{record:?}");
 }
 
 #[test]
-fn a_node_that_was_stopped_declares_nobody_dead() {
+fn a_node_that_was_paused_declares_no_member_dead() {
     let mut fleet = SmallFleet::start(5);
-    let stopped = fleet.views[4].take();
+    let paused = fleet.views[4].take();
     fleet.run(Duration::from_secs(30), all_links);
-    fleet.views[4] = stopped;
+    fleet.views[4] = paused;
     fleet.run(Duration::from_secs(5), all_links);
     for index in 0..5 {
         let view = fleet.view(index);
@@ -219,7 +220,8 @@
 }
 
 proptest! {
-    /// Forged datagrams, intact and in bounds, at a high rate: the view stays in its bounds and keeps its own state.
+    /// Many forged datagrams, intact and in bounds: the view stays in its bounds and keeps its own
+    /// state.
     #[test]
     fn forged_records_are_refuted_and_bounded(
         forged in prop::collection::vec(
@@ -246,7 +248,7 @@
             view.handle_timers(now, &mut |_| 0, &mut effects);
         }
         prop_assert!(view.members().count() <= 5);
-        let own = view.member("n0").expect("its own record").state;
+        let own = view.member("n0").expect("the view contains its own record").state;
         let keeps_own_state = own == view.own_record().state && own.is_present();
         prop_assert!(view.is_superseded() || keeps_own_state);
     }
