--- a/crates/membership-model/src/actions.rs
+++ b/crates/membership-model/src/actions.rs
@@ -1,4 +1,4 @@
-//! What can happen in the modelled fleet.
+//! The actions of the modelled fleet.
 
 use membership::member_state::{declare_dead, new_incarnation, suspect, INCARNATION_RANDOM_BITS};
 use membership::{AdvertisedStatus, MemberState};
@@ -6,7 +6,7 @@
 use crate::state::{starting_state, FleetState, MemberProcess, SentState};
 use crate::{InjectedBug, MembershipModel};
 
-/// One thing that can happen; members are given by their indices.
+/// An action in the modelled fleet. Members are identified by their indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// A member suspects another one.
@@ -16,14 +16,14 @@
         /// The member that is suspected.
         subject: usize,
     },
-    /// A member's suspicion of another one ends.
+    /// A member's suspicion of another one expires.
     DeclareDead {
         /// The member that suspects.
         by: usize,
         /// The member that is declared dead.
         subject: usize,
     },
-    /// A member sends what it knows of a member.
+    /// A member sends the state that it knows of a member.
     Send {
         /// The sender.
         from: usize,
@@ -32,15 +32,15 @@
         /// The member whose state is sent.
         subject: usize,
     },
-    /// A state that was sent arrives, for the first time or again.
+    /// A sent state is delivered, for the first time or again.
     Deliver(SentState),
-    /// A process ends without leaving.
+    /// A process terminates without leaving.
     Crash(usize),
     /// A process starts again.
     Restart {
         /// The member.
         index: usize,
-        /// Whether its clock shows a time long before the previous start.
+        /// True if the member's clock shows a time long before the previous start.
         clock_went_back: bool,
     },
     /// A member that has joined advertises that it is up.
@@ -69,7 +69,7 @@
         actions.extend(fleet.sent.iter().map(|sent| Action::Deliver(*sent)));
     }
 
-    /// What a running member that has its name may do.
+    /// Lists the actions of a running member that has not been superseded.
     fn list_member_actions(&self, fleet: &FleetState, index: usize, actions: &mut Vec<Action>) {
         let member = &fleet.members[index];
         let own = member.known[index];
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The state after an action; none where it is not possible.
+    /// Returns the state after an action, or `None` if the action is not possible.
     pub(crate) fn apply(&self, fleet: &FleetState, action: Action) -> Option<FleetState> {
         let mut next = fleet.clone();
         match action {
@@ -123,7 +123,7 @@
             Action::Restart {
                 index,
                 clock_went_back,
-            } => next.members[index] = self.restarted(fleet, index, clock_went_back),
+            } => next.members[index] = self.restarted_process(fleet, index, clock_went_back),
             Action::BecomeUp(index) => {
                 let own = fleet.members[index].known[index]?;
                 next.members[index].known[index] = Some(MemberState {
@@ -136,10 +136,16 @@
         Some(next)
     }
 
-    /// A new process of a member. Its clock is past the previous incarnation, or long before it.
-    fn restarted(&self, fleet: &FleetState, index: usize, clock_went_back: bool) -> MemberProcess {
+    /// Returns a new process of a member. Its clock is past the previous incarnation, or long
+    /// before it.
+    fn restarted_process(
+        &self,
+        fleet: &FleetState,
+        index: usize,
+        clock_went_back: bool,
+    ) -> MemberProcess {
         let previous = fleet.members[index].known[index].map_or(0, |state| state.incarnation);
-        // Each process has random bits of its own.
+        // Each process has its own random bits.
         let random = if self.has_bug(InjectedBug::NoRandomBits) {
             0
         } else {
--- a/crates/membership-model/src/healing.rs
+++ b/crates/membership-model/src/healing.rs
@@ -1,4 +1,4 @@
-//! What the views come to once the network has healed and nobody is suspected without a cause.
+//! The views after the network has healed, when no member is suspected without a cause.
 
 use membership::member_state::{declare_dead, suspect};
 use membership::{Liveness, MemberState};
@@ -6,11 +6,12 @@
 use crate::state::{FleetState, SentState};
 use crate::{InjectedBug, MembershipModel};
 
-/// Rounds after which views that still change are taken to change for ever.
+/// Number of rounds after which views that still change are assumed never to settle.
 const MAX_ROUNDS: usize = 16;
 
 impl MembershipModel {
-    /// The state that the fleet settles in once the network has healed; none if it never settles.
+    /// Returns the state in which the fleet settles after the network has healed, or `None` if it
+    /// never settles.
     pub fn heal(&self, fleet: &FleetState) -> Option<FleetState> {
         let mut fleet = fleet.clone();
         for _ in 0..MAX_ROUNDS {
@@ -27,14 +28,14 @@
         None
     }
 
-    /// A member finds out who runs, and sends all that it knows to all others.
+    /// Lets a member find out which members are running, and sends all that it knows to all others.
     fn exchange_states(&self, fleet: &mut FleetState, sender: usize) {
         self.reclaim_name(fleet, sender);
         let member_count = fleet.members.len();
         for subject in 0..member_count {
             if subject != sender && !fleet.members[subject].is_running {
                 let known = &mut fleet.members[sender].known[subject];
-                *known = known.map(|state| self.fail_probe(state));
+                *known = known.map(|state| self.conclude_failed_probe(state));
             }
             let Some(state) = fleet.members[sender].known[subject] else {
                 continue;
@@ -46,8 +47,8 @@
         }
     }
 
-    /// A member that gave way probes the process that uses its name. In the model one process of a name runs, so the other
-    /// one is dead.
+    /// Lets a superseded member probe the process that uses its name. In the model only one process
+    /// of a name runs, so the other one is dead.
     fn reclaim_name(&self, fleet: &mut FleetState, index: usize) {
         if let Some(successor) = fleet.members[index].superseded_by {
             let dead = SentState {
@@ -62,8 +63,8 @@
         }
     }
 
-    /// What a member concludes of one that does not run.
-    fn fail_probe(&self, known: MemberState) -> MemberState {
+    /// Returns the state that a member concludes for one that is not running.
+    fn conclude_failed_probe(&self, known: MemberState) -> MemberState {
         let suspected = suspect(&known).unwrap_or(known);
         match declare_dead(&suspected) {
             Some(dead) if !self.has_bug(InjectedBug::NeverDeclareDead) => dead,
--- a/crates/membership-model/src/lib.rs
+++ b/crates/membership-model/src/lib.rs
@@ -1,6 +1,7 @@
-//! A model of fleet membership for the checker `stateright`: members crash and restart, also with a clock that went back,
-//! suspect whom they like, and a network loses, duplicates and delays what they send. How a received state changes a view is
-//! decided by the shipped functions of [`membership::member_state`].
+//! A model of fleet membership for the model checker `stateright`. Members crash and restart, also
+//! with a clock that went back, and suspect any other member. The network loses, duplicates and
+//! delays what they send. The production functions of [`membership::member_state`] decide how a
+//! received state changes a view.
 
 mod actions;
 mod healing;
@@ -12,7 +13,7 @@
 pub use actions::Action;
 pub use state::{FleetState, MemberProcess, SentState};
 
-/// A bug put into the decisions on purpose, to show that the check finds it.
+/// A bug that is deliberately added to the decisions, to show that the check finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
     /// Members do not refute false claims.
@@ -21,7 +22,7 @@
     RefutationKeepsVersion,
     /// States are compared without their incarnations.
     IgnoreIncarnation,
-    /// A suspicion never ends.
+    /// A suspicion never expires.
     NeverDeclareDead,
     /// A process that starts under a clock that went back keeps its early incarnation.
     KeepEarlyIncarnation,
@@ -29,18 +30,19 @@
     NoRandomBits,
 }
 
-/// The bounds of the model, and its injected bug if it has one.
+/// The bounds of the model, and an optional injected bug.
 #[derive(Clone, Debug)]
 pub struct MembershipModel {
-    /// How many members the fleet has.
+    /// Number of members of the fleet.
     pub member_count: usize,
-    /// How many crashes happen in all; each is followed by a restart at any time, or never.
+    /// Maximum total number of crashes. Each is followed by a restart at any time, or by none.
     pub max_crashes: u8,
-    /// How many suspicions are raised in all, true or false.
+    /// Maximum total number of suspicions, true or false.
     pub max_suspicions: u8,
-    /// How many states are sent in all; each arrives never, once or often, at any time.
+    /// Maximum total number of states sent. Each is delivered never, once or several times, at any
+    /// time.
     pub max_sent: u8,
-    /// What is wrong on purpose.
+    /// The injected bug, if any.
     pub injected_bug: Option<InjectedBug>,
 }
 
@@ -55,7 +57,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<FleetState> {
-        vec![FleetState::all_up(self.member_count)]
+        vec![FleetState::with_all_members_up(self.member_count)]
     }
 
     fn actions(&self, state: &FleetState, actions: &mut Vec<Action>) {
@@ -74,7 +76,7 @@
                 |_, state: &FleetState| !state.has_regressed,
             ),
             Property::always(
-                "once the network has healed, all views agree and are true",
+                "after the network has healed, all views agree and are correct",
                 |model: &MembershipModel, state: &FleetState| {
                     model
                         .heal(state)
--- a/crates/membership-model/src/reception.rs
+++ b/crates/membership-model/src/reception.rs
@@ -1,4 +1,4 @@
-//! What a member does with a received state.
+//! Handling of a received state by a member.
 
 use membership::member_state::{evaluate_self_claim, merge, MergeOutcome, SelfClaim};
 use membership::{Liveness, MemberState};
@@ -50,7 +50,7 @@
         let before = *known;
         let mut compared = sent.state;
         if self.has_bug(InjectedBug::IgnoreIncarnation) {
-            // What the comparison sees, not what is stored.
+            // Changes only the state used in the comparison, not the one that is stored.
             compared.incarnation = before.map_or(compared.incarnation, |state| state.incarnation);
         }
         match merge(before.as_ref(), &compared) {
--- a/crates/membership-model/src/state.rs
+++ b/crates/membership-model/src/state.rs
@@ -5,23 +5,23 @@
 use membership::member_state::new_incarnation;
 use membership::{AdvertisedStatus, Liveness, MemberState};
 
-/// A member's process, and what it knows of all members; of itself it knows its own state.
+/// A member's process and the states that it knows of all members, including its own.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MemberProcess {
-    /// Whether the process runs.
+    /// True if the process is running.
     pub is_running: bool,
-    /// The state of the process that it gave way to, if another one uses its name.
+    /// The state of the successor if another process uses its name.
     pub superseded_by: Option<MemberState>,
-    /// The known states, by the index of the member.
+    /// The known states, indexed by member.
     pub known: Vec<Option<MemberState>>,
 }
 
 /// A state that a member sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SentState {
-    /// The index of the member that it is sent to.
+    /// Index of the member that the state is sent to.
     pub to: usize,
-    /// The index of the member that it describes.
+    /// Index of the member that the state describes.
     pub subject: usize,
     /// The state.
     pub state: MemberState,
@@ -32,19 +32,19 @@
 pub struct FleetState {
     /// The members.
     pub members: Vec<MemberProcess>,
-    /// States on their way or delivered already.
+    /// States that are in transit or already delivered.
     pub sent: BTreeSet<SentState>,
-    /// How many crashes have happened.
+    /// Number of crashes so far.
     pub crashes: u8,
-    /// How many suspicions have been raised.
+    /// Number of suspicions raised so far.
     pub suspicions: u8,
-    /// How many states have been sent.
+    /// Number of states sent so far.
     pub sent_count: u8,
-    /// Whether any member ever replaced a newer state by an older one.
+    /// True if any member ever replaced a newer state by an older one.
     pub has_regressed: bool,
 }
 
-/// The state with which a process starts.
+/// Returns the state with which a process starts.
 pub(crate) fn starting_state(incarnation: u64) -> MemberState {
     MemberState {
         incarnation,
@@ -55,8 +55,8 @@
 }
 
 impl FleetState {
-    /// A fleet whose members all run and know each other.
-    pub(crate) fn all_up(member_count: usize) -> FleetState {
+    /// Returns a fleet whose members are all running and know each other.
+    pub(crate) fn with_all_members_up(member_count: usize) -> FleetState {
         let up = MemberState {
             status: AdvertisedStatus::Up,
             ..starting_state(new_incarnation(2, 0))
@@ -76,15 +76,15 @@
         }
     }
 
-    /// Whether all running members know the same of each other, as present, and know no member as present that does not
-    /// run.
+    /// Returns true if all running members know the same state of each other, as present, and know
+    /// no member as present that is not running.
     pub fn is_consistent(&self) -> bool {
         let running = self.members.iter().filter(|member| member.is_running);
         let mut views = running.map(|member| &member.known);
-        views.all(|known| (0..self.members.len()).all(|subject| self.is_true(known, subject)))
+        views.all(|known| (0..self.members.len()).all(|subject| self.is_correct(known, subject)))
     }
 
-    fn is_true(&self, known: &[Option<MemberState>], subject: usize) -> bool {
+    fn is_correct(&self, known: &[Option<MemberState>], subject: usize) -> bool {
         let member = &self.members[subject];
         if member.is_running {
             let is_present = known[subject].is_some_and(|state| state.is_present());
--- a/crates/membership-model/tests/membership_model.rs
+++ b/crates/membership-model/tests/membership_model.rs
@@ -1,4 +1,5 @@
-//! The check itself: the properties hold under everything that the model can do, and each injected bug is found.
+//! The model check: the properties hold in all reachable states of the model, and each injected bug
+//! is found.
 
 use membership_model::{InjectedBug, MembershipModel};
 use stateright::{Checker, Model};
@@ -13,7 +14,7 @@
     }
 }
 
-/// Two crashes in a fleet of two: both members restart, with clocks that went back or not.
+/// Two crashes in a fleet of two: both members restart, with or without clocks that went back.
 fn two_members() -> MembershipModel {
     MembershipModel {
         member_count: 2,
@@ -24,12 +25,12 @@
     }
 }
 
-/// Checks every reachable state, and returns how many there are.
+/// Checks every reachable state and returns the number of unique states.
 fn assert_properties_hold(model: MembershipModel) -> usize {
     let checker = model.checker().threads(4).spawn_bfs().join();
     let unique_states = checker.unique_state_count();
     println!(
-        "{} states, {unique_states} of them different",
+        "{} states, {unique_states} of them unique",
         checker.state_count()
     );
     checker.assert_properties();
@@ -47,7 +48,7 @@
     assert_properties_hold(two_members());
 }
 
-/// Guards the check: it must be able to fail.
+/// Guards against a check that cannot fail.
 #[test]
 fn each_injected_bug_is_found() {
     let bugs = [
@@ -63,6 +64,9 @@
             ..two_members()
         };
         let checker = model.checker().threads(4).spawn_bfs().join();
-        assert!(!checker.discoveries().is_empty(), "{bug:?} is not found");
+        assert!(
+            !checker.discoveries().is_empty(),
+            "the check does not find {bug:?}"
+        );
     }
 }
