--- a/src/node/cell_guard.rs
+++ b/src/node/cell_guard.rs
@@ -1,4 +1,5 @@
-//! The cells in force at a node: which tenants are its own, and which requests it must reject.
+//! The cell layout in force at a node, which determines the requests that the node must reject
+//! because their tenant belongs to another cell.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -6,7 +7,7 @@
 use cells::{CellMap, Epoch, Layout, LayoutError, Name, PublishedMap};
 use json5_errors::{read_text, ConfigFileError, UnreadableFile};
 
-/// Why a file of cells can't be put in force.
+/// Why a cells file can't be put in force.
 #[derive(Debug, thiserror::Error)]
 pub enum CellGuardError {
     /// The file can't be read.
@@ -15,26 +16,26 @@
     /// The file can't be used.
     #[error(transparent)]
     File(#[from] ConfigFileError),
-    /// The file can't follow the one in force.
+    /// The file is not a valid successor of the one in force.
     #[error("{}: {source}", .path.display())]
     Layout {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// Why the layout was rejected.
         source: LayoutError,
     },
     /// This node is not in the file.
-    #[error("{}: nodes: {node}, this node, is not there", .path.display())]
+    #[error("{}: nodes: this node, {node}, is not listed", .path.display())]
     NodeNotInFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
         /// The name of this node.
         node: String,
     },
 }
 
-/// The cells in force at a node, shared between threads: the policy's thread checks requests, the main thread reloads
-/// the file.
+/// The cell layout in force at a node. It is shared between threads: the policy's thread checks
+/// requests against it, and the main thread reloads the file.
 #[derive(Clone)]
 pub struct CellGuard {
     node: Name,
@@ -43,10 +44,10 @@
 }
 
 impl CellGuard {
-    /// Reads the file of cells for the node of this name.
+    /// Reads the cells file for the node of this name.
     ///
     /// # Errors
-    /// The file can't be read or used, or does not name the node.
+    /// The file can't be read, is invalid or does not list the node.
     pub fn read(file: &Path, node: &str) -> Result<CellGuard, CellGuardError> {
         let guard = CellGuard {
             node: node.into(),
@@ -57,10 +58,12 @@
         Ok(guard)
     }
 
-    /// Reads the file again and returns the epoch in force afterwards. A file that can't be used changes nothing.
+    /// Reads the file again and returns the epoch in force afterwards. After an error the previous
+    /// layout stays in force.
     ///
     /// # Errors
-    /// The file can't be read or used, can't follow the map in force, or does not name this node.
+    /// The file can't be read, is invalid, is not a valid successor of the map in force, or does
+    /// not list this node.
     pub fn reload(&self) -> Result<Epoch, CellGuardError> {
         let text = read_text(&self.file)?;
         let layout = Layout::parse(&self.file.display().to_string(), &text)?;
@@ -83,8 +86,8 @@
         Ok(self.map.load().epoch())
     }
 
-    /// Checks whether this node's cell serves the tenant's requests on this subject. If not, returns the epoch as of
-    /// which another cell does, or none at all.
+    /// Checks whether this node's cell serves the tenant's requests on this subject. Returns `None`
+    /// if it does, and the epoch of the map in force if another cell or no cell does.
     pub fn wrong_cell_epoch(&self, tenant: &str, subject: Option<&str>) -> Option<Epoch> {
         let map: Arc<CellMap> = self.map.load();
         let is_own_cell = map
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -1,4 +1,5 @@
-//! Messages between the policy's actor, the clients' connections, the executor's actor and the database's actor.
+//! Messages between the policy actor, the client connections, the executor actor and the database
+//! actor.
 
 use std::time::Duration;
 
@@ -8,36 +9,37 @@
 use super::held_work::{HeldWork, LeftWork};
 use super::request::{Arrival, Payload, RequestUid};
 
-/// A message to the policy's mailbox.
+/// A message to the mailbox of the policy actor.
 pub enum PolicyMessage {
     /// A client has sent a request.
     RequestArrived(Box<Arrival>),
-    /// The connection to the executor is established; the first one says how the executor started.
+    /// The connection to the executor has been established. The first message of this kind
+    /// determines how the policy starts.
     ExecutorConnected {
-        /// Whether the executor started cold.
+        /// True if the executor started cold.
         is_cold: bool,
-        /// Time since that start.
+        /// Time since the executor started.
         age: Duration,
     },
-    /// The connection to the executor broke: recent commands may or may not have arrived.
+    /// The connection to the executor broke. Recent commands may or may not have arrived.
     ExecutorDisconnected,
-    /// A run ended.
+    /// A run has ended.
     RunEnded {
-        /// The request that ran.
+        /// The request of the run.
         uid: RequestUid,
-        /// How its run ended, as the executor reports it.
+        /// How the run ended, as the executor reports it.
         report: RunReport,
     },
     /// A run waits for a database call.
     CallRequested {
-        /// The request that runs.
+        /// The request of the run.
         uid: RequestUid,
-        /// Number of the executor's notice that asked for the call.
+        /// Number of the executor's notice that requested the call.
         notice: u64,
         /// The body of the call.
         payload: Payload,
     },
-    /// The gauges that [`ExecutorCommand::ReadGauges`] asked for.
+    /// The reply to [`ExecutorCommand::ReadGauges`].
     GaugesRead {
         /// The tag of the command.
         tag: u64,
@@ -46,62 +48,66 @@
     },
     /// The executor rejected the command to run this request.
     RunRejected(RequestUid),
-    /// The caller of a request has disconnected and waits no more.
+    /// The caller of this request has disconnected and no longer waits for the answer.
     CallerDisconnected(RequestUid),
-    /// A database call ended.
+    /// A database call has ended.
     CallEnded {
         /// The request that the call was made for.
         id: RequestId,
         /// How the call ended.
         result: CallResult,
-        /// How long the call took.
+        /// Duration of the call.
         elapsed: Duration,
     },
-    /// The number of calls that were given up, and that the database may still have in progress, has changed to this.
+    /// The number of calls that were given up but may still be in progress at the database has
+    /// changed to this number.
     UnconfirmedCallsChanged(usize),
     /// The node's quota of concurrent database calls has changed to this number.
     CallLimitChanged(usize),
     /// The number of resource shares that this process holds has changed to this number.
     ResourceSharesChanged(u32),
-    /// Another process of the node is there.
+    /// Another process of the node is running.
     SiblingSeen,
-    /// Another process of the node has ended, and left this work.
+    /// Another process of the node has ended and left this work running.
     SiblingEnded(LeftWork),
-    /// An earlier process of the node had ended, and left this work, before this process took its place.
+    /// An earlier process of the node ended and left this work running before this process replaced
+    /// it.
     EarlierWorkFound(HeldWork),
-    /// An earlier process of the node was killed with this many calls at a database that did not respond.
+    /// An earlier process of the node was killed with this many calls at a database that did not
+    /// respond.
     EarlierCallsFound(u32),
-    /// This process is about to end: from here on nothing is started, and what it holds goes to this sender.
+    /// This process is about to end. Nothing is started from now on, and the work that the process
+    /// holds is sent to this sender.
     ReportHeldWork(Sender<HeldWork>),
     /// The node is to shut down gracefully.
     ShutDown,
-    /// Another process of the node has taken over; this one is ended after this time.
+    /// Another process of the node has taken over; this one is terminated after this time.
     Replaced(Duration),
 }
 
 /// How a run ended, as the executor reports it.
 pub enum RunReport {
-    /// It succeeded with this result.
+    /// The run succeeded with this result.
     Succeeded(Payload),
-    /// It failed with an error.
+    /// The run failed with an error.
     Failed,
-    /// It was stopped.
+    /// The run was stopped.
     Stopped,
-    /// It was never started.
+    /// The run was never started.
     NeverStarted,
 }
 
 /// How a database call ended.
 pub enum CallResult {
-    /// It succeeded with this reply.
+    /// The call succeeded with this reply.
     Reply(Payload),
-    /// It certainly never ran.
+    /// The call certainly never ran.
     NeverRan,
-    /// It may have taken effect.
+    /// The call may have taken effect.
     Unknown,
 }
 
-/// A command to the executor's actor.
+/// A command to the executor actor.
 pub enum ExecutorCommand {
     /// Run a request.
     Run {
@@ -112,39 +118,39 @@
         /// Its body.
         payload: Payload,
     },
-    /// Stop a run.
+    /// Stop the run of this request.
     Stop(RequestUid),
-    /// Give a run the reply that it waits for.
+    /// Return the reply that a run waits for.
     ReturnReply {
-        /// The request that runs.
+        /// The request of the run.
         uid: RequestUid,
         /// The body of the reply.
         payload: Payload,
     },
-    /// Let a run continue without the call that it asked for.
+    /// Let a run continue without the call that it requested.
     SkipCall {
-        /// The request that runs.
+        /// The request of the run.
         uid: RequestUid,
-        /// Number of the executor's notice that asked for the call.
+        /// Number of the executor's notice that requested the call.
         notice: u64,
     },
-    /// Replace the connection: the executor does not answer on it.
+    /// Replace the connection, as the executor does not answer on it.
     Reconnect,
-    /// Read the gauges, which come back as [`PolicyMessage::GaugesRead`].
+    /// Read the gauges; [`PolicyMessage::GaugesRead`] is the reply.
     ReadGauges {
-        /// Identifies the readings that belong to this command.
+        /// Identifies the reply to this command.
         tag: u64,
     },
 }
 
-/// A database call that the policy wants made.
+/// A database call that the policy has decided to make.
 pub struct DatabaseCall {
-    /// The request that it is made for, as the policy numbers it.
+    /// The request that the call is made for, by the id that the policy uses.
     pub id: RequestId,
-    /// The same request, as the peers know it.
+    /// The same request, by the id that peers use.
     pub uid: RequestUid,
-    /// The body that the executor gave.
+    /// The body of the call, as the executor sent it.
     pub payload: Payload,
-    /// How long the node waits for the reply.
+    /// Maximum time to wait for the reply.
     pub timeout: Duration,
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! The core of the node. It knows no wire protocol: clients hand it [`Arrival`]s, peers hand it
-//! [`PolicyMessage`]s, and it sends its commands to their mailboxes.
+//! The core of the node, independent of wire protocols: clients send it [`Arrival`]s, peers send it
+//! [`PolicyMessage`]s, and it sends commands to the peers' mailboxes.
 
 pub mod cell_guard;
 pub mod config;
@@ -30,18 +30,18 @@
 pub use request::{Answer, Arrival, CellKey, Failure, Outcome, Payload, RequestUid, Responder};
 pub use status::NodeStatus;
 
-/// The longest deadline of the site's classes; zero without classes.
+/// Returns the longest deadline of the site's classes, or zero if the site has no classes.
 fn longest_deadline(site: &Site) -> Span {
     let deadlines = site.settings.classes.iter().map(|class| class.deadline.0);
     Span(deadlines.max().unwrap_or(0))
 }
 
-/// The steady clock, on which all arrivals and deadlines are measured.
+/// Returns the current time of the steady clock, on which all arrivals and deadlines are measured.
 pub fn steady_now() -> Time {
     Time(SteadyTime::now().0)
 }
 
-/// When a request arrived, on the steady clock, by the wall-clock time that it carries.
+/// Converts the wall-clock time that a request carries to its arrival time on the steady clock.
 pub fn arrival_time(sent_at: UnixTime) -> Time {
     Time(ClockReading::now().steady_time_of(sent_at).0)
 }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! The mailboxes and counters through which the policy's actor reaches its peers.
+//! The mailboxes and counters through which the policy actor communicates with its peers.
 
 use std::sync::Arc;
 
@@ -9,10 +9,10 @@
 use super::messages::{DatabaseCall, ExecutorCommand};
 use super::request::RequestUid;
 
-/// Reads the other nodes' counts for each of these keys, while they are known.
+/// Returns the other nodes' counts for each of these keys, or `None` while they are not known.
 type ReadOthers = dyn Fn(&[u64]) -> Option<InFlightElsewhere> + Send;
 
-/// Counts of requests in flight by tenant, where the fleet shares them.
+/// Numbers of requests in flight by tenant, which the nodes of the fleet share.
 pub struct FleetCounters {
     /// This node's own counts.
     pub own: Arc<AtomicSketchCounters>,
@@ -20,22 +20,24 @@
     pub read_others: Box<ReadOthers>,
 }
 
-/// The peers of the policy's actor.
+/// The peers of the policy actor.
 pub struct Peers {
-    /// The mailbox of the executor's actor.
+    /// The mailbox of the executor actor.
     pub executor: Sender<ExecutorCommand>,
-    /// Hands a call to the database's actor; false if its mailbox is full.
+    /// Sends a call to the database actor. Returns false if its mailbox is full.
     pub database: Box<dyn Fn(DatabaseCall) -> bool + Send>,
-    /// Tells the database's actor that the run of a request is over.
+    /// Notifies the database actor that the run of a request has ended.
     pub run_ended: Box<dyn Fn(RequestUid) + Send>,
-    /// Has the database's actor count calls that an earlier process of the node left behind.
+    /// Has the database actor count calls that an earlier process of the node left in progress.
     pub inherit_calls: Box<dyn Fn(usize) + Send>,
-    /// How many calls the database's actor counts as in flight.
+    /// Returns the number of calls that the database actor counts as in flight.
     pub calls_in_flight: Box<dyn Fn() -> usize + Send>,
-    /// The same while the database does not respond, and 0 while it does.
+    /// Returns the number of calls in flight while the database does not respond, and 0 while it
+    /// does.
     pub calls_at_unresponsive_database: Box<dyn Fn() -> usize + Send>,
-    /// Reports how many requests wait for permission to call, where the fleet shares a quota of calls.
+    /// Reports the number of requests that wait for permission to make a call, where the fleet
+    /// shares a quota of calls.
     pub report_waiting: Option<Box<dyn Fn(usize) + Send>>,
-    /// Counts that the fleet shares.
+    /// Request counts that the nodes of the fleet share.
     pub fleet: Option<FleetCounters>,
 }
--- a/src/node/rate_limited_log.rs
+++ b/src/node/rate_limited_log.rs
@@ -1,9 +1,9 @@
-//! A limit on log lines that a peer can cause as often as it likes.
+//! A rate limit for log lines that a peer can cause at any rate.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Lets one log line through in each interval and counts the lines that it suppressed.
+/// Writes at most one log line per interval and counts the lines that it suppresses.
 pub struct RateLimitedLog {
     interval: Duration,
     state: Mutex<State>,
@@ -16,7 +16,7 @@
 }
 
 impl RateLimitedLog {
-    /// A log that writes at most one line in each `interval`.
+    /// Creates a log that writes at most one line per `interval`.
     pub fn new(interval: Duration) -> RateLimitedLog {
         RateLimitedLog {
             interval,
@@ -24,7 +24,8 @@
         }
     }
 
-    /// Calls `write` if a line is due, with the number of lines suppressed since the last one.
+    /// Calls `write` with the number of lines suppressed since the last line, unless that line was
+    /// written less than one interval ago.
     pub fn log(&self, write: impl FnOnce(u64)) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         if state
--- a/src/node/request.rs
+++ b/src/node/request.rs
@@ -1,4 +1,4 @@
-//! A request and its one answer, as the core sees them.
+//! A request and its single answer, as the core of the node handles them.
 
 use std::fmt;
 
@@ -21,14 +21,14 @@
             .then_some(RequestUid(bytes))
     }
 
-    /// The id whose digits are this number's.
+    /// Returns the id whose hex digits are those of this number.
     pub fn from_number(n: u64) -> RequestUid {
         let mut bytes = [0; 16];
         bytes.copy_from_slice(format!("{n:016x}").as_bytes());
         RequestUid(bytes)
     }
 
-    /// The digits.
+    /// Returns the hex digits.
     pub fn as_str(&self) -> &str {
         std::str::from_utf8(&self.0).unwrap_or("")
     }
@@ -42,28 +42,28 @@
 
 /// The bytes of a request, a result, a call or a reply.
 ///
-/// The core does not interpret them. They are kept in base64, as most peers send and expect them, so that they are
-/// not decoded and encoded again on the way.
+/// The core does not interpret them. They are kept in base64, as most peers send and expect them,
+/// to avoid decoding and encoding them again.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Payload(Box<str>);
 
 impl Payload {
-    /// A payload received as base64 text.
+    /// Creates a payload from base64 text.
     pub fn from_base64(text: impl Into<Box<str>>) -> Payload {
         Payload(text.into())
     }
 
-    /// A payload received as raw bytes.
+    /// Creates a payload from raw bytes.
     pub fn from_bytes(bytes: &[u8]) -> Payload {
         Payload(STANDARD.encode(bytes).into())
     }
 
-    /// The base64 text.
+    /// Returns the base64 text.
     pub fn as_base64(&self) -> &str {
         &self.0
     }
 
-    /// The raw bytes, or `None` where the peer's base64 is invalid.
+    /// Returns the raw bytes, or `None` if the peer's base64 is invalid.
     pub fn to_bytes(&self) -> Option<Vec<u8>> {
         STANDARD.decode(self.0.as_bytes()).ok()
     }
@@ -72,20 +72,20 @@
 /// Why a request failed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Failure {
-    /// Its run ended in an error.
+    /// The run of the request ended with an error.
     RunFailed,
-    /// The policy gave it up.
+    /// The policy gave the request up.
     GivenUp,
-    /// It may have run before, and must not run twice.
+    /// The request may have run before and must not run twice.
     MayHaveRun,
-    /// Its idempotency key was used with another payload before; this one never ran.
+    /// The idempotency key was used with another payload before; this request never ran.
     PayloadMismatch,
-    /// The executor rejected it, or the node lost track of it.
+    /// The executor rejected the request, or the node dropped it without an answer.
     Internal,
 }
 
 impl Failure {
-    /// The reason as callers see it.
+    /// Returns the reason as it is sent to callers.
     pub fn reason(self) -> &'static str {
         match self {
             Failure::RunFailed => "run failed",
@@ -100,26 +100,26 @@
 /// How a request ended for its caller.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Outcome {
-    /// It was served with the executor's result.
+    /// The request was served with the executor's result.
     Served(Payload),
-    /// It was rejected and never ran.
+    /// The request was rejected and never ran.
     Rejected {
-        /// How long the caller should wait before it retries.
+        /// Time that the caller should wait before it retries.
         retry_after: Span,
-        /// Whether the caller should try no other node either.
+        /// True if the caller should not try another node either.
         is_final: bool,
     },
-    /// It never ran: its tenant belongs to another cell.
+    /// The request never ran, as its tenant belongs to another cell.
     WrongCell {
-        /// The epoch of the cell layout that decided it.
+        /// The epoch of the cell layout that determined this.
         epoch: u64,
     },
-    /// It failed; it may have taken effect.
+    /// The request failed; it may have taken effect.
     Failed(Failure),
 }
 
 impl Outcome {
-    /// A rejection after which the caller may try another node at once.
+    /// Returns a rejection after which the caller may try another node at once.
     pub(super) fn rejected(retry_after: Span) -> Outcome {
         Outcome::Rejected {
             retry_after,
@@ -133,17 +133,18 @@
 pub struct Answer {
     /// How the request ended.
     pub outcome: Outcome,
-    /// The node's capacity hint at that moment.
+    /// The node's capacity hint at the time of the answer.
     pub capacity_hint: Option<f64>,
 }
 
 /// The right to answer a request exactly once.
 ///
-/// One that is dropped unused answers with [`Failure::Internal`], so that no path through the core can lose a request.
+/// A responder that is dropped unused answers with [`Failure::Internal`], so that no path through
+/// the core leaves a request unanswered.
 pub struct Responder(Option<Box<dyn FnOnce(Answer) + Send>>);
 
 impl Responder {
-    /// A responder that hands the answer to `send`.
+    /// Creates a responder that passes the answer to `send`.
     pub fn new(send: impl FnOnce(Answer) + Send + 'static) -> Responder {
         Responder(Some(Box::new(send)))
     }
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Discards the right to answer: the caller has disconnected and gets none.
+    /// Discards the responder without sending an answer, as the caller has disconnected.
     pub fn discard(mut self) {
         self.0 = None;
     }
@@ -172,43 +173,44 @@
     }
 }
 
-/// What decides which cell a request belongs to.
+/// The key that determines which cell a request belongs to.
 pub struct CellKey {
-    /// The name of its tenant.
+    /// The name of the tenant.
     pub tenant: Box<str>,
-    /// The subject of the request, where it names one.
+    /// The subject of the request, if it names one.
     pub subject: Option<Box<str>>,
 }
 
 /// A request that a client has sent.
 pub struct Arrival {
-    /// Its id with the peers.
+    /// The id that peers use for the request.
     pub uid: RequestUid,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its tenant, where one is named.
+    /// The tenant, if the request names one.
     pub tenant: Option<TenantId>,
-    /// Which cell it belongs to, where a tenant is named.
+    /// Determines the cell of the request, if it names a tenant.
     pub cell_key: Option<CellKey>,
-    /// When it reached the machine.
+    /// Time at which the request reached the machine.
     pub arrived_at: Time,
-    /// How long its caller waits from then on, where the caller said so.
+    /// Time after the arrival for which the caller waits, if the caller sent it.
     pub caller_timeout: Option<Span>,
-    /// Who sent it.
+    /// The sender of the request.
     pub caller: CallerId,
-    /// Whether it is marked as a retry or a hedged request.
+    /// True if the request is marked as a retry or a hedged request.
     pub is_retry: bool,
-    /// Kilobytes that it takes while it is queued.
+    /// Kilobytes that the request takes while it is queued.
     pub queued_kb: f64,
-    /// Its body.
+    /// The body of the request.
     pub payload: Payload,
-    /// Its idempotency key: a request that ran under it is not run again, within its class's window or, where the
-    /// class runs at most once, within the lifetime of this process.
+    /// The idempotency key. A request that ran under it is not run again within the window of its
+    /// class or, if the class runs at most once, within the lifetime of this process.
     pub idempotency_key: Option<Box<str>>,
-    /// Whether its source says that an earlier attempt may have run.
+    /// True if the source of the request indicates that an earlier attempt may have run.
     pub may_have_run: bool,
-    /// Whether it was read only to be handed back: it never runs, and is rejected unless it may have run.
+    /// True if the request was read only to be handed back to its source: it never runs, and is
+    /// rejected unless it may have run.
     pub is_handed_back: bool,
-    /// The right to answer it.
+    /// The right to answer the request.
     pub responder: Responder,
 }
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -1,4 +1,4 @@
-//! The state of the node that its connections read without a message to the policy's actor.
+//! The state of the node that its connections read without sending a message to the policy actor.
 
 use std::sync::atomic::{
     AtomicBool, AtomicI64, AtomicU32, AtomicU64, AtomicUsize, Ordering::Relaxed,
@@ -10,18 +10,21 @@
 use lifecycle::{ProcessState, Transition, TransitionError, TOTAL_SHARES};
 use policy::Span;
 
-/// The node's published state: health, capacity hint, idle timeout, and the count of unanswered requests.
-///
-/// Resource shares that a process's requests take, out of [`TOTAL_SHARES`].
+/// Resource shares that the requests of a process use, out of [`TOTAL_SHARES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct UsedShares {
-    /// While the process serves: it needs the places of calls in progress again as they end.
+    /// Shares used while the process serves. Calls in progress are not included, as the process
+    /// needs their slots again when they end.
     pub(super) serving: u32,
-    /// Once it shuts down, with the calls in progress.
+    /// Shares used once the process shuts down, including the calls in progress.
     pub(super) shutting_down: u32,
 }
 
-/// Health checks are answered from here, so that they cost no batch of the policy and agree on every connection.
+/// The node's published state: health, capacity hint, idle timeout, and number of unanswered
+/// requests.
+///
+/// Health checks are answered from this state, so that they need no batch of the policy and give
+/// the same answer on every connection.
 pub struct NodeStatus {
     is_accepting: AtomicBool,
     capacity_hint: AtomicU64,
@@ -58,18 +61,21 @@
 }
 
 impl NodeStatus {
-    /// Whether health checks are answered as healthy: the policy accepts requests and the process serves.
+    /// Returns true if health checks are answered as healthy: the policy accepts requests, and the
+    /// state of the process is a healthy one.
     pub fn is_healthy(&self) -> bool {
         self.is_accepting.load(Relaxed) && self.process_state().is_healthy()
     }
 
-    /// How much of the usual traffic the node wants, as it tells callers; `None` until the policy has set it.
+    /// Returns the capacity hint that answers carry, which indicates to callers how much of the
+    /// usual traffic the node can take; `None` until the policy has set it.
     pub fn capacity_hint(&self) -> Option<f64> {
         let hint = f64::from_bits(self.capacity_hint.load(Relaxed));
         (hint.is_finite() && hint >= 0.0).then_some(hint)
     }
 
-    /// How long a connection may carry nothing before it is closed, once the policy has set it.
+    /// Returns the time after which an idle connection is closed; `None` until the policy has set
+    /// it.
     pub fn idle_timeout(&self) -> Option<Duration> {
         u64::try_from(self.idle_timeout_us.load(Relaxed))
             .ok()
@@ -77,17 +83,20 @@
             .map(Duration::from_micros)
     }
 
-    /// Sets how many shares of the node's client connections this process may have, out of [`TOTAL_SHARES`].
+    /// Sets the number of shares of the node's client connections that this process may have, out
+    /// of [`TOTAL_SHARES`].
     pub fn set_connection_shares(&self, shares: u32) {
         self.connection_shares.store(shares, Relaxed);
     }
 
-    /// How many shares of the node's client connections this process may have, out of [`TOTAL_SHARES`].
+    /// Returns the number of shares of the node's client connections that this process may have,
+    /// out of [`TOTAL_SHARES`].
     pub fn connection_shares(&self) -> u32 {
         self.connection_shares.load(Relaxed)
     }
 
-    /// How many resource shares the requests queued and running in this process take in its present state.
+    /// Returns the number of resource shares that the queued and running requests of this process
+    /// use in its present state.
     pub fn used_shares(&self) -> u32 {
         match self.process_state() {
             ProcessState::ShuttingDown { .. } => self.used_shares_at_shutdown.load(Relaxed),
@@ -95,7 +104,8 @@
         }
     }
 
-    /// How many calls the database may go on with after this process, as it does not respond; 0 where it does.
+    /// Returns the number of calls that the database, as it does not respond, may continue after
+    /// this process has ended; 0 while the database responds.
     pub fn calls_at_unresponsive_database(&self) -> usize {
         self.calls_at_unresponsive_database.load(Relaxed)
     }
@@ -104,17 +114,17 @@
         self.calls_at_unresponsive_database.store(calls, Relaxed);
     }
 
-    /// How many runs are with the executor, those that nobody waits for included.
+    /// Returns the number of runs at the executor, including abandoned ones.
     pub fn open_runs(&self) -> usize {
         self.open_runs.load(Relaxed)
     }
 
-    /// How many requests are not answered yet.
+    /// Returns the number of requests that have not been answered yet.
     pub fn unanswered(&self) -> usize {
         self.unanswered.load(Relaxed)
     }
 
-    /// The state of this process.
+    /// Returns the state of this process.
     pub fn process_state(&self) -> ProcessState {
         *self
             .process_state
@@ -125,7 +135,7 @@
     /// Applies a transition to the state of this process; all later readers see the new state.
     ///
     /// # Errors
-    /// The transition is not possible in the present state, which stays.
+    /// The transition is not possible in the present state, which does not change.
     pub fn apply_transition(
         &self,
         transition: Transition,
@@ -136,7 +146,7 @@
         })
     }
 
-    /// Changes the state of this process under its lock and returns what `change` returns.
+    /// Calls `change` on the state of this process while holding its lock, and returns the result.
     pub fn update_state<T>(&self, change: impl FnOnce(&mut ProcessState) -> T) -> T {
         let mut state = self
             .process_state
@@ -145,13 +155,14 @@
         change(&mut state)
     }
 
-    /// Receives one message as soon as the executor is connected and requests can be accepted.
+    /// Returns a channel that receives one message as soon as the executor is connected and
+    /// requests can be accepted.
     pub fn executor_ready(&self) -> &Receiver<()> {
         &self.executor_ready
     }
 
     pub(super) fn notify_executor_ready(&self) {
-        // If one is already waiting, a second adds nothing.
+        // If the channel is full, a notification is already waiting, and a second is not needed.
         let _ = self.executor_ready_sender.try_send(());
     }
 
--- a/tests/admin_commands.rs
+++ b/tests/admin_commands.rs
@@ -207,7 +207,7 @@
         (
             json!(null),
             Some("here"),
-            "configuration: PROXY_ADMIN is no address",
+            "configuration: PROXY_ADMIN is not a socket address",
         ),
     ] {
         let mut config = node_config(unused, unused, unused);
