--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use thiserror::Error;
 
-use super::limits::MEMORY_MB;
+use super::limits::MAX_MEMORY_MB;
 use crate::wire::Site;
 
 /// The environment variable that holds the path of the configuration file.
@@ -69,7 +69,7 @@
     fn default() -> FileLimits {
         FileLimits {
             sockets: DEFAULT_DESCRIPTORS,
-            memory_mb: MEMORY_MB,
+            memory_mb: MAX_MEMORY_MB,
         }
     }
 }
--- a/src/node/held_work.rs
+++ b/src/node/held_work.rs
@@ -1,74 +1,78 @@
-//! What a process holds of the node's resources as it ends: another process of the node goes on counting it.
+//! The resources of the node that the work of an ended process still uses. Another process of the
+//! node continues to count them.
 
 use lifecycle::TOTAL_SHARES;
 use serde::{Deserialize, Serialize};
 
-/// The part of its resource shares that a process uses for runs.
+/// The fraction of its resource shares that a process uses for runs.
 const USED_FRACTION: f64 = 0.9;
 
-/// Upper bounds of the work that a process has in progress with the executor and the database.
+/// Upper bounds of the work that a process has in progress at the executor and the database.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldWork {
-    /// Runs that may be on the cores.
+    /// Number of runs that may be on the cores.
     pub runs: u32,
-    /// Calls that the database may have in progress.
+    /// Number of calls that the database may have in progress.
     pub calls: u32,
-    /// Kilobytes that the platform counts for runs, on the cores or at a call.
+    /// Kilobytes that the platform counts for runs, both on the cores and waiting for a call.
     pub memory_kb: u64,
 }
 
-/// What is known of the work of a process that has ended.
+/// What is known of the work that a process left running when it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeftWork {
     /// The process recorded it before it ended.
     Recorded(HeldWork),
-    /// There is no record, as where the process was killed.
+    /// There is no record, for example because the process was killed.
     Killed {
-        /// Its runs were within this many shares of the node's concurrency, out of [`TOTAL_SHARES`].
+        /// Number of shares of the node's concurrency, out of [`TOTAL_SHARES`], that the runs of
+        /// the process did not exceed.
         shares: u32,
-        /// Calls that it had in progress, if the database did not respond.
+        /// Number of calls that the process had in progress, if the database did not respond.
         calls: u32,
     },
 }
 
-/// The limits of a whole node, of which work is held.
+/// The capacity of a whole node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct NodeCapacity {
-    /// Runs on the cores that the machine survives.
+    /// Number of concurrent runs on the cores that the machine survives.
     pub(super) runs: f64,
-    /// Kilobytes.
+    /// Memory in kilobytes.
     pub(super) memory_kb: f64,
 }
 
 /// An upper bound of the memory that the platform counts for runs of processes that have ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct LeftMemory {
+pub(super) struct InheritedMemory {
     /// Kilobytes that the processes recorded.
     recorded_kb: f64,
-    /// Runs of processes without a record.
+    /// Number of runs of processes without a record.
     unrecorded_runs: f64,
-    /// Kilobytes of the resource shares of those processes.
+    /// Kilobytes of the resource shares of the processes without a record.
     unrecorded_share_kb: f64,
 }
 
-impl LeftMemory {
-    /// Whether there are runs that may have memory.
+impl InheritedMemory {
+    /// Returns true if there are no runs that may use memory.
     pub(super) fn is_empty(&self) -> bool {
-        *self == LeftMemory::default()
+        *self == InheritedMemory::default()
     }
 
-    /// Kilobytes, where the largest run that this process has seen takes so many: runs without a record are taken for as large. They
-    /// are within the part of its shares that a process uses. Room for one more run is left beside them: without that nothing would
-    /// ever show that they are over.
+    /// Returns the bound in kilobytes, where `largest_run_kb` is the memory of the largest run that
+    /// this process has seen. Runs without a record are assumed to be as large as that, but
+    /// together to be within the fraction of its shares that a process uses. The bound leaves
+    /// memory for one more run; otherwise nothing would ever show that the inherited runs have
+    /// ended.
     pub(super) fn kilobytes(&self, largest_run_kb: f64) -> f64 {
         let by_runs = self.unrecorded_runs * largest_run_kb;
         let used = self.unrecorded_share_kb * USED_FRACTION;
-        let beside_a_run = self.unrecorded_share_kb - largest_run_kb;
-        self.recorded_kb + by_runs.min(used).min(beside_a_run).max(0.0)
+        let all_but_one_run = self.unrecorded_share_kb - largest_run_kb;
+        self.recorded_kb + by_runs.min(used).min(all_but_one_run).max(0.0)
     }
 
-    /// Adds the memory of a further process.
-    pub(super) fn add(&mut self, other: LeftMemory) {
+    /// Adds the memory of another process.
+    pub(super) fn add(&mut self, other: InheritedMemory) {
         self.recorded_kb += other.recorded_kb;
         self.unrecorded_runs += other.unrecorded_runs;
         self.unrecorded_share_kb += other.unrecorded_share_kb;
@@ -76,7 +80,7 @@
 }
 
 impl LeftWork {
-    /// The upper bound of the runs on a node of this capacity.
+    /// Returns the upper bound of the number of runs on a node of this capacity.
     pub(super) fn runs(self, node: NodeCapacity) -> u32 {
         match self {
             LeftWork::Recorded(work) => work.runs,
@@ -86,8 +90,8 @@
         }
     }
 
-    /// The calls. Those of a process that was killed count where the database did not respond: others hear that their connections have
-    /// ended.
+    /// Returns the number of calls. Those of a killed process count only if the database did not
+    /// respond; a database that responds notices that their connections have ended.
     pub(super) fn calls(self) -> u32 {
         match self {
             LeftWork::Recorded(work) => work.calls,
@@ -95,18 +99,18 @@
         }
     }
 
-    /// The memory of the runs on a node of this capacity. Runs of a killed process that wait for a call are not counted, as they end
-    /// with their requests.
-    pub(super) fn memory(self, node: NodeCapacity) -> LeftMemory {
+    /// Returns the memory of the runs on a node of this capacity. Runs of a killed process that
+    /// wait for a call are not counted, as they end with their requests.
+    pub(super) fn memory(self, node: NodeCapacity) -> InheritedMemory {
         match self {
-            LeftWork::Recorded(work) => LeftMemory {
+            LeftWork::Recorded(work) => InheritedMemory {
                 recorded_kb: work.memory_kb as f64,
-                ..LeftMemory::default()
+                ..InheritedMemory::default()
             },
-            LeftWork::Killed { shares, .. } => LeftMemory {
+            LeftWork::Killed { shares, .. } => InheritedMemory {
                 unrecorded_runs: f64::from(self.runs(node)),
                 unrecorded_share_kb: node.memory_kb * fraction_of_shares(shares),
-                ..LeftMemory::default()
+                ..InheritedMemory::default()
             },
         }
     }
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -1,4 +1,5 @@
-//! Every size, count and time that the program keeps to, in one value that is filled at the start and handed down.
+//! The limits on sizes, counts and times of the program, in one value that is filled at startup and
+//! passed down.
 
 use std::time::Duration;
 
@@ -7,64 +8,64 @@
 use super::longest_deadline;
 use crate::wire::Site;
 
-/// The most megabytes that the platform gives.
-pub const MEMORY_MB: f64 = 192.0;
-/// The fraction of the memory that the table of idempotency keys may take.
+/// Maximum memory of a process on the platform, in megabytes.
+pub const MAX_MEMORY_MB: f64 = 192.0;
+/// Fraction of the memory that the table of idempotency keys may take.
 const KEY_TABLE_FRACTION: f64 = 0.125;
 const MIB: f64 = 1024.0 * 1024.0;
-/// Descriptors beside those of clients and database connections: the executor, the endpoint list, the listener, the
-/// standard streams and a few spare ones.
+/// Descriptors reserved in addition to those of clients and database connections: for the executor,
+/// the endpoint list, the listener, the standard streams and a few spare ones.
 const RESERVED_DESCRIPTORS: usize = 40;
-/// Fewest client connections, however few descriptors there are.
+/// Minimum number of client connections, however few descriptors there are.
 const MIN_CLIENT_CONNECTIONS: usize = 8;
-/// Most client connections, however many descriptors there are.
+/// Maximum number of client connections, however many descriptors there are.
 const MAX_CLIENT_CONNECTIONS: usize = 640;
 
-/// All limits of a node. Figures that the platform sets are filled in by [`Limits::new`].
+/// All limits of a node. [`Limits::new`] fills in the values that the platform sets.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Client connections of the JSON-RPC front.
+    /// Limits of the client connections that use JSON-RPC.
     pub front: ConnectionLimits,
-    /// The listener of the JSON-RPC front and its event loop.
+    /// Limits of the JSON-RPC client listener and its event loop.
     pub listener: ListenerLimits,
-    /// The policy's actor.
+    /// Limits of the policy actor.
     pub policy: PolicyLimits,
-    /// The table of idempotency keys.
+    /// Limits of the table of idempotency keys.
     pub keys: KeyTableLimits,
-    /// The executor's connection.
+    /// Limits of the connection to the executor.
     pub executor: ExecutorLimits,
-    /// The database's connections.
+    /// Limits of the connections to the database.
     pub database: DatabaseLimits,
-    /// Connections to AMQP brokers.
+    /// Limits of the connections to AMQP brokers.
     pub amqp: AmqpLimits,
-    /// The admin listener.
+    /// Limits of the admin listener.
     pub admin: AdminLimits,
-    /// Two processes of one node during a replacement.
+    /// Limits for two processes of one node during a replacement.
     pub replacement: ReplacementLimits,
     /// Time to connect to a peer on the machine's own network.
     pub connect_timeout: Duration,
     /// Backoff before the first reconnect, doubled up to `reconnect_backoff_max`.
     pub reconnect_backoff: Duration,
-    /// The longest backoff before a reconnect.
+    /// Maximum backoff before a reconnect.
     pub reconnect_backoff_max: Duration,
     /// Time after which a peer that accepts no more output is disconnected.
     pub write_timeout: Duration,
-    /// Time between reports to the endpoint list, which forgets a node after 3 s.
+    /// Time between reports to the endpoint list, which removes a node after 3 s without a report.
     pub report_interval: Duration,
-    /// Time between two log lines of a kind that any peer can cause.
+    /// Minimum time between two log lines of a kind that any peer can cause.
     pub repeated_log_interval: Duration,
     /// Time between the last answer and the platform's kill.
     pub stop_margin: Duration,
-    /// Time between checks of what is still open during a shutdown.
+    /// Time between checks for remaining work during a shutdown.
     pub drain_poll_interval: Duration,
-    /// Bytes read from a socket at once.
+    /// Maximum number of bytes read from a socket at once.
     pub read_bytes: usize,
-    /// Stack of a thread in bytes: nothing in them recurses.
+    /// Stack size of a thread in bytes. It is small, as no code in these threads recurses.
     pub stack_bytes: usize,
 }
 
 impl Limits {
-    /// The limits under this many descriptors, with as much memory as the platform gives at the most.
+    /// Returns the limits for this many descriptors and the maximum memory of the platform.
     pub fn new(descriptors: usize) -> Limits {
         let database = DatabaseLimits::default();
         let connections = descriptors
@@ -93,14 +94,14 @@
         }
     }
 
-    /// These limits for a process that may take this many megabytes.
+    /// Returns these limits for a process that may use this many megabytes.
     #[must_use]
     pub fn with_memory(mut self, memory_mb: f64) -> Limits {
         self.keys.table_bytes = key_table_bytes(memory_mb);
         self
     }
 
-    /// These limits for a site with these settings.
+    /// Returns these limits for a site with these settings.
     #[must_use]
     pub fn with_site(mut self, site: &Site) -> Limits {
         let linger = site.settings.abandoned_call_linger.0.unsigned_abs();
@@ -110,30 +111,32 @@
         self
     }
 
-    /// How long a process that was replaced may continue: the longest deadline of its classes, as far as the platform
-    /// waits for it, and a grace.
+    /// Returns the time for which a process that was replaced may continue: the longest deadline of
+    /// its classes, up to the maximum that the platform waits, plus a grace period.
     pub fn replaced_lifetime(&self, site: &Site) -> Duration {
         let longest_deadline = Duration::from_micros(longest_deadline(site).0.unsigned_abs());
         longest_deadline.min(self.replacement.max_deadline) + self.replacement.grace
     }
 }
 
-/// Limits of the listener of the JSON-RPC front and its event loop.
+/// Limits of the JSON-RPC client listener and its event loop.
 #[derive(Clone, Debug)]
 pub struct ListenerLimits {
-    /// How long a connection may carry nothing, until the policy has set its own timeout.
+    /// Timeout of idle connections until the policy has set its own.
     pub idle_timeout: Duration,
-    /// Connections accepted in one turn of the event loop.
+    /// Maximum number of connections accepted in one iteration of the event loop.
     pub accept_batch: usize,
-    /// Batches accepted at the most when the listener closes: with `accept_batch` in each, more than its queue holds.
+    /// Maximum number of batches accepted when the listener closes. With `accept_batch` connections
+    /// in each, they hold more than the listener's queue.
     pub final_accept_batches: usize,
-    /// Connections that the operating system queues for a listener until it accepts them.
+    /// Maximum number of connections that the operating system queues until the listener accepts
+    /// them.
     pub backlog: i32,
-    /// Readiness events handled in one turn.
+    /// Maximum number of readiness events handled in one iteration.
     pub event_batch: usize,
-    /// While the policy is behind, time between checks whether it has caught up.
+    /// Time between checks whether the policy has caught up, while it is behind.
     pub backpressure_interval: Duration,
-    /// Bytes that wait to be written, over all connections.
+    /// Maximum number of bytes that wait to be written, over all connections.
     pub output_bytes: usize,
 }
 
@@ -151,26 +154,30 @@
     }
 }
 
-/// Limits of the policy's actor.
+/// Limits of the policy actor.
 #[derive(Clone, Debug)]
 pub struct PolicyLimits {
-    /// Messages in its mailbox.
+    /// Maximum number of messages in the actor's mailbox.
     pub mailbox: usize,
-    /// Stack of its thread in bytes; it runs the decisions.
+    /// Stack size of the actor's thread in bytes; the policy's decisions run on it.
     pub stack_bytes: usize,
-    /// Time between checks of runs that nobody waits for.
+    /// Time between checks for abandoned runs.
     pub sweep_interval: Duration,
-    /// Time after its answer when a run that has not ended is stopped again.
+    /// Time after the answer when a run that has not ended is stopped again.
     pub stop_retry_after: Duration,
-    /// How long the executor may leave a reading of its gauges unanswered before the connection is replaced.
+    /// Maximum time for which the executor may leave a reading of its gauges unanswered; after that
+    /// its connection is replaced.
     pub max_silence: Duration,
-    /// The same before nothing is sent to it any more that could not be sent again.
-    pub max_silence_to_run: Duration,
-    /// How much older than this process an executor has to be for an earlier process to have used it.
+    /// Maximum time for which the executor may leave a reading of its gauges unanswered; after that
+    /// only runs whose commands can be sent again are sent to it.
+    pub max_silence_for_nonrepeatable_runs: Duration,
+    /// Difference in age from which an executor is old enough for an earlier process than this one
+    /// to have used it.
     pub executor_age_margin: Duration,
-    /// How long a wake-up waits for the gauges before the policy is woken without them.
+    /// Maximum time that a wake-up waits for the gauges; after that the policy is woken without
+    /// them.
     pub gauge_timeout: Duration,
-    /// Time between two log lines on the state.
+    /// Time between two log lines that report the state.
     pub state_log_interval: Duration,
 }
 
@@ -182,7 +189,7 @@
             sweep_interval: Duration::from_millis(200),
             stop_retry_after: Duration::from_millis(400),
             max_silence: Duration::from_secs(2),
-            max_silence_to_run: Duration::from_millis(300),
+            max_silence_for_nonrepeatable_runs: Duration::from_millis(300),
             executor_age_margin: Duration::from_millis(500),
             gauge_timeout: Duration::from_millis(12),
             state_log_interval: Duration::from_secs(10),
@@ -193,8 +200,8 @@
 /// Limits of the table of idempotency keys.
 #[derive(Clone, Debug)]
 pub struct KeyTableLimits {
-    /// Bytes of the table with the results kept in it. When it is full, requests that would run under a new key are
-    /// rejected.
+    /// Maximum size of the table in bytes, including the results kept in it. While it is full,
+    /// requests that would run under a new key are rejected.
     pub table_bytes: usize,
     /// Bytes reserved in the table for the result of each run under a key: 4 KiB in base64.
     pub result_bytes: usize,
@@ -203,27 +210,32 @@
 impl Default for KeyTableLimits {
     fn default() -> KeyTableLimits {
         KeyTableLimits {
-            table_bytes: key_table_bytes(MEMORY_MB),
+            table_bytes: key_table_bytes(MAX_MEMORY_MB),
             result_bytes: 5464,
         }
     }
 }
 
-/// Bytes of the table of keys in a process that may take this many megabytes.
+/// Returns the maximum size of the table of keys, in bytes, for a process that may use this many
+/// megabytes.
 fn key_table_bytes(memory_mb: f64) -> usize {
     (memory_mb.max(0.0) * KEY_TABLE_FRACTION * MIB) as usize
 }
 
-/// Limits of the executor's connection.
+/// Limits of the connection to the executor.
 #[derive(Clone, Debug)]
 pub struct ExecutorLimits {
-    /// Bytes of one line from the executor: 4 KiB in base64 and its fields, with a margin.
+    /// Maximum length of a line from the executor in bytes: 4 KiB in base64 and the other fields,
+    /// with a margin.
     pub line_bytes: usize,
-    /// Commands that wait for the connection; a command that finds the mailbox full counts as never sent.
+    /// Maximum number of commands that wait for the connection. A command that finds the mailbox
+    /// full counts as never sent.
     pub mailbox: usize,
-    /// Time for an executor that was up before to welcome a new connection, after which another one is made.
+    /// Time within which an executor that was up before must send the welcome on a new connection.
+    /// After that the node connects again.
     pub welcome_timeout: Duration,
-    /// Time for an executor whose address changes to confirm that it has read all that was sent to its old address.
+    /// Time within which an executor whose address changes must confirm that it has read all
+    /// commands sent to its old address.
     pub move_timeout: Duration,
 }
 
@@ -238,28 +250,30 @@
     }
 }
 
-/// Limits of the database's connections.
+/// Limits of the connections to the database.
 #[derive(Clone, Debug)]
 pub struct DatabaseLimits {
-    /// Connections, and calls in flight at once.
+    /// Maximum number of connections, which is also the maximum number of calls in flight.
     pub connections: usize,
-    /// While calls wait for a connection, time between checks whether one is free.
+    /// Time between checks for a free connection while calls wait for one.
     pub poll_interval: Duration,
-    /// Time between two observations that the database has not let go of calls that were given up.
+    /// Time between two observations that the database has not released calls that were given up.
     pub stuck_call_interval: Duration,
-    /// How long the database may go on with a call that it knows to be given up.
+    /// Maximum time for which the database continues a call after it has learned that the call was
+    /// given up.
     pub linger: Duration,
-    /// How long after that the end of its connection is still taken for the database's reaction to a close, and not for a connection
-    /// that broke.
+    /// Time after `linger` within which the end of a call's connection still counts as the
+    /// database's reaction to a close, and not as a connection that broke.
     pub close_reaction: Duration,
-    /// How long a database that does not react to closes is taken to go on with a call whose connection is gone, where nothing shows
-    /// the call's end: twice the longest deadline of the site.
+    /// Time for which a database that does not react to closes is assumed to continue a call whose
+    /// connection has ended, if nothing shows the call's end: twice the longest deadline of the
+    /// site.
     pub ignored_close_time: Duration,
-    /// Bytes of the head of a reply, with any 1xx replies before it.
+    /// Maximum size of the head of a reply in bytes, including any 1xx replies before it.
     pub head_bytes: usize,
-    /// Bytes of the body of a reply.
+    /// Maximum size of the body of a reply in bytes.
     pub reply_bytes: usize,
-    /// Time from the first byte of a reply to its last one; a slower reply is discarded.
+    /// Maximum time from the first byte of a reply to its last one; a slower reply is discarded.
     pub reply_timeout: Duration,
 }
 
@@ -282,21 +296,22 @@
 /// Limits of connections to AMQP brokers.
 #[derive(Clone, Debug)]
 pub struct AmqpLimits {
-    /// Bytes of a frame, as offered to the broker; every broker allows 4 KiB.
+    /// Maximum size of a frame in bytes, as offered to the broker; every broker allows 4 KiB.
     pub frame_bytes: usize,
-    /// Bytes of a message, as of a request by JSON-RPC.
+    /// Maximum size of a message body in bytes, the same as of a request body over JSON-RPC.
     pub message_bytes: usize,
-    /// Frames read and not yet processed.
+    /// Maximum number of frames that have been read and not yet processed.
     pub frame_queue: usize,
-    /// Time for each step of opening and of closing a connection.
+    /// Timeout of each step of opening and of closing a connection.
     pub handshake_timeout: Duration,
-    /// The heartbeat interval offered; the broker's own holds if it is shorter.
+    /// Heartbeat interval offered to the broker; the broker's own applies if it is shorter.
     pub heartbeat_interval: Duration,
-    /// The longest backoff before a reconnect to a broker.
+    /// Maximum backoff before a reconnect to a broker.
     pub backoff_max: Duration,
-    /// Stack of a thread that decodes frames, in bytes.
+    /// Stack size in bytes of a thread that decodes frames.
     pub stack_bytes: usize,
-    /// The largest prefetch that an inventory may ask for: it bounds what a broker can have the node keep.
+    /// Maximum prefetch that an inventory may configure. It bounds the number of unsettled messages
+    /// that a broker can have the node keep.
     pub max_prefetch: u16,
 }
 
@@ -318,13 +333,14 @@
 /// Limits of the admin listener.
 #[derive(Clone, Debug)]
 pub struct AdminLimits {
-    /// Bytes of a command.
+    /// Maximum length of a command in bytes.
     pub line_bytes: usize,
-    /// Clients at once, each with one descriptor; the oldest one is closed for a new one.
+    /// Maximum number of concurrent clients, each with one descriptor. Beyond it, the connection of
+    /// the oldest client is closed for a new one.
     pub max_clients: usize,
-    /// How long a client may take to send its command.
+    /// Maximum time for a client to send its command.
     pub request_timeout: Duration,
-    /// How long a client may take to read its answer.
+    /// Maximum time for a client to read its answer.
     pub response_timeout: Duration,
 }
 
@@ -339,21 +355,23 @@
     }
 }
 
-/// Limits of two processes of one node, of which one replaces the other.
+/// Limits for two processes of one node, one of which replaces the other.
 #[derive(Clone, Debug)]
 pub struct ReplacementLimits {
-    /// The longest deadline for which the platform lets a process continue that was replaced.
+    /// Maximum deadline for which the platform lets a process continue after it was replaced.
     pub max_deadline: Duration,
-    /// What the platform adds to that deadline.
+    /// Time that the platform adds to that deadline.
     pub grace: Duration,
-    /// Time between checks of the other process while there is one, or while an instance lock or a share is awaited.
+    /// Time between checks of the other process while there is one, or while this process waits for
+    /// an instance lock or a share.
     pub poll_interval: Duration,
-    /// The same while this process is alone: a check costs a few system calls on a node that has a tenth of a core.
+    /// Time between checks for another process while this process is alone. It is longer, as a
+    /// check costs a few system calls on a node that has a tenth of a core.
     pub poll_interval_alone: Duration,
-    /// How long a process that starts beside another waits for its first resource share before it accepts clients
-    /// without one.
+    /// Maximum time that a process that starts while another is running waits for its first
+    /// resource share; after that it accepts clients without one.
     pub first_share_timeout: Duration,
-    /// How long the end of a process waits for the report of what it leaves behind.
+    /// Maximum time that an ending process waits for the report of the work that it holds.
     pub held_work_timeout: Duration,
 }
 
--- a/src/node/policy_actor/actions.rs
+++ b/src/node/policy_actor/actions.rs
@@ -1,4 +1,4 @@
-//! The policy's actions, performed.
+//! Execution of the policy's actions.
 
 use std::cmp::Reverse;
 use std::time::Instant;
@@ -42,12 +42,14 @@
         }
     }
 
-    /// Sends a queued request to the executor. It is rejected if the mailbox is full, and also if the executor is silent and the
-    /// command could not be sent again: what is lost then would hold its place for long.
+    /// Sends a queued request to the executor. The request is rejected if the mailbox is full. It
+    /// is also rejected if the executor is silent and the command could not be sent again, as a run
+    /// that was lost would keep occupying its slot for a long time.
     fn start_run(&mut self, id: RequestId) {
         let is_repeatable = self.idempotency(id) == Some(Idempotency::Idempotent);
         let silence = self.link.silence(Instant::now());
-        let may_be_sent = is_repeatable || silence < self.limits.policy.max_silence_to_run;
+        let may_be_sent =
+            is_repeatable || silence < self.limits.policy.max_silence_for_nonrepeatable_runs;
         if self.requests.get_queued(id).is_none() {
             return;
         }
@@ -60,8 +62,8 @@
         }
     }
 
-    /// Stops a run, unless it has an idempotency key: its result is for the next attempt, which would find none
-    /// otherwise.
+    /// Stops a run, unless its class is idempotent by key: the next attempt with the key is
+    /// answered with the result of this run, and would find none if it were stopped.
     fn stop_run(&mut self, id: RequestId) {
         if self.idempotency(id) == Some(Idempotency::ByKey) {
             return;
--- a/src/node/policy_actor/answers.rs
+++ b/src/node/policy_actor/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to requests, and the requests that are answered from the run of another.
+//! Answers to requests, including requests that are answered from the run of another request.
 
 use std::time::Instant;
 
@@ -19,7 +19,7 @@
         });
     }
 
-    /// Answers a request that is not answered yet.
+    /// Answers a request that has not been answered yet.
     pub(super) fn answer(&mut self, id: RequestId, outcome: Outcome) {
         let Some(responder) = self.take_responder(id) else {
             return;
@@ -31,7 +31,8 @@
         self.respond(responder, outcome);
     }
 
-    /// Takes the right to answer a request, if it is still there, and counts the request as answered.
+    /// Takes the responder of a request that has not been answered yet, and counts the request as
+    /// answered.
     fn take_responder(&mut self, id: RequestId) -> Option<Responder> {
         let entry = self.requests.get_mut(id)?;
         let responder = entry.responder.take()?;
@@ -43,13 +44,15 @@
         Some(responder)
     }
 
-    /// Answers a request. One that never ran is over with that; one that runs stays in the request table until its end.
+    /// Answers a request. A request that never ran is also removed from the request table; one that
+    /// was sent to run stays there until its run ends.
     pub(super) fn answer_early(&mut self, id: RequestId, outcome: Outcome) {
         self.answer(id, outcome);
         self.remove_unless_sent(id);
     }
 
-    /// Drops the answer that nobody waits for any more; the policy decides whether the run continues.
+    /// Discards the responder of a request whose caller has disconnected. The policy decides
+    /// whether the run continues.
     pub(super) fn caller_disconnected(&mut self, uid: RequestUid) {
         let Some(id) = self.requests.find(uid) else {
             return;
@@ -68,14 +71,15 @@
         }
     }
 
-    /// Removes a request from the table. Those that joined one that never ran never ran either.
+    /// Removes a request from the table. If it never ran, the requests that joined it never ran
+    /// either and are rejected.
     pub(super) fn remove(&mut self, id: RequestId) {
         let joined = self.requests.remove(id);
         let rejected = Outcome::rejected(self.site.settings.max_retry_after);
         self.answer_joined(joined, &rejected);
     }
 
-    /// Answers the requests that joined one which is over.
+    /// Answers the requests that joined a request that has ended.
     pub(super) fn answer_joined(&mut self, joined: Vec<RequestId>, outcome: &Outcome) {
         for id in joined {
             self.finish_joined(id, outcome.clone());
@@ -92,7 +96,8 @@
         self.queue_event(Event::RunEnded(id, end));
     }
 
-    /// Has a queued request share the answer of the one that it repeats.
+    /// Answers a queued request from the run of the request that it repeats, once that run has
+    /// ended.
     pub(super) fn join_repeated(&mut self, id: RequestId) {
         let Some(entry) = self.requests.get_queued(id) else {
             return;
--- a/src/node/policy_actor/arrivals.rs
+++ b/src/node/policy_actor/arrivals.rs
@@ -1,4 +1,4 @@
-//! Requests that arrive: which are answered at once, and which are queued for the policy.
+//! Arriving requests, which are either answered at once or queued for the policy.
 
 use std::time::Duration;
 
@@ -29,7 +29,8 @@
         }
     }
 
-    /// The digests of a request's idempotency key and payload; `None` without a key, and in a class that may run repeatedly.
+    /// Returns the digests of a request's idempotency key and payload, or `None` if it has no key
+    /// or its class may run repeatedly.
     fn key_claim(&self, arrival: &Arrival, idempotency: Idempotency) -> Option<KeyClaim> {
         let key = arrival.idempotency_key.as_ref()?;
         if idempotency == Idempotency::Idempotent {
@@ -59,8 +60,9 @@
             Lookup::BodyMismatch => return Err(Outcome::Failed(Failure::PayloadMismatch)),
             Lookup::Unknown | Lookup::TableFull => None,
         };
-        // An earlier attempt may have run, in an earlier process or elsewhere, and running it could be the second time.
-        // Where its key is known here, that knowledge is the better one.
+        // An earlier attempt may have run, in another process or on another node, so that this
+        // attempt could run the request a second time. If the key is known here, the table of keys
+        // is the better source.
         let is_known_here = idempotency == Idempotency::ByKey && repeats.is_some();
         let may_have_run = match idempotency {
             Idempotency::Idempotent => false,
@@ -78,7 +80,8 @@
         }
         if self.has_expired(arrival) {
             return Err(match repeats {
-                // Rejected, a request that may have taken effect could be accepted elsewhere.
+                // After a rejection, another node could accept a request that may have taken
+                // effect.
                 Some(_) => Outcome::Failed(Failure::MayHaveRun),
                 None => Outcome::Rejected {
                     retry_after: Span(0),
@@ -95,7 +98,8 @@
         Ok(repeats)
     }
 
-    /// Whether this may be a further attempt of a request that ran in another process of the node, which keeps its own keys.
+    /// Returns true if this may be another attempt of a request that ran in another process of the
+    /// node, which has its own table of keys.
     fn may_have_run_at_sibling(&self, arrival: &Arrival) -> bool {
         let class = self.site.settings.classes.get(arrival.class.0);
         let window = class.map_or(Duration::ZERO, |class| {
@@ -104,7 +108,10 @@
         arrival.is_retry && self.sibling.had_keys_within(window)
     }
 
-    /// Rejects a request whose tenant belongs to another cell.
+    /// Checks that this node's cell serves the request's tenant.
+    ///
+    /// # Errors
+    /// The answer to a request whose tenant belongs to another cell.
     fn check_cell(&self, arrival: &Arrival) -> Result<(), Outcome> {
         let (Some(cells), Some(key)) = (&self.cells, &arrival.cell_key) else {
             return Ok(());
@@ -115,8 +122,9 @@
         }
     }
 
-    /// Whether nobody waits for the request any more. The policy must not see such an age: it would take the node for
-    /// overloaded, though no queue here explains it.
+    /// Returns true if the caller's timeout or the deadline has passed. The policy must not see the
+    /// age of such a request: it would treat the node as overloaded, though no queue here explains
+    /// the age.
     fn has_expired(&self, arrival: &Arrival) -> bool {
         let settings = &self.site.settings;
         let deadline = settings
@@ -129,7 +137,7 @@
         arrival.arrived_at + timeout + settings.answer_slack < steady_now()
     }
 
-    /// Enters a request into the table as queued, and has the policy read it with the next batch.
+    /// Inserts a request into the table as queued, and has the policy read it in the next batch.
     fn enqueue(
         &mut self,
         arrival: Arrival,
@@ -138,7 +146,7 @@
         repeats: Option<RequestId>,
     ) {
         let run_kb = arrival.queued_kb * self.site.settings.run_memory_factor;
-        self.note_run_size(run_kb);
+        self.record_run_size(run_kb);
         let claim = claim.filter(|_| repeats.is_none());
         let request = policy_request(&arrival, idempotency, repeats);
         let entry = RequestEntry {
@@ -166,7 +174,8 @@
         ));
     }
 
-    /// Counts a request of this tenant in the fleet's counters; the key it is counted under, where there are any.
+    /// Counts a request of this tenant in the fleet's counters, if there are any, and returns the
+    /// key that it is counted under.
     fn count_in_fleet(&self, tenant: Option<TenantId>) -> Option<u64> {
         let (fleet, tenant) = self.peers.fleet.as_ref().zip(tenant)?;
         let key = self
@@ -179,7 +188,8 @@
     }
 }
 
-/// The request as the policy reads it. Its id is set when it is entered into the table, its age when the batch runs.
+/// Returns the request in the form that the policy reads. Its id is set when it is inserted into
+/// the table, its age when the batch runs.
 fn policy_request(
     arrival: &Arrival,
     idempotency: Idempotency,
--- a/src/node/policy_actor/batch.rs
+++ b/src/node/policy_actor/batch.rs
@@ -1,4 +1,4 @@
-//! Batches of the policy, and the wake-ups and gauges that cause them.
+//! Batches of events for the policy, and the wake-ups and gauge readings that cause them.
 
 use std::cmp::Reverse;
 use std::time::Instant;
@@ -12,21 +12,22 @@
 
 /// An event for the next batch.
 pub(super) enum PendingEvent {
-    /// A request and when it arrived; its age is computed when the batch runs.
+    /// A request and its arrival time; its age is computed when the batch runs.
     Read(Request, Time),
     /// Any other event.
     Other(Event),
 }
 
-/// A reading of the executor's gauges that was asked for.
+/// A reading of the executor's gauges that was requested.
 pub(super) struct GaugeReading {
     tag: u64,
-    /// When the policy is woken without the gauges.
+    /// Time at which the policy is woken without the gauges.
     expires_at: Instant,
 }
 
 impl PolicyActor {
-    /// When there is something to do without a message: a batch, a wake-up, or gauges that don't come.
+    /// Returns the time at which work is due without a message: a batch, a wake-up, or the timeout
+    /// of a gauge reading.
     pub(super) fn next_due(&self) -> Option<Instant> {
         let batch = (!self.pending.is_empty()).then(|| self.earliest_batch());
         let wake_up = self
@@ -38,7 +39,8 @@
         [batch, wake_up, gauges].into_iter().flatten().min()
     }
 
-    /// No batch runs sooner than a round after the last one.
+    /// Returns the earliest time for the next batch, which is one decision interval after the last
+    /// batch.
     fn earliest_batch(&self) -> Instant {
         self.last_batch + to_duration(self.site.settings.decision_interval)
     }
@@ -54,7 +56,8 @@
         }
         let has_expired = |reading: &GaugeReading| reading.expires_at <= now;
         if self.gauge_reading.as_ref().is_some_and(has_expired) {
-            // Deadlines are checked at wake-ups, so that a wake-up never waits long for a busy executor.
+            // The policy checks deadlines at wake-ups, so a wake-up must not wait long for a busy
+            // executor.
             self.gauge_reading = None;
             self.queue_event(Event::Wake(Gauges::default()));
         }
@@ -68,7 +71,8 @@
         self.wake_ups.peek().is_some_and(|Reverse(at)| *at <= now)
     }
 
-    /// Asks the executor for the gauges of a wake-up; without an executor the policy is woken without them.
+    /// Requests the gauges for a wake-up from the executor. Without a connection the policy is
+    /// woken without them.
     fn request_gauges(&mut self, now: Instant) {
         match self.send_reading(now) {
             Some(tag) => {
@@ -81,7 +85,8 @@
         }
     }
 
-    /// Asks the executor for its gauges; `None` without a connection.
+    /// Requests the executor's gauges. Returns `None` if there is no connection or the mailbox is
+    /// full.
     pub(super) fn send_reading(&mut self, now: Instant) -> Option<ReadingTag> {
         if !self.link.is_connected() {
             return None;
@@ -93,8 +98,9 @@
         Some(tag)
     }
 
-    /// Wakes the policy with the gauges. The answer also acknowledges the commands sent before the reading was asked for, and
-    /// the first one after a reconnect tells that all missed notices have been read.
+    /// Wakes the policy with the gauges. The answer also acknowledges the commands sent before the
+    /// reading was requested, and the first answer after a reconnect shows that all missed notices
+    /// have been read.
     pub(super) fn gauges_read(&mut self, tag: ReadingTag, values: &[f64]) {
         let is_first = self.link.reading_answered(tag, Instant::now());
         for entry in self.requests.iter_mut() {
@@ -112,7 +118,7 @@
         }
     }
 
-    /// Hands all pending events to the policy and performs its actions.
+    /// Passes all pending events to the policy and performs its actions.
     fn run_batch(&mut self) {
         let Some(policy) = &mut self.policy else {
             return self.pending.clear();
@@ -123,19 +129,19 @@
             events.push(match pending {
                 PendingEvent::Read(mut request, arrived_at) => {
                     update_age(&mut request, arrived_at, now);
-                    self.peaks.age = request.age.max(self.peaks.age);
+                    self.peaks.request_age = request.age.max(self.peaks.request_age);
                     Event::RequestRead(request)
                 }
                 PendingEvent::Other(event) => event,
             });
         }
         let mut actions = std::mem::take(&mut self.actions);
-        let heavy_before = policy.fleet_limit_rejections;
+        let rejections_before = policy.fleet_limit_rejections;
         policy.handle(now, &events, &mut actions);
-        let heavy = policy.fleet_limit_rejections;
-        if heavy > heavy_before {
-            self.rate_limited.heavy_tenants.log(|_| {
-                info!(self.log, "rejected: tenants are heavy over the fleet"; "so_far" => heavy);
+        let rejections = policy.fleet_limit_rejections;
+        if rejections > rejections_before {
+            self.rate_limited.fleet_limit_rejections.log(|_| {
+                info!(self.log, "requests rejected: their tenants exceed a fleet-wide limit"; "so_far" => rejections);
             });
         }
         for action in actions.drain(..) {
@@ -145,7 +151,7 @@
     }
 }
 
-/// Sets the request's age, and how much of its caller's timeout is left, as of now.
+/// Sets the request's age and the remaining time of its caller's timeout as of `now`.
 fn update_age(request: &mut Request, arrived_at: Time, now: Time) {
     let age = Span((now - arrived_at).0.max(0));
     request.age = age;
--- a/src/node/policy_actor/calls.rs
+++ b/src/node/policy_actor/calls.rs
@@ -1,4 +1,5 @@
-//! Database calls of running requests: asked for by the executor, decided by the policy, made by the database's actor.
+//! Database calls of running requests. The executor requests them, the policy decides on them, and
+//! the database actor makes them.
 
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
 use crate::node::{CallResult, DatabaseCall, ExecutorCommand, Payload, RequestUid};
 
 impl PolicyActor {
-    /// A run waits for a call, on which the policy decides.
+    /// Records that a run waits for a call, on which the policy decides.
     pub(super) fn call_requested(&mut self, uid: RequestUid, notice: u64, payload: Payload) {
         let Some(id) = self.requests.find(uid) else {
             return;
@@ -22,7 +23,8 @@
         }
     }
 
-    /// Has the call made that a run waits for; a call that the database's mailbox has no space for counts as never made.
+    /// Starts the call that a run waits for. A call that finds the mailbox of the database actor
+    /// full counts as never made.
     pub(super) fn start_call(&mut self, id: RequestId, timeout: Span) {
         let Some(entry) = self.requests.get_mut(id) else {
             return;
@@ -61,23 +63,24 @@
             .try_send(ExecutorCommand::SkipCall { uid, notice });
     }
 
-    /// Returns a call's reply to its run, or has the policy decide again.
+    /// Returns a call's reply to its run. Without a reply, the policy decides on the call again.
     pub(super) fn call_ended(&mut self, id: RequestId, result: CallResult, elapsed: Duration) {
-        let may_not_continue = self.has_reported_work();
+        let must_not_continue = self.has_reported_work();
         let is_calling =
             |entry: &&mut RequestEntry| matches!(entry.stage, RequestStage::Calling { .. });
         let Some(entry) = self.requests.get_mut(id).filter(is_calling) else {
             return;
         };
         let outcome = match result {
-            // The run must not go on: nobody would count it.
-            CallResult::Reply(_) if may_not_continue => return,
+            // The run must not continue, as it is not among the runs that this process has reported
+            // as on the cores.
+            CallResult::Reply(_) if must_not_continue => return,
             CallResult::Reply(payload) => {
                 entry.stage = RequestStage::Running;
                 let uid = entry.uid;
                 let command = ExecutorCommand::ReturnReply { uid, payload };
                 if self.peers.executor.try_send(command).is_err() {
-                    warn!(self.log, "the executor's mailbox is full: a reply is lost"; "uid" => %uid);
+                    warn!(self.log, "executor mailbox full: database reply discarded"; "uid" => %uid);
                 }
                 CallOutcome::Succeeded
             }
--- a/src/node/policy_actor/held_work.rs
+++ b/src/node/policy_actor/held_work.rs
@@ -1,4 +1,5 @@
-//! What this process holds as it ends, for the process of the node that goes on.
+//! The report of the work that this process holds when it ends, for the process of the node that
+//! continues.
 
 use crossbeam_channel::Sender;
 
@@ -6,20 +7,21 @@
 use crate::node::held_work::HeldWork;
 
 impl PolicyActor {
-    /// Reports what the executor and the database may go on with once this process has ended. Nothing is started after that, so that
-    /// the report stays an upper bound.
-    pub(super) fn report_held_work(&mut self, reports: &Sender<HeldWork>) {
+    /// Reports the work that the executor and the database may continue after this process has
+    /// ended. Nothing is started after the report, so that it stays an upper bound.
+    pub(super) fn report_held_work(&mut self, report_sender: &Sender<HeldWork>) {
         self.shutdown = ShutdownProgress::WorkReported;
-        // A receiver that does not wait any more has ended the process.
-        let _ = reports.try_send(self.held_work());
+        // A receiver that no longer waits is ending the process already.
+        let _ = report_sender.try_send(self.held_work());
     }
 
-    /// Whether nothing may be started any more.
+    /// Returns true if the held work was reported, after which nothing may be started.
     pub(super) fn has_reported_work(&self) -> bool {
         self.shutdown == ShutdownProgress::WorkReported
     }
 
-    /// Calls that the database may have in progress. Right after the end of a run the actor of the database alone knows of its call.
+    /// Returns the number of calls that the database may have in progress. Right after the end of a
+    /// run only the database actor knows of its call.
     pub(super) fn held_calls(&self) -> usize {
         let calls = self.requests.calls_in_progress() + self.unconfirmed_calls;
         calls.max((self.peers.calls_in_flight)())
--- a/src/node/policy_actor/mod.rs
+++ b/src/node/policy_actor/mod.rs
@@ -1,8 +1,9 @@
-//! The actor that drives the policy: it alone owns the [`Policy`], the request table, the idempotency keys, the
-//! wake-ups and the outstanding answers.
+//! The actor that drives the policy. It is the sole owner of the [`Policy`], the request table, the
+//! idempotency keys, the wake-ups and the outstanding answers.
 //!
-//! It never waits for a peer. What it sends goes into mailboxes that are large enough for all that the protocol
-//! allows to be open, and a command that finds its mailbox full counts as never sent.
+//! The actor never blocks on a peer. The mailboxes that it sends to are large enough for all
+//! requests that the protocol allows to be open, and a command that finds its mailbox full counts
+//! as never sent.
 
 mod actions;
 mod answers;
@@ -39,22 +40,22 @@
 };
 use crate::wire::Site;
 
-/// What a [`PolicyActor`] is configured with.
+/// The configuration of a [`PolicyActor`].
 pub struct PolicyConfig {
     /// Classes, tenants and settings of the site.
     pub site: Arc<Site>,
     /// Seed of the policy's random numbers.
     pub seed: u64,
-    /// Time from the notice to shut down until the process is killed.
+    /// Time from the shutdown notice until the process is killed.
     pub shutdown_timeout: Duration,
-    /// Sizes, counts and times of the program.
+    /// Limits on sizes, counts and times of the program.
     pub limits: Limits,
-    /// Which tenants this node serves, where cells are in force.
+    /// The cell layout in force, if there is one.
     pub cells: Option<CellGuard>,
 }
 
-/// Runs the policy on the system's clocks. It owns the request table, performs the policy's actions, and hands it what
-/// clients and peers send as batches of events.
+/// Runs the policy on the system's clocks. It owns the request table, performs the policy's
+/// actions, and passes the messages of clients and peers to the policy as batches of events.
 pub struct PolicyActor {
     site: Arc<Site>,
     seed: u64,
@@ -70,9 +71,9 @@
     requests: RequestTable,
     /// Events for the policy's next batch.
     pending: Vec<PendingEvent>,
-    /// Buffer for the actions that the policy returns for a batch; kept for its memory.
+    /// Buffer for the actions that the policy returns for a batch, kept to reuse its allocation.
     actions: Vec<Action>,
-    /// Wake-ups that the policy asked for.
+    /// Wake-ups that the policy requested.
     wake_ups: BinaryHeap<Reverse<Instant>>,
     /// The reading of the gauges that the next wake-up waits for.
     gauge_reading: Option<GaugeReading>,
@@ -81,21 +82,22 @@
     last_run: RunNumber,
     /// Runs of earlier processes.
     inherited: InheritedRuns,
-    /// Calls that were given up and that the database may still have in progress.
+    /// Number of calls that were given up but may still be in progress at the database.
     unconfirmed_calls: usize,
-    /// Whether the executor was there before this process, and its first gauges have not been read.
+    /// True if the executor started before this process and its first gauges have not been read
+    /// yet.
     is_executor_older: bool,
-    /// When this process began.
+    /// Start time of this process.
     created_at: Instant,
-    /// Runs in doubt, as the policy was last notified.
-    reported_doubts: usize,
+    /// Number of runs in doubt that the policy was last notified of.
+    reported_runs_in_doubt: usize,
     shutdown: ShutdownProgress,
     sibling: SiblingKeys,
-    /// Keys of the settings' tenants, under which the fleet counts them.
+    /// Keys of the settings' tenants in the fleet's counters.
     tenant_keys: Vec<u64>,
-    /// Whether the policy was given other nodes' counts.
+    /// True if the policy was given other nodes' counts.
     uses_other_counts: bool,
-    /// How many of the node's resource shares this process holds, out of [`TOTAL_SHARES`].
+    /// Number of the node's resource shares that this process holds, out of [`TOTAL_SHARES`].
     resource_shares: u32,
     /// Kilobytes that the platform counts for the largest run of a request that has arrived.
     largest_run_kb: f64,
@@ -103,35 +105,35 @@
     last_batch: Instant,
 }
 
-/// How far this process is in ending.
+/// Progress of the shutdown of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ShutdownProgress {
     NotBegun,
-    /// The node shuts down.
+    /// The node is shutting down.
     Begun,
-    /// The work that this process leaves behind was reported, and must not grow.
+    /// The work that this process leaves running was reported, and must not grow.
     WorkReported,
 }
 
-/// Log lines that peers can cause as often as they like.
+/// Log lines that peers can cause at any rate.
 struct RateLimitedLogs {
     duplicate_uid: RateLimitedLog,
-    heavy_tenants: RateLimitedLog,
+    fleet_limit_rejections: RateLimitedLog,
     rejected_run: RateLimitedLog,
     state: RateLimitedLog,
 }
 
-/// Peak values since the last log line on the state.
+/// Peak values since the last log line that reported the state.
 #[derive(Default)]
 struct Peaks {
     /// Kilobytes that the platform counts for all requests.
     booked_kb: f64,
-    /// Age of a request when the policy read it.
-    age: Span,
+    /// Age of a request when the policy reads it.
+    request_age: Span,
 }
 
 impl PolicyActor {
-    /// An actor that waits for the executor to connect.
+    /// Creates an actor that waits for the executor to connect.
     pub fn new(
         config: PolicyConfig,
         peers: Peers,
@@ -152,7 +154,7 @@
         );
         let rate_limited = RateLimitedLogs {
             duplicate_uid: RateLimitedLog::new(limits.repeated_log_interval),
-            heavy_tenants: RateLimitedLog::new(limits.repeated_log_interval),
+            fleet_limit_rejections: RateLimitedLog::new(limits.repeated_log_interval),
             rejected_run: RateLimitedLog::new(limits.repeated_log_interval),
             state: RateLimitedLog::new(limits.policy.state_log_interval),
         };
@@ -179,7 +181,7 @@
             unconfirmed_calls: 0,
             is_executor_older: false,
             created_at: Instant::now(),
-            reported_doubts: 0,
+            reported_runs_in_doubt: 0,
             shutdown: ShutdownProgress::NotBegun,
             sibling: SiblingKeys::default(),
             uses_other_counts: false,
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Processes its mailbox until every sender is gone.
+    /// Processes the messages in `inbox` until every sender is dropped.
     pub fn run(mut self, inbox: &Receiver<PolicyMessage>) {
         let sweep = tick(self.limits.policy.sweep_interval);
         loop {
@@ -208,7 +210,8 @@
             }
             self.run_due_work();
             if self.sibling == SiblingKeys::Present {
-                // The other process takes what these figures leave, so that they must not be older than a batch.
+                // The other process takes the shares that are not in use here, so the numbers must
+                // not be older than a batch.
                 self.publish_used_shares();
             }
         }
@@ -245,7 +248,7 @@
             PolicyMessage::ResourceSharesChanged(shares) => self.set_resource_shares(shares),
             PolicyMessage::SiblingSeen => self.sibling = SiblingKeys::Present,
             PolicyMessage::SiblingEnded(left) => {
-                self.sibling = SiblingKeys::LeftAt(Instant::now());
+                self.sibling = SiblingKeys::EndedAt(Instant::now());
                 self.inherit_work(left);
             }
             PolicyMessage::EarlierWorkFound(work) => self.inherit_work(LeftWork::Recorded(work)),
@@ -274,7 +277,7 @@
         self.pending.push(PendingEvent::Other(event));
     }
 
-    /// How often a request's class allows it to run.
+    /// Returns the idempotency of the request's class, which determines how often it may run.
     fn idempotency(&mut self, id: RequestId) -> Option<Idempotency> {
         let class = self.requests.get_mut(id)?.class;
         self.site
@@ -285,17 +288,18 @@
     }
 }
 
-/// How long an attempt may wait to be read and still be accepted: no class waits for an answer longer than this.
+/// Returns the maximum time that an attempt may wait to be read and still be accepted. No class
+/// waits longer than this for an answer.
 fn max_queue_time(site: &Site) -> Span {
     Span(longest_deadline(site).0 + site.settings.answer_slack.0)
 }
 
-/// A duration as the policy measures it.
+/// Converts a duration to a span of the policy.
 fn to_span(duration: Duration) -> Span {
     Span::from_ms(duration.as_secs_f64() * 1e3)
 }
 
-/// A span of the policy as a duration.
+/// Converts a span of the policy to a duration.
 fn to_duration(span: Span) -> Duration {
     Duration::from_micros(span.0.unsigned_abs())
 }
--- a/src/node/policy_actor/runs.rs
+++ b/src/node/policy_actor/runs.rs
@@ -1,4 +1,4 @@
-//! The executor's notices: its connection, and the ends of runs.
+//! Handling of the executor's connection, and of runs from the command to their end.
 
 use std::time::{Duration, Instant};
 
@@ -11,26 +11,27 @@
 use crate::node::run_delivery::{RunDelivery, RunNumber};
 use crate::node::{steady_now, Failure, Outcome, RequestUid, RunReport};
 
-/// What the end of a run means for its request.
+/// The consequences of the end of a run for its request.
 pub(super) struct EndOfRun {
-    /// What the policy is notified of.
-    pub(super) end: RunOutcome,
-    /// The answer, if none was given yet.
-    pub(super) outcome: Outcome,
-    /// What is kept under the request's key; `None` if it certainly never ran.
+    /// The outcome that the policy is notified of.
+    pub(super) run_outcome: RunOutcome,
+    /// The answer, if the request has not been answered yet.
+    pub(super) request_outcome: Outcome,
+    /// The result kept under the request's key; `None` if the request certainly never ran.
     pub(super) result: Option<RunResult>,
 }
 
 impl PolicyActor {
-    /// Starts the policy at the first connection; at any later one, asks which notices were lost with the last one.
+    /// Starts the policy at the first connection. At a later connection, requests a reading of the
+    /// gauges: its answer shows that all notices missed with the last connection have been read.
     pub(super) fn executor_connected(&mut self, is_cold: bool, age: Duration) {
         self.link.connected();
         if self.policy.is_some() {
-            // If the mailbox is full, the next wake-up asks.
+            // If the mailbox is full, the next wake-up requests a reading.
             self.send_reading(Instant::now());
             return;
         }
-        // Shut down before the executor was there: nothing is accepted any more.
+        // The shutdown began before the executor connected, so no requests are accepted.
         if self.shutdown >= ShutdownProgress::Begun {
             return;
         }
@@ -39,8 +40,9 @@
 
     fn start_policy(&mut self, is_cold: bool, age: Duration) {
         let is_older = age > self.created_at.elapsed() + self.limits.policy.executor_age_margin;
-        // The policy counts the slow start from the executor's start, which may precede the connection. A warm executor
-        // may have been up for hours, which would only run the policy's clocks past all that they measure.
+        // The policy measures the slow start from the executor's start, which may precede the
+        // connection. A warm executor may have been up for hours, and that age would only advance
+        // the policy's clocks beyond all that they measure.
         let executor_age = age;
         let age = if is_cold { age } else { Duration::ZERO };
         let settings = Settings {
@@ -49,7 +51,7 @@
         };
         let mut policy = match Policy::new(settings, self.seed) {
             Ok(policy) => policy,
-            Err(e) => return warn!(self.log, "the settings are not used"; "error" => %e),
+            Err(e) => return warn!(self.log, "policy not started: invalid settings"; "error" => %e),
         };
         let age = to_span(age);
         let mut actions = Vec::new();
@@ -73,16 +75,17 @@
         let classes = &self.site.settings.classes;
         for entry in self.requests.iter_mut() {
             let is_in_doubt = entry.delivery.connection_broke();
-            // What may run again is sent again, so that nothing comes of the doubt.
+            // A repeatable run is sent again, so that the doubt has no consequences.
             if is_in_doubt && !is_repeatable(classes, entry.class) {
                 info!(self.log, "run in doubt"; "uid" => %entry.uid, "class" => entry.class.0,
                     "is_awaited" => entry.responder.is_some());
             }
         }
-        self.report_doubts();
+        self.report_runs_in_doubt();
     }
 
-    /// Sends a request to the executor to run; false if its mailbox is full, or this process is about to end.
+    /// Sends the command to run a request to the executor. Returns false if the mailbox is full or
+    /// this process is about to end.
     pub(super) fn send_run(&mut self, id: RequestId) -> bool {
         if self.has_reported_work() {
             return false;
@@ -109,9 +112,10 @@
         true
     }
 
-    /// Resends the runs whose commands may have been lost, once all notices from before the break have been read. What may
-    /// safely run again is sent again, which does nothing if it runs; what must run once is never sent a second time
-    /// and, if its command was lost, fails at its deadline.
+    /// Resends runs whose commands may have been lost, once all notices from before the break have
+    /// been read. A run that may safely be repeated is sent again, which has no effect if it is
+    /// already running. A run that must happen only once is never sent a second time; if its
+    /// command was lost, the request fails at its deadline.
     pub(super) fn resend_lost_runs(&mut self) {
         if !self.link.is_caught_up() {
             return;
@@ -123,14 +127,15 @@
                 && entry.delivery.may_be_lost_with_connection()
                 && is_repeatable(classes, entry.class)
         };
-        for id in self.requests.ids_where(may_be_resent) {
-            // Where the mailbox is full, the next sweep tries again.
+        for id in self.requests.ids_matching(may_be_resent) {
+            // If the mailbox is full, the next sweep tries again.
             self.send_run(id);
         }
     }
 
-    /// The executor rejected the command to run a request. That fails the request, but it does not tell whether an earlier copy of
-    /// the command runs, so its place is kept until that is known.
+    /// Handles the executor's rejection of the command to run a request. The request fails. As an
+    /// earlier copy of the command may be running, the run keeps occupying its slot until that is
+    /// known.
     pub(super) fn run_rejected(&mut self, uid: RequestUid) {
         self.rate_limited.rejected_run.log(|suppressed| {
             warn!(self.log, "the executor rejected a run"; "uid" => %uid, "suppressed" => suppressed);
@@ -144,15 +149,15 @@
             entry.delivery.rejected();
             entry.delivery.begin_generation(last_run, last_reading);
         }
-        self.report_doubts();
+        self.report_runs_in_doubt();
     }
 
     pub(super) fn run_ended(&mut self, uid: RequestUid, report: RunReport) {
         self.record_ended_run(uid, &report);
         let end_of_run = match report {
             RunReport::Succeeded(payload) => EndOfRun {
-                end: RunOutcome::Served,
-                outcome: Outcome::Served(payload.clone()),
+                run_outcome: RunOutcome::Served,
+                request_outcome: Outcome::Served(payload.clone()),
                 result: Some(RunResult::Served(payload)),
             },
             RunReport::Failed => failed_with(RunOutcome::Failed),
@@ -162,10 +167,11 @@
         self.finish_run(uid, end_of_run);
     }
 
-    /// A run that went on to its end by itself shows that the cores moved, which tells of earlier runs in doubt.
+    /// Records a run that has ended by itself. It shows that the cores made progress, which is
+    /// evidence about earlier runs in doubt.
     fn record_ended_run(&mut self, uid: RequestUid, report: &RunReport) {
-        let went_on = matches!(report, RunReport::Succeeded(_) | RunReport::Failed);
-        let id = self.requests.find(uid).filter(|_| went_on);
+        let ended_by_itself = matches!(report, RunReport::Succeeded(_) | RunReport::Failed);
+        let id = self.requests.find(uid).filter(|_| ended_by_itself);
         let number = id.and_then(|id| self.requests.get_mut(id)?.delivery.number());
         if let Some(number) = number {
             self.requests.record_ended_run(number);
@@ -173,15 +179,15 @@
         }
     }
 
-    /// Ends a run: the request and those that joined it are answered if they are not yet, the policy is notified, and
-    /// the result is kept under the request's key, if it has one.
+    /// Ends a run: answers the request and those that joined it if they have not been answered yet,
+    /// notifies the policy, and keeps the result under the request's key, if it has one.
     pub(super) fn finish_run(&mut self, uid: RequestUid, end_of_run: EndOfRun) {
         let Some(id) = self.requests.find(uid) else {
-            return debug!(self.log, "end of a run that is over"; "uid" => %uid);
+            return debug!(self.log, "end reported for a run that has already ended"; "uid" => %uid);
         };
         let EndOfRun {
-            end,
-            outcome,
+            run_outcome,
+            request_outcome,
             result,
         } = end_of_run;
         if self
@@ -192,20 +198,20 @@
             (self.peers.run_ended)(uid);
         }
         let joined = self.record_result(id, result);
-        self.answer(id, outcome.clone());
-        self.answer_joined(joined, &outcome);
+        self.answer(id, request_outcome.clone());
+        self.answer_joined(joined, &request_outcome);
         self.remove(id);
-        self.queue_event(Event::RunEnded(id, end));
+        self.queue_event(Event::RunEnded(id, run_outcome));
     }
 
-    /// Keeps the result of a run under its request's key and returns the requests that have joined it.
+    /// Keeps the result of a run under its request's key and returns the requests that joined it.
     fn record_result(&mut self, id: RequestId, result: Option<RunResult>) -> Vec<RequestId> {
         let Some(result) = result else {
             let joined = self.requests.keys.release_unrun(id.0);
             return joined.into_iter().map(RequestId).collect();
         };
         let result = match result {
-            // A request that runs at most once has no repeat that would be served.
+            // A request that runs at most once has no repeat that would be served from the result.
             RunResult::Served(_) if self.idempotency(id) != Some(Idempotency::ByKey) => {
                 RunResult::Failed
             }
@@ -220,26 +226,26 @@
     }
 }
 
-/// Whether a request of this class may run any number of times.
+/// Returns true if a request of this class may run any number of times.
 fn is_repeatable(classes: &[Class], class: ClassId) -> bool {
     let class = classes.get(class.0);
     class.is_some_and(|c| c.idempotency == Idempotency::Idempotent)
 }
 
-/// The end of a run that failed or was stopped.
-fn failed_with(end: RunOutcome) -> EndOfRun {
+/// Returns the end of a run that failed or was stopped.
+fn failed_with(run_outcome: RunOutcome) -> EndOfRun {
     EndOfRun {
-        end,
-        outcome: Outcome::Failed(Failure::RunFailed),
+        run_outcome,
+        request_outcome: Outcome::Failed(Failure::RunFailed),
         result: Some(RunResult::Failed),
     }
 }
 
-/// The end of a run that certainly never started.
+/// Returns the end of a run that certainly never started.
 fn never_started() -> EndOfRun {
     EndOfRun {
-        end: RunOutcome::NeverStarted,
-        outcome: Outcome::Failed(Failure::Internal),
+        run_outcome: RunOutcome::NeverStarted,
+        request_outcome: Outcome::Failed(Failure::Internal),
         result: None,
     }
 }
--- a/src/node/policy_actor/sweep.rs
+++ b/src/node/policy_actor/sweep.rs
@@ -1,4 +1,4 @@
-//! Periodic work: runs that nobody waits for, usage, and the state in the log.
+//! Periodic work: abandoned and lost runs, reports of usage, and the log line on the state.
 
 use std::time::{Duration, Instant};
 
@@ -47,20 +47,23 @@
         }
     }
 
-    /// Has the connection to the executor replaced after a long silence: a peer that is gone without a word shows as nothing else.
-    /// Runs go on meanwhile, and the next connection tells of them.
+    /// Replaces the connection to the executor after a long silence, which is the only sign of a
+    /// peer that became unreachable without closing the connection. Runs continue meanwhile, and
+    /// the executor reports them on the next connection.
     fn replace_silent_connection(&mut self) {
         let max_silence = self.limits.policy.max_silence;
         if self.link.needs_replacement(Instant::now(), max_silence) {
-            warn!(self.log, "the executor is silent: its connection is replaced"; "max_silence_ms" => max_silence.as_millis() as u64);
-            // Where the mailbox is full, nobody reads it, and the connection ends by its write timeout.
+            warn!(self.log, "executor does not answer: replacing its connection"; "max_silence_ms" => max_silence.as_millis() as u64);
+            // A full mailbox is not being read, and the connection ends by its write timeout.
             let _ = self.peers.executor.try_send(ExecutorCommand::Reconnect);
         }
     }
 
-    /// Stops runs that are answered but not over, again and again, as commands may be lost and cores may stand still.
+    /// Stops runs whose requests are answered but that have not ended. This is repeated, as
+    /// commands may be lost and cores may stall.
     ///
-    /// No run is taken for over because time has passed: it would still be on its core, and another one would be started beside it.
+    /// No run is assumed to have ended because time has passed: it could still occupy its core, and
+    /// another run would be started in parallel.
     fn stop_abandoned_runs(&mut self) {
         let classes = &self.site.settings.classes;
         let retry_after = self.limits.policy.stop_retry_after;
@@ -69,12 +72,13 @@
             let is_old = |at: Instant| at.elapsed() >= retry_after + grace;
             entry.was_sent() && entry.answered_at.is_some_and(is_old)
         };
-        for id in self.requests.ids_where(is_due) {
+        for id in self.requests.ids_matching(is_due) {
             self.stop_abandoned_run(id);
         }
     }
 
-    /// Stops a run that is answered, where the site allows that. If it may never have started, later runs tell from here on.
+    /// Stops the run of an answered request, if the site allows that. If the run may never have
+    /// started, runs that are sent from now on show whether it has ended.
     pub(super) fn stop_abandoned_run(&mut self, id: RequestId) {
         let (last_run, last_reading) = (self.last_run, self.link.last_tag());
         let may_stop = self.may_stop_runs();
@@ -82,9 +86,9 @@
             return;
         };
         let stop = ExecutorCommand::Stop(entry.uid);
-        // Sent again by the next sweep if it is lost.
-        let is_asked = !may_stop || self.peers.executor.try_send(stop).is_ok();
-        if is_asked && self.link.is_caught_up() {
+        // If the command is lost, the next sweep sends it again.
+        let is_stop_sent = !may_stop || self.peers.executor.try_send(stop).is_ok();
+        if is_stop_sent && self.link.is_caught_up() {
             entry.delivery.begin_generation(last_run, last_reading);
         }
     }
@@ -93,39 +97,40 @@
         self.site.settings.preemption != Preemption::Unsupported
     }
 
-    /// Ends the answered runs that were in doubt and, as later runs have shown, are not in progress.
+    /// Ends the runs in doubt of answered requests that, as later runs have shown, are not in
+    /// progress.
     pub(super) fn end_lost_runs(&mut self) {
         let generations = if self.may_stop_runs() {
             GENERATIONS_IF_STOPPED
         } else {
             GENERATIONS_IF_UNSTOPPABLE
         };
-        let is_over = |entry: &RequestEntry| {
-            entry.responder.is_none() && entry.delivery.is_over_after(generations)
+        let has_ended = |entry: &RequestEntry| {
+            entry.responder.is_none() && entry.delivery.has_ended_after(generations)
         };
-        for id in self.requests.ids_where(is_over) {
+        for id in self.requests.ids_matching(has_ended) {
             self.end_lost_run(id);
         }
-        self.report_doubts();
+        self.report_runs_in_doubt();
     }
 
     fn end_lost_run(&mut self, id: RequestId) {
         let Some(uid) = self.requests.get_mut(id).map(|entry| entry.uid) else {
             return;
         };
-        info!(self.log, "run in doubt is over"; "uid" => %uid);
+        info!(self.log, "run in doubt has ended"; "uid" => %uid);
         let end_of_run = EndOfRun {
-            end: RunOutcome::Failed,
-            outcome: Outcome::Failed(Failure::Internal),
+            run_outcome: RunOutcome::Failed,
+            request_outcome: Outcome::Failed(Failure::Internal),
             result: Some(RunResult::Failed),
         };
         self.finish_run(uid, end_of_run);
     }
 
     /// Notifies the policy of the number of runs in doubt, if that has changed.
-    pub(super) fn report_doubts(&mut self) {
+    pub(super) fn report_runs_in_doubt(&mut self) {
         let in_doubt = self.requests.counts().in_doubt;
-        if std::mem::replace(&mut self.reported_doubts, in_doubt) != in_doubt {
+        if std::mem::replace(&mut self.reported_runs_in_doubt, in_doubt) != in_doubt {
             if in_doubt == 0 {
                 info!(self.log, "no run is in doubt");
             }
@@ -144,13 +149,14 @@
                 "booked_kb" => booked_kb as u64, "max_booked_kb" => peaks.booked_kb as u64,
                 "calls" => ?self.policy.as_ref().map(Policy::dependency_call_stats),
                 "memory_kb" => self.site.settings.memory_kb as u64,
-                "max_read_age_ms" => peaks.age.ms() as u64);
+                "max_read_age_ms" => peaks.request_age.ms() as u64);
         });
     }
 }
 
-/// How much longer an answered run of this class may continue before it is stopped. One with an idempotency key
-/// continues, as another attempt may ask for its result.
+/// Returns the additional time for which the run of an answered request of this class may continue
+/// before it is stopped. In a class that is idempotent by key the run continues, as another attempt
+/// may request its result.
 fn stop_grace(classes: &[policy::Class], class: ClassId) -> Duration {
     match classes.get(class.0) {
         Some(class) if class.idempotency == Idempotency::ByKey => to_duration(class.deadline),
--- a/src/node/request_table.rs
+++ b/src/node/request_table.rs
@@ -1,4 +1,5 @@
-//! The table of requests that are not over: the stage and the responder of each, and the idempotency keys.
+//! The table of requests that have not ended, with the stage and the responder of each, and the
+//! idempotency keys.
 
 use std::collections::hash_map::RandomState;
 use std::collections::HashMap;
@@ -12,33 +13,33 @@
 use super::request::{Payload, RequestUid, Responder};
 use super::run_delivery::{RunDelivery, RunNumber};
 
-/// The stage of a request with the peers.
+/// The stage of a request at the executor and the database.
 #[derive(Debug, PartialEq)]
 pub(super) enum RequestStage {
-    /// Never sent to the executor.
+    /// The request was never sent to the executor.
     Queued,
-    /// Sent to the executor, and not known to be over.
+    /// The request was sent to the executor, and its run is not known to have ended.
     Running,
-    /// Waits for the result of the request that it repeats, and is never sent itself.
+    /// The request waits for the result of the request that it repeats, and is never sent itself.
     Joined,
-    /// Its run waits for a database call.
+    /// The run waits for permission to make a database call.
     AwaitingCall {
         /// The body of the call.
         payload: Payload,
-        /// Number of the executor's notice that asked for it.
+        /// Number of the executor's notice that requested the call.
         notice: u64,
     },
-    /// The call is being made; its body is kept in case it never runs and is made again.
+    /// The call is being made. Its body is kept in case the call never runs and is made again.
     Calling {
         /// The body of the call.
         payload: Payload,
-        /// Number of the executor's notice that asked for it.
+        /// Number of the executor's notice that requested the call.
         notice: u64,
     },
 }
 
 impl RequestStage {
-    /// Has a request wait again for a call that never ran or failed.
+    /// Returns a request whose call never ran or failed to the stage before the call.
     pub(super) fn await_call_again(&mut self) {
         if let RequestStage::Calling { payload, notice } =
             std::mem::replace(self, RequestStage::Running)
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The name of the stage in the log.
+    /// Returns the name of the stage in the log.
     pub(super) fn name(&self) -> &'static str {
         match self {
             RequestStage::Queued => "queued",
@@ -59,37 +60,40 @@
     }
 }
 
-/// A request that is not over.
+/// A request that has not ended.
 pub(super) struct RequestEntry {
     pub(super) uid: RequestUid,
     pub(super) class: ClassId,
     pub(super) payload: Payload,
-    /// Kilobytes that the platform counts for it while it is queued.
+    /// Kilobytes that the platform counts for the request while it is queued.
     pub(super) queued_kb: f64,
-    /// The right to answer it, until it is answered.
+    /// The right to answer the request, until it is answered.
     pub(super) responder: Option<Responder>,
     pub(super) stage: RequestStage,
-    /// When it was answered; a run that continues after that is abandoned.
+    /// Time of the answer. A run that continues after that is abandoned.
     pub(super) answered_at: Option<Instant>,
-    /// The request that it repeats, which ran or may still run: it is answered from that run or fails, and never runs.
+    /// The request that this one repeats, which ran or may still run. This one is answered from
+    /// that run or fails, and never runs.
     pub(super) repeats: Option<RequestId>,
-    /// How far the command to run it is known to have arrived.
+    /// What is known of the delivery of the command to run the request.
     pub(super) delivery: RunDelivery,
-    /// Whether a database call was made for it.
+    /// True if a database call was made for the request.
     pub(super) has_called: bool,
-    /// Whether it is the first of its key in the table of keys.
+    /// True if the request is the owner of its key in the table of keys, as the first one to use
+    /// it.
     pub(super) owns_key: bool,
-    /// The key under which the fleet counts it, where it does.
+    /// The key under which the request is counted in the fleet's counters, if it is.
     pub(super) fleet_key: Option<u64>,
 }
 
 impl RequestEntry {
-    /// Whether it was ever sent to run: then it is not rejected, as that would promise that it never ran.
+    /// Returns true if the request was ever sent to run. It must then not be rejected, as a
+    /// rejection guarantees that the request never ran.
     pub(super) fn was_sent(&self) -> bool {
         !matches!(self.stage, RequestStage::Queued | RequestStage::Joined)
     }
 
-    /// The command to run it, as a request of the class of this name.
+    /// Returns the command to run the request; `class` is the name of its class.
     pub(super) fn run_command(&self, class: String) -> ExecutorCommand {
         ExecutorCommand::Run {
             uid: self.uid,
@@ -102,19 +106,19 @@
 /// The result of a run, as the table of keys keeps it.
 pub(super) type RunResult = idempotency::RunResult<Payload>;
 
-/// The claim of a request to be the first of its idempotency key.
+/// The claim of a request to be the first one with its idempotency key.
 #[derive(Clone, Copy)]
 pub(super) struct KeyClaim {
     /// Digest of the key, its class and its tenant.
     pub(super) key_digest: u128,
     /// Digest of the payload.
     pub(super) payload_digest: u128,
-    /// When the request arrived.
+    /// Arrival time of the request.
     pub(super) arrived_at: Time,
 }
 
-/// Computes digests of 128 bits with random seeds of this process: a long key takes no more memory than a short one, and
-/// no client can choose keys whose digests collide.
+/// Computes 128-bit digests with random seeds of this process. With digests a long key takes no
+/// more memory than a short one, and no client can choose keys whose digests collide.
 pub(super) struct Digests(RandomState, RandomState);
 
 impl Digests {
@@ -122,7 +126,7 @@
         Digests(RandomState::new(), RandomState::new())
     }
 
-    /// The digest of a value.
+    /// Returns the digest of a value.
     pub(super) fn digest(&self, value: impl Hash) -> u128 {
         let high = u128::from(self.0.hash_one(&value));
         let low = u128::from(self.1.hash_one(&value));
@@ -130,19 +134,19 @@
     }
 }
 
-/// Counts of requests by stage.
+/// Numbers of requests by stage.
 pub(super) struct RequestCounts {
-    /// Not sent to run.
+    /// Requests that were not sent to run.
     pub(super) queued: usize,
-    /// With a run that a caller waits for.
+    /// Requests with a run whose caller still waits for the answer.
     pub(super) running: usize,
-    /// With a run that nobody waits for.
+    /// Requests with an abandoned run.
     pub(super) abandoned: usize,
-    /// Of both, those that may never have started.
+    /// Requests, both running and abandoned, whose run may never have started.
     pub(super) in_doubt: usize,
 }
 
-/// All requests that are not over.
+/// All requests that have not ended.
 pub(super) struct RequestTable {
     entries: HashMap<RequestId, RequestEntry>,
     by_uid: HashMap<RequestUid, RequestId>,
@@ -162,7 +166,7 @@
         }
     }
 
-    /// Inserts a request, with its claim to its key if it is the first to use it.
+    /// Inserts a request. `claim` is its claim to its key, if it is the first to use it.
     pub(super) fn insert(&mut self, entry: RequestEntry, claim: Option<KeyClaim>) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -179,8 +183,8 @@
         id
     }
 
-    /// Removes a request that is over. Returns the requests that joined it, if it never ran. The key of one that was ever sent
-    /// to run stays in the table of keys.
+    /// Removes a request that has ended. Returns the requests that joined it, if it never ran. The
+    /// key of a request that was ever sent to run stays in the table of keys.
     pub(super) fn remove(&mut self, id: RequestId) -> Vec<RequestId> {
         let Some(entry) = self.entries.remove(&id) else {
             return Vec::new();
@@ -204,7 +208,7 @@
         self.entries.get_mut(&id)
     }
 
-    /// The request, if it has not been sent to run and has joined no other.
+    /// Returns the request, if it has not been sent to run and has not joined another.
     pub(super) fn get_queued(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
         self.get_mut(id)
             .filter(|entry| entry.stage == RequestStage::Queued)
@@ -223,28 +227,30 @@
         }
     }
 
-    /// How many runs may be on the cores: those that do not wait for a call.
+    /// Returns the number of runs that may be on the cores, which are those that do not wait for a
+    /// call.
     pub(super) fn runs_on_cores(&self) -> usize {
         let on_cores = |entry: &&RequestEntry| entry.stage == RequestStage::Running;
         self.entries.values().filter(on_cores).count()
     }
 
-    /// How many calls are being made or about to be.
+    /// Returns the number of calls that are being made or about to be made.
     pub(super) fn calls_in_progress(&self) -> usize {
         let is_calling =
             |entry: &&RequestEntry| matches!(entry.stage, RequestStage::Calling { .. });
         self.entries.values().filter(is_calling).count()
     }
 
-    /// A run has ended on the cores by itself, which tells of runs in doubt that were sent before it.
+    /// Records that a run has ended on the cores by itself, which is evidence about runs in doubt
+    /// that were sent before it.
     pub(super) fn record_ended_run(&mut self, number: RunNumber) {
         for entry in self.entries.values_mut() {
             entry.delivery.other_run_ended(number);
         }
     }
 
-    /// Kilobytes that the platform counts for all requests; a running request takes `run_factor` times what it takes while
-    /// queued.
+    /// Returns the kilobytes that the platform counts for all requests. A running request takes
+    /// `run_factor` times the memory of a queued one.
     pub(super) fn booked_kb(&self, run_factor: f64) -> f64 {
         self.entries
             .values()
@@ -252,15 +258,15 @@
             .sum()
     }
 
-    /// Kilobytes that the platform counts for the runs among them.
+    /// Returns the kilobytes that the platform counts for runs.
     pub(super) fn run_memory_kb(&self, run_factor: f64) -> f64 {
         let runs = self.entries.values().filter(|e| e.was_sent());
         runs.map(|e| e.queued_kb * run_factor).sum()
     }
 
-    /// The requests for which this holds, in no order.
-    pub(super) fn ids_where(&self, holds: impl Fn(&RequestEntry) -> bool) -> Vec<RequestId> {
-        let matching = self.entries.iter().filter(|(_, entry)| holds(entry));
+    /// Returns the ids of the requests for which the predicate holds, in no particular order.
+    pub(super) fn ids_matching(&self, predicate: impl Fn(&RequestEntry) -> bool) -> Vec<RequestId> {
+        let matching = self.entries.iter().filter(|(_, entry)| predicate(entry));
         matching.map(|(id, _)| *id).collect()
     }
 
--- a/tests/executor_link.rs
+++ b/tests/executor_link.rs
@@ -63,7 +63,7 @@
     node.executor.lose_next_command();
     let mut client = node.connect();
     assert_failed(&client.request(POST, "serve:lost"));
-    let is_over = || node.log().contains("run in doubt is over");
+    let is_over = || node.log().contains("run in doubt has ended");
     wait_until("it is stopped again and again", || {
         node.executor.kill_count() >= 15
     });
