--- a/src/node/held_work.rs
+++ b/src/node/held_work.rs
@@ -20,7 +20,7 @@
 
 /// What is known of the work that a process left running when it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeftWork {
+pub enum RemainingWork {
     /// The process recorded it before it ended.
     Recorded(HeldWork),
     /// There is no record, for example because the process was killed.
@@ -79,12 +79,12 @@
     }
 }
 
-impl LeftWork {
+impl RemainingWork {
     /// Returns the upper bound of the number of runs on a node of this capacity.
     pub(super) fn runs(self, node: NodeCapacity) -> u32 {
         match self {
-            LeftWork::Recorded(work) => work.runs,
-            LeftWork::Killed { shares, .. } => {
+            RemainingWork::Recorded(work) => work.runs,
+            RemainingWork::Killed { shares, .. } => {
                 (node.runs * fraction_of_shares(shares)).floor() as u32
             }
         }
@@ -94,8 +94,8 @@
     /// respond; a database that responds notices that their connections have ended.
     pub(super) fn calls(self) -> u32 {
         match self {
-            LeftWork::Recorded(work) => work.calls,
-            LeftWork::Killed { calls, .. } => calls,
+            RemainingWork::Recorded(work) => work.calls,
+            RemainingWork::Killed { calls, .. } => calls,
         }
     }
 
@@ -103,11 +103,11 @@
     /// wait for a call are not counted, as they end with their requests.
     pub(super) fn memory(self, node: NodeCapacity) -> InheritedMemory {
         match self {
-            LeftWork::Recorded(work) => InheritedMemory {
+            RemainingWork::Recorded(work) => InheritedMemory {
                 recorded_kb: work.memory_kb as f64,
                 ..InheritedMemory::default()
             },
-            LeftWork::Killed { shares, .. } => InheritedMemory {
+            RemainingWork::Killed { shares, .. } => InheritedMemory {
                 unrecorded_runs: f64::from(self.runs(node)),
                 unrecorded_share_kb: node.memory_kb * fraction_of_shares(shares),
                 ..InheritedMemory::default()
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -6,7 +6,7 @@
 use crossbeam_channel::Sender;
 use policy::RequestId;
 
-use super::held_work::{HeldWork, LeftWork};
+use super::held_work::{HeldWork, RemainingWork};
 use super::request::{Arrival, Payload, RequestUid};
 
 /// A message to the mailbox of the policy actor.
@@ -69,7 +69,7 @@
     /// Another process of the node is running.
     SiblingSeen,
     /// Another process of the node has ended and left this work running.
-    SiblingEnded(LeftWork),
+    SiblingEnded(RemainingWork),
     /// An earlier process of the node ended and left this work running before this process replaced
     /// it.
     EarlierWorkFound(HeldWork),
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -21,7 +21,7 @@
 use crate::wire::Site;
 
 pub use cell_guard::CellGuard;
-pub use held_work::{HeldWork, LeftWork};
+pub use held_work::{HeldWork, RemainingWork};
 pub use limits::Limits;
 pub use messages::{CallResult, DatabaseCall, ExecutorCommand, PolicyMessage, RunReport};
 pub use peers::{FleetCounters, Peers};
--- a/src/node/policy_actor/inherited_work.rs
+++ b/src/node/policy_actor/inherited_work.rs
@@ -9,7 +9,7 @@
 use lifecycle::TOTAL_SHARES;
 
 use super::PolicyActor;
-use crate::node::held_work::{InheritedMemory, LeftWork, NodeCapacity};
+use crate::node::held_work::{InheritedMemory, NodeCapacity, RemainingWork};
 use crate::node::run_delivery::{RunDelivery, GENERATIONS_IF_UNSTOPPABLE};
 
 /// Runs of earlier processes that may still be in progress.
@@ -31,15 +31,15 @@
     /// the gauges do not, as they may show idle cores while the runs hang. Nothing shows when its
     /// calls end. The database actor counts them for as long as it counts calls of a database that
     /// does not notice closes.
-    pub(super) fn inherit_work(&mut self, left: LeftWork) {
+    pub(super) fn inherit_work(&mut self, work: RemainingWork) {
         let settings = &self.site.settings;
         let node = NodeCapacity {
             runs: settings.concurrency_per_core * f64::from(settings.cores),
             memory_kb: settings.memory_kb,
         };
-        let (runs, calls, memory) = (left.runs(node), left.calls(), left.memory(node));
+        let (runs, calls, memory) = (work.runs(node), work.calls(), work.memory(node));
         info!(self.log, "an earlier process has ended"; "runs" => runs, "calls" => calls,
-            "memory_kb" => memory.kilobytes(self.largest_run_kb), "is_recorded" => matches!(left, LeftWork::Recorded(_)));
+            "memory_kb" => memory.kilobytes(self.largest_run_kb), "is_recorded" => matches!(work, RemainingWork::Recorded(_)));
         self.inherit_calls(calls);
         self.inherit_runs(runs, memory);
     }
--- a/src/node/policy_actor/mod.rs
+++ b/src/node/policy_actor/mod.rs
@@ -32,7 +32,7 @@
 use self::inherited_work::InheritedRuns;
 use self::sibling_keys::SiblingKeys;
 use super::executor_link::ExecutorLink;
-use super::held_work::LeftWork;
+use super::held_work::RemainingWork;
 use super::request_table::RequestTable;
 use super::run_delivery::RunNumber;
 use super::{
@@ -247,11 +247,13 @@
             }
             PolicyMessage::ResourceSharesChanged(shares) => self.set_resource_shares(shares),
             PolicyMessage::SiblingSeen => self.sibling = SiblingKeys::Present,
-            PolicyMessage::SiblingEnded(left) => {
+            PolicyMessage::SiblingEnded(work) => {
                 self.sibling = SiblingKeys::EndedAt(Instant::now());
-                self.inherit_work(left);
+                self.inherit_work(work);
+            }
+            PolicyMessage::EarlierWorkFound(work) => {
+                self.inherit_work(RemainingWork::Recorded(work));
             }
-            PolicyMessage::EarlierWorkFound(work) => self.inherit_work(LeftWork::Recorded(work)),
             PolicyMessage::EarlierCallsFound(calls) => self.inherit_calls(calls),
             PolicyMessage::ReportHeldWork(reports) => self.report_held_work(&reports),
             PolicyMessage::Replaced(time_left) => {
--- a/src/resource_divider.rs
+++ b/src/resource_divider.rs
@@ -5,7 +5,7 @@
 use crossbeam_channel::Sender;
 use lifecycle::{connection_shares, SiblingProcess, TOTAL_SHARES};
 use protocol_gateway::instance_lock::{InstanceLock, ResourceShareLocks};
-use protocol_gateway::node::{LeftWork, NodeStatus, PolicyMessage};
+use protocol_gateway::node::{NodeStatus, PolicyMessage, RemainingWork};
 use slog::Logger;
 
 /// Holds this process's resource shares and publishes how many they are.
@@ -67,11 +67,11 @@
     /// that its work does not need, so that the work was within those.
     fn inherit_work(&self, instance_lock: &InstanceLock, freed_shares: u32) {
         let recorded = instance_lock.take_sibling_work(&self.log);
-        let killed = LeftWork::Killed {
+        let killed = RemainingWork::Killed {
             shares: freed_shares,
             calls: instance_lock.take_sibling_calls(),
         };
-        let left = recorded.map_or(killed, LeftWork::Recorded);
+        let left = recorded.map_or(killed, RemainingWork::Recorded);
         let _ = self.policy.send(PolicyMessage::SiblingEnded(left));
     }
 }
