--- a/src/net/jsonrpc/server_loop.rs
+++ b/src/net/jsonrpc/server_loop.rs
@@ -78,9 +78,9 @@
     pub fn new(context: NodeContext, limits: &Limits, log: &Logger) -> io::Result<ServerLoop> {
         let live_limits = NodeLiveLimits {
             context: context.clone(),
-            max_node_connections: limits.front.max_connections,
+            max_node_connections: limits.client_connections.max_connections,
             default_idle_timeout: limits.listener.idle_timeout,
-            lines_per_turn: limits.front.lines_per_turn,
+            lines_per_turn: limits.client_connections.lines_per_turn,
             max_waiting_messages: limits.policy.mailbox / MAILBOX_SHARE_DIVISOR,
             pause: limits.listener.backpressure_interval,
         };
@@ -154,7 +154,7 @@
 
 fn listener_settings(limits: &Limits) -> ListenerSettings {
     ListenerSettings {
-        limits: limits.front.clone(),
+        limits: limits.client_connections.clone(),
         max_events: limits.listener.event_batch,
         read_buffer_bytes: limits.read_bytes,
         accepts_per_step: limits.listener.accept_batch,
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Limits of the client connections that use JSON-RPC.
-    pub front: ConnectionLimits,
+    pub client_connections: ConnectionLimits,
     /// Limits of the JSON-RPC client listener and its event loop.
     pub listener: ListenerLimits,
     /// Limits of the policy actor.
@@ -72,7 +72,7 @@
             .saturating_sub(database.connections + RESERVED_DESCRIPTORS)
             .clamp(MIN_CLIENT_CONNECTIONS, MAX_CLIENT_CONNECTIONS);
         Limits {
-            front: ConnectionLimits::new(connections),
+            client_connections: ConnectionLimits::new(connections),
             listener: ListenerLimits::default(),
             policy: PolicyLimits::default(),
             keys: KeyTableLimits::default(),
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -86,7 +86,10 @@
             .map(|file| CellGuard::read(file, &config.name))
             .transpose()?;
         // Connections to brokers take descriptors from those of clients.
-        limits.front.max_connections = limits.front.max_connections.saturating_sub(queues.len());
+        limits.client_connections.max_connections = limits
+            .client_connections
+            .max_connections
+            .saturating_sub(queues.len());
         Ok(NodeFiles {
             config,
             fleet,
@@ -208,7 +211,7 @@
         locks: ResourceShareLocks::new(&folder, name, &instance_lock),
         status: context.status.clone(),
         policy: context.policy.clone(),
-        max_connections: context.limits.front.max_connections,
+        max_connections: context.limits.client_connections.max_connections,
         published: None,
         had_sibling: false,
         log: context.log.clone(),
--- a/tests/connection_races.rs
+++ b/tests/connection_races.rs
@@ -105,9 +105,9 @@
 #[test]
 fn new_connections_are_accepted_among_peers_that_never_close() {
     let mut stepped = SteppedServer::new(|limits| {
-        limits.front.set_max_connections(40);
-        limits.front.linger_timeout = Duration::from_secs(60);
-        limits.front.silence_grace = Duration::ZERO;
+        limits.client_connections.set_max_connections(40);
+        limits.client_connections.linger_timeout = Duration::from_secs(60);
+        limits.client_connections.silence_grace = Duration::ZERO;
     });
     let mut open: Vec<TestClient> = Vec::new();
     for _ in 0..120 {
@@ -124,8 +124,9 @@
 /// A peer that stays silent after the server has shut its side is disconnected after the linger timeout.
 #[test]
 fn peer_that_never_closes_is_disconnected_after_the_linger_timeout() {
-    let mut stepped =
-        SteppedServer::new(|limits| limits.front.linger_timeout = Duration::from_millis(5));
+    let mut stepped = SteppedServer::new(|limits| {
+        limits.client_connections.linger_timeout = Duration::from_millis(5);
+    });
     let peer = stepped.connect();
     stepped.server.begin_close_all(Instant::now());
     stepped.step_until("it is disconnected", |stepped| {
@@ -198,7 +199,7 @@
 fn request_at_the_moment_of_an_idle_close_is_answered() {
     let mut stepped = SteppedServer::new(|limits| {
         limits.listener.idle_timeout = Duration::ZERO;
-        limits.front.goodbye_timeout = Duration::ZERO;
+        limits.client_connections.goodbye_timeout = Duration::ZERO;
     });
     let mut peer = stepped.connect();
     // The second one is unread as the first is answered and the timeouts expire.
