--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -163,7 +163,7 @@
     pub stack_bytes: usize,
     /// Time between checks for abandoned runs.
     pub sweep_interval: Duration,
-    /// Time after the answer when a run that has not ended is stopped again.
+    /// Time after the answer at which a run that has not ended is stopped again.
     pub stop_retry_after: Duration,
     /// Maximum time for which the executor may leave a reading of its gauges unanswered; after that
     /// its connection is replaced.
@@ -171,8 +171,8 @@
     /// Maximum time for which the executor may leave a reading of its gauges unanswered; after that
     /// only runs whose commands can be sent again are sent to it.
     pub max_silence_for_nonrepeatable_runs: Duration,
-    /// Difference in age from which an executor is old enough for an earlier process than this one
-    /// to have used it.
+    /// Minimum difference in age between the executor and this process for an earlier process to
+    /// have used the executor.
     pub executor_age_margin: Duration,
     /// Maximum time that a wake-up waits for the gauges; after that the policy is woken without
     /// them.
@@ -310,8 +310,8 @@
     pub backoff_max: Duration,
     /// Stack size in bytes of a thread that decodes frames.
     pub stack_bytes: usize,
-    /// Maximum prefetch that an inventory may configure. It bounds the number of unsettled messages
-    /// that a broker can have the node keep.
+    /// Maximum prefetch that an inventory may configure. It bounds the number of messages that a
+    /// broker can have the node keep.
     pub max_prefetch: u16,
 }
 
--- a/src/node/policy_actor/inherited_work.rs
+++ b/src/node/policy_actor/inherited_work.rs
@@ -29,8 +29,8 @@
 impl PolicyActor {
     /// Counts the work of a process that has just ended. Later runs show when its runs have ended;
     /// the gauges do not, as they may show idle cores while the runs hang. Nothing shows when its
-    /// calls end. The database actor counts them for as long as it counts calls of a database that
-    /// does not notice closes.
+    /// calls end. The database actor counts them for the time that it assumes for calls at a
+    /// database that does not notice closes.
     pub(super) fn inherit_work(&mut self, work: RemainingWork) {
         let settings = &self.site.settings;
         let node = NodeCapacity {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Notifies the policy of the inherited runs and of the memory that remains beside theirs.
+    /// Notifies the policy of the inherited runs and of the memory that remains for other runs.
     fn report_inherited_runs(&mut self) {
         let runs = f64::from(self.inherited.on_cores);
         self.queue_event(Event::RunsInherited(runs));
--- a/src/node/policy_actor/quotas.rs
+++ b/src/node/policy_actor/quotas.rs
@@ -16,8 +16,8 @@
 const SMALL_MEMORY_RUNS: f64 = 2.0;
 /// Fraction of a share by which rounding errors may exceed a whole number of shares.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
-/// Lower bound of a quota of concurrent calls, and of its fraction: a quota of 0 would mean no
-/// limit.
+/// Lower bound of the fraction of the call quota that belongs to a process, and of the quota in
+/// divisions; a quota of 0 would mean no limit.
 const MIN_CALL_QUOTA: f64 = 0.01;
 
 impl PolicyActor {
--- a/src/node/request_table.rs
+++ b/src/node/request_table.rs
@@ -39,7 +39,7 @@
 }
 
 impl RequestStage {
-    /// Returns a request whose call never ran or failed to the stage before the call.
+    /// Resets a request whose call never ran or failed to the stage in which it awaits the call.
     pub(super) fn await_call_again(&mut self) {
         if let RequestStage::Calling { payload, notice } =
             std::mem::replace(self, RequestStage::Running)
