--- a/crates/cells/benches/lookup.rs
+++ b/crates/cells/benches/lookup.rs
@@ -1,4 +1,5 @@
-//! The cost of a look-up by the number of declared tenants, and the memory that their map takes.
+//! Measures the cost of a lookup by the number of declared tenants, and the memory used by their
+//! map.
 
 use std::hint::black_box;
 
--- a/crates/cells/src/health.rs
+++ b/crates/cells/src/health.rs
@@ -1,53 +1,57 @@
-//! How much of a cell's capacity is available, as one observer's membership view shows it.
+//! Health of a cell: the fraction of its capacity that is available in one observer's membership
+//! view.
 
 use crate::map::{Cell, CellMap};
 
-/// The part of a cell's weight above which the cell counts as healthy, and of the rest of the fleet's weight above which
-/// the observer counts as connected.
-const MAJORITY: f64 = 0.5;
+/// Fraction of weight that must be exceeded: by the available nodes of a cell for it to be healthy,
+/// and by those of the rest of the fleet for the observer to be considered connected.
+const MAJORITY_FRACTION: f64 = 0.5;
 
 /// The health of a cell.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CellHealth {
-    /// Most of its weight is available.
+    /// Most of the cell's weight is available.
     Healthy {
-        /// The available fraction of its weight, from 0 to 1.
+        /// Available fraction of the cell's weight, from 0 to 1.
         available: f64,
     },
-    /// Most of its weight is unavailable, while most of the rest of the fleet is available.
+    /// Most of the cell's weight is unavailable, while most of the rest of the fleet is available.
     Degraded {
-        /// The available fraction of its weight, from 0 to 1.
+        /// Available fraction of the cell's weight, from 0 to 1.
         available: f64,
     },
-    /// The observer reaches neither the cell nor the rest of the fleet: it is the observer that is cut off.
+    /// The observer sees neither most of the cell nor most of the rest of the fleet: the observer
+    /// itself may be disconnected.
     ObserverIsolated,
 }
 
 impl CellHealth {
-    /// Assesses a cell. `sees_fleet` is whether the observer concludes that it is not in a minority partition,
-    /// `is_available` which members its view holds to be available. A cell of which less than half is available is
-    /// degraded if more than half of the other cells is available; otherwise the observer may be cut off, and must decide
-    /// nothing. A fleet of one cell can't tell the two apart and assumes the latter, which is the safe choice.
+    /// Assesses the health of a cell. `observer_has_majority` is true if the observer is not in a
+    /// minority partition; `is_available` returns true for each node that is available in its
+    /// membership view. A cell with no more than half of its weight available is degraded if more
+    /// than half of the weight of the other cells is available. Otherwise the observer may be
+    /// disconnected and must not decide anything. With only one cell the two cases can't be
+    /// distinguished, and the observer is assumed to be disconnected, which is the safe choice.
     pub fn assess(
         map: &CellMap,
         cell: &str,
-        sees_fleet: bool,
+        observer_has_majority: bool,
         is_available: impl Fn(&str) -> bool,
     ) -> CellHealth {
         let inside = map.cells().filter(|c| &*c.name == cell);
         let outside = map.cells().filter(|c| &*c.name != cell);
         let available = available_fraction(inside, &is_available);
-        if available > MAJORITY {
+        if available > MAJORITY_FRACTION {
             return CellHealth::Healthy { available };
         }
-        if sees_fleet && available_fraction(outside, &is_available) > MAJORITY {
+        if observer_has_majority && available_fraction(outside, &is_available) > MAJORITY_FRACTION {
             return CellHealth::Degraded { available };
         }
         CellHealth::ObserverIsolated
     }
 }
 
-/// The available fraction of the weight of some cells; 0 where they have no nodes.
+/// Returns the available fraction of the total weight of these cells; 0 if they have no nodes.
 fn available_fraction<'a>(
     cells: impl Iterator<Item = &'a Cell>,
     is_available: &impl Fn(&str) -> bool,
--- a/crates/cells/src/layout.rs
+++ b/crates/cells/src/layout.rs
@@ -1,18 +1,19 @@
-//! The layout that operators ask for: cells, nodes and tenants as declared.
+//! The declared layout: cells, nodes and tenants as the operators configure them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use crate::Name;
 
-/// What the operators ask for.
+/// The declared cells, nodes and tenants, and how tenants are distributed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Layout {
-    /// The number of a cell's nodes that serve one tenant; 0 for all of them.
+    /// Number of a cell's nodes that serve one tenant; 0 means all of them.
     pub shard_size: usize,
-    /// How far above its portion by weight a cell may be filled with declared shares: 0.25 is a quarter.
+    /// Fraction by which a cell's declared shares may exceed its proportion by weight; 0.25 allows
+    /// a quarter more.
     pub slack: f64,
-    /// Whether tenants that are not declared are served, by the cell that their hash selects.
+    /// True if undeclared tenants are served too, by the cell that their hash selects.
     pub accepts_undeclared_tenants: bool,
     /// The cells.
     pub cells: BTreeMap<Name, CellSpec>,
@@ -32,76 +33,77 @@
 /// A node as declared.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSpec {
-    /// The site it stands at.
+    /// Site of the node.
     pub site: Name,
-    /// Its capacity relative to other nodes; 1 is an ordinary node.
+    /// Capacity relative to other nodes; 1 is an ordinary node.
     pub weight: f64,
-    /// Where it accepts requests.
+    /// Address on which the node accepts requests.
     pub address: Option<SocketAddr>,
-    /// The cell it is to belong to; its present cell, or else the lightest, if none is named.
+    /// Cell that the node must belong to. If none is named, the node stays in its current cell; a
+    /// node without one is assigned to the cell with the lowest weight.
     pub cell: Option<Name>,
 }
 
 /// A tenant as declared.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSpec {
-    /// Its share of the traffic, relative to the sum of all declared shares.
+    /// Share of the traffic, relative to the sum of all declared shares.
     pub share: f64,
-    /// Which cells are to serve it.
+    /// Rule that selects the cells.
     pub placement: Placement,
 }
 
-/// Which cells are to serve a tenant.
+/// The rule that selects the cells of a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Placement {
-    /// The cell that its hash and the cells' capacity select.
+    /// The tenant's hash and the capacity of the cells select one cell.
     Free,
-    /// This cell.
+    /// The tenant is pinned to this cell.
     Cell(Name),
-    /// So many cells, by subject.
+    /// The tenant is split over this number of cells, by subject.
     Split(usize),
 }
 
-/// Why a layout can't be used.
+/// The reason why a layout can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LayoutError {
-    /// It has no cell.
-    #[error("there are no cells")]
+    /// The layout has no cells.
+    #[error("no cells are declared")]
     NoCells,
-    /// A cell is left without a node.
+    /// A cell has no nodes.
     #[error("cell {0} has no nodes")]
     NoNodes(Name),
-    /// All nodes of a cell stand at one site, though there are several sites.
-    #[error("all nodes of cell {cell} stand at {site}")]
+    /// All nodes of a cell are at one site, although the layout has several sites.
+    #[error("all nodes of cell {cell} are at site {site}")]
     OneSite {
         /// The cell.
         cell: Name,
         /// The site of all its nodes.
         site: Name,
     },
-    /// Something names a cell that does not exist.
-    #[error("{referrer} names the cell {cell}, which is not there")]
+    /// A node, tenant or cell refers to a cell that does not exist.
+    #[error("{referrer} refers to cell {cell}, which does not exist")]
     UnknownCell {
-        /// The node, tenant or cell that names it.
+        /// Node, tenant or cell that contains the reference.
         referrer: Name,
         /// The unknown cell.
         cell: Name,
     },
-    /// A tenant is to be split over more cells than there are.
-    #[error("{tenant} is to be split over {shards} cells of {cells}")]
+    /// A tenant would be split over more cells than there are.
+    #[error("tenant {tenant} can't be split over {shards} cells: there are only {cells}")]
     TooManyShards {
         /// The tenant.
         tenant: Name,
-        /// The number of cells asked for.
+        /// Requested number of cells.
         shards: usize,
-        /// The number of cells there are.
+        /// Number of existing cells.
         cells: usize,
     },
-    /// No cell has enough capacity left for a tenant's share.
-    #[error("{0} fits in no cell beside the others")]
+    /// No cell has enough remaining capacity for a tenant's share.
+    #[error("no cell has enough remaining capacity for tenant {0}")]
     NoCapacity(Name),
-    /// A cell is to be removed while a tenant is assigned to it; the tenant must migrate first.
-    #[error("cell {cell} is to go, but {tenant} lives in it: move it first")]
+    /// A removed cell still has a tenant assigned to it; the tenant must be migrated first.
+    #[error("cell {cell} can't be removed: migrate tenant {tenant} to another cell first")]
     CellInUse {
         /// The cell.
         cell: Name,
--- a/crates/cells/src/layout_file.rs
+++ b/crates/cells/src/layout_file.rs
@@ -1,5 +1,5 @@
-//! Reads a layout from the operators' JSON5 file. An unusable file is rejected with one line that names the file, the
-//! line and the field.
+//! Parses a layout from the operators' JSON5 file. An invalid file is rejected with a one-line
+//! error that names the file, the line and the field.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,16 +10,16 @@
 use crate::layout::{CellSpec, Layout, LayoutError, NodeSpec, Placement, TenantSpec};
 use crate::{CellMap, Name};
 
-/// The version of the file format.
-const VERSION: u32 = 1;
-/// The slack of a file that names none.
+/// Supported version of the file format.
+const FORMAT_VERSION: u32 = 1;
+/// Slack of a file that does not set it.
 const DEFAULT_SLACK: f64 = 0.25;
-/// The largest slack that can be asked for.
+/// Largest valid slack.
 const MAX_SLACK: f64 = 10.0;
-/// The largest weight of a node.
+/// Largest valid weight of a node.
 const MAX_WEIGHT: f64 = 1000.0;
 
-// `expecting` keeps the wording of type errors, which operators know.
+// `expecting` keeps the type names in deserialization errors as operators know them.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct File")]
 struct RawLayout {
@@ -71,10 +71,11 @@
 }
 
 impl Layout {
-    /// Reads the text of a file; errors name the file as `file`.
+    /// Parses the text of a file. `file` is the file's name in errors.
     ///
     /// # Errors
-    /// The first field that can't be used, or a layout under which nodes and tenants can't be assigned.
+    /// Returns an error for the first invalid field, or if nodes and tenants can't be assigned to
+    /// cells under this layout.
     pub fn parse(file: &str, text: &str) -> Result<Layout, ConfigFileError> {
         let source = Source {
             file,
@@ -83,13 +84,13 @@
         let raw = source.deserialize(text)?;
         source.check(&raw)?;
         let layout = raw.into_layout();
-        // Some faults show only when nodes and tenants are assigned.
+        // Some errors are only detected when nodes and tenants are assigned.
         CellMap::from_layout(&layout).map_err(|error| source.layout_error(&error))?;
         Ok(layout)
     }
 }
 
-/// The file that is read, for the positions in its errors.
+/// The file being parsed: its name and the line of each field, for error messages.
 struct Source<'a> {
     file: &'a str,
     positions: FieldPositions,
@@ -117,11 +118,14 @@
                 file: self.file.to_string(),
                 line: Some(duplicate.line),
                 field: duplicate.field.clone(),
-                message: "stands here a second time".into(),
+                message: "is defined more than once".into(),
             });
         }
-        if raw.version != VERSION {
-            let message = format!("{} is not known here: {VERSION} is", raw.version);
+        if raw.version != FORMAT_VERSION {
+            let message = format!(
+                "{} is not supported, expected {FORMAT_VERSION}",
+                raw.version
+            );
             return Err(self.error(&["version"], message));
         }
         if !(0.0..=MAX_SLACK).contains(&raw.slack) {
@@ -150,7 +154,7 @@
             for neighbour in &cell.neighbours {
                 self.check_cell_exists(raw, &path, neighbour)?;
                 if neighbour == name {
-                    return Err(self.error(&path, "a cell is no neighbour of its own"));
+                    return Err(self.error(&path, "a cell can't be its own neighbour"));
                 }
             }
         }
@@ -174,7 +178,7 @@
                 .address
                 .and_then(|address| addresses.insert(address, name));
             if let Some(other) = other {
-                let message = format!("is that of {other} too");
+                let message = format!("is also the address of node {other}");
                 return Err(self.error(&["nodes", name, "address"], message));
             }
         }
@@ -188,21 +192,21 @@
             }
             let split_path = ["tenants", name, "split"];
             if tenant.cell.is_some() && tenant.split.is_some() {
-                return Err(self.error(&split_path, "stands beside a cell: one of the two"));
+                return Err(self.error(&split_path, "can't be combined with `cell`"));
             }
             if let Some(cell) = &tenant.cell {
                 self.check_cell_exists(raw, &["tenants", name, "cell"], cell)?;
             }
             let cells = raw.cells.len();
             if tenant.split.is_some_and(|split| split < 2 || split > cells) {
-                let message = format!("is not from 2 to {cells}, the cells there are");
+                let message = format!("is not from 2 to {cells}, the number of cells");
                 return Err(self.error(&split_path, message));
             }
         }
         Ok(())
     }
 
-    /// The error of a layout that can't be applied, at the cell or tenant that it concerns.
+    /// Locates an error of the whole layout at the cell or tenant that it concerns.
     fn layout_error(&self, error: &LayoutError) -> ConfigFileError {
         let message = error.to_string();
         match error {
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -1,8 +1,9 @@
-//! Cells: tenants and subjects are confined to subsets of the nodes, and migrate between them without losing or
-//! duplicating a settlement.
+//! Cells confine tenants and subjects to subsets of the nodes. Tenants migrate between cells
+//! without losing or duplicating a settlement.
 //!
-//! Everything here decides and does no I/O: times and messages come in, decisions go out, so the same code runs in the
-//! node, the router, the coordinator and under the model checker. `docs/cells.md` describes the design.
+//! This crate does no I/O: it takes times and messages as input and returns decisions. The node,
+//! the router, the coordinator and the model checker therefore run the same code. `docs/cells.md`
+//! describes the design.
 
 pub mod health;
 pub mod layout;
@@ -22,5 +23,5 @@
 
 /// The name of a node, cell, site or tenant.
 pub type Name = Arc<str>;
-/// The version number of a cell map; it rises with each change.
+/// Version number of a cell map; it increases with each change.
 pub type Epoch = u64;
--- a/crates/cells/src/map/mod.rs
+++ b/crates/cells/src/map/mod.rs
@@ -1,9 +1,10 @@
-//! Which cell serves a tenant, and which of the cell's nodes.
+//! The cell map: the cell that serves each tenant, and the nodes of that cell.
 //!
-//! A tenant's cell follows from hashes of names (weighted rendezvous), so that any two holders of the same map agree
-//! without communication, and a node or a cell that is added or removed moves only what has to move. The map holds what
-//! hashes don't decide: the cell of each node, pins, splits, and tenants whose preferred cell had no capacity. Maps are
-//! persistent: the next epoch shares all that did not change with the last.
+//! A tenant's cell is selected by weighted rendezvous hashing of names. Any two processes with the
+//! same map agree without communication, and adding or removing a node or a cell moves as few
+//! tenants as possible. The map stores what hashes don't determine: the cell of each node, pinned
+//! and split tenants, and tenants whose preferred cell had no capacity. Maps are persistent data
+//! structures: each epoch shares unchanged parts with the previous one.
 
 mod nodes;
 mod published;
@@ -28,36 +29,36 @@
 /// A node in the map.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// Its name.
+    /// Name of the node.
     pub name: Name,
-    /// The site it stands at.
+    /// Site of the node.
     pub site: Name,
-    /// Its capacity relative to other nodes; 1 is an ordinary node.
+    /// Capacity relative to other nodes; 1 is an ordinary node.
     pub weight: f64,
-    /// Where it accepts requests, if the operators have declared it.
+    /// Address on which the node accepts requests, if the layout declares one.
     pub address: Option<SocketAddr>,
-    /// The cell it belongs to.
+    /// Cell that the node belongs to.
     pub cell: Name,
 }
 
 /// A cell and its nodes, in the order of their names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cell {
-    /// Its name.
+    /// Name of the cell.
     pub name: Name,
-    /// Its nodes.
+    /// Nodes, ordered by name.
     pub nodes: Vec<Node>,
     /// Cells that take over reads while this one is degraded, in order of preference.
     pub neighbours: Vec<Name>,
 }
 
 impl Cell {
-    /// The sum of its nodes' weights.
+    /// Returns the total weight of the cell's nodes.
     pub fn weight(&self) -> f64 {
         self.nodes.iter().map(|node| node.weight).sum()
     }
 
-    /// The number of sites that its nodes stand at.
+    /// Returns the number of distinct sites of the cell's nodes.
     pub fn site_count(&self) -> usize {
         let sites: BTreeSet<&Name> = self.nodes.iter().map(|node| &node.site).collect();
         sites.len()
@@ -67,14 +68,14 @@
 /// The cells that serve a tenant. Its serialized form is part of the coordinator's journal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AssignedCells {
-    /// This cell.
+    /// One cell serves the tenant.
     One(Name),
-    /// These cells, by subject; requests without a subject go to the first.
+    /// The tenant is split over these cells by subject; requests without a subject go to the first.
     Split(Arc<[Name]>),
 }
 
 impl AssignedCells {
-    /// The names of the cells.
+    /// Returns the names of the cells.
     pub fn names(&self) -> &[Name] {
         match self {
             AssignedCells::One(cell) => std::slice::from_ref(cell),
@@ -94,47 +95,48 @@
 pub struct Assignment {
     /// The cells.
     pub cells: AssignedCells,
-    /// The epoch since which they serve the tenant: routers send it with requests, and nodes that know a newer one
-    /// reject them.
+    /// Epoch at which these cells began to serve the tenant. Routers send it with requests, and
+    /// nodes that know a newer one reject them.
     pub since: Epoch,
-    /// Whether an operator migrated the tenant here by hand: it stays unless the file pins it elsewhere.
+    /// True if an operator migrated the tenant here manually: the assignment is kept unless the
+    /// layout pins the tenant to another cell.
     pub is_manual: bool,
 }
 
-/// A tenant that is assigned to other cells than the layout asks for, and so has to migrate.
+/// A tenant that must migrate, because its assignment differs from what the layout requires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingMigration {
     /// The tenant.
     pub tenant: Name,
-    /// The cells that serve it now.
+    /// Cells that serve the tenant now.
     pub from: AssignedCells,
-    /// The cells that the layout asks for.
+    /// Cells that the layout requires.
     pub to: AssignedCells,
 }
 
 /// The result of [`CellMap::apply_layout`].
 #[derive(Clone, Debug)]
 pub struct AppliedLayout {
-    /// The map that follows.
+    /// The map after the layout was applied.
     pub map: CellMap,
-    /// The tenants that have to migrate for the layout.
+    /// Tenants that must migrate to match the layout.
     pub migrations: Vec<PendingMigration>,
 }
 
-/// One epoch of the map.
+/// The assignment of nodes to cells and of tenants to cells, as of one epoch.
 #[derive(Clone, Debug)]
 pub struct CellMap {
     epoch: Epoch,
-    /// The number of a cell's nodes that serve one tenant; 0 for all of them.
+    /// Number of a cell's nodes that serve one tenant; 0 means all of them.
     shard_size: usize,
-    /// Whether tenants that no file declares are served, by the cell that their hash selects.
+    /// True if undeclared tenants are served too, by the cell that their hash selects.
     accepts_undeclared_tenants: bool,
     cells: RedBlackTreeMapSync<Name, Cell>,
     assignments: HashTrieMapSync<Name, Assignment>,
 }
 
 impl Default for CellMap {
-    /// The map before the first layout: no cells, epoch 0.
+    /// Returns the empty map, at epoch 0, which precedes the first layout.
     fn default() -> CellMap {
         CellMap {
             epoch: 0,
@@ -147,30 +149,30 @@
 }
 
 impl CellMap {
-    /// The first map of a layout.
+    /// Creates the first map of a layout.
     ///
     /// # Errors
-    /// The layout has no cells, or contradicts itself.
+    /// Returns an error if the layout has no cells or is inconsistent.
     pub fn from_layout(layout: &Layout) -> Result<CellMap, LayoutError> {
         Ok(CellMap::default().apply_layout(layout)?.map)
     }
 
-    /// The number of this state of the map; it rises with each change.
+    /// Returns the version number of this map; it increases with each change.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// The cells in the order of their names.
+    /// Returns the cells, ordered by name.
     pub fn cells(&self) -> impl Iterator<Item = &Cell> {
         self.cells.values()
     }
 
-    /// The cell of this name.
+    /// Returns the cell with this name.
     pub fn cell(&self, name: &str) -> Option<&Cell> {
         self.cells.get(name)
     }
 
-    /// The node of this name.
+    /// Returns the node with this name.
     pub fn node(&self, name: &str) -> Option<&Node> {
         self.cells
             .values()
@@ -178,18 +180,19 @@
             .find(|node| &*node.name == name)
     }
 
-    /// The assignment of a declared tenant.
+    /// Returns the assignment of a declared tenant.
     pub fn assignment(&self, tenant: &str) -> Option<&Assignment> {
         self.assignments.get(tenant)
     }
 
-    /// The declared tenants and their assignments, in no order.
+    /// Returns the declared tenants and their assignments, in unspecified order.
     pub fn assignments(&self) -> impl Iterator<Item = (&Name, &Assignment)> {
         self.assignments.iter()
     }
 
-    /// The cell that serves this tenant, for this subject where the tenant is split. None where the tenant is not
-    /// declared, unless the layout accepts undeclared tenants: their hash selects the cell.
+    /// Returns the cell that serves this tenant, or this subject of a split tenant. An undeclared
+    /// tenant has a cell only if the layout accepts undeclared tenants; its hash then selects the
+    /// cell.
     pub fn cell_for(&self, tenant: &str, subject: Option<&str>) -> Option<&Cell> {
         match self.assignments.get(tenant).map(|a| &a.cells) {
             Some(AssignedCells::One(cell)) => self.cells.get(cell),
@@ -209,15 +212,17 @@
             return self.cells.get(cells.first()?);
         };
         let key = RendezvousKey::new(subject, HashPurpose::Subject);
-        // Equal weights: those of the cells' nodes change more often than subjects should move.
+        // All cells have equal weight here, because the real weights change with the nodes, and
+        // subjects should move less often than that.
         let nearest = cells
             .iter()
             .min_by(|a, b| key.compare((a, 1.0), (b, 1.0)))?;
         self.cells.get(nearest)
     }
 
-    /// The nodes of the cell that serve this tenant, in order of preference: a shuffle shard of the cell, over at least
-    /// two sites where the cell has them, or the whole cell where the layout asks for no shards.
+    /// Returns the nodes of the cell that serve this tenant, in order of preference. They are a
+    /// shuffle shard of the cell that spans at least two sites if the cell does, or the whole cell
+    /// if the layout sets no shard size.
     pub fn shard_nodes<'a>(&self, cell: &'a Cell, tenant: &str) -> Vec<&'a Node> {
         let key = RendezvousKey::new(tenant, HashPurpose::Node);
         let mut nodes: Vec<&Node> = cell.nodes.iter().collect();
@@ -236,13 +241,15 @@
         nodes
     }
 
-    /// The map that follows this one under a layout, and the tenants that have to migrate for it. Cells and nodes are as
-    /// the layout asks; nodes that it assigns nowhere stay in their cell. No tenant moves by this: one that is assigned
-    /// stays until its migration is committed, a new one is assigned as the layout asks. The same map and layout always
-    /// lead to the same next map, and a layout that changes nothing keeps the epoch.
+    /// Returns the next map under a layout, and the tenants that must migrate to match it. Cells
+    /// and nodes become those of the layout; nodes without a declared cell stay in their cell. An
+    /// assigned tenant keeps its assignment until its migration is committed, and a new tenant is
+    /// assigned as the layout requires. The result is deterministic, and a layout that changes
+    /// nothing keeps the epoch.
     ///
     /// # Errors
-    /// The layout has no cells, contradicts itself, or removes a cell to which a tenant is still assigned.
+    /// Returns an error if the layout has no cells, is inconsistent, or removes a cell to which a
+    /// tenant is still assigned.
     pub fn apply_layout(&self, layout: &Layout) -> Result<AppliedLayout, LayoutError> {
         if layout.cells.is_empty() {
             return Err(LayoutError::NoCells);
@@ -266,7 +273,7 @@
         })
     }
 
-    /// Replaces the cells; those that did not change stay shared with the earlier map.
+    /// Replaces the cells. Unchanged ones remain shared with the previous map.
     fn replace_cells(&mut self, cells: BTreeMap<Name, Cell>) {
         let removed: Vec<Name> = self
             .cells
@@ -296,7 +303,8 @@
         }
     }
 
-    /// Assigns tenants that are new, and returns the others that are not where they should be.
+    /// Assigns new tenants, and returns the migrations of tenants that are assigned to other cells
+    /// than desired.
     fn assign_new_tenants(
         &mut self,
         desired: Vec<DesiredAssignment>,
@@ -343,11 +351,12 @@
             && self.assignments == other.assignments
     }
 
-    /// The map in which the tenant is assigned to these cells, as a migration commits it that created the epoch `since`;
-    /// without one, as of the map's next epoch.
+    /// Returns a map in which the tenant is assigned to these cells. `since` is the epoch created
+    /// by the migration that commits the assignment; without it, the assignment begins at the map's
+    /// next epoch.
     ///
     /// # Errors
-    /// The map has no cell of one of these names.
+    /// Returns an error if the map does not contain one of the cells.
     pub fn with_assignment(
         &self,
         tenant: &str,
--- a/crates/cells/src/map/nodes.rs
+++ b/crates/cells/src/map/nodes.rs
@@ -6,11 +6,11 @@
 use crate::layout::{Layout, LayoutError, NodeSpec};
 use crate::Name;
 
-/// Nodes that may go to any cell, by their site.
+/// Nodes without a declared or current cell, by site.
 type UnassignedNodes<'a> = BTreeMap<&'a Name, Vec<(&'a Name, &'a NodeSpec)>>;
 
-/// The cells of a layout with their nodes. A node goes to the cell that it names, else it stays in its cell of
-/// `current`, else it goes to the lightest cell.
+/// Returns the cells of a layout with their nodes. A node is assigned to the cell that it names,
+/// otherwise to its cell in `current`, otherwise to the cell with the lowest weight.
 pub(super) fn assign_nodes(
     current: &CellMap,
     layout: &Layout,
@@ -48,7 +48,7 @@
     Ok(cells)
 }
 
-/// Assigns the nodes that name a cell or have one already, and returns the others.
+/// Assigns the nodes that name a cell or already have one, and returns the others.
 fn assign_fixed_nodes<'a>(
     current: &CellMap,
     layout: &'a Layout,
@@ -78,13 +78,15 @@
     Ok(unassigned)
 }
 
-/// Assigns each node to the lightest cell; of equal ones to the cell with the fewest nodes of its site.
+/// Assigns each node to the cell with the lowest weight; among equals, to the one with the fewest
+/// nodes at its site.
 fn assign_free_nodes(unassigned: &UnassignedNodes, cells: &mut BTreeMap<Name, Cell>) {
-    // The sites take turns, so that nodes which are assigned one after the other are spread over the sites.
+    // Nodes of different sites alternate, so that nodes assigned in succession are spread over the
+    // sites.
     let rounds = unassigned.values().map(Vec::len).max().unwrap_or(0);
-    let in_turn =
+    let interleaved =
         (0..rounds).flat_map(|round| unassigned.values().filter_map(move |site| site.get(round)));
-    for (name, spec) in in_turn {
+    for (name, spec) in interleaved {
         let nodes_of_site = |cell: &Cell| cell.nodes.iter().filter(|n| n.site == spec.site).count();
         let lightest = cells.values_mut().min_by(|a, b| {
             a.weight()
@@ -98,7 +100,8 @@
     }
 }
 
-/// Every cell needs a node, and nodes at two sites where it has several and the layout has more than one site.
+/// Checks that every cell has a node, and that a cell with several nodes spans at least two sites
+/// if the layout has more than one.
 fn check_cells(layout: &Layout, cells: &BTreeMap<Name, Cell>) -> Result<(), LayoutError> {
     let sites: BTreeSet<&Name> = layout.nodes.values().map(|node| &node.site).collect();
     for cell in cells.values() {
--- a/crates/cells/src/map/published.rs
+++ b/crates/cells/src/map/published.rs
@@ -1,4 +1,4 @@
-//! The map in force, shared between threads.
+//! The current map, shared between threads.
 
 use std::sync::Arc;
 
@@ -6,23 +6,23 @@
 
 use super::CellMap;
 
-/// The map in force, for readers that must never block: they load the present map, and a newer epoch replaces it at
-/// once.
+/// The current map, for readers that must never block. A newer epoch replaces it atomically.
 #[derive(Default)]
 pub struct PublishedMap(ArcSwap<CellMap>);
 
 impl PublishedMap {
-    /// Puts a first map in force.
+    /// Publishes a first map.
     pub fn new(map: CellMap) -> PublishedMap {
         PublishedMap(ArcSwap::from_pointee(map))
     }
 
-    /// The map in force.
+    /// Returns the current map.
     pub fn load(&self) -> Arc<CellMap> {
         self.0.load_full()
     }
 
-    /// Puts a newer map in force; returns false and changes nothing where it is not newer.
+    /// Replaces the current map with a newer one. Returns false, and changes nothing, if `map` is
+    /// not newer.
     pub fn publish(&self, map: CellMap) -> bool {
         let map = Arc::new(map);
         let previous = self.0.rcu(|current| {
--- a/crates/cells/src/map/tenants.rs
+++ b/crates/cells/src/map/tenants.rs
@@ -5,18 +5,19 @@
 use crate::layout::{Layout, LayoutError, Placement, TenantSpec};
 use crate::Name;
 
-/// Tolerance of the comparison of a share with a cell's remaining capacity.
+/// Tolerance for rounding errors when a share is compared with a cell's remaining capacity.
 const CAPACITY_TOLERANCE: f64 = 1e-9;
 
-/// A tenant and the cells that the layout wants it in.
+/// A tenant and the cells that the layout selects for it.
 pub(super) struct DesiredAssignment {
     pub(super) tenant: Name,
     pub(super) cells: AssignedCells,
 }
 
-/// The cells of `map` that should serve each declared tenant. Tenants with a fixed place come first, then the others by
-/// descending share: each goes to the first cell of its hash order that has capacity left for its share. A cell's
-/// capacity is its portion by weight and `slack` more.
+/// Selects the cells of `map` that should serve each declared tenant. Tenants with fixed cells come
+/// first, then the others by descending share. Each of the others gets the first cell in its hash
+/// order that has enough remaining capacity for its share. The capacity of a cell is its proportion
+/// of the total weight, increased by the fraction `slack`.
 pub(super) fn select_cells(
     map: &CellMap,
     layout: &Layout,
@@ -24,8 +25,8 @@
     let mut selector = Selector::new(map, layout);
     let mut tenants: Vec<(&Name, &TenantSpec)> = layout.tenants.iter().collect();
     tenants.sort_by(|(name_a, a), (name_b, b)| {
-        let is_fixed_a = selector.is_fixed(name_a, a);
-        let is_fixed_b = selector.is_fixed(name_b, b);
+        let is_fixed_a = selector.has_fixed_cells(name_a, a);
+        let is_fixed_b = selector.has_fixed_cells(name_b, b);
         is_fixed_b
             .cmp(&is_fixed_a)
             .then(b.share.total_cmp(&a.share))
@@ -37,7 +38,7 @@
         .collect()
 }
 
-/// A cell and the capacity that is left in it, as a fraction of all declared shares.
+/// A cell and its remaining capacity, as a fraction of all declared shares.
 struct CellCapacity<'a> {
     name: &'a Name,
     weight: f64,
@@ -48,7 +49,7 @@
     map: &'a CellMap,
     cells: Vec<CellCapacity<'a>>,
     /// The sum of all declared shares.
-    declared: f64,
+    total_share: f64,
 }
 
 impl<'a> Selector<'a> {
@@ -58,7 +59,7 @@
             .map(|cell| (&cell.name, cell.weight()))
             .collect();
         let total_weight: f64 = weights.iter().map(|(_, weight)| weight).sum();
-        let declared: f64 = layout.tenants.values().map(|tenant| tenant.share).sum();
+        let total_share: f64 = layout.tenants.values().map(|tenant| tenant.share).sum();
         let cells = weights
             .into_iter()
             .map(|(name, weight)| CellCapacity {
@@ -70,11 +71,11 @@
         Selector {
             map,
             cells,
-            declared: declared.max(f64::MIN_POSITIVE),
+            total_share: total_share.max(f64::MIN_POSITIVE),
         }
     }
 
-    /// The cells that an operator migrated the tenant to by hand.
+    /// Returns the cells to which an operator migrated the tenant manually, if any.
     fn manual_assignment(&self, tenant: &str) -> Option<&'a AssignedCells> {
         self.map
             .assignment(tenant)
@@ -82,7 +83,7 @@
             .map(|assignment| &assignment.cells)
     }
 
-    fn is_fixed(&self, tenant: &str, spec: &TenantSpec) -> bool {
+    fn has_fixed_cells(&self, tenant: &str, spec: &TenantSpec) -> bool {
         spec.placement != Placement::Free || self.manual_assignment(tenant).is_some()
     }
 
@@ -90,23 +91,23 @@
         self.cells.iter().position(|c| c.name == cell)
     }
 
-    /// Selects a tenant's cells and takes its share off their capacity.
+    /// Selects a tenant's cells and subtracts its share from their capacity.
     fn select(
         &mut self,
         tenant: &Name,
         spec: &TenantSpec,
     ) -> Result<DesiredAssignment, LayoutError> {
-        let share = spec.share / self.declared;
+        let share = spec.share / self.total_share;
         let cells = match (&spec.placement, self.manual_assignment(tenant)) {
             (Placement::Cell(cell), _) => self.pinned(tenant, cell)?,
             (_, Some(cells)) => cells.clone(),
             (Placement::Split(shards), None) => self.split(tenant, *shards)?,
             (Placement::Free, None) => self.first_with_capacity(tenant, share)?,
         };
-        let portion = share / cells.names().len() as f64;
+        let share_per_cell = share / cells.names().len() as f64;
         for cell in cells.names() {
             if let Some(index) = self.index_of(cell) {
-                self.cells[index].remaining -= portion;
+                self.cells[index].remaining -= share_per_cell;
             }
         }
         Ok(DesiredAssignment {
@@ -147,7 +148,7 @@
             .ok_or_else(|| LayoutError::NoCapacity(tenant.clone()))
     }
 
-    /// The cells in the order of preference that the tenant's hash leads to.
+    /// Returns the cells in the order of preference that the tenant's hash determines.
     fn in_hash_order(&self, tenant: &str) -> Vec<&CellCapacity<'a>> {
         let key = RendezvousKey::new(tenant, HashPurpose::Cell);
         let mut cells: Vec<(f64, &CellCapacity)> = self
@@ -155,7 +156,7 @@
             .iter()
             .map(|cell| (key.distance(cell.name, cell.weight), cell))
             .collect();
-        // A stable sort: equal distances stay in the order of the cells' names.
+        // The sort is stable: cells with equal distances remain ordered by name.
         cells.sort_by(|a, b| a.0.total_cmp(&b.0));
         cells.into_iter().map(|(_, cell)| cell).collect()
     }
--- a/crates/cells/src/migration/fence.rs
+++ b/crates/cells/src/migration/fence.rs
@@ -1,5 +1,5 @@
-//! The fence of a tenant at one node: it decides whether the node may run a request, and obeys the coordinator's
-//! migration commands.
+//! The fence of a tenant at one node. It decides whether the node may run a request, and executes
+//! the coordinator's migration commands.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,51 +13,53 @@
 pub enum Ownership {
     /// The node does not serve the tenant.
     NotOwner,
-    /// The node is to serve the tenant next and stores the keys it is sent.
+    /// The node will serve the tenant next, and stores the keys it receives.
     Preparing,
     /// The node serves the tenant.
     Serving,
-    /// The node served the tenant and accepts nothing new; requests in flight run to their end.
+    /// The node served the tenant and accepts no new requests; requests in flight run to
+    /// completion.
     Frozen,
 }
 
 /// A tenant's fence at one node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fence {
-    /// The incarnation of the node; commands for an earlier one are ignored.
+    /// Incarnation of the node; commands for an earlier one are ignored.
     pub incarnation: Incarnation,
-    /// The node's ownership of the tenant.
+    /// Node's ownership of the tenant.
     pub ownership: Ownership,
-    /// The newest epoch that the node knows.
+    /// Newest epoch that the node knows.
     pub epoch: Epoch,
-    /// The migration that last changed the ownership.
+    /// Migration that last changed the ownership.
     pub migration: MigrationId,
-    /// Whether the node's lease is valid; without one it runs nothing.
+    /// True if the node's lease is valid. Without a lease the node runs nothing.
     pub has_lease: bool,
-    /// The keys that the node ran, has in flight, or was sent.
+    /// Keys of requests that the node has run or has in flight, and keys it has received.
     pub keys: KnownKeys,
-    /// Whether keys may be missing from `keys`: any retry may have run, in an earlier incarnation of this node or at a
-    /// source that died.
+    /// True if keys may be missing from `keys`: any retry may have run already, in an earlier
+    /// incarnation of this node or at a source that crashed.
     pub may_lack_keys: bool,
 }
 
 /// The fence's decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceDecision {
-    /// The node may run it.
+    /// The node may run the request.
     Admit,
-    /// It never ran here and won't: as of this epoch another cell owns the tenant.
+    /// The request has not run here and will not: as of this epoch another cell owns the tenant.
     WrongCell(Epoch),
-    /// It never ran here: the tenant is being migrated as of this epoch, and a retry may succeed shortly.
+    /// The request has not run here: the tenant is being migrated as of this epoch, and a retry may
+    /// succeed shortly.
     Migrating(Epoch),
-    /// An earlier attempt of it may have run.
+    /// An earlier attempt of the request may have run.
     MayHaveRun,
-    /// An earlier attempt of it ran and was answered.
+    /// An earlier attempt of the request ran and was answered.
     Ran,
 }
 
 impl Fence {
-    /// The fence of a node that has served the tenant since `epoch`.
+    /// Creates the fence of a node that has served the tenant since `epoch`.
     pub fn serving(incarnation: Incarnation, epoch: Epoch) -> Fence {
         Fence {
             ownership: Ownership::Serving,
@@ -67,7 +69,8 @@
         }
     }
 
-    /// The fence of a node that has just started: it knows nothing and serves nobody until a command has it serve.
+    /// Creates the fence of a node that has just started. It knows no keys and serves no requests
+    /// until a command makes it serve.
     pub fn started(incarnation: Incarnation) -> Fence {
         Fence {
             incarnation,
@@ -80,8 +83,9 @@
         }
     }
 
-    /// Decides on a request of the tenant. `key` is its idempotency key, `is_retry` whether an earlier attempt may
-    /// have been sent, `epoch` is the one that the sender knows. The key of an admitted request is recorded as sent.
+    /// Decides whether to run a request of the tenant. `key` is its idempotency key, `is_retry` is
+    /// true if an earlier attempt may have been sent, and `epoch` is the one that the sender knows.
+    /// The key of an admitted request is recorded as possibly run.
     pub fn admit(&mut self, key: Option<KeyHash>, is_retry: bool, epoch: Epoch) -> FenceDecision {
         if let Some(known) = key.and_then(|key| self.keys.get(&key)) {
             return match known {
@@ -91,7 +95,8 @@
         }
         match self.ownership {
             Ownership::Serving if self.has_lease && epoch <= self.epoch => {}
-            // The sender may know a newer epoch than this node: the tenant may have been migrated since.
+            // If the sender knows a newer epoch than this node, the tenant may have been migrated
+            // since.
             Ownership::Serving | Ownership::Frozen | Ownership::Preparing => {
                 return FenceDecision::Migrating(self.epoch)
             }
@@ -106,7 +111,7 @@
         FenceDecision::Admit
     }
 
-    /// Frees the key of an admitted request that was rejected before it was sent to run.
+    /// Removes the key of an admitted request that was rejected before it was sent to run.
     pub fn record_never_ran(&mut self, key: KeyHash) {
         if self.keys.get(&key) == Some(&KeyStatus::MayHaveRun) {
             self.keys.remove(&key);
@@ -118,13 +123,14 @@
         self.keys.insert(key, KeyStatus::Ran);
     }
 
-    /// Ends the lease: the coordinator has not been heard from for the lease's duration.
+    /// Ends the lease, after no message from the coordinator was received for the lease's duration.
     pub fn expire_lease(&mut self) {
         self.has_lease = false;
     }
 
-    /// Renews the lease, from the time at which the node sent the request that the coordinator has answered now. A node
-    /// that learns only now of a newer epoch stops serving.
+    /// Renews the lease after a reply from the coordinator; the renewed lease counts from the time
+    /// at which the node sent its request. A serving node that learns of a newer epoch this way
+    /// stops serving.
     pub fn renew_lease(&mut self, epoch: Epoch) {
         if epoch == self.epoch {
             self.has_lease = true;
@@ -134,25 +140,26 @@
         }
     }
 
-    /// Obeys a command of the coordinator and returns the report for it. A command that is older than the known epoch,
-    /// meant for another incarnation, or part of another migration than the one in progress changes nothing and is
-    /// answered with the current state.
+    /// Executes a command of the coordinator and returns the node's report. A command that is older
+    /// than the known epoch, meant for another incarnation, or part of another migration than the
+    /// one in progress changes nothing; the report then shows the current state.
     pub fn handle_command(&mut self, command: &MigrationCommand) -> MigrationReport {
         if command.incarnation == self.incarnation && command.epoch >= self.epoch {
             if let Some(next) = self.next_ownership(command) {
-                self.accept(command, next);
+                self.apply_command(command, next);
             }
         }
         self.report()
     }
 
-    /// The ownership that a current command leads to; none where the command does not apply.
+    /// Returns the ownership that a current command leads to, or none if the command does not
+    /// apply.
     fn next_ownership(&self, command: &MigrationCommand) -> Option<Ownership> {
         let is_same_migration = self.migration == command.migration;
         let is_newer_epoch = command.epoch > self.epoch;
         let may_change = match (&command.kind, self.ownership) {
-            // To freeze without owning the tenant means that the node has restarted: it has lost the keys it ran, and its
-            // report must show that.
+            // A freeze command to a node that does not own the tenant means that the node has
+            // restarted. It has lost the keys it ran, and its report must show that.
             (
                 CommandKind::Prepare { .. } | CommandKind::Freeze | CommandKind::Release,
                 Ownership::NotOwner,
@@ -176,7 +183,7 @@
     }
 
     /// Applies a command that leads to the ownership `next`.
-    fn accept(&mut self, command: &MigrationCommand, next: Ownership) {
+    fn apply_command(&mut self, command: &MigrationCommand, next: Ownership) {
         match &command.kind {
             CommandKind::Prepare {
                 keys,
@@ -185,20 +192,21 @@
                 merge_keys(&mut self.keys, keys);
                 self.may_lack_keys |= *may_lack_keys;
             }
-            // A node that was released or has restarted does not know what ran meanwhile.
+            // A node that was released or has restarted does not know what has run since.
             CommandKind::Resume if self.ownership == Ownership::NotOwner => {
                 self.may_lack_keys = true;
             }
             _ => {}
         }
-        // A lease begins when the node starts to serve; a command that may be late does not revive it.
+        // A lease begins when the node starts to serve; a command that may be late does not restore
+        // an expired lease.
         self.has_lease |= next == Ownership::Serving && self.ownership != Ownership::Serving;
         self.ownership = next;
         self.epoch = command.epoch;
         self.migration = command.migration;
     }
 
-    /// The node's state, as it is reported to the coordinator.
+    /// Returns the node's state as a report to the coordinator.
     fn report(&self) -> MigrationReport {
         MigrationReport {
             incarnation: self.incarnation,
--- a/crates/cells/src/migration/phase.rs
+++ b/crates/cells/src/migration/phase.rs
@@ -2,29 +2,29 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How far a migration is. The journal holds it before any command of the phase is sent.
+/// The progress of a migration. The journal records each phase before any of its commands is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MigrationPhase {
     /// The targets are asked whether they can serve the tenant.
     Prepare,
-    /// The sources accept nothing new and report the keys they know.
+    /// The sources accept no new requests and report the keys they know.
     Freeze,
     /// The targets receive the keys of the sources.
     HandOver,
-    /// The migration is decided: the targets serve.
+    /// The migration is committed: the targets serve.
     Commit,
-    /// The sources give up the tenant.
+    /// The sources release the tenant.
     Release,
     /// The migration is finished.
     Done,
-    /// The migration is aborted: all nodes return to their state before it.
+    /// The migration is being aborted: all nodes return to the state they had before it.
     Abort,
     /// The migration was aborted, and all nodes have returned.
     Aborted,
 }
 
 impl MigrationPhase {
-    /// The phase that follows once every awaited node has acknowledged this one.
+    /// Returns the phase that follows once every awaited node has acknowledged this one.
     pub(super) fn next(self) -> MigrationPhase {
         match self {
             MigrationPhase::Prepare => MigrationPhase::Freeze,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether the sources must acknowledge this phase.
+    /// Returns true if the sources must acknowledge this phase.
     pub(super) fn awaits_sources(self) -> bool {
         matches!(
             self,
@@ -44,7 +44,7 @@
         )
     }
 
-    /// Whether the targets must acknowledge this phase.
+    /// Returns true if the targets must acknowledge this phase.
     pub(super) fn awaits_targets(self) -> bool {
         matches!(
             self,
--- a/crates/cells/src/migration/state.rs
+++ b/crates/cells/src/migration/state.rs
@@ -1,4 +1,5 @@
-//! The coordinator's state of one migration, its transitions and the commands that each phase sends.
+//! The coordinator's state of one migration, its transitions and the commands that each phase
+//! sends.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,68 +10,71 @@
     MigrationPhase, MigrationReport, NodeId, Ownership,
 };
 
-/// Something that happened to a migration.
+/// An event that changes the state of a migration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum MigrationEvent {
-    /// A node has reported.
+    /// A report of a node was received.
     ReportReceived(NodeId, MigrationReport),
-    /// A node certainly serves nobody: its process is known to have ended, or its lease has expired since it was last
-    /// heard from. The keys it knew are lost, or can't be asked for.
+    /// A node certainly serves no requests: its process is known to have exited, or its lease has
+    /// expired since the last message from it. The keys it knew are lost or can't be requested.
     NodeFenced(NodeId),
-    /// An operator, or a timeout, aborts the migration.
+    /// An operator or a timeout aborts the migration.
     AbortRequested,
 }
 
-/// Why a migration can't be created.
+/// The reason why a migration can't be created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MigrationError {
-    /// No node is to serve the tenant afterwards.
-    #[error("there is no node to move to")]
+    /// There is no node to serve the tenant after the migration.
+    #[error("the migration has no target node")]
     NoTargets,
-    /// A node is both source and target: it would have to serve and be frozen at once.
-    #[error("node {0} is on both sides of the move")]
+    /// A node is both source and target: it would have to serve and be frozen at the same time.
+    #[error("node {0} is both source and target of the migration")]
     SourceIsTarget(NodeId),
 }
 
-/// The state of a migration at the coordinator. Its serialized form is part of the journal's format.
+/// The state of a migration at the coordinator. Its serialized form is part of the journal's
+/// format.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Migration {
-    /// Its number.
+    /// Identifier of the migration.
     pub id: MigrationId,
-    /// How far it is.
+    /// Current phase.
     #[serde(rename = "step")]
     pub phase: MigrationPhase,
-    /// The epoch that it creates; aborting it creates the one after.
+    /// Epoch that the migration creates; aborting it creates the one after.
     pub epoch: Epoch,
-    /// The nodes that serve the tenant before.
+    /// Nodes that serve the tenant before the migration.
     #[serde(rename = "from")]
     pub sources: BTreeSet<NodeId>,
-    /// The nodes that serve the tenant after.
+    /// Nodes that serve the tenant after the migration.
     #[serde(rename = "to")]
     pub targets: BTreeSet<NodeId>,
-    /// The incarnation of each node, as last reported.
+    /// Last reported incarnation of each node.
     #[serde(rename = "lives")]
     pub incarnations: BTreeMap<NodeId, Incarnation>,
-    /// The nodes that have acknowledged the current phase.
+    /// Nodes that have acknowledged the current phase.
     #[serde(rename = "answered")]
     pub acknowledged: BTreeSet<NodeId>,
-    /// Nodes that certainly serve nobody and are not waited for.
+    /// Nodes that certainly serve no requests and are not waited for.
     pub fenced: BTreeSet<NodeId>,
-    /// Targets that restarted after the hand-over and must receive the keys again before they serve.
+    /// Targets that restarted after the hand-over and must receive the keys again before they
+    /// serve.
     #[serde(rename = "anew")]
     pub restarted_targets: BTreeSet<NodeId>,
-    /// The keys that the sources know.
+    /// Keys that the sources know.
     pub keys: KnownKeys,
-    /// Whether keys may be missing from `keys`.
+    /// True if keys may be missing from `keys`.
     #[serde(rename = "doubtful")]
     pub may_lack_keys: bool,
 }
 
 impl Migration {
-    /// Creates a migration from the nodes of one cell to those of another. It creates the map's epoch `epoch`.
+    /// Creates a migration from the nodes of one cell to those of another. Its commit creates the
+    /// map epoch `epoch`.
     ///
     /// # Errors
-    /// There is no node to migrate to, or a node is on both sides.
+    /// Returns an error if there is no target node, or if a node is both source and target.
     pub fn new(
         id: MigrationId,
         epoch: Epoch,
@@ -80,14 +84,14 @@
         if targets.is_empty() {
             return Err(MigrationError::NoTargets);
         }
-        if let Some(both) = sources.intersection(&targets).next() {
-            return Err(MigrationError::SourceIsTarget(*both));
+        if let Some(node) = sources.intersection(&targets).next() {
+            return Err(MigrationError::SourceIsTarget(*node));
         }
         Ok(Migration::prepare(id, epoch, sources, targets))
     }
 
-    /// Creates the re-adoption of a tenant by a node that has restarted within the tenant's cell. The node has lost the
-    /// keys it knew, so it treats every retry as one that may have run.
+    /// Creates an adoption of a tenant by a node that has restarted within the tenant's cell. The
+    /// node has lost the keys it knew, so it treats every retry as one that may have run.
     pub fn adoption(id: MigrationId, epoch: Epoch, node: NodeId) -> Migration {
         Migration {
             may_lack_keys: true,
@@ -116,12 +120,13 @@
         }
     }
 
-    /// Whether nothing more is to be done.
+    /// Returns true if the migration is done or aborted.
     pub fn is_finished(&self) -> bool {
         matches!(self.phase, MigrationPhase::Done | MigrationPhase::Aborted)
     }
 
-    /// The commands to send now, and again until they are acknowledged: one for each node that the phase waits for.
+    /// Returns the commands to send now and to resend until they are acknowledged: one for each
+    /// node that the phase waits for.
     pub fn commands(&self) -> Vec<(NodeId, MigrationCommand)> {
         self.awaited_nodes()
             .map(|node| (node, self.command_for(node)))
@@ -145,7 +150,8 @@
             },
             MigrationPhase::Freeze => CommandKind::Freeze,
             MigrationPhase::HandOver => self.hand_over(self.may_lack_keys),
-            // The node may have served in its last incarnation, and the keys it ran then are lost.
+            // The node may have served in its previous incarnation, and the keys it ran then are
+            // lost.
             MigrationPhase::Commit if self.restarted_targets.contains(&node) => {
                 self.hand_over(true)
             }
@@ -165,7 +171,8 @@
         }
     }
 
-    /// The epoch of the current phase's commands: aborting makes the one after the migration's own.
+    /// Returns the epoch of the current phase's commands: the migration's own epoch, or the one
+    /// after it when the migration is aborted.
     fn phase_epoch(&self) -> Epoch {
         self.epoch + u64::from(self.phase == MigrationPhase::Abort)
     }
@@ -174,7 +181,7 @@
         self.incarnations.get(&node).copied().unwrap_or(0)
     }
 
-    /// The nodes whose acknowledgement the current phase still needs.
+    /// Returns the nodes that have yet to acknowledge the current phase.
     pub fn awaited_nodes(&self) -> impl Iterator<Item = NodeId> + '_ {
         let awaits_sources = self.phase.awaits_sources();
         let awaits_targets = self.phase.awaits_targets();
@@ -190,8 +197,8 @@
         self.awaited_nodes().any(|awaited| awaited == node)
     }
 
-    /// Applies an event and enters the phases that it completes. Returns whether the migration has changed, and so must
-    /// be written to the journal before anything more is sent.
+    /// Applies an event and enters the phases that become due. Returns true if the migration has
+    /// changed, in which case it must be written to the journal before anything else is sent.
     pub fn apply(&mut self, event: &MigrationEvent) -> bool {
         let before = self.clone();
         match event {
@@ -206,9 +213,9 @@
     }
 
     fn apply_fencing(&mut self, node: NodeId) {
-        // The keys that a source knew and did not report are lost: whoever serves next treats retries as ones that may
-        // have run. A target that dies receives the keys again when it is back, and a source that has released the
-        // tenant is asked nothing.
+        // Keys that a source knew and did not report are lost: the next owner treats retries as
+        // ones that may have run. A target that crashes receives the keys again when it has
+        // restarted, and a source that has released the tenant has nothing left to report.
         if self.sources.contains(&node) && self.phase < MigrationPhase::Release {
             self.may_lack_keys |= self.phase < MigrationPhase::Freeze || self.is_awaited(node);
             self.fenced.insert(node);
@@ -217,8 +224,8 @@
         }
     }
 
-    /// Aborts the migration unless it is committed, when a target may serve already, or a source was lost, to which
-    /// there is no way back.
+    /// Aborts the migration if that is still possible. Once it is committed, a target may already
+    /// serve, and the tenant can't be returned to a source that was lost.
     fn abort_if_possible(&mut self) {
         if self.phase < MigrationPhase::Commit && self.fenced.is_empty() {
             self.enter_phase(MigrationPhase::Abort);
@@ -236,7 +243,7 @@
         self.incarnations.insert(node, report.incarnation);
         let has_restarted = report.incarnation > known && known != 0;
         if has_restarted && self.targets.contains(&node) {
-            // Its acknowledgement was that of a process which has ended.
+            // The earlier acknowledgement came from a process that has exited.
             self.acknowledged.remove(&node);
         }
         if !self.is_awaited(node) {
@@ -247,7 +254,7 @@
             && self.phase == MigrationPhase::Prepare
             && report.ownership == Ownership::Serving
         {
-            // It serves already, by a migration that handed over all keys.
+            // The node already serves, through a migration that handed over all keys.
             self.enter_phase(MigrationPhase::Done);
             return;
         }
@@ -259,10 +266,11 @@
         }
     }
 
-    /// Whether a report of an awaited node acknowledges the current phase; takes in the keys that it carries.
+    /// Returns true if a report of an awaited node acknowledges the current phase. Merges the keys
+    /// of the report where the phase needs them.
     fn is_acknowledgement(&mut self, node: NodeId, report: &MigrationReport) -> bool {
-        let is_own = report.migration == self.id;
-        let is_current = is_own && report.epoch == self.phase_epoch();
+        let is_same_migration = report.migration == self.id;
+        let is_current = is_same_migration && report.epoch == self.phase_epoch();
         match self.phase {
             MigrationPhase::Prepare => is_current && report.ownership == Ownership::Preparing,
             MigrationPhase::Freeze => is_current && self.collect_frozen_keys(report),
@@ -272,11 +280,11 @@
                     && self.has_all_keys(report, self.may_lack_keys)
             }
             MigrationPhase::Commit => {
-                if is_own
+                if is_same_migration
                     && report.ownership == Ownership::Preparing
                     && self.has_all_keys(report, true)
                 {
-                    // A restarted target has received the keys again and may serve now.
+                    // The restarted target has received the keys again and may now serve.
                     self.restarted_targets.remove(&node);
                 }
                 is_current && report.ownership == Ownership::Serving
@@ -289,20 +297,24 @@
         }
     }
 
-    /// Both sides must know the epoch after this migration's, so that a late command of it changes nothing. A node that
-    /// another migration of this epoch is changing is immune to this one's commands.
+    /// Returns true if a report acknowledges the abort. Sources and targets must know the epoch
+    /// after this migration's, so that late commands of the migration change nothing. A node that
+    /// is part of another migration with this epoch or a later one ignores this migration's
+    /// commands.
     fn acknowledges_abort(&self, node: NodeId, report: &MigrationReport) -> bool {
-        let is_own = report.migration == self.id;
-        if report.epoch >= self.epoch && !is_own && report.migration != 0 {
+        let is_same_migration = report.migration == self.id;
+        if report.epoch >= self.epoch && !is_same_migration && report.migration != 0 {
             return true;
         }
         if self.targets.contains(&node) {
             return report.epoch >= self.phase_epoch() && report.ownership != Ownership::Preparing;
         }
-        is_own && report.epoch == self.phase_epoch() && report.ownership == Ownership::Serving
+        is_same_migration
+            && report.epoch == self.phase_epoch()
+            && report.ownership == Ownership::Serving
     }
 
-    /// Takes in the keys of a source; true once the source accepts nothing more.
+    /// Merges the keys of a source. Returns true once the source accepts no more requests.
     fn collect_frozen_keys(&mut self, report: &MigrationReport) -> bool {
         if report.ownership == Ownership::Serving {
             return false;
@@ -313,7 +325,8 @@
         true
     }
 
-    /// Whether a target knows all keys that the sources reported, and whether keys may be missing.
+    /// Returns true if a target knows all keys that the sources reported, and knows that keys may
+    /// be missing if `may_lack_keys` is set.
     fn has_all_keys(&self, report: &MigrationReport, may_lack_keys: bool) -> bool {
         report.may_lack_keys >= may_lack_keys
             && self.keys.iter().all(|(key, status)| {
--- a/crates/cells/tests/health_and_spillover.rs
+++ b/crates/cells/tests/health_and_spillover.rs
@@ -1,4 +1,5 @@
-//! The health of a cell of which some nodes are unavailable, and the reads that spill over to its neighbours.
+//! Tests of the health of a cell with unavailable nodes, and of the reads that spill over to its
+//! neighbours.
 
 use std::time::Duration;
 
@@ -29,7 +30,8 @@
     CellMap::from_layout(&layout).expect("a map")
 }
 
-/// A cell that lost its nodes is distinguished from an isolated observer, which must decide nothing.
+/// An observer must tell a cell that lost its nodes from its own disconnection, and decide nothing
+/// in the second case.
 #[test]
 fn degraded_cell_is_distinguished_from_an_isolated_observer() {
     let map = fleet();
@@ -44,13 +46,13 @@
         CellHealth::Degraded { available: 0.25 }
     );
     assert_eq!(assess(&others), CellHealth::Degraded { available: 0.0 });
-    // Half of each: the observer may be the one that is cut off.
+    // Half of the cell and half of the rest are available: the observer itself may be disconnected.
     assert_eq!(
         assess(&["a0", "a1", "b0", "b1", "c0", "c1"]),
         CellHealth::ObserverIsolated
     );
     assert_eq!(assess(&["a0"]), CellHealth::ObserverIsolated);
-    // The observer is in a minority partition, whatever cells it sees.
+    // An observer in a minority partition is isolated, whichever nodes it sees.
     let is_available = |n: &str| others.contains(&n);
     assert_eq!(
         CellHealth::assess(&map, "a", false, is_available),
@@ -66,10 +68,11 @@
     });
     assert_eq!(spillover.fraction(4.0, 4.0, ms(0)), 0.0);
     spillover.observe(CellHealth::Degraded { available: 0.25 }, ms(0));
-    // Three quarters are missing; a neighbour of equal weight serves a tenth, a large one all.
+    // Three quarters of the cell are unavailable. The limit is a tenth of a neighbour's capacity; a
+    // neighbour of ten times the weight can serve all of the missing reads.
     assert_eq!(spillover.fraction(4.0, 4.0, ms(0)), 0.1);
     assert_eq!(spillover.fraction(4.0, 40.0, ms(0)), 0.75);
-    // An isolated observer learns nothing new.
+    // An isolated observer has no new information.
     spillover.observe(CellHealth::ObserverIsolated, ms(100));
     assert_eq!(spillover.fraction(4.0, 40.0, ms(100)), 0.75);
     spillover.observe(CellHealth::Healthy { available: 1.0 }, ms(1000));
--- a/crates/cells/tests/layout_file.rs
+++ b/crates/cells/tests/layout_file.rs
@@ -1,4 +1,5 @@
-//! Reading the operators' file: the layout that it leads to, and the errors for files that can't be used.
+//! Tests of the operators' layout file: the layout it is parsed into, and the errors of invalid
+//! files.
 
 use cells::Layout;
 use cells::Placement;
@@ -27,12 +28,12 @@
 }
 "#;
 
-/// A text of the valid file, what replaces it, and how the error begins.
-const FAULTS: &[(&str, &str, &str)] = &[
+/// A part of the valid file, its replacement, and the expected start of the error.
+const INVALID_FILES: &[(&str, &str, &str)] = &[
     (
         "version: 1",
         "version: 2",
-        "cells.json5:3: version: 2 is not known here: 1 is",
+        "cells.json5:3: version: 2 is not supported, expected 1",
     ),
     ("shard: 2", "shard: -2", "cells.json5:4: shard: "),
     (
@@ -53,7 +54,7 @@
     (
         "[\"pianura\"]",
         "[\"valle\"]",
-        "cells.json5:6: cells.valle.neighbours: a cell is no neighbour of its own",
+        "cells.json5:6: cells.valle.neighbours: a cell can't be its own neighbour",
     ),
     (
         "weight: 2",
@@ -73,7 +74,7 @@
     (
         "n4:",
         "n3:",
-        "cells.json5:15: nodes.n3: stands here a second time",
+        "cells.json5:15: nodes.n3: is defined more than once",
     ),
     (
         "127.0.0.1:6565",
@@ -83,7 +84,7 @@
     (
         "n4: { site: \"brescia-sud\" }",
         "n4: { site: \"brescia-sud\", address: \"127.0.0.1:6565\" }",
-        "cells.json5:15: nodes.n4.address: is that of n1 too",
+        "cells.json5:15: nodes.n4.address: is also the address of node n1",
     ),
     (
         "cell: \"valle\", weight",
@@ -98,12 +99,12 @@
     (
         "split: 2",
         "split: 3",
-        "cells.json5:19: tenants.solpiana.split: is not from 2 to 2, the cells there are",
+        "cells.json5:19: tenants.solpiana.split: is not from 2 to 2, the number of cells",
     ),
     (
         "split: 2",
         "split: 2, cell: \"valle\"",
-        "cells.json5:19: tenants.solpiana.split: stands beside a cell: one of the two",
+        "cells.json5:19: tenants.solpiana.split: can't be combined with `cell`",
     ),
     (
         "pianura: {},",
@@ -113,7 +114,7 @@
     (
         "site: 'brescia-sud'",
         "site: 'bergamo-est'",
-        "cells.json5:6: cells.valle: all nodes of cell valle stand at bergamo-est",
+        "cells.json5:6: cells.valle: all nodes of cell valle are at site bergamo-est",
     ),
 ];
 
@@ -138,12 +139,13 @@
     assert_eq!(layout.nodes["n1"].address.map(|a| a.port()), Some(6565));
 }
 
-/// Operators mend a file under time pressure: each error is one line that names file, line and field.
+/// Operators correct a file under time pressure, so each error is one line that names file, line
+/// and field.
 #[test]
 fn errors_name_file_line_and_field() {
-    for (from, to, expected) in FAULTS {
+    for (from, to, expected) in INVALID_FILES {
         let text = VALID.replacen(from, to, 1);
-        assert_ne!(text, VALID, "{from} is not there");
+        assert_ne!(text, VALID, "the valid file does not contain {from}");
         let error = Layout::parse("cells.json5", &text)
             .map(|_| ())
             .expect_err(to)
@@ -155,7 +157,7 @@
     }
 }
 
-/// A file that is read while it is written is an error, and never leads to half a layout.
+/// A file that is read while it is being written must give an error, and never a partial layout.
 #[test]
 fn truncated_file_is_rejected() {
     let end = VALID.rfind('}').expect("an end");
--- a/crates/cells/tests/map.rs
+++ b/crates/cells/tests/map.rs
@@ -1,5 +1,5 @@
-//! The map: equal for all who hold it, few migrations for a change, capacity and sites respected, no tenant moved without
-//! a migration.
+//! Tests of the cell map: it is deterministic, a change migrates few tenants, capacity and sites
+//! are respected, and no tenant moves without a migration.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 const SITES: [&str; 3] = ["bergamo-est", "brescia-sud", "milano-lambrate"];
 
-/// A layout of cells, nodes over three sites and tenants of equal share.
+/// Returns a layout of cells, nodes over three sites and tenants of equal share.
 fn layout(cells: usize, nodes: usize, tenants: usize) -> Layout {
     let mut layout = Layout {
         slack: 0.25,
@@ -46,7 +46,8 @@
     CellMap::from_layout(layout).expect("a map")
 }
 
-/// An added node causes migrations for about its share of the tenants, and no tenant moves without one.
+/// An added node causes migrations for about its share of the tenants, and no tenant moves without
+/// one.
 #[test]
 fn added_node_attracts_few_tenants_and_none_without_a_migration() {
     let mut layout = layout(16, 64, 10_000);
@@ -62,23 +63,27 @@
     );
     let AppliedLayout {
         map: next,
-        migrations: moves,
+        migrations: migrations_due,
     } = first.apply_layout(&layout).expect("a map");
     let ideal = 10_000.0 / 65.0;
-    println!("{} of 10,000 tenants move, ideal {ideal:.0}", moves.len());
+    println!(
+        "{} of 10,000 tenants move, ideal {ideal:.0}",
+        migrations_due.len()
+    );
     assert!(
-        (moves.len() as f64) < 1.3 * ideal,
+        (migrations_due.len() as f64) < 1.3 * ideal,
         "{} tenants move",
-        moves.len()
+        migrations_due.len()
     );
     assert!(
-        moves.len() as f64 > 0.5 * ideal,
+        migrations_due.len() as f64 > 0.5 * ideal,
         "{} tenants move",
-        moves.len()
+        migrations_due.len()
     );
-    // All go to the cell that has the node, and none before its migration is committed.
+    // All of them migrate to the cell with the new node, and none moves before its migration is
+    // committed.
     let cell = next.node("n64").expect("the node").cell.clone();
-    for migration in &moves {
+    for migration in &migrations_due {
         assert_eq!(migration.to, AssignedCells::One(cell.clone()));
         assert_eq!(
             next.assignment(&migration.tenant)
@@ -94,12 +99,15 @@
         .all(|n| next.node(&n.name).is_some_and(|m| m.cell == n.cell)));
     let AppliedLayout {
         map: again,
-        migrations: none,
+        migrations: still_due,
     } = next.apply_layout(&layout).expect("a map");
-    assert_eq!((again.epoch(), none.len()), (next.epoch(), moves.len()));
+    assert_eq!(
+        (again.epoch(), still_due.len()),
+        (next.epoch(), migrations_due.len())
+    );
 }
 
-/// Cells are filled evenly, and few tenants share all their nodes.
+/// Tenants are spread evenly over the cells, and few pairs of tenants share all their nodes.
 #[test]
 fn tenants_are_spread_and_few_share_all_their_nodes() {
     let mut layout = layout(16, 64, 10_000);
@@ -138,41 +146,46 @@
     assert!(share < 0.02, "{share}");
 }
 
-/// A cell survives the loss of a site, and no cell is filled beyond its capacity.
+/// Each cell spans several sites, so that it can sustain the loss of one, and no cell is filled
+/// beyond its capacity.
 #[test]
 fn sites_and_capacity_are_respected() {
     let plain = layout(4, 12, 0);
     assert!(map(&plain)
         .cells()
         .all(|c| c.site_count() == 3 && c.nodes.len() == 3));
-    let mut one = plain.clone();
-    for (n, spec) in one.nodes.values_mut().enumerate() {
+    let mut single_site = plain.clone();
+    for (n, spec) in single_site.nodes.values_mut().enumerate() {
         spec.cell = Some(format!("cell-{:02}", n % 3).into());
     }
-    one.cells.remove("cell-03");
-    // Every third node: each cell at one site.
+    single_site.cells.remove("cell-03");
+    // Each cell has every third node, and so nodes of one site only.
     assert!(
-        matches!(CellMap::from_layout(&one), Err(LayoutError::OneSite { .. })),
+        matches!(
+            CellMap::from_layout(&single_site),
+            Err(LayoutError::OneSite { .. })
+        ),
         "{:?}",
-        CellMap::from_layout(&one)
+        CellMap::from_layout(&single_site)
     );
-    let mut large = layout(4, 12, 3);
-    // Three of equal share, each a third of all, where a cell has a quarter and a quarter of that more.
+    let mut large_shares = layout(4, 12, 3);
+    // Three tenants each have a third of all shares, while a cell's capacity is a quarter plus a
+    // slack of a quarter of that.
     assert!(
         matches!(
-            CellMap::from_layout(&large),
+            CellMap::from_layout(&large_shares),
             Err(LayoutError::NoCapacity(_))
         ),
         "{:?}",
-        CellMap::from_layout(&large)
+        CellMap::from_layout(&large_shares)
     );
-    large.slack = 0.4;
-    let map = map(&large);
+    large_shares.slack = 0.4;
+    let map = map(&large_shares);
     let used: std::collections::BTreeSet<_> = map
         .assignments()
         .map(|(_, assignment)| assignment.cells.to_string())
         .collect();
-    assert_eq!(used.len(), 3, "each in a cell of its own");
+    assert_eq!(used.len(), 3, "each tenant must be in a different cell");
     assert!(matches!(
         CellMap::from_layout(&layout(4, 3, 0)),
         Err(LayoutError::NoNodes(_))
@@ -191,17 +204,17 @@
     layout.tenants.insert(tenant.into(), spec);
 }
 
-/// A layout with a pinned and a split tenant.
+/// Returns a layout with a pinned and a split tenant.
 fn layout_with_pins() -> Layout {
     let mut layout = layout(4, 12, 40);
-    // Capacity enough that one more tenant in a cell displaces no other.
+    // Enough capacity that one more tenant in a cell displaces no other.
     layout.slack = 1.0;
     pin(&mut layout, "alpenergia", Placement::Cell("cell-02".into()));
     pin(&mut layout, "solpiana", Placement::Split(2));
     layout
 }
 
-/// What operators declare holds: a pin, and a split by subject.
+/// Pinned and split tenants are assigned as declared.
 #[test]
 fn pins_and_splits_hold() {
     let map = map(&layout_with_pins());
@@ -211,28 +224,29 @@
     };
     assert_eq!(&*cell_name("alpenergia", None), "cell-02");
     let assignment = map.assignment("solpiana").expect("an assignment");
-    let AssignedCells::Split(parts) = assignment.cells.clone() else {
+    let AssignedCells::Split(split_cells) = assignment.cells.clone() else {
         panic!("not split")
     };
     let cell_of_subject = |n: usize| cell_name("solpiana", Some(&format!("POD{n}")));
     let in_first = (0..1000)
-        .filter(|n| cell_of_subject(*n) == parts[0])
+        .filter(|n| cell_of_subject(*n) == split_cells[0])
         .count();
     assert!(
         (400..600).contains(&in_first),
         "{in_first} of 1000 subjects"
     );
-    assert!((0..1000).all(|n| parts.contains(&cell_of_subject(n))));
-    assert_eq!(cell_name("solpiana", None), parts[0]);
+    assert!((0..1000).all(|n| split_cells.contains(&cell_of_subject(n))));
+    assert_eq!(cell_name("solpiana", None), split_cells[0]);
     assert!(map.cell_for("nobody", None).is_none());
 }
 
-/// The next layout must not undo a migration that an operator asked for, and can't remove a cell with tenants.
+/// Applying a layout must not undo a migration that an operator requested, and can't remove a cell
+/// that has tenants.
 #[test]
 fn manual_migrations_hold() {
     let mut layout = layout_with_pins();
     let first = map(&layout);
-    // Migrated manually: it stays. Pinned elsewhere later: it has to migrate.
+    // A manually migrated tenant stays. Once it is pinned to another cell, it must migrate.
     let tenant = "tenant-00007";
     let current = &first.assignment(tenant).expect("an assignment").cells;
     let to = first
@@ -264,7 +278,7 @@
             .len(),
         1
     );
-    // A cell with tenants is not removed.
+    // A cell with tenants can't be removed.
     let mut smaller = layout.clone();
     smaller.cells.remove("cell-00");
     assert!(
@@ -281,7 +295,7 @@
     ));
 }
 
-/// A map that is not newer never replaces the one in force.
+/// A map that is not newer never replaces the current one.
 #[test]
 fn older_map_is_never_published() {
     let layout = layout(4, 12, 4);
@@ -301,8 +315,8 @@
     assert_eq!(published.load().epoch(), second.epoch());
 }
 
-/// Whatever nodes are added and removed, every tenant is assigned to an existing cell, the same for all holders of the map,
-/// and only tenants that the layout wants elsewhere migrate.
+/// For any sequence of added and removed nodes, every tenant is assigned to an existing cell, the
+/// result is deterministic, and only tenants that the layout requires elsewhere migrate.
 #[test]
 fn random_layout_changes_keep_every_tenant_assigned() {
     fn check(steps: Vec<(u8, bool)>) -> bool {
@@ -328,29 +342,30 @@
                 migrations,
             }) = map.apply_layout(&layout)
             else {
-                // A cell would be left empty or at one site: the last map stays in force.
+                // The layout is rejected because a cell would be empty or at one site only; the
+                // previous map stays in use.
                 return true;
             };
-            let same = map.apply_layout(&layout).is_ok_and(|again| {
+            let is_deterministic = map.apply_layout(&layout).is_ok_and(|again| {
                 again.map.epoch() == next.epoch() && again.migrations == migrations
             });
-            let held = next.assignments().all(|(t, assignment)| {
+            let assignments_kept = next.assignments().all(|(t, assignment)| {
                 map.assignment(t) == Some(assignment) && next.cell_for(t, None).is_some()
             });
-            let mut done = next;
+            let mut migrated = next;
             for migration in &migrations {
-                let Ok(moved) =
-                    done.with_assignment(&migration.tenant, migration.to.clone(), None, false)
+                let Ok(with_migration) =
+                    migrated.with_assignment(&migration.tenant, migration.to.clone(), None, false)
                 else {
                     return false;
                 };
-                done = moved;
+                migrated = with_migration;
             }
-            let settled = done
+            let is_converged = migrated
                 .apply_layout(&layout)
                 .is_ok_and(|applied| applied.migrations.is_empty());
-            map = done;
-            same && held && settled
+            map = migrated;
+            is_deterministic && assignments_kept && is_converged
         })
     }
     QuickCheck::new()
