--- a/crates/migration-coordinator/src/coordinator.rs
+++ b/crates/migration-coordinator/src/coordinator.rs
@@ -1,5 +1,6 @@
-//! Decides which migrations run and under which epochs, to whom their commands go, when commands are sent again, and when
-//! a migration is aborted. The protocol of each is a [`cells::Migration`].
+//! Decides which migrations run and with which epochs, which nodes receive their commands, when
+//! commands are resent, and when a migration is aborted. [`cells::Migration`] implements the
+//! protocol of a single migration.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,40 +14,43 @@
 use crate::planning::{plan_migration, QueuedJob, StartError};
 use crate::timeouts::Timeouts;
 
-/// The epochs that each migration reserves: its own, and the one that aborting it creates.
+/// Number of epochs that each migration reserves: its own, and the one that aborting it creates.
 const EPOCHS_PER_MIGRATION: Epoch = 2;
 
-/// The position of the run's number in the numbers of its migrations: above the count of migrations in the run.
-const RUN_SHIFT: u32 = 32;
+/// Position of the run id within a migration id. The lower bits count the migrations of the run.
+const RUN_ID_SHIFT: u32 = 32;
 
-/// The decisions of one run of a coordinator. Each method returns the effects that the caller must carry out in order.
+/// The decisions of one run of the coordinator. Each method returns the effects that the caller
+/// must carry out, in order.
 pub struct Coordinator {
     timeouts: Timeouts,
     map: CellMap,
-    /// The last epoch that was given to any migration.
+    /// Last epoch that was reserved for any migration.
     last_epoch: Epoch,
     running: BTreeMap<Name, RunningMigration>,
     queue: Vec<QueuedJob>,
-    /// The number of the last migration; its upper half differs from those of all other runs.
+    /// Id of the last migration. Its upper half is the run id, which differs from those of all
+    /// other runs.
     last_id: MigrationId,
 }
 
 impl Coordinator {
-    /// Resumes from a journal, over the map that the layout leads to. `run` is a number that no other run of a
-    /// coordinator has, such as a random one: it keeps the migrations of different runs apart.
+    /// Resumes from a journal, with the map of the current layout. `run_id` must differ from that
+    /// of every other run of a coordinator, for example by being random: it keeps the migration ids
+    /// of different runs distinct.
     ///
     /// # Errors
-    /// The map has no longer a cell that the journal assigns a tenant to.
+    /// Returns an error if the journal assigns a tenant to a cell that the map no longer contains.
     pub fn recover(
         timeouts: Timeouts,
         map: CellMap,
         recovered: RecoveredState,
-        run: u32,
+        run_id: u32,
         now: Duration,
     ) -> Result<Coordinator, LayoutError> {
         let mut map = map;
         for record in recovered.assignments {
-            // A tenant that no file declares any more needs no assignment.
+            // A tenant that is no longer declared needs no assignment.
             if map.assignment(&record.tenant).is_some() {
                 map = map.with_assignment(
                     &record.tenant,
@@ -65,34 +69,34 @@
             last_epoch: recovered.last_epoch.max(map.epoch()),
             running,
             queue: Vec::new(),
-            last_id: u64::from(run) << RUN_SHIFT,
+            last_id: u64::from(run_id) << RUN_ID_SHIFT,
             timeouts,
             map,
         })
     }
 
-    /// The map in force.
+    /// Returns the current map.
     pub fn map(&self) -> &CellMap {
         &self.map
     }
 
-    /// The tenants whose migrations are running, and the phase of each.
+    /// Returns the tenants whose migrations are running, each with the phase of its migration.
     pub fn running(&self) -> impl Iterator<Item = (&Name, MigrationPhase)> {
         self.running
             .iter()
             .map(|(tenant, running)| (tenant, running.entry.migration.phase))
     }
 
-    /// The number of jobs that wait for running migrations to finish.
+    /// Returns the number of queued jobs, which wait for running migrations to finish.
     pub fn queued_jobs(&self) -> usize {
         self.queue.len()
     }
 
-    /// Queues a migration of a tenant, which starts once its turn comes. A migration that is impossible is rejected at
-    /// once.
+    /// Queues a migration of a tenant, and starts it as soon as the limit of concurrent migrations
+    /// allows. An impossible migration is rejected at once.
     ///
     /// # Errors
-    /// Why the migration is impossible.
+    /// Returns an error if the migration is impossible.
     pub fn start_migration(
         &mut self,
         tenant: &str,
@@ -114,7 +118,7 @@
         if assignment.cells == to {
             return Err(StartError::AlreadyAssigned);
         }
-        // Only to check that it is possible; it is planned when it starts.
+        // This only checks that the migration is possible; it is planned again when it starts.
         plan_migration(&self.map, tenant, &to, 0, 0)?;
         self.queue.push(QueuedJob::Migrate {
             tenant: tenant.into(),
@@ -124,8 +128,9 @@
         Ok(self.start_queued_jobs(now))
     }
 
-    /// A node's process has restarted: it knows nothing and serves nobody. It adopts each tenant of its cell again, once
-    /// no migration of that tenant is running.
+    /// Handles the restart of a node's process, which has lost its keys and serves no requests. The
+    /// node adopts each tenant of its cell again, once no other migration of that tenant is
+    /// running.
     pub fn handle_node_restart(&mut self, node: &str, now: Duration) -> Vec<Effect> {
         let Some(cell) = self.map.node(node).map(|n| n.cell.clone()) else {
             return Vec::new();
@@ -135,14 +140,15 @@
             .assignments()
             .filter(|(_, assignment)| assignment.cells.names().contains(&cell))
             .map(|(tenant, _)| tenant);
-        // A tenant that migrates to this cell may have been handed over to the node's earlier incarnation.
-        let arriving = self
+        // A tenant that is migrating to this cell may have been handed over to the node's earlier
+        // incarnation.
+        let migrating_here = self
             .running
             .values()
             .map(|running| &running.entry)
             .filter(|entry| entry.to.names().contains(&cell) && !entry.is_adoption)
             .map(|entry| &entry.tenant);
-        let mut tenants: Vec<&Name> = assigned.chain(arriving).collect();
+        let mut tenants: Vec<&Name> = assigned.chain(migrating_here).collect();
         tenants.sort();
         tenants.dedup();
         let mut jobs: Vec<QueuedJob> = tenants
@@ -153,15 +159,17 @@
             })
             .collect();
         jobs.retain(|job| !self.queue.contains(job));
-        // Before all other jobs: the node serves none of these tenants until then.
+        // Adoptions come before all other jobs, because the node serves none of these tenants until
+        // then.
         self.queue.splice(0..0, jobs);
         self.start_queued_jobs(now)
     }
 
-    /// Starts queued jobs, one for a tenant at a time, up to the limit of concurrent migrations.
+    /// Starts queued jobs, at most one per tenant at a time, up to the limit of concurrent
+    /// migrations.
     fn start_queued_jobs(&mut self, now: Duration) -> Vec<Effect> {
         let mut effects = Vec::new();
-        while self.running.len() < self.timeouts.max_concurrent {
+        while self.running.len() < self.timeouts.max_concurrent_migrations {
             let startable = |job: &QueuedJob| !self.running.contains_key(job.tenant());
             let Some(index) = self.queue.iter().position(startable) else {
                 break;
@@ -175,7 +183,7 @@
     fn start_job(&mut self, job: &QueuedJob, now: Duration) -> Vec<Effect> {
         self.last_id += 1;
         let Some(entry) = job.plan(&self.map, self.last_id, self.last_epoch + 1) else {
-            // The map has changed while the job was queued.
+            // The migration became impossible because the map changed while the job was queued.
             return match job {
                 QueuedJob::Migrate { tenant, .. } => vec![Effect::MigrationFinished {
                     tenant: tenant.clone(),
@@ -199,7 +207,7 @@
         }
     }
 
-    /// A node has reported about this tenant.
+    /// Handles a node's report about this tenant.
     pub fn handle_report(
         &mut self,
         tenant: &str,
@@ -214,7 +222,8 @@
         self.apply_event(tenant, &MigrationEvent::ReportReceived(id, report), now)
     }
 
-    /// This node's process has certainly ended, or its lease has expired since it was last heard from.
+    /// Handles a node that certainly serves no requests: its process has exited, or its lease has
+    /// expired since the last message from it.
     pub fn handle_fenced_node(&mut self, node: &str, now: Duration) -> Vec<Effect> {
         let tenants: Vec<Name> = self.running.keys().cloned().collect();
         let mut effects = Vec::new();
@@ -227,7 +236,8 @@
         effects
     }
 
-    /// Aborts the migration of a tenant, or removes it from the queue. One that is committed runs to its end.
+    /// Aborts the migration of a tenant, or removes it from the queue. A committed migration runs
+    /// to completion.
     pub fn abort_migration(&mut self, tenant: &str, now: Duration) -> Vec<Effect> {
         let queued = self.queue.iter().position(|job| job.migrates(tenant));
         if let Some(index) = queued {
@@ -249,7 +259,8 @@
             return Vec::new();
         }
         let entry = running.entry.clone();
-        // Written as one: a commit without its assignment, or the other way round, would assign the tenant to both sides.
+        // These records are written in one transaction: a commit without its assignment, or the
+        // reverse, would assign the tenant to both sides.
         let mut records = vec![self.migration_record(&entry)];
         let mut publish = None;
         if is_newly_committed(&entry, phase_before) {
@@ -269,7 +280,7 @@
         effects
     }
 
-    /// Puts the assignment that a migration commits into the map, and returns its record.
+    /// Applies the assignment that a migration commits to the map, and returns its record.
     fn commit_assignment(&mut self, entry: &MigrationEntry) -> JournalRecord {
         let record = AssignmentRecord {
             tenant: entry.tenant.clone(),
@@ -277,7 +288,8 @@
             since: entry.migration.epoch,
             is_manual: entry.is_manual,
         };
-        // Where a cell was removed meanwhile, the nodes of the migration serve the tenant all the same.
+        // If one of the cells was removed in the meantime, the map stays as it is, but the nodes of
+        // the migration still serve the tenant.
         if let Ok(map) = self.map.with_assignment(
             &entry.tenant,
             entry.to.clone(),
@@ -310,7 +322,8 @@
         running.entry.send_effects()
     }
 
-    /// Sends commands again that were not acknowledged in time, and aborts migrations that take too long.
+    /// Resends commands that were not acknowledged in time, and aborts migrations that were not
+    /// committed in time.
     pub fn handle_timers(&mut self, now: Duration) -> Vec<Effect> {
         let due: Vec<Name> = self
             .running
@@ -342,13 +355,14 @@
         running.entry.send_effects()
     }
 
-    /// When [`Coordinator::handle_timers`] is due next; none while no migration is running.
+    /// Returns the time at which [`Coordinator::handle_timers`] is due next; none while no
+    /// migration is running.
     pub fn next_timer(&self) -> Option<Duration> {
         self.running.values().map(|running| running.resend_at).min()
     }
 }
 
-/// Whether a migration has been committed since it was in the phase `before`.
+/// Returns true if a migration has been committed since it was in the phase `before`.
 fn is_newly_committed(entry: &MigrationEntry, before: MigrationPhase) -> bool {
     !entry.is_adoption
         && before < MigrationPhase::Commit
--- a/crates/migration-coordinator/src/effect.rs
+++ b/crates/migration-coordinator/src/effect.rs
@@ -1,23 +1,23 @@
-//! What the coordinator asks its caller to do.
+//! Effects that the coordinator requests from its caller.
 
 use cells::migration::{Epoch, MigrationCommand};
 use cells::{AssignedCells, Name};
 
 use crate::entry::MigrationEntry;
 
-/// A record of the journal.
+/// A record to be written to the journal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JournalRecord {
-    /// The state of a migration.
+    /// The new state of a migration.
     Migration {
-        /// The migration.
+        /// Migration and its state.
         entry: Box<MigrationEntry>,
-        /// The last epoch that was given to any migration.
+        /// Last epoch that was reserved for any migration.
         last_epoch: Epoch,
     },
-    /// A migrated tenant's assignment.
+    /// The new assignment of a migrated tenant.
     Assignment(AssignmentRecord),
-    /// The migration of this tenant is finished, and its state is removed.
+    /// The migration of this tenant has finished; its state is removed.
     Finished(Name),
 }
 
@@ -26,35 +26,36 @@
 pub struct AssignmentRecord {
     /// The tenant.
     pub tenant: Name,
-    /// The cells that serve it.
+    /// Cells that serve the tenant.
     pub cells: AssignedCells,
-    /// The epoch since which they do.
+    /// Epoch at which these cells began to serve the tenant.
     pub since: Epoch,
-    /// Whether an operator asked for the migration.
+    /// True if an operator requested the migration.
     pub is_manual: bool,
 }
 
-/// Something for the caller to do. Effects are carried out in order.
+/// An action that the caller must carry out. Effects are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Write these records to the journal, all or none, before any later effect is carried out.
+    /// Write these records to the journal in one transaction, before any later effect is carried
+    /// out.
     WriteJournal(Vec<JournalRecord>),
     /// Send a command to a node.
     SendCommand {
-        /// The node.
+        /// Recipient of the command.
         node: Name,
-        /// The tenant that the command is about.
+        /// Tenant that the command is about.
         tenant: Name,
         /// The command.
         command: MigrationCommand,
     },
-    /// Distribute the map, which has this epoch, to routers and nodes.
+    /// Distribute the coordinator's map, which has this epoch, to routers and nodes.
     PublishMap(Epoch),
-    /// Report that a migration is finished.
+    /// Report that a migration has finished.
     MigrationFinished {
         /// The tenant.
         tenant: Name,
-        /// Whether the tenant has migrated; otherwise its assignment has not changed.
+        /// True if the tenant has migrated; false if its assignment has not changed.
         is_committed: bool,
     },
 }
--- a/crates/migration-coordinator/src/entry.rs
+++ b/crates/migration-coordinator/src/entry.rs
@@ -1,4 +1,4 @@
-//! A migration in progress at the coordinator.
+//! A migration in progress, with the data that the coordinator needs to carry it out.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,28 +10,28 @@
 use crate::effect::Effect;
 use crate::timeouts::Timeouts;
 
-/// A migration in progress. Its serialized form is the journal's format.
+/// A migration in progress. Its serialized form is part of the journal's format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MigrationEntry {
     /// The tenant.
     pub tenant: Name,
-    /// The cells that are to serve it.
+    /// Cells that will serve the tenant.
     pub to: AssignedCells,
-    /// Whether an operator asked for the migration.
+    /// True if an operator requested the migration.
     #[serde(rename = "by_hand")]
     pub is_manual: bool,
-    /// Whether nothing moves: a node that has restarted adopts the tenant of its cell again.
+    /// True if the assignment does not change: a restarted node adopts a tenant of its cell again.
     #[serde(rename = "adopts")]
     pub is_adoption: bool,
-    /// The state of the protocol.
+    /// State of the migration protocol.
     #[serde(rename = "state")]
     pub migration: Migration,
-    /// The names of the nodes by their numbers in the migration.
+    /// Names of the nodes by their ids in the migration.
     pub nodes: BTreeMap<NodeId, Name>,
 }
 
 impl MigrationEntry {
-    /// The number of a node in the migration; none where it takes no part.
+    /// Returns the id of a node in the migration; none if the node takes no part in it.
     pub(crate) fn node_id(&self, node: &str) -> Option<NodeId> {
         self.nodes
             .iter()
@@ -39,7 +39,8 @@
             .map(|(id, _)| *id)
     }
 
-    /// The commands to send now, to all nodes that have not acknowledged the present phase.
+    /// Returns the effects that send the current phase's commands to all nodes that have not
+    /// acknowledged it.
     pub(crate) fn send_effects(&self) -> Vec<Effect> {
         let mut effects = Vec::new();
         for (id, command) in self.migration.commands() {
@@ -59,14 +60,14 @@
 pub(crate) struct RunningMigration {
     pub(crate) entry: MigrationEntry,
     started_at: Duration,
-    /// When commands are sent again.
+    /// Time at which commands are resent.
     pub(crate) resend_at: Duration,
-    /// The time between the last sending and `resend_at`.
+    /// Duration between the last sending and `resend_at`.
     resend_interval: Duration,
 }
 
 impl RunningMigration {
-    /// A migration that starts now; its commands have just been sent.
+    /// Creates the timers of a migration that starts now; its commands have just been sent.
     pub(crate) fn start(
         entry: MigrationEntry,
         timeouts: &Timeouts,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// A migration from the journal; its commands are due at once.
+    /// Creates the timers of a migration from the journal; its commands are due at once.
     pub(crate) fn recover(
         entry: MigrationEntry,
         timeouts: &Timeouts,
@@ -92,19 +93,19 @@
         }
     }
 
-    /// Starts the resend timer anew, for the commands of a new phase.
+    /// Restarts the resend timer for the commands of a new phase.
     pub(crate) fn reset_resend_timer(&mut self, timeouts: &Timeouts, now: Duration) {
         self.resend_interval = timeouts.resend_interval;
         self.resend_at = now + timeouts.resend_interval;
     }
 
-    /// Doubles the time to the next sending.
+    /// Doubles the interval until commands are resent.
     pub(crate) fn back_off(&mut self, timeouts: &Timeouts, now: Duration) {
         self.resend_interval = (self.resend_interval * 2).min(timeouts.max_resend_interval);
         self.resend_at = now + self.resend_interval;
     }
 
-    /// Whether the migration should be aborted because it was not committed in time.
+    /// Returns true if the migration should be aborted because it was not committed in time.
     pub(crate) fn has_timed_out(&self, timeouts: &Timeouts, now: Duration) -> bool {
         !self.entry.is_adoption
             && self.entry.migration.phase < MigrationPhase::Commit
--- a/crates/migration-coordinator/src/journal.rs
+++ b/crates/migration-coordinator/src/journal.rs
@@ -1,5 +1,6 @@
-//! The coordinator's journal: a `redb` database that only one coordinator has open, and that keeps what was written after
-//! any crash. Each write is one durable transaction. Table names and the JSON of the entries are a stable format.
+//! The coordinator's journal: a `redb` database that only one coordinator can have open, and that
+//! keeps what was written after any crash. Each write is one durable transaction. Table names and
+//! the JSON of the entries are a stable format.
 
 use std::path::Path;
 
@@ -18,38 +19,39 @@
 const ASSIGNMENTS_TABLE: &str = "homes";
 /// Migrations in progress, by tenant.
 const MIGRATIONS: TableDefinition<&str, &[u8]> = TableDefinition::new(MIGRATIONS_TABLE);
-/// Assignments of migrated tenants, by tenant: the cells, the epoch since which they hold, and whether they are manual.
+/// Assignments of migrated tenants, by tenant: the cells, the epoch at which they began to serve
+/// the tenant, and whether the migration was manual.
 const ASSIGNMENTS: TableDefinition<&str, &[u8]> = TableDefinition::new(ASSIGNMENTS_TABLE);
-/// Single numbers: the version of the format, and the last epoch.
+/// Single numbers: the format version and the last epoch.
 const NUMBERS: TableDefinition<&str, u64> = TableDefinition::new("figures");
-/// The key of the format's version in [`NUMBERS`].
+/// Key of the format version in [`NUMBERS`].
 const FORMAT_KEY: &str = "form";
-/// The key of the last epoch in [`NUMBERS`].
+/// Key of the last epoch in [`NUMBERS`].
 const LAST_EPOCH_KEY: &str = "epoch";
-/// The version of the format that this program reads and writes.
-const FORMAT: u64 = 1;
+/// Format version that this program reads and writes.
+const FORMAT_VERSION: u64 = 1;
 
-/// Why a journal can't be used.
+/// The reason why a journal can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum JournalError {
-    /// Another coordinator has it open.
+    /// Another coordinator has the journal open.
     #[error("another coordinator has the journal open")]
     InUse,
-    /// It has a format that this program does not know.
-    #[error("the journal is of form {0}, known is {FORMAT}")]
+    /// The journal has a format version that this program does not support.
+    #[error("journal format version {0} is not supported, expected {FORMAT_VERSION}")]
     UnknownFormat(u64),
-    /// An entry can't be read or written.
-    #[error("the journal's entry {key} in {table} can't be read")]
+    /// An entry can't be decoded or encoded.
+    #[error("journal entry {key} in table {table} can't be decoded or encoded")]
     InvalidEntry {
-        /// The name of the table.
+        /// Name of the table.
         table: &'static str,
-        /// The key of the entry, which is a tenant.
+        /// Key of the entry, which is a tenant.
         key: String,
-        /// Why.
+        /// Cause of the failure.
         source: serde_json::Error,
     },
-    /// The file or the disk fails.
-    #[error("the journal: {0}")]
+    /// The database reports an error, for example of the file or the disk.
+    #[error("journal storage error: {0}")]
     Storage(#[source] Box<redb::Error>),
 }
 
@@ -59,14 +61,14 @@
     }
 }
 
-/// What a journal contained when it was opened.
+/// The content of a journal when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredState {
-    /// The migrations in progress.
+    /// Migrations in progress.
     pub migrations: Vec<MigrationEntry>,
-    /// The assignments of migrated tenants.
+    /// Assignments of migrated tenants.
     pub assignments: Vec<AssignmentRecord>,
-    /// The last epoch that was given to any migration.
+    /// Last epoch that was reserved for any migration.
     pub last_epoch: Epoch,
 }
 
@@ -79,7 +81,8 @@
     /// Opens a journal, or creates one, and returns its content.
     ///
     /// # Errors
-    /// Another coordinator has the journal open, its format or an entry is unknown, or the file or the disk fails.
+    /// Returns an error if another coordinator has the journal open, the format version or an entry
+    /// is invalid, or the file or the disk fails.
     pub fn open(path: &Path) -> Result<(Journal, RecoveredState), JournalError> {
         let db = Database::create(path).map_err(|error| match error {
             DatabaseError::DatabaseAlreadyOpen => JournalError::InUse,
@@ -96,10 +99,11 @@
         Ok((Journal { db }, recovered))
     }
 
-    /// Writes records, all or none; they are on disk when this returns.
+    /// Writes records in one transaction; they are on disk when this function returns.
     ///
     /// # Errors
-    /// A record can't be serialized, or the file or the disk fails; then none is written.
+    /// Returns an error if a record can't be serialized, or the file or the disk fails; no record
+    /// is written then.
     pub fn write(&self, records: &[JournalRecord]) -> Result<(), JournalError> {
         let transaction = self.db.begin_write()?;
         {
@@ -112,10 +116,10 @@
         Ok(())
     }
 
-    /// The number of tenants whose assignment is stored.
+    /// Returns the number of tenants whose assignment is stored.
     ///
     /// # Errors
-    /// The file or the disk fails.
+    /// Returns an error if the file or the disk fails.
     pub fn assignment_count(&self) -> Result<usize, JournalError> {
         let transaction = self.db.begin_read()?;
         let assignments = transaction.open_table(ASSIGNMENTS)?;
@@ -123,16 +127,16 @@
     }
 }
 
-/// Checks the version of the format, or sets that of a new journal, and returns the last epoch.
+/// Checks the format version, or sets it in a new journal, and returns the last epoch.
 fn check_format(transaction: &WriteTransaction) -> Result<Epoch, JournalError> {
     let mut numbers = transaction.open_table(NUMBERS)?;
     let format = numbers
         .get(FORMAT_KEY)?
-        .map_or(FORMAT, |format| format.value());
-    if format != FORMAT {
+        .map_or(FORMAT_VERSION, |format| format.value());
+    if format != FORMAT_VERSION {
         return Err(JournalError::UnknownFormat(format));
     }
-    numbers.insert(FORMAT_KEY, FORMAT)?;
+    numbers.insert(FORMAT_KEY, FORMAT_VERSION)?;
     let last_epoch = numbers
         .get(LAST_EPOCH_KEY)?
         .map_or(0, |epoch| epoch.value());
--- a/crates/migration-coordinator/src/lib.rs
+++ b/crates/migration-coordinator/src/lib.rs
@@ -1,5 +1,5 @@
-//! The coordinator of tenant migrations. [`Coordinator`] decides, without I/O, clock or threads; [`Journal`] stores its
-//! decisions on disk before anything that follows from them is sent.
+//! The coordinator of tenant migrations. [`Coordinator`] makes the decisions, without I/O, clock or
+//! threads. [`Journal`] stores them on disk before any message that depends on them is sent.
 
 mod coordinator;
 mod effect;
--- a/crates/migration-coordinator/src/planning.rs
+++ b/crates/migration-coordinator/src/planning.rs
@@ -1,4 +1,4 @@
-//! Turns what is asked for into migrations under the map in force.
+//! Plans the migration of each queued job on the current map.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,27 +7,27 @@
 
 use crate::entry::MigrationEntry;
 
-/// Why a migration can't be started.
+/// The reason why a migration can't be started.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StartError {
     /// A migration of this tenant is running or queued.
-    #[error("a move of this tenant is in hand")]
+    #[error("a migration of this tenant is running or queued")]
     AlreadyMigrating,
     /// The tenant is not declared.
-    #[error("there is no such tenant")]
+    #[error("the tenant is not declared")]
     UnknownTenant,
     /// These cells serve the tenant already.
-    #[error("it lives there already")]
+    #[error("the tenant is already assigned to these cells")]
     AlreadyAssigned,
-    /// The cells don't exist.
+    /// One of the cells does not exist.
     #[error(transparent)]
     Layout(#[from] LayoutError),
-    /// The nodes of the two sides can't take part in one migration.
+    /// The sources and targets can't take part in one migration.
     #[error(transparent)]
     Nodes(#[from] MigrationError),
 }
 
-/// What is to be done for a tenant once no other migration of it is running.
+/// A job that waits until no other migration of its tenant is running.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum QueuedJob {
     /// Migrate the tenant.
@@ -36,7 +36,7 @@
         to: AssignedCells,
         is_manual: bool,
     },
-    /// Have a restarted node adopt the tenant again.
+    /// Let a restarted node adopt the tenant again.
     Adopt { tenant: Name, node: Name },
 }
 
@@ -47,12 +47,13 @@
         }
     }
 
-    /// Whether this is a migration of the tenant, and not the adoption by a node.
+    /// Returns true if this is a migration of the tenant, not an adoption.
     pub(crate) fn migrates(&self, tenant: &str) -> bool {
         matches!(self, QueuedJob::Migrate { tenant: name, .. } if **name == *tenant)
     }
 
-    /// The migration that carries the job out; none where the map no longer has a use for it.
+    /// Returns the migration that carries out the job, or none if the job no longer applies to the
+    /// map.
     pub(crate) fn plan(
         &self,
         map: &CellMap,
@@ -74,7 +75,7 @@
     }
 }
 
-/// A migration of a tenant from the nodes of its present cells to those of others.
+/// Plans a migration of a tenant from the nodes of its current cells to those of other cells.
 pub(crate) fn plan_migration(
     map: &CellMap,
     tenant: &str,
@@ -85,7 +86,7 @@
     let assignment = map.assignment(tenant).ok_or(StartError::UnknownTenant)?;
     let sources = nodes_of_cells(map, &assignment.cells)?;
     let targets = nodes_of_cells(map, to)?;
-    let nodes = number_nodes(sources.union(&targets));
+    let nodes = assign_node_ids(sources.union(&targets));
     let migration = Migration::new(
         id,
         epoch,
@@ -102,7 +103,8 @@
     })
 }
 
-/// The adoption of a tenant by a restarted node; none where the node's cell no longer serves the tenant.
+/// Plans the adoption of a tenant by a restarted node; none if the node's cell no longer serves the
+/// tenant.
 fn plan_adoption(
     map: &CellMap,
     tenant: &str,
@@ -130,7 +132,7 @@
     let mut nodes = BTreeSet::new();
     for name in cells.names() {
         let cell = map.cell(name).ok_or_else(|| LayoutError::UnknownCell {
-            referrer: "the move".into(),
+            referrer: "the migration".into(),
             cell: name.clone(),
         })?;
         nodes.extend(cell.nodes.iter().map(|node| node.name.clone()));
@@ -138,7 +140,7 @@
     Ok(nodes)
 }
 
-fn number_nodes<'a>(names: impl Iterator<Item = &'a Name>) -> BTreeMap<NodeId, Name> {
+fn assign_node_ids<'a>(names: impl Iterator<Item = &'a Name>) -> BTreeMap<NodeId, Name> {
     (0..).zip(names.cloned()).collect()
 }
 
--- a/crates/migration-coordinator/src/timeouts.rs
+++ b/crates/migration-coordinator/src/timeouts.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-/// How long the coordinator waits before it acts again, and how many migrations it runs at once.
+/// Resend and commit timeouts, and the limit of concurrent migrations.
 #[derive(Clone, Debug)]
 pub struct Timeouts {
-    /// The time after which a command that was not acknowledged is sent again; it doubles each time, up to
+    /// Duration after which an unacknowledged command is resent; it doubles with each resend, up to
     /// `max_resend_interval`.
     pub resend_interval: Duration,
-    /// The longest time between two sendings of a command.
+    /// Longest duration between two sendings of a command.
     pub max_resend_interval: Duration,
-    /// A migration that is not committed after this time is aborted.
+    /// Duration after which an uncommitted migration is aborted.
     pub commit_timeout: Duration,
-    /// The number of migrations that run at once; more are queued.
-    pub max_concurrent: usize,
+    /// Number of migrations that may run concurrently; more are queued.
+    pub max_concurrent_migrations: usize,
 }
 
 impl Default for Timeouts {
@@ -22,7 +22,7 @@
             resend_interval: Duration::from_millis(50),
             max_resend_interval: Duration::from_secs(1),
             commit_timeout: Duration::from_secs(10),
-            max_concurrent: 4,
+            max_concurrent_migrations: 4,
         }
     }
 }
--- a/crates/migration-coordinator/tests/golden.rs
+++ b/crates/migration-coordinator/tests/golden.rs
@@ -1,5 +1,6 @@
-//! A journal that an earlier program wrote. `golden/journal.redb` is the file as it was written then, `golden/rows.txt` its
-//! rows: table, key and value. Neither ever changes; `serde` names keep the JSON as it is where Rust names change.
+//! Golden tests of the journal's format. `golden/journal.redb` was written by an earlier version of
+//! the program; `golden/rows.txt` lists its rows as table, key and value. Neither file ever
+//! changes: `serde` names keep the JSON unchanged when Rust names change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -11,7 +12,7 @@
 };
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 
-/// A file that is removed with the value.
+/// A temporary file that is removed on drop.
 struct ScratchFile(PathBuf);
 impl ScratchFile {
     fn new(name: &str) -> ScratchFile {
@@ -26,7 +27,7 @@
     }
 }
 
-/// A migration at each phase, with distinct values in all fields.
+/// Returns a migration at each phase, with distinct values in all fields.
 fn migrations() -> Vec<MigrationEntry> {
     let phases = [
         ("t-1-prepare", MigrationPhase::Prepare),
@@ -38,18 +39,18 @@
         ("t-7-abort", MigrationPhase::Abort),
         ("t-8-aborted", MigrationPhase::Aborted),
     ];
-    let entry = |(at, (tenant, phase)): (u64, (&str, MigrationPhase))| MigrationEntry {
+    let entry = |(index, (tenant, phase)): (u64, (&str, MigrationPhase))| MigrationEntry {
         tenant: tenant.into(),
-        to: match at % 2 {
+        to: match index % 2 {
             0 => AssignedCells::One("c1".into()),
             _ => AssignedCells::Split(["c2".into(), "c3".into()].into()),
         },
-        is_manual: at % 2 == 0,
-        is_adoption: at % 4 >= 2,
+        is_manual: index % 2 == 0,
+        is_adoption: index % 4 >= 2,
         migration: Migration {
-            id: 100 + at,
+            id: 100 + index,
             phase,
-            epoch: 200 + at,
+            epoch: 200 + index,
             sources: BTreeSet::from([1, 2]),
             targets: BTreeSet::from([3, 4, 5]),
             incarnations: BTreeMap::from([(1, 11), (2, 12), (3, 13)]),
@@ -57,7 +58,7 @@
             fenced: BTreeSet::from([1]),
             restarted_targets: BTreeSet::from([5]),
             keys: BTreeMap::from([(u64::MAX, KeyStatus::MayHaveRun), (7, KeyStatus::Ran)]),
-            may_lack_keys: at % 3 == 0,
+            may_lack_keys: index % 3 == 0,
         },
         nodes: BTreeMap::from([
             (1, "n-one".into()),
@@ -95,7 +96,7 @@
     }
 }
 
-/// Writes every kind of record; a finished migration leaves nothing.
+/// Writes every kind of record; a finished migration leaves no row.
 fn write(path: &Path) {
     let (journal, recovered) = Journal::open(path).expect("a new journal");
     assert_eq!(recovered, RecoveredState::default());
@@ -123,7 +124,7 @@
         .expect("written");
 }
 
-/// All rows of a journal's file as text, read without the journal's own code.
+/// Returns all rows of a journal's file as text, read without the code under test.
 fn rows(path: &Path) -> String {
     let db = Database::open(path).expect("a database");
     let read = db.begin_read().expect("a transaction");
@@ -136,18 +137,18 @@
     let mut rows = String::new();
     for table in &tables {
         if table == "figures" {
-            let figures = read
+            let numbers = read
                 .open_table(TableDefinition::<&str, u64>::new(table))
                 .expect("a table");
-            for row in figures.iter().expect("rows") {
+            for row in numbers.iter().expect("rows") {
                 let (key, value) = row.expect("a row");
                 rows += &format!("{table} {} {}\n", key.value(), value.value());
             }
         } else {
-            let texts = read
+            let json_entries = read
                 .open_table(TableDefinition::<&str, &[u8]>::new(table))
                 .expect("a table");
-            for row in texts.iter().expect("rows") {
+            for row in json_entries.iter().expect("rows") {
                 let (key, value) = row.expect("a row");
                 let text = std::str::from_utf8(value.value()).expect("JSON");
                 rows += &format!("{table} {} {text}\n", key.value());
--- a/crates/migration-coordinator/tests/migrations.rs
+++ b/crates/migration-coordinator/tests/migrations.rs
@@ -1,4 +1,4 @@
-//! Migrations over a simulated fleet with a journal on disk, and the journal's own rules.
+//! Tests of migrations in a simulated fleet with a journal on disk, and of the journal itself.
 
 mod simulated_fleet;
 
@@ -6,13 +6,13 @@
 
 use cells::{AssignedCells, MigrationPhase, Name};
 use migration_coordinator::{Effect, Journal, JournalError, StartError};
-use simulated_fleet::{SimulatedFleet, CELLS, NODES_PER_CELL, TENANTS};
+use simulated_fleet::{SimulatedFleet, CELL_COUNT, NODES_PER_CELL, TENANT_COUNT};
 use tempfile::NamedTempFile;
 
-/// Starts a random migration; false where it is impossible now.
+/// Starts a random migration; returns false if it is impossible now.
 fn start_random_migration(fleet: &mut SimulatedFleet) -> bool {
-    let tenant = format!("t{}", fleet.random.below(TENANTS));
-    let to = AssignedCells::One(format!("c{}", fleet.random.below(CELLS)).into());
+    let tenant = format!("t{}", fleet.random.below(TENANT_COUNT));
+    let to = AssignedCells::One(format!("c{}", fleet.random.below(CELL_COUNT)).into());
     let Some(coordinator) = &mut fleet.coordinator else {
         return false;
     };
@@ -32,9 +32,9 @@
     }
 }
 
-/// A random node dies; the coordinator may learn of it, and the node restarts.
+/// Kills a random node and restarts it later; the coordinator may be notified in between.
 fn kill_and_restart_random_node(fleet: &mut SimulatedFleet) {
-    let cell = fleet.random.below(CELLS);
+    let cell = fleet.random.below(CELL_COUNT);
     let node: Name = format!("c{cell}n{}", fleet.random.below(NODES_PER_CELL)).into();
     fleet.kill_node(&node);
     run_random_steps(fleet);
@@ -45,8 +45,9 @@
     fleet.start_node(&node);
 }
 
-/// 200 migrations under load, each with a random kill of a source, a target, or the coordinator at any point between
-/// writing and sending. No settlement runs twice, and none is acknowledged without having run.
+/// Runs 200 migrations under load, each with a random kill of a source, a target, or the
+/// coordinator at any point between writing and sending. No settlement may run twice, and none may
+/// be acknowledged without having run.
 #[test]
 fn two_hundred_migrations_with_a_kill_each_lose_and_duplicate_nothing() {
     let mut fleet = SimulatedFleet::new(0x6d6f_7468);
@@ -66,7 +67,7 @@
         kill_and_restart_random_node(&mut fleet);
         fleet.check_invariants();
     }
-    fleet.run_until_settled();
+    fleet.run_until_converged();
     fleet.check_invariants();
     let settlements = &fleet.settlements;
     let acknowledged = settlements.iter().filter(|s| s.is_acknowledged).count();
@@ -96,7 +97,8 @@
     );
 }
 
-/// Only one coordinator at a time opens a journal, and what was written is there after any end.
+/// Only one coordinator at a time can open a journal, and written records persist after the
+/// coordinator ends.
 #[test]
 fn journal_has_one_coordinator_and_keeps_what_was_written() {
     let fleet = SimulatedFleet::new(1);
@@ -137,7 +139,7 @@
     assert!(recovered.last_epoch >= 2);
 }
 
-/// A file that something else has written is rejected, and not taken for an empty journal.
+/// A file of another format is rejected instead of being treated as an empty journal.
 #[test]
 fn file_that_is_no_journal_is_rejected() {
     let file = NamedTempFile::new().expect("a file");
@@ -151,12 +153,12 @@
         .expect("rejected")
         .to_string();
     assert!(
-        error.starts_with("the journal: ") && !error.contains('\n'),
+        error.starts_with("journal storage error: ") && !error.contains('\n'),
         "{error}"
     );
 }
 
-/// An operator learns at once that a migration is impossible.
+/// An impossible migration is rejected at once, so that the operator learns of it.
 #[test]
 fn impossible_migrations_are_rejected_at_once() {
     let mut fleet = SimulatedFleet::new(2);
--- a/crates/migration-coordinator/tests/simulated_fleet/client.rs
+++ b/crates/migration-coordinator/tests/simulated_fleet/client.rs
@@ -1,11 +1,12 @@
-//! The clients of the simulated fleet: each sends one settlement and retries until it has an answer.
+//! The clients of the simulated fleet: each sends one settlement and retries until it has an
+//! answer.
 
 use std::collections::BTreeSet;
 
 use cells::migration::{FenceDecision, Incarnation, KeyHash};
 use cells::Name;
 
-use super::{SimulatedFleet, TENANTS};
+use super::{SimulatedFleet, TENANT_COUNT};
 
 /// A settlement and its client.
 #[derive(Default)]
@@ -15,9 +16,9 @@
     runs: u32,
     pub(crate) is_acknowledged: bool,
     pub(crate) is_answered: bool,
-    /// Where the attempt that the client waits for was admitted.
+    /// Node and incarnation that admitted the attempt whose answer the client waits for.
     awaited: Option<(Name, Incarnation)>,
-    /// Where attempts were admitted that may still run.
+    /// Nodes and incarnations that admitted attempts which may still run.
     pending: BTreeSet<(Name, Incarnation)>,
 }
 
@@ -42,10 +43,10 @@
 }
 
 impl SimulatedFleet {
-    /// A client sends its settlement, for the first time or again.
+    /// Sends or resends a client's settlement.
     pub(super) fn send_attempt(&mut self) {
         let index = self.select_client();
-        // A router whose map may be some epochs old; a key always goes to the same node of a cell.
+        // The router's map may be some epochs old. A key always goes to the same node of a cell.
         let epochs_behind = if self.random.one_in(3) {
             self.random.below(4)
         } else {
@@ -59,7 +60,7 @@
         let epoch = map.assignment(&tenant).expect("an assignment").since;
         settlement.attempts += 1;
         let is_retry = settlement.attempts > 1;
-        if self.dead.contains(&node) {
+        if self.exited_nodes.contains(&node) {
             return;
         }
         let fence = self.fence(&node, &tenant);
@@ -80,7 +81,7 @@
         }
     }
 
-    /// A client that waits for nothing, or a new one.
+    /// Selects a client that waits for no answer, or creates one.
     fn select_client(&mut self) -> usize {
         let idle: Vec<usize> = self
             .open_settlements
@@ -94,7 +95,7 @@
         if idle.len() > 12 || (!idle.is_empty() && self.random.one_in(3)) {
             return idle[self.random.below(idle.len())];
         }
-        let tenant = format!("t{}", self.random.below(TENANTS));
+        let tenant = format!("t{}", self.random.below(TENANT_COUNT));
         self.settlements.push(Settlement {
             tenant,
             ..Settlement::default()
@@ -104,7 +105,7 @@
         index
     }
 
-    /// An admitted attempt is rejected, runs or is answered, or its connection breaks.
+    /// Lets an admitted attempt be rejected, run or be answered, or breaks its connection.
     pub(super) fn advance_settlement(&mut self) {
         let settlements = &self.settlements;
         self.open_settlements.retain(|index| {
@@ -123,9 +124,9 @@
             return;
         }
         let index = busy[self.random.below(busy.len())];
-        let what_happens = self.random.below(6);
+        let event = self.random.below(6);
         let settlement = &mut self.settlements[index];
-        if what_happens == 0 {
+        if event == 0 {
             // The client's connection breaks; it will retry.
             settlement.awaited = None;
             return;
@@ -134,21 +135,22 @@
             self.answer(index);
             return;
         };
-        let is_alive = self.incarnations[&node] == incarnation && !self.dead.contains(&node);
-        if what_happens == 1 && is_alive {
+        let is_alive =
+            self.incarnations[&node] == incarnation && !self.exited_nodes.contains(&node);
+        if event == 1 && is_alive {
             settlement
                 .awaited
                 .take_if(|awaited| *awaited == (node.clone(), incarnation));
             let tenant = settlement.tenant.clone();
             self.fence(&node, &tenant)
                 .record_never_ran(index as KeyHash);
-        } else if is_alive || what_happens > 2 {
-            // The executor of a node that died may go on, or not.
+        } else if is_alive || event > 2 {
+            // The executor of a node whose process exited may still run the attempt.
             settlement.runs += 1;
         }
     }
 
-    /// The settlement ran: the client that waits gets the answer.
+    /// Answers the waiting client of a settlement that has run.
     fn answer(&mut self, index: usize) {
         let settlement = &mut self.settlements[index];
         let Some((node, incarnation)) = settlement.awaited.take() else {
--- a/crates/migration-coordinator/tests/simulated_fleet/mod.rs
+++ b/crates/migration-coordinator/tests/simulated_fleet/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet of fences with a coordinator whose journal is on disk: messages are lost, duplicated and delayed, nodes and the
-//! coordinator are killed at any point, routers have old maps, and clients retry. A seed determines every step.
+//! A simulated fleet: a fence per node and tenant, and a coordinator whose journal is on disk.
+//! Messages are lost, duplicated and delayed, nodes and the coordinator are killed at any point,
+//! routers have old maps, and clients retry. The seed determines every step.
 
 mod client;
 
@@ -13,11 +14,11 @@
 
 pub(crate) use client::Settlement;
 
-pub(crate) const CELLS: usize = 4;
+pub(crate) const CELL_COUNT: usize = 4;
 pub(crate) const NODES_PER_CELL: usize = 3;
-pub(crate) const TENANTS: usize = 8;
+pub(crate) const TENANT_COUNT: usize = 8;
 
-/// Random numbers from a seed (splitmix64).
+/// A random number generator with a seed (splitmix64).
 pub(crate) struct Random(u64);
 
 impl Random {
@@ -39,7 +40,7 @@
         slack: 3.0,
         ..Layout::default()
     };
-    for c in 0..CELLS {
+    for c in 0..CELL_COUNT {
         let cell: Name = format!("c{c}").into();
         layout.cells.insert(cell.clone(), CellSpec::default());
         for n in 0..NODES_PER_CELL {
@@ -52,7 +53,7 @@
             layout.nodes.insert(format!("c{c}n{n}").into(), spec);
         }
     }
-    for t in 0..TENANTS {
+    for t in 0..TENANT_COUNT {
         let spec = TenantSpec {
             share: 1.0,
             placement: Placement::Free,
@@ -62,7 +63,7 @@
     layout
 }
 
-/// A message on its way between the coordinator and a node, about a tenant.
+/// A message in transit between the coordinator and a node, about a tenant.
 #[derive(Clone)]
 struct InTransit<M> {
     node: Name,
@@ -70,7 +71,7 @@
     message: M,
 }
 
-/// What has happened so far.
+/// Counters of the events so far.
 #[derive(Default)]
 pub(crate) struct Counts {
     pub(crate) committed: usize,
@@ -87,16 +88,16 @@
     pub(crate) coordinator: Option<Coordinator>,
     coordinator_starts: u32,
     first_map: CellMap,
-    /// The maps that were published; routers may have old ones.
+    /// Published maps; routers may use old ones.
     maps: Vec<CellMap>,
-    /// The fence of each node for each tenant.
+    /// Fence of each node for each tenant.
     fences: BTreeMap<(Name, Name), Fence>,
     incarnations: BTreeMap<Name, Incarnation>,
-    dead: BTreeSet<Name>,
+    exited_nodes: BTreeSet<Name>,
     commands: Vec<InTransit<MigrationCommand>>,
     reports: Vec<InTransit<MigrationReport>>,
     pub(crate) settlements: Vec<Settlement>,
-    /// The indexes of settlements to which something may still happen.
+    /// Indexes of settlements that may still change.
     open_settlements: Vec<usize>,
     pub(crate) counts: Counts,
 }
@@ -128,7 +129,7 @@
             first_map,
             fences,
             incarnations,
-            dead: BTreeSet::new(),
+            exited_nodes: BTreeSet::new(),
             commands: Vec::new(),
             reports: Vec::new(),
             settlements: Vec::new(),
@@ -153,7 +154,7 @@
         let (journal, recovered) = Journal::open(self.journal_file.path()).expect("a journal");
         self.coordinator_starts += 1;
         let timeouts = Timeouts {
-            max_concurrent: 2,
+            max_concurrent_migrations: 2,
             commit_timeout: Duration::from_secs(3),
             ..Timeouts::default()
         };
@@ -165,13 +166,14 @@
             self.now,
         )
         .expect("a coordinator");
-        // Where the last one was killed before it could publish, routers receive the map now.
+        // If the previous coordinator was killed before it could publish, routers receive the map
+        // now.
         if coordinator.map().epoch() > self.newest_epoch() {
             self.maps.push(coordinator.map().clone());
         }
         self.coordinator = Some(coordinator);
         self.journal = Some(journal);
-        // Nodes that restarted while there was no coordinator announce themselves again.
+        // Nodes that restarted while no coordinator was running report it again.
         let restarted: Vec<Name> = self
             .incarnations
             .iter()
@@ -183,7 +185,8 @@
         }
     }
 
-    /// Has the coordinator decide, and carries out the effects in order; the coordinator may be killed between any two.
+    /// Lets the coordinator decide, and carries out the effects in order; it may be killed between
+    /// any two effects.
     pub(crate) fn run_coordinator(
         &mut self,
         decide: impl FnOnce(&mut Coordinator, Duration) -> Vec<Effect>,
@@ -236,14 +239,14 @@
 
     pub(crate) fn kill_node(&mut self, node: &Name) {
         self.counts.node_kills += 1;
-        self.dead.insert(node.clone());
+        self.exited_nodes.insert(node.clone());
         for settlement in &mut self.settlements {
             settlement.lose_connection_to(node);
         }
     }
 
     pub(crate) fn start_node(&mut self, node: &Name) {
-        self.dead.remove(node);
+        self.exited_nodes.remove(node);
         let incarnation = self.incarnations.get_mut(node).expect("a node");
         *incarnation += 1;
         let fences = self.fences.iter_mut();
@@ -253,7 +256,7 @@
         self.run_coordinator(|c, now| c.handle_node_restart(node, now));
     }
 
-    /// Lets one random thing happen.
+    /// Simulates one random event.
     pub(crate) fn step(&mut self, has_load: bool) {
         self.now += Duration::from_millis(self.random.below(8) as u64);
         match self.random.below(10) {
@@ -270,14 +273,14 @@
         }
     }
 
-    /// Delivers a random command, or loses it; it may stay in transit and arrive again.
+    /// Delivers or loses a random command, which may stay in transit and arrive again.
     fn deliver_command(&mut self) {
         let index = self.random.below(self.commands.len());
         let command = self.commands[index].clone();
         if !self.random.one_in(6) {
             self.commands.swap_remove(index);
         }
-        if self.dead.contains(&command.node) || self.random.one_in(8) {
+        if self.exited_nodes.contains(&command.node) || self.random.one_in(8) {
             return;
         }
         let fence = self.fence(&command.node, &command.tenant);
@@ -302,7 +305,8 @@
         }
     }
 
-    /// Asserts that no settlement ran twice or was lost, and that no tenant is served by two cells.
+    /// Asserts that no settlement ran twice or was acknowledged without having run, and that no
+    /// tenant is served by two cells.
     pub(crate) fn check_invariants(&self) {
         for settlement in &self.settlements {
             settlement.check_invariants();
@@ -312,18 +316,19 @@
                 .fences
                 .iter()
                 .filter(|((_, t), fence)| t == tenant && fence.ownership == Ownership::Serving)
-                .filter(|((node, _), _)| !self.dead.contains(node))
+                .filter(|((node, _), _)| !self.exited_nodes.contains(node))
                 .filter_map(|((node, _), _)| self.first_map.node(node).map(|n| &n.cell))
                 .collect();
             assert!(cells.len() <= 1, "{tenant} is served by {cells:?}");
         }
     }
 
-    /// Runs without load or kills of nodes until no migration is left and every node serves what its cell does.
-    pub(crate) fn run_until_settled(&mut self) {
+    /// Runs without load or kills of nodes until no migration is running or queued and every node
+    /// serves the tenants of its cell.
+    pub(crate) fn run_until_converged(&mut self) {
         for _ in 0..400_000 {
-            let dead: Vec<Name> = self.dead.iter().cloned().collect();
-            for node in dead {
+            let exited_nodes: Vec<Name> = self.exited_nodes.iter().cloned().collect();
+            for node in exited_nodes {
                 self.start_node(&node);
             }
             self.step(false);
@@ -335,13 +340,13 @@
                 return;
             }
             if is_idle && self.random.one_in(50) {
-                // A node that serves nothing yet says so with each heartbeat.
+                // A node that does not serve yet reports it with each heartbeat.
                 let nodes: Vec<Name> = self.incarnations.keys().cloned().collect();
                 let node = &nodes[self.random.below(nodes.len())];
                 self.run_coordinator(|c, now| c.handle_node_restart(node, now));
             }
         }
-        panic!("it never settled");
+        panic!("the fleet did not converge within 400,000 steps");
     }
 
     fn all_nodes_serve_their_tenants(&self) -> bool {
