--- a/crates/cells-cli/src/lib.rs
+++ b/crates/cells-cli/src/lib.rs
@@ -1,4 +1,5 @@
-//! `protocol-gateway cells`: lets operators check a file of cells and see its effects before it is put in force.
+//! The `protocol-gateway cells` commands, with which operators check a layout file and preview its
+//! effects before they deploy it.
 
 mod plan;
 mod show;
@@ -26,7 +27,8 @@
         #[arg(long, requires = "tenant")]
         subject: Option<String>,
     },
-    /// Show what would move if a changed file took the place of the one in force. Nothing is changed by it.
+    /// Show what would move if a changed file took the place of the one in force. Nothing is
+    /// changed by it.
     Plan {
         /// The file in force.
         #[arg(value_name = "NOW")]
@@ -48,24 +50,25 @@
     path: PathBuf,
 }
 
-/// Why a command fails.
+/// An error of a `cells` command.
 #[derive(Debug, thiserror::Error)]
 pub enum CellsCommandError {
-    /// The file can't be read.
+    /// The layout file can't be read.
     #[error(transparent)]
     Unreadable(#[from] UnreadableFile),
-    /// The file can't be used.
+    /// The layout file is invalid.
     #[error(transparent)]
     File(#[from] ConfigFileError),
-    /// The changed file can't follow the one in force.
+    /// A valid layout can't be applied to the map in use, for example because it removes a cell
+    /// that has tenants.
     #[error("{}: {source}", .path.display())]
     Layout {
-        /// The changed file.
+        /// Path of the layout file.
         path: PathBuf,
-        /// Why.
+        /// Cause of the failure.
         source: LayoutError,
     },
-    /// No cell serves this tenant.
+    /// No cell serves the requested tenant.
     #[error("no cell serves {0}")]
     UnknownTenant(String),
 }
@@ -73,7 +76,8 @@
 /// Runs a command and returns its output.
 ///
 /// # Errors
-/// [`CellsCommandError`] where a layout can't be used, or a tenant that is asked for has no cell.
+/// Returns an error if a file can't be read, a layout is invalid, or no cell serves the requested
+/// tenant.
 pub fn run(command: &CellsCommand) -> Result<String, CellsCommandError> {
     match command {
         CellsCommand::Check(file) => {
--- a/crates/cells-cli/src/plan.rs
+++ b/crates/cells-cli/src/plan.rs
@@ -4,7 +4,8 @@
 
 use cells::{CellMap, PendingMigration};
 
-/// The nodes that change cells and the tenants that migrate between two maps; each tenant by name if `lists_all`.
+/// Lists the nodes that change cells between two maps, and the number of tenants that would
+/// migrate; each tenant by name if `lists_all` is set.
 pub(crate) fn format_plan(
     before: &CellMap,
     after: &CellMap,
--- a/crates/cells-cli/src/show.rs
+++ b/crates/cells-cli/src/show.rs
@@ -4,7 +4,7 @@
 
 use cells::{Cell, CellMap, Node};
 
-/// All cells with their nodes.
+/// Lists all cells with their nodes.
 pub(crate) fn format_map(map: &CellMap) -> String {
     let mut tenants: BTreeMap<&str, usize> = BTreeMap::new();
     for (_, assignment) in map.assignments() {
@@ -47,7 +47,7 @@
     )
 }
 
-/// The cell and the nodes that serve a tenant; none if no cell does.
+/// Describes the cell and the nodes that serve a tenant; none if no cell serves it.
 pub(crate) fn format_tenant(map: &CellMap, tenant: &str, subject: Option<&str>) -> Option<String> {
     let cell = map.cell_for(tenant, subject)?;
     let nodes: Vec<&str> = map
--- a/crates/cells-model/src/action.rs
+++ b/crates/cells-model/src/action.rs
@@ -1,4 +1,4 @@
-//! What can happen in a state of the model.
+//! The actions that are possible in a state of the model.
 
 use cells::migration::{Epoch, Incarnation, MigrationCommand, MigrationReport, NodeId, Ownership};
 use cells::MigrationPhase;
@@ -6,26 +6,27 @@
 use crate::model::{InjectedBug, MigrationModel};
 use crate::state::{AttemptState, ModelState, FIRST_EPOCH, SOURCE, TARGET};
 
-/// Something that can happen. Clients are named by their index.
+/// A transition of the model. Clients are identified by their index.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// A command arrives at a node.
     DeliverCommand(NodeId, MigrationCommand),
     /// A node's report arrives at the coordinator.
     DeliverReport(NodeId, MigrationReport),
-    /// A node's process dies; its executor may go on.
+    /// A node's process crashes; its executor may continue to run attempts.
     Crash(NodeId),
-    /// A node's process starts again.
+    /// A crashed node's process restarts.
     Restart(NodeId),
-    /// A source has not heard from the coordinator for the duration of its lease.
+    /// A source's lease expires, because no message from the coordinator was received for the
+    /// lease's duration.
     ExpireLease(NodeId),
-    /// The coordinator is certain that a node serves nobody.
+    /// The coordinator is certain that a node serves no requests.
     Fence(NodeId),
     /// The migration is aborted.
     Abort,
-    /// A client sends its settlement to a node, by a router that knows this epoch.
+    /// A client sends its settlement to a node, through a router that knows this epoch.
     SendAttempt(usize, NodeId, Epoch),
-    /// The client's attempt arrives.
+    /// The client's attempt arrives at the node.
     DeliverAttempt(usize),
     /// The client's connection breaks, before or after the attempt arrived.
     BreakConnection(usize),
@@ -33,7 +34,7 @@
     Reject(usize, NodeId, Incarnation),
     /// An admitted attempt runs.
     Run(usize, NodeId, Incarnation),
-    /// The node learns that the attempt has ended, and answers the client that waits.
+    /// The node learns that the attempt has ended, and answers the waiting client.
     Answer(usize, NodeId, Incarnation),
 }
 
@@ -95,7 +96,7 @@
     let client = &state.clients[index];
     match client.attempt {
         AttemptState::Idle if client.attempts < model.max_attempts => {
-            // By any router, whether it knows of the commit or not.
+            // Through any router, whether or not it knows of the commit.
             for epoch in FIRST_EPOCH..=newest_epoch(state) {
                 for node in [SOURCE, TARGET] {
                     actions.push(Action::SendAttempt(index, node, epoch));
@@ -120,7 +121,7 @@
     }
 }
 
-/// The newest epoch that a router may know.
+/// Returns the newest epoch that a router may know.
 fn newest_epoch(state: &ModelState) -> Epoch {
     if state.migration.phase >= MigrationPhase::Commit {
         state.migration.epoch
--- a/crates/cells-model/src/lib.rs
+++ b/crates/cells-model/src/lib.rs
@@ -1,6 +1,6 @@
-//! The migration of a tenant as a model for `stateright`: a coordinator, a source and a target, clients with one
-//! settlement each, and a network that loses, duplicates and reorders messages. The state machines are those of the crate
-//! `cells` itself.
+//! A `stateright` model of the migration of a tenant: a coordinator, a source and a target, clients
+//! with one settlement each, and a network that loses, duplicates and reorders messages. It runs
+//! the state machines of the crate `cells` themselves.
 
 mod action;
 mod model;
--- a/crates/cells-model/src/model.rs
+++ b/crates/cells-model/src/model.rs
@@ -1,4 +1,4 @@
-//! The model: its bounds, what each action does, and the properties that must hold.
+//! The model: its bounds, the effect of each action, and the properties that must hold.
 
 use cells::migration::{
     FenceDecision, Incarnation, KeyHash, MigrationCommand, MigrationEvent, NodeId,
@@ -9,38 +9,38 @@
 use crate::action::{possible_actions, Action};
 use crate::state::{AttemptState, Client, ModelState, SOURCE, TARGET};
 
-/// A bug that is put into the protocol on purpose, to show that the check finds it.
+/// A bug that is deliberately injected into the protocol, to show that the check detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
     /// The keys of the sources are not handed over.
     SkipHandOver,
     /// The coordinator proceeds before the sources are frozen.
     SkipFreeze,
-    /// The keys lost with a source that died are not taken into account.
+    /// Keys that were lost when a source crashed are not taken into account.
     ForgetLostKeys,
-    /// Nodes obey commands for an earlier incarnation.
+    /// Nodes execute commands for an earlier incarnation.
     IgnoreIncarnation,
-    /// A source that is silent counts as fenced while its lease is valid.
+    /// A source that sends no messages is treated as fenced while its lease is valid.
     FenceTooSoon,
     /// A target that restarted is told to serve without receiving the keys again.
     SkipRepeatedHandOver,
 }
 
-/// The bounds of the model, and its injected bug if it has one.
+/// The bounds of the model, and its injected bug, if any.
 #[derive(Clone, Debug)]
 pub struct MigrationModel {
-    /// The attempts of each client.
+    /// Maximum number of attempts of each client.
     pub max_attempts: u8,
-    /// The number of clients, each with a settlement of its own.
+    /// Number of clients, each with a settlement of its own.
     pub clients: u8,
-    /// The crashes of nodes in all.
+    /// Maximum number of node crashes in total.
     pub max_crashes: u8,
-    /// The bug, if there is one.
+    /// Injected bug, if any.
     pub injected_bug: Option<InjectedBug>,
 }
 
 impl MigrationModel {
-    /// Applies an event to the coordinator, and the injected bug after it.
+    /// Applies an event to the coordinator, and then the injected bug.
     fn apply_event(&self, state: &mut ModelState, event: &MigrationEvent) {
         state.migration.apply(event);
         self.inject_bug(state);
@@ -77,7 +77,7 @@
         Some(())
     }
 
-    /// Carries out an action; none where it is impossible.
+    /// Applies an action; returns none if it is impossible.
     fn apply(&self, state: &mut ModelState, action: Action) -> Option<()> {
         match action {
             Action::DeliverCommand(node, command) => self.deliver_command(state, node, command)?,
@@ -101,7 +101,8 @@
             Action::BreakConnection(client) => state.clients[client].attempt = AttemptState::Idle,
             Action::Reject(client, node, incarnation) => reject(state, client, node, incarnation),
             Action::Run(client, node, incarnation) => {
-                // Nobody may learn that it ran: then its key stays one that may have run.
+                // The node may never learn that the attempt ran; its key then remains one that may
+                // have run.
                 let client = &mut state.clients[client];
                 client.pending.remove(&(node, incarnation));
                 client.runs += 1;
@@ -176,8 +177,8 @@
     client.attempt = AttemptState::Answered;
 }
 
-/// Whether a settlement was acknowledged that the target knows.
-fn target_ran_a_settlement(state: &ModelState) -> bool {
+/// Returns true if the target knows the first settlement's key and a settlement was acknowledged.
+fn target_knows_acknowledged_settlement(state: &ModelState) -> bool {
     let is_known = state
         .fence(TARGET)
         .is_some_and(|fence| fence.keys.contains_key(&0));
@@ -229,7 +230,7 @@
                 has_client(state, |client| client.is_in_doubt)
             }),
             Property::sometimes("the target runs a settlement", |_, state: &ModelState| {
-                target_ran_a_settlement(state)
+                target_knows_acknowledged_settlement(state)
             }),
         ]
     }
--- a/crates/cells-model/src/progress.rs
+++ b/crates/cells-model/src/progress.rs
@@ -1,4 +1,4 @@
-//! Checks that no loss, crash or answer leaves a migration stuck.
+//! Checks that message loss, crashes or answers never leave a migration stuck.
 
 use std::collections::HashMap;
 
@@ -9,14 +9,14 @@
 
 /// The result of [`check_every_migration_can_finish`].
 pub struct ProgressReport {
-    /// The number of states that can be reached.
+    /// Number of reachable states.
     pub states: usize,
-    /// A state from which the migration can't finish, if there is one.
+    /// State from which the migration can't finish, if there is one.
     pub stuck: Option<ModelState>,
 }
 
-/// Checks whether the migration can still finish from every state that can be reached. It explores all states in memory,
-/// so it is for models with small bounds.
+/// Checks whether the migration can still finish from every reachable state. All states are kept in
+/// memory, so this is for models with small bounds.
 pub fn check_every_migration_can_finish(model: &MigrationModel) -> ProgressReport {
     let graph = StateGraph::explore(model);
     let can_finish = graph.states_that_can_finish();
@@ -27,10 +27,10 @@
     }
 }
 
-/// The states that can be reached.
+/// The graph of reachable states.
 struct StateGraph {
     states: Vec<ModelState>,
-    /// For each state, by index, the states that lead to it.
+    /// Predecessors of each state, by index.
     predecessors: Vec<Vec<usize>>,
 }
 
@@ -47,7 +47,7 @@
             for next in model.next_states(&graph.states[current].clone()) {
                 let index = *indexes
                     .entry(next)
-                    .or_insert_with_key(|state| graph.add(state));
+                    .or_insert_with_key(|state| graph.add_state(state));
                 graph.predecessors[index].push(current);
             }
             current += 1;
@@ -55,13 +55,14 @@
         graph
     }
 
-    fn add(&mut self, state: &ModelState) -> usize {
+    fn add_state(&mut self, state: &ModelState) -> usize {
         self.states.push(state.clone());
         self.predecessors.push(Vec::new());
         self.states.len() - 1
     }
 
-    /// For each state whether the migration can finish from it: a search backwards from the finished states.
+    /// Returns for each state whether the migration can finish from it, by a backward search from
+    /// the finished states.
     fn states_that_can_finish(&self) -> Vec<bool> {
         let mut can_finish = vec![false; self.states.len()];
         let mut to_visit: Vec<usize> = (0..self.states.len())
--- a/crates/cells-model/src/state.rs
+++ b/crates/cells-model/src/state.rs
@@ -7,40 +7,41 @@
 
 /// The node that serves the tenant before the migration.
 pub(crate) const SOURCE: NodeId = 0;
-/// The node that serves it afterwards.
+/// The node that serves the tenant after the migration.
 pub(crate) const TARGET: NodeId = 1;
 /// The epoch before the migration.
 pub(crate) const FIRST_EPOCH: Epoch = 1;
-/// The number of the migration.
+/// Identifier of the migration.
 const MIGRATION_ID: u64 = 7;
 
-/// Where a client's attempt is.
+/// The state of a client's current attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptState {
     /// No attempt is in progress.
     Idle,
-    /// It is on its way to this node, by a router that knows this epoch.
+    /// The attempt is in transit to this node, through a router that knows this epoch.
     Sent(NodeId, Epoch),
-    /// It was admitted by this incarnation of this node.
+    /// The attempt was admitted by this incarnation of this node.
     InFlight(NodeId, Incarnation),
-    /// The client has its final answer.
+    /// The client has received its final answer.
     Answered,
 }
 
 /// A client and its settlement.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Client {
-    /// The number of attempts so far.
+    /// Number of attempts so far.
     pub attempts: u8,
-    /// The present attempt.
+    /// State of the current attempt.
     pub attempt: AttemptState,
-    /// Whether the client was told that the settlement ran.
+    /// True if the client was told that the settlement ran.
     pub is_acknowledged: bool,
-    /// Whether the client was told that the settlement may have run.
+    /// True if the client was told that the settlement may have run.
     pub is_in_doubt: bool,
-    /// How often the settlement ran.
+    /// Number of times the settlement ran.
     pub runs: u8,
-    /// Where it was admitted and may still run, whether the client waits for it or not.
+    /// Nodes and incarnations that admitted the settlement and may still run it, whether or not the
+    /// client still waits.
     pub pending: BTreeSet<(NodeId, Incarnation)>,
 }
 
@@ -60,24 +61,24 @@
 /// The state of the whole system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ModelState {
-    /// The coordinator's journal; the coordinator's memory never holds more.
+    /// Content of the coordinator's journal; the coordinator's memory never holds more.
     pub migration: Migration,
-    /// The fence of each node; none while its process is dead.
+    /// Fence of each node; none while its process is not running.
     pub fences: Vec<Option<Fence>>,
-    /// The incarnation of each node; the last one while its process is dead.
+    /// Incarnation of each node; the previous one while its process is not running.
     pub incarnations: Vec<Incarnation>,
-    /// The commands that were ever sent: any may arrive at any time, repeatedly or never.
+    /// All commands sent so far: any may arrive at any time, repeatedly or never.
     pub commands: BTreeSet<(NodeId, MigrationCommand)>,
-    /// The reports that were ever sent; they may arrive likewise.
+    /// All reports sent so far; they may arrive in the same way.
     pub reports: BTreeSet<(NodeId, MigrationReport)>,
     /// The clients.
     pub clients: Vec<Client>,
-    /// The number of crashes so far.
+    /// Number of crashes so far.
     pub crashes: u8,
 }
 
 impl ModelState {
-    /// The state in which the migration has just been created; none if it can't be.
+    /// Returns the state in which the migration has just been created; none if it can't be created.
     pub(crate) fn initial(clients: u8) -> Option<ModelState> {
         let migration = Migration::new(
             MIGRATION_ID,
@@ -102,22 +103,22 @@
         Some(state)
     }
 
-    /// Sends the commands of the migration's present phase.
+    /// Sends the commands of the migration's current phase.
     pub(crate) fn send_commands(&mut self) {
         self.commands.extend(self.migration.commands());
     }
 
-    /// The fence of a node whose process lives.
+    /// Returns the fence of a node if its process is running.
     pub(crate) fn fence(&self, node: NodeId) -> Option<&Fence> {
         self.fences[node as usize].as_ref()
     }
 
-    /// The fence of a node whose process lives.
+    /// Returns the fence of a node for modification if its process is running.
     pub(crate) fn fence_mut(&mut self, node: NodeId) -> Option<&mut Fence> {
         self.fences[node as usize].as_mut()
     }
 
-    /// The fence of a node, if its process is still in this incarnation.
+    /// Returns the fence of a node if its process is still in this incarnation.
     pub(crate) fn fence_of_incarnation(
         &mut self,
         node: NodeId,
@@ -127,7 +128,7 @@
             .filter(|fence| fence.incarnation == incarnation)
     }
 
-    /// Whether a node serves the tenant.
+    /// Returns true if a node serves the tenant and has a lease.
     pub(crate) fn is_serving(&self, node: NodeId) -> bool {
         self.fence(node)
             .is_some_and(|fence| fence.ownership == Ownership::Serving && fence.has_lease)
--- a/crates/cells-model/tests/migration.rs
+++ b/crates/cells-model/tests/migration.rs
@@ -1,10 +1,12 @@
-//! The protocol holds under everything the model can do to it, and each injected bug is found.
+//! Model checks of the migration protocol: its properties hold in every reachable state, and the
+//! check detects each injected bug.
 
 use cells::MigrationPhase;
 use cells_model::{check_every_migration_can_finish, InjectedBug, MigrationModel};
 use stateright::{Checker, HasDiscoveries, Model};
 
-/// One settlement with two attempts, a crash anywhere, any message lost, duplicated or delayed.
+/// Returns a model of one settlement with two attempts, a crash at any point, and messages that may
+/// be lost, duplicated or delayed.
 fn model() -> MigrationModel {
     MigrationModel {
         max_attempts: 2,
@@ -14,7 +16,7 @@
     }
 }
 
-/// A model without clients, for the check that migrations finish.
+/// Returns a model without clients, for the check that migrations finish.
 fn model_without_clients(max_crashes: u8, injected_bug: Option<InjectedBug>) -> MigrationModel {
     MigrationModel {
         max_attempts: 0,
@@ -28,7 +30,7 @@
 fn no_settlement_runs_twice_and_none_acknowledged_is_lost() {
     let checker = model().checker().threads(4).spawn_bfs().join();
     println!(
-        "{} states, {} of them different",
+        "{} states, {} of them unique",
         checker.state_count(),
         checker.unique_state_count()
     );
@@ -37,23 +39,24 @@
 
 #[test]
 fn every_migration_can_finish() {
-    let liveness = check_every_migration_can_finish(&model_without_clients(2, None));
-    println!("{} states", liveness.states);
-    assert!(liveness.states > 1000, "{} states", liveness.states);
-    assert!(liveness.stuck.is_none(), "stuck: {:#?}", liveness.stuck);
+    let progress = check_every_migration_can_finish(&model_without_clients(2, None));
+    println!("{} states", progress.states);
+    assert!(progress.states > 1000, "{} states", progress.states);
+    assert!(progress.stuck.is_none(), "stuck: {:#?}", progress.stuck);
 }
 
-/// The check itself must be able to fail: a restarted target that does not receive the keys again never serves.
+/// Shows that the check can fail: a restarted target that does not receive the keys again never
+/// serves.
 #[test]
 fn migration_that_can_not_finish_is_found() {
-    let flawed = model_without_clients(1, Some(InjectedBug::SkipRepeatedHandOver));
-    let liveness = check_every_migration_can_finish(&flawed);
-    assert!(liveness
+    let model_with_bug = model_without_clients(1, Some(InjectedBug::SkipRepeatedHandOver));
+    let progress = check_every_migration_can_finish(&model_with_bug);
+    assert!(progress
         .stuck
         .is_some_and(|state| state.migration.phase == MigrationPhase::Commit));
 }
 
-/// The check itself must be able to fail: each bug makes a settlement run twice, or both sides serve.
+/// Shows that the check can fail: each bug makes a settlement run twice, or makes both sides serve.
 #[test]
 fn each_injected_bug_is_found() {
     for bug in [
@@ -63,11 +66,11 @@
         InjectedBug::IgnoreIncarnation,
         InjectedBug::FenceTooSoon,
     ] {
-        let flawed = MigrationModel {
+        let model_with_bug = MigrationModel {
             injected_bug: Some(bug),
             ..model()
         };
-        let checker = flawed
+        let checker = model_with_bug
             .checker()
             .threads(4)
             .finish_when(HasDiscoveries::AnyFailures)
