--- a/tests/common/admin.rs
+++ b/tests/common/admin.rs
@@ -1,4 +1,4 @@
-//! A node with an admin server, and the one-line commands of operators to it.
+//! Starts a node with an admin server and sends one-line operator commands to it.
 #![allow(dead_code)] // Each test program uses a part of it.
 
 use std::io::{BufRead, BufReader, Write};
@@ -13,10 +13,10 @@
     Node::start_with(None, |config| config["admin"] = json!("127.0.0.1:0"))
 }
 
-/// Sends one command over a connection of its own and returns the reply line.
+/// Sends a command over a new connection and returns the reply line.
 pub(crate) fn send_command(admin: SocketAddr, line: &[u8]) -> String {
     let mut stream = TcpStream::connect(admin).expect("the admin server accepts");
-    stream.write_all(line).expect("written");
+    stream.write_all(line).expect("the write succeeds");
     read_reply(stream)
 }
 
@@ -24,12 +24,15 @@
 pub(crate) fn read_reply(stream: TcpStream) -> String {
     stream
         .set_read_timeout(Some(Duration::from_secs(15)))
-        .expect("a timeout");
+        .expect("the read timeout is set");
     let mut text = String::new();
     BufReader::new(stream)
         .read_line(&mut text)
         .expect("a reply");
-    assert!(text.ends_with('\n'), "a complete line: {text:?}");
+    assert!(
+        text.ends_with('\n'),
+        "the reply line is incomplete: {text:?}"
+    );
     text.trim_end().to_string()
 }
 
@@ -38,7 +41,7 @@
     wait_until("the admin server listens", || {
         node.logged_address("admin").is_some()
     });
-    wait_until("it accepts clients", || {
+    wait_until("the node accepts clients", || {
         send_command(node.admin_address(), b"health\n").starts_with("ok")
     });
 }
--- a/tests/common/amqp_node.rs
+++ b/tests/common/amqp_node.rs
@@ -1,4 +1,4 @@
-//! A node that consumes from a fake broker, its shutdown, and the headers of its replies.
+//! Starts and stops a node that consumes from a fake broker; names of the headers of its replies.
 #![allow(dead_code)] // Each test program uses a part of it.
 
 use test_doubles::Node;
@@ -23,22 +23,23 @@
     Node::start_with(Some(&broker.inventory(prefetch)), |_| {})
 }
 
-/// Shuts the node down and checks that nothing is left unacknowledged and the protocol was not violated.
+/// Shuts the node down and checks that no message stays unacknowledged and that the node has not
+/// violated the protocol.
 pub(crate) fn stop_node(broker: &FakeBroker, node: &mut Node) {
     node.terminate();
     assert_eq!(node.wait_for_exit().code(), Some(0));
     broker.with(|state| {
-        assert_eq!(state.unacked, 0, "unacknowledged at stop");
+        assert_eq!(state.unacked, 0, "unacknowledged messages at shutdown");
         assert_eq!(state.violations, Vec::<String>::new());
     });
 }
 
-/// How many replies were published.
+/// Returns the number of replies that were published.
 pub(crate) fn reply_count(broker: &FakeBroker) -> usize {
     broker.with(|state| state.replies.len())
 }
 
-/// How many messages are among the dead letters.
+/// Returns the number of dead-lettered messages.
 pub(crate) fn dead_letter_count(broker: &FakeBroker) -> usize {
     broker.with(|state| state.dead.len())
 }
--- a/tests/common/answers.rs
+++ b/tests/common/answers.rs
@@ -1,4 +1,4 @@
-//! Reads what a node answered to a JSON-RPC request.
+//! Reads a node's answers to JSON-RPC requests.
 #![allow(dead_code)] // Each test program uses a part of it.
 
 use serde_json::Value;
@@ -7,12 +7,12 @@
 /// The error code of a request that was rejected before it ran.
 pub(crate) const REJECTED: i64 = -32002;
 
-/// The error code of an answer, 0 for a result.
+/// Returns the error code of an answer, 0 for a result.
 pub(crate) fn error_code(answer: &Value) -> i64 {
     answer["error"]["code"].as_i64().unwrap_or(0)
 }
 
-/// The decoded body of a result; fails the test on an error.
+/// Returns the decoded body of a result; fails the test on an error.
 pub(crate) fn result_body(answer: &Value) -> String {
     let body = answer["result"]["body"]
         .as_str()
--- a/tests/common/call_pool.rs
+++ b/tests/common/call_pool.rs
@@ -1,4 +1,4 @@
-//! The database's call pool in this process, with limits of the test's own.
+//! The database call pool in the test's process, with limits that each test sets.
 #![allow(dead_code)] // Each test program uses a part of it.
 
 use std::cell::Cell;
@@ -13,21 +13,21 @@
 use protocol_gateway::RequestId;
 use slog::{o, Discard, Logger};
 
-/// The pool, and what it has told the policy.
+/// A call pool and the messages that it has sent to the policy.
 pub(crate) struct TestPool {
     pub(crate) calls: database::CallSender,
     policy_inbox: Receiver<PolicyMessage>,
-    /// Calls that were given up and may be in progress, as last reported.
+    /// Number of abandoned calls that may still be in progress, as last reported.
     pub(crate) unconfirmed: Cell<usize>,
 }
 
-/// The request that all calls are made for.
+/// Returns the uid of the request that calls are made for by default.
 pub(crate) fn uid() -> RequestUid {
     RequestUid::from_number(7)
 }
 
 impl TestPool {
-    /// A pool of calls to this address, with changed limits.
+    /// Starts a pool of calls to this address, with changed limits.
     pub(crate) fn start(
         address: std::net::SocketAddr,
         change: impl FnOnce(&mut Limits),
@@ -43,7 +43,7 @@
             &policy,
             &log,
         )
-        .expect("threads");
+        .expect("the pool's threads start");
         TestPool {
             calls,
             policy_inbox,
@@ -51,29 +51,29 @@
         }
     }
 
-    /// Reads the next message of the pool.
+    /// Waits for the next message of the pool.
     pub(crate) fn next_message(&self) -> PolicyMessage {
         let message = self.policy_inbox.recv_timeout(Duration::from_secs(20));
-        let message = message.expect("a message of the pool");
+        let message = message.expect("the pool sends a message");
         if let PolicyMessage::UnconfirmedCallsChanged(count) = message {
             self.unconfirmed.set(count);
         }
         message
     }
 
-    /// Waits until so many calls that were given up may be in progress.
+    /// Waits until the pool reports this number of abandoned calls that may still be in progress.
     pub(crate) fn wait_for_unconfirmed(&self, count: usize) {
         while self.unconfirmed.get() != count {
             self.next_message();
         }
     }
 
-    /// Makes a call for the usual request and returns how it ended.
+    /// Makes a call for the request of [`uid`] and returns its outcome.
     pub(crate) fn call(&self, body: &str, timeout: Duration) -> String {
         self.call_for(uid(), body, timeout)
     }
 
-    /// Makes a call for a request and returns how it ended.
+    /// Makes a call for a request and returns its outcome.
     pub(crate) fn call_for(&self, uid: RequestUid, body: &str, timeout: Duration) -> String {
         let payload = Payload::from_bytes(body.as_bytes());
         assert!(
@@ -83,7 +83,7 @@
                 payload,
                 timeout
             }),
-            "the mailbox has capacity"
+            "the mailbox is full"
         );
         let mut message = self.next_message();
         while matches!(message, PolicyMessage::UnconfirmedCallsChanged(_)) {
@@ -103,10 +103,10 @@
                 result: CallResult::Unknown,
                 ..
             } => "unknown".into(),
-            _ => panic!("not the end of a call"),
+            _ => panic!("expected the end of a call"),
         }
     }
 }
 
-/// Longer than any test waits.
+/// Longer than any test waits for a call.
 pub(crate) const LONG_TIMEOUT: Duration = Duration::from_secs(20);
--- a/tests/common/load.rs
+++ b/tests/common/load.rs
@@ -1,4 +1,4 @@
-//! Clients that keep requests open until a test has seen what it waits for.
+//! Clients that keep requests open while a test waits for a condition.
 #![allow(dead_code)] // Each test program uses a part of it.
 
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
@@ -8,21 +8,22 @@
 use serde_json::Value;
 use test_doubles::{Node, TestClient};
 
-/// Requests that each client keeps open.
-const OPEN_REQUESTS: usize = 8;
-/// Clients at once.
-const CLIENTS: usize = 6;
-/// How long a client waits before it replaces a request that was not served.
+/// Number of requests that each client keeps open.
+const OPEN_REQUESTS_PER_CLIENT: usize = 8;
+/// Number of concurrent clients.
+const CLIENT_COUNT: usize = 6;
+/// Pause of a client before it replaces a request that was not served.
 const PAUSE_AFTER_ERROR: Duration = Duration::from_millis(20);
 
-/// The classes of the small site, which the clients use by turns.
+/// The classes of the small site, which the clients use in turn.
 const CLASSES: [&str; 2] = ["statement-read", "settlement-post"];
 
-/// Keeps requests with this body open at a node while `until` runs. They are numbered, so that no two bodies are alike.
+/// Keeps requests with this body open at a node while `until` runs. A number at the end makes each
+/// body unique.
 pub(crate) fn under_load(node: &Node, body: &str, until: impl FnOnce()) {
     let stop = AtomicBool::new(false);
     thread::scope(|scope| {
-        for client in 0..CLIENTS {
+        for client in 0..CLIENT_COUNT {
             let (stop, body) = (&stop, format!("{body}#{client}"));
             scope.spawn(move || keep_requests_open(node.connect(), &body, stop));
         }
@@ -31,7 +32,7 @@
     });
 }
 
-/// Stops the clients also where the condition of the test panics.
+/// Stops the clients when it is dropped, so also if the condition of the test panics.
 struct StopOnDrop<'a>(&'a AtomicBool);
 
 impl Drop for StopOnDrop<'_> {
@@ -43,7 +44,7 @@
 fn keep_requests_open(mut client: TestClient, body: &str, stop: &AtomicBool) {
     let mut sent = 0;
     while !stop.load(SeqCst) {
-        while sent < OPEN_REQUESTS {
+        while sent < OPEN_REQUESTS_PER_CLIENT {
             sent += 1;
             client.send(CLASSES[sent % CLASSES.len()], &format!("{body}-{sent}"));
         }
--- a/tests/common/membership_scenarios.rs
+++ b/tests/common/membership_scenarios.rs
@@ -1,5 +1,5 @@
-//! Fault scenarios of the fleet's membership, for any number of nodes and any protocol period. Each returns how long the
-//! fleet took to settle after the last fault.
+//! Fault scenarios of the fleet's membership, for any number of nodes and any protocol period. Most
+//! return the time that the fleet took to converge after the last fault.
 #![allow(dead_code)] // Each test program uses a part of it.
 
 use std::collections::BTreeSet;
@@ -11,22 +11,23 @@
 
 use crate::testbed::{node_names, start_nodes, SETTLE_TIMEOUT};
 
-/// Starts nodes at once that have not met yet. `is_open` leaves out the testbed's proxy before them.
+/// Starts nodes at the same time, without waiting until their membership views agree. With
+/// `bypasses_proxy`, they are reachable without the testbed's proxy.
 pub(crate) fn start_unsettled(
     count: usize,
     period_ms: u64,
     seeds: &[&str],
-    is_open: bool,
+    bypasses_proxy: bool,
 ) -> Testbed {
-    let mut testbed = Testbed::new(7).expect("sockets");
+    let mut testbed = Testbed::new(7).expect("sockets can be opened");
     for number in 0..count {
         testbed
             .add_process(ProcessPlan {
                 fleet_fields: format!("period_ms: {period_ms},"),
-                bypasses_proxy: is_open,
+                bypasses_proxy,
                 ..ProcessPlan::node(number)
             })
-            .expect("sockets");
+            .expect("sockets can be opened");
     }
     testbed.set_seeds(seeds);
     let all = testbed.names();
@@ -34,14 +35,14 @@
     testbed
 }
 
-/// Starts nodes with two seeds and waits until they agree on who is there.
+/// Starts nodes with two seeds and waits until their membership views agree.
 pub(crate) fn start_fleet(count: usize, period_ms: u64) -> Testbed {
     let testbed = start_unsettled(count, period_ms, &["n0", "n1"], false);
     testbed.wait_until_converged(SETTLE_TIMEOUT);
     testbed
 }
 
-/// What a member says about the partition that it is in.
+/// Returns the partition status that a member reports, `silent` if it does not answer.
 pub(crate) fn partition_status(testbed: &Testbed, name: &str) -> String {
     testbed
         .query_members(name)
@@ -50,8 +51,8 @@
         })
 }
 
-/// Whether this member holds the other one as present.
-fn holds_as_present(testbed: &Testbed, observer: &str, member: &str) -> Option<bool> {
+/// Returns whether the observer considers the member present; `None` if it does not answer.
+fn considers_present(testbed: &Testbed, observer: &str, member: &str) -> Option<bool> {
     let reply = testbed.query_members(observer)?;
     Some(
         reply
@@ -61,8 +62,8 @@
     )
 }
 
-/// Whether all other running members answer and hold none of these as present.
-fn are_given_up(testbed: &Testbed, members: &[String]) -> bool {
+/// Returns whether all other running members answer and none of them considers these present.
+fn are_absent(testbed: &Testbed, members: &[String]) -> bool {
     testbed
         .names()
         .iter()
@@ -70,12 +71,12 @@
         .all(|observer| {
             members
                 .iter()
-                .all(|member| holds_as_present(testbed, observer, member) == Some(false))
+                .all(|member| considers_present(testbed, observer, member) == Some(false))
         })
 }
 
-/// The members that any of these observers holds as dead.
-fn held_as_dead(testbed: &Testbed, observers: &[String]) -> BTreeSet<String> {
+/// Returns the members that are dead in the view of any of these observers.
+fn dead_in_views_of(testbed: &Testbed, observers: &[String]) -> BTreeSet<String> {
     let members = |name: &String| {
         testbed
             .query_members(name)
@@ -93,17 +94,17 @@
         .collect()
 }
 
-/// The members that any running member holds as dead.
-fn held_as_dead_by_anyone(testbed: &Testbed) -> BTreeSet<String> {
-    held_as_dead(testbed, &testbed.names())
+/// Returns the members that are dead in the view of any running member.
+fn dead_in_any_view(testbed: &Testbed) -> BTreeSet<String> {
+    dead_in_views_of(testbed, &testbed.names())
 }
 
-/// A fleet starts while one of its two seeds is down.
+/// Starts a fleet while one of its two seeds is down.
 pub(crate) fn start_with_a_seed_down(count: usize, period_ms: u64) -> Duration {
     start_unsettled(count, period_ms, &["n0", "nobody"], false).wait_until_converged(SETTLE_TIMEOUT)
 }
 
-/// A third of the nodes is killed.
+/// Kills a third of the nodes.
 pub(crate) fn kill_a_third(count: usize, period_ms: u64) -> Duration {
     let mut testbed = start_fleet(count, period_ms);
     for name in node_names((0..count).filter(|n| n % 3 == 2)) {
@@ -112,7 +113,7 @@
     testbed.wait_until_converged(SETTLE_TIMEOUT)
 }
 
-/// The fleet is partitioned until each side has given up the others, then the partition heals.
+/// Partitions the fleet until each side considers the others absent, then heals the partition.
 pub(crate) fn partition_and_heal(
     count: usize,
     period_ms: u64,
@@ -124,15 +125,19 @@
         .map(|side| node_names((0..count).filter(|n| side_of(*n) == side)))
         .collect();
     testbed.partition(&sides);
-    // An isolated member knows that it is long before it has given up each of the others.
+    // An isolated member detects its isolation long before it considers all the others absent.
     match sides.iter().find(|side| side.len() == 1) {
         Some(isolated) => {
             testbed
-                .wait_for("it is given up", SETTLE_TIMEOUT, |testbed| {
-                    are_given_up(testbed, isolated)
-                        && partition_status(testbed, &isolated[0]) == "alone"
-                })
-                .expect("it is given up, and knows");
+                .wait_for(
+                    "the others consider the member absent",
+                    SETTLE_TIMEOUT,
+                    |testbed| {
+                        are_absent(testbed, isolated)
+                            && partition_status(testbed, &isolated[0]) == "alone"
+                    },
+                )
+                .expect("reached before the timeout");
         }
         None => {
             testbed.wait_until_converged(SETTLE_TIMEOUT);
@@ -158,38 +163,43 @@
     took
 }
 
-/// One node receives nothing from the others, or they receive nothing from it, then the links heal.
-pub(crate) fn silence_one_way(count: usize, period_ms: u64, is_deaf: bool) -> Duration {
+/// Blocks the links to one node (`blocks_inbound`) or those from it until the others consider it
+/// absent, then heals them.
+pub(crate) fn silence_one_way(count: usize, period_ms: u64, blocks_inbound: bool) -> Duration {
     let mut testbed = start_fleet(count, period_ms);
     let silenced = node_names([1]);
     let others = node_names((0..count).filter(|n| *n != 1));
-    if is_deaf {
+    if blocks_inbound {
         testbed.block(&others, &silenced);
     } else {
         testbed.block(&silenced, &others);
     }
     testbed
-        .wait_for("it is given up", SETTLE_TIMEOUT, |testbed| {
-            are_given_up(testbed, &silenced)
-        })
-        .expect("it is given up");
-    if is_deaf {
+        .wait_for(
+            "the others consider the member absent",
+            SETTLE_TIMEOUT,
+            |testbed| are_absent(testbed, &silenced),
+        )
+        .expect("reached before the timeout");
+    if blocks_inbound {
         testbed
-            .wait_for("it knows that it is isolated", SETTLE_TIMEOUT, |testbed| {
-                partition_status(testbed, "n1") == "alone"
-            })
-            .expect("it receives nothing");
+            .wait_for(
+                "the member detects that it is isolated",
+                SETTLE_TIMEOUT,
+                |testbed| partition_status(testbed, "n1") == "alone",
+            )
+            .expect("reached before the timeout");
     }
     assert_eq!(
-        held_as_dead(&testbed, &others),
+        dead_in_views_of(&testbed, &others),
         BTreeSet::from(["n1".to_string()]),
-        "nobody else is given up"
+        "only the silenced member is considered dead"
     );
     testbed.heal();
     testbed.wait_until_converged(SETTLE_TIMEOUT)
 }
 
-/// Nodes on both sides of a partition are replaced before it heals.
+/// Replaces nodes on both sides of a partition before it heals.
 pub(crate) fn replace_nodes_while_partitioned(count: usize, period_ms: u64) -> Duration {
     let mut testbed = start_fleet(count, period_ms);
     testbed.partition(&[
@@ -207,7 +217,8 @@
     testbed.wait_until_converged(SETTLE_TIMEOUT)
 }
 
-/// A fifth of the datagrams is lost and the others are delayed for this long; nobody may be given up.
+/// Loses a fifth of the datagrams and delays the others for this duration; no member may be
+/// considered dead.
 pub(crate) fn lose_a_fifth(count: usize, period_ms: u64, duration: Duration) {
     let mut testbed = start_fleet(count, period_ms);
     testbed.change_all_links(json!("a fifth lost, up to 20 ms"), |link| {
@@ -217,49 +228,54 @@
     });
     let end = Instant::now() + duration;
     while Instant::now() < end {
-        assert_eq!(held_as_dead_by_anyone(&testbed), BTreeSet::new());
+        assert_eq!(dead_in_any_view(&testbed), BTreeSet::new());
     }
     testbed.heal();
     testbed.wait_until_converged(SETTLE_TIMEOUT);
 }
 
-/// A process is stopped until it is given up, and resumes; it may suspect nobody for what it missed.
+/// Pauses a process until the others consider it absent, then resumes it. Afterwards no member may
+/// be considered dead because of the messages that the process has missed.
 pub(crate) fn stop_and_resume(count: usize, period_ms: u64) -> Duration {
     let mut testbed = start_fleet(count, period_ms);
     testbed.pause("n1");
     testbed
-        .wait_for("it is given up", SETTLE_TIMEOUT, |testbed| {
-            node_names((0..count).filter(|n| *n != 1))
-                .iter()
-                .all(|observer| holds_as_present(testbed, observer, "n1") == Some(false))
-        })
-        .expect("it is given up");
+        .wait_for(
+            "the others consider the member absent",
+            SETTLE_TIMEOUT,
+            |testbed| {
+                node_names((0..count).filter(|n| *n != 1))
+                    .iter()
+                    .all(|observer| considers_present(testbed, observer, "n1") == Some(false))
+            },
+        )
+        .expect("reached before the timeout");
     testbed.unpause("n1");
     let took = testbed.wait_until_converged(SETTLE_TIMEOUT);
-    assert_eq!(held_as_dead_by_anyone(&testbed), BTreeSet::new());
+    assert_eq!(dead_in_any_view(&testbed), BTreeSet::new());
     took
 }
 
-/// A node is killed and starts again under its name, as a later incarnation.
+/// Kills a node and restarts it under its name, with a later incarnation.
 pub(crate) fn restart_one(count: usize, period_ms: u64) -> Duration {
     let mut testbed = start_fleet(count, period_ms);
-    let reply = testbed.query_members("n1").expect("it answers");
+    let reply = testbed.query_members("n1").expect("the member answers");
     let incarnation = reply.responder.state.incarnation;
     testbed.kill("n1");
     testbed.start("n1");
     testbed.wait_until_up(&["n1"]);
     let took = testbed.wait_until_converged(SETTLE_TIMEOUT);
-    let held = testbed
+    let record_at_n0 = testbed
         .query_members("n0")
-        .expect("it answers")
+        .expect("the member answers")
         .members
         .into_iter()
         .find(|record| &*record.name == "n1");
-    assert!(held.is_some_and(|record| record.state.incarnation > incarnation));
+    assert!(record_at_n0.is_some_and(|record| record.state.incarnation > incarnation));
     took
 }
 
-/// All nodes are ended and started again, one after the other.
+/// Shuts down and restarts all nodes, one after the other.
 pub(crate) fn restart_all_in_turn(count: usize, period_ms: u64) -> Duration {
     let mut testbed = start_fleet(count, period_ms);
     for name in testbed.names() {
@@ -267,12 +283,16 @@
         testbed.start(&name);
         testbed.wait_until_up(&[&name]);
         testbed
-            .wait_for("it is back", SETTLE_TIMEOUT, |testbed| {
-                testbed
-                    .query_members(&name)
-                    .is_some_and(|reply| reply.summary.present == count as u32)
-            })
-            .expect("it is back");
+            .wait_for(
+                "the restarted node considers all members present",
+                SETTLE_TIMEOUT,
+                |testbed| {
+                    testbed
+                        .query_members(&name)
+                        .is_some_and(|reply| reply.summary.present == count as u32)
+                },
+            )
+            .expect("reached before the timeout");
     }
     testbed.wait_until_converged(SETTLE_TIMEOUT)
 }
--- a/tests/common/stepped_server.rs
+++ b/tests/common/stepped_server.rs
@@ -1,4 +1,5 @@
-//! The listener's server in the test's own thread: it does nothing but in the steps that the test takes.
+//! The listener's server on the test's thread: it makes progress only in the steps that the test
+//! runs.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -13,7 +14,7 @@
 use slog::{o, Discard, Logger};
 use test_doubles::{small_site_settings, TestClient};
 
-/// A server that the test steps, and the policy's mailbox.
+/// A server that the test steps, and the mailbox of the policy.
 pub(crate) struct SteppedServer {
     pub server: ServerLoop,
     pub mailbox: Receiver<PolicyMessage>,
@@ -23,20 +24,23 @@
 impl SteppedServer {
     /// Starts a server on loopback with these changes to its limits.
     pub(crate) fn new(change: impl FnOnce(&mut Limits)) -> SteppedServer {
-        let site = Arc::new(Site::from_json(&small_site_settings()).expect("settings"));
+        let site =
+            Arc::new(Site::from_json(&small_site_settings()).expect("the settings are valid"));
         let mut limits = Limits::new(512);
         change(&mut limits);
         let (policy, mailbox) = bounded(limits.policy.mailbox);
-        let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to loopback succeeds");
+        let address = listener.local_addr().expect("the socket is bound");
         let context = NodeContext {
             site,
             node_status: Arc::default(),
             policy,
         };
-        let mut server =
-            ServerLoop::new(context, &limits, &Logger::root(Discard, o!())).expect("a server");
-        server.listen(listener, Instant::now()).expect("it listens");
+        let mut server = ServerLoop::new(context, &limits, &Logger::root(Discard, o!()))
+            .expect("the server is created");
+        server
+            .listen(listener, Instant::now())
+            .expect("the server listens");
         SteppedServer {
             server,
             mailbox,
@@ -52,10 +56,13 @@
     ) {
         let end = Instant::now() + Duration::from_secs(20);
         while !holds(self) {
-            assert!(Instant::now() < end, "waited in vain: {what}");
+            assert!(
+                Instant::now() < end,
+                "timed out after 20 s waiting until {what}"
+            );
             self.server
                 .step(Some(Duration::from_millis(1)))
-                .expect("a step");
+                .expect("the step succeeds");
         }
     }
 
@@ -63,29 +70,30 @@
     pub(crate) fn connect(&mut self) -> TestClient {
         let before = self.server.connection_count();
         let peer = TestClient::connect(self.address);
-        self.step_until("it is accepted", |stepped| {
+        self.step_until("the connection is accepted", |stepped| {
             stepped.server.connection_count() == before + 1
         });
         peer
     }
 
-    /// The next request that reaches the policy.
+    /// Steps the server until a request reaches the policy, and returns the request.
     pub(crate) fn next_arrival(&mut self) -> Arrival {
-        let mut got = None;
+        let mut message = None;
         self.step_until("a request is read", |stepped| {
-            got = stepped.mailbox.try_recv().ok();
-            got.is_some()
+            message = stepped.mailbox.try_recv().ok();
+            message.is_some()
         });
-        match got {
+        match message {
             Some(PolicyMessage::RequestArrived(arrival)) => *arrival,
-            _ => panic!("something else came"),
+            _ => panic!("expected a request"),
         }
     }
 
-    /// The next answer on this connection; a goodbye before it is skipped.
+    /// Steps the server until an answer arrives on this connection, and returns it; skips a close
+    /// notice.
     pub(crate) fn next_answer(&mut self, peer: &mut TestClient) -> Value {
         loop {
-            self.step_until("a message comes", |_| has_input(peer));
+            self.step_until("the peer receives a message", |_| has_input(peer));
             let message = peer.read_message();
             if message["method"] != "farewell" {
                 return message;
@@ -106,10 +114,15 @@
     }
 }
 
-/// Whether a message or the end of the connection has come for this peer; reads nothing.
+/// Returns whether a message or the end of the connection has arrived for this peer, without
+/// reading it.
 pub(crate) fn has_input(peer: &TestClient) -> bool {
-    peer.stream.set_nonblocking(true).expect("an option");
+    peer.stream
+        .set_nonblocking(true)
+        .expect("the socket option is set");
     let is_readable = peer.stream.peek(&mut [0]).is_ok();
-    peer.stream.set_nonblocking(false).expect("an option");
+    peer.stream
+        .set_nonblocking(false)
+        .expect("the socket option is set");
     is_readable
 }
--- a/tests/common/steps.rs
+++ b/tests/common/steps.rs
@@ -1,8 +1,9 @@
-//! Checks a state machine against a model of it by random steps.
+//! Checks a state machine against its model with random steps.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 
-/// Runs `check` on sequences of steps, from a fixed seed: the same result every time. A failing sequence is shrunk.
+/// Runs `check` on random sequences of steps. The seed is fixed, so that the result is
+/// reproducible. A failing sequence is shrunk.
 pub(crate) fn check_steps<S: Arbitrary + std::fmt::Debug>(check: fn(Vec<S>) -> bool)
 where
     fn(Vec<S>) -> bool: Testable,
--- a/tests/common/testbed.rs
+++ b/tests/common/testbed.rs
@@ -1,4 +1,4 @@
-//! A fleet of node processes on the fault testbed, and clients that keep its nodes busy.
+//! A fleet of node processes on the fault testbed, and clients that send requests to its nodes.
 #![allow(dead_code)] // Each test program uses a part of it.
 
 use std::net::TcpStream;
@@ -10,10 +10,10 @@
 use fault_testbed::{ProcessPlan, Testbed};
 use test_doubles::TestClient;
 
-/// The longest that a fleet may take to reach a state.
+/// Maximum time for a fleet to reach a state.
 pub(crate) const SETTLE_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// The names of nodes by their numbers.
+/// Returns the names of the nodes with these numbers.
 pub(crate) fn node_names(numbers: impl IntoIterator<Item = usize>) -> Vec<String> {
     numbers.into_iter().map(|n| format!("n{n}")).collect()
 }
@@ -35,11 +35,11 @@
                 fleet_fields: fleet_fields.to_string(),
                 ..ProcessPlan::node(number)
             })
-            .expect("sockets");
+            .expect("sockets can be opened");
     }
 }
 
-/// Starts these nodes at once and waits until they run.
+/// Starts these nodes at the same time and waits until they are up.
 pub(crate) fn start_nodes(testbed: &mut Testbed, names: &[String]) {
     for name in names {
         testbed.start(name);
@@ -47,7 +47,8 @@
     testbed.wait_until_up(&as_strs(names));
 }
 
-/// Starts all planned nodes with two of them as seeds, and waits until they agree on who is there.
+/// Starts all planned nodes with two of them as seeds, and waits until their membership views
+/// agree.
 pub(crate) fn start_settled(testbed: &mut Testbed) {
     testbed.set_seeds(&["n0", "n1"]);
     let all = testbed.names();
@@ -55,7 +56,7 @@
     testbed.wait_until_converged(SETTLE_TIMEOUT);
 }
 
-/// What each client of a group sends, and how long it waits before it sends again.
+/// The body that each client of a group sends, and its pauses between requests.
 #[derive(Clone, Copy)]
 pub(crate) struct ClientLoad {
     pub body: &'static str,
@@ -95,7 +96,7 @@
             let stop = clients.stop.clone();
             let served = clients.served.clone();
             thread::spawn(move || {
-                // A node that was killed meanwhile has no clients.
+                // The node may have been killed meanwhile; then there is nothing to send to.
                 let Ok(stream) = TcpStream::connect(address) else {
                     return;
                 };
@@ -106,7 +107,7 @@
         clients
     }
 
-    /// How many requests were answered with a result.
+    /// Returns the number of requests that were answered with a result.
     pub(crate) fn served(&self) -> usize {
         self.served.load(Relaxed)
     }
