--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -1,4 +1,5 @@
-//! Requests over AMQP, with a fake broker: replies, settlements, the prefetch, and the connection to the broker.
+//! Requests over AMQP with a fake broker: replies, settlements, prefetch, and the broker
+//! connection.
 
 #[path = "common/amqp_node.rs"]
 mod amqp_node;
@@ -14,8 +15,8 @@
     let (broker, mut node) = start_broker_and_node(4);
     broker.publish(READS, Message::new("serve:a"));
     broker.publish(POSTS, Message::new("call:ok#b"));
-    wait_until("both are answered", || reply_count(&broker) == 2);
-    wait_until("both are acknowledged", || {
+    wait_until("both requests are answered", || reply_count(&broker) == 2);
+    wait_until("both messages are acknowledged", || {
         broker.with(|state| state.acked) == 2
     });
     broker.with(|state| {
@@ -39,26 +40,26 @@
 fn result_without_a_reply_queue_is_acknowledged() {
     let (broker, mut node) = start_broker_and_node(4);
     broker.publish(READS, Message::without_reply("serve:a"));
-    wait_until("it is acknowledged", || {
+    wait_until("the message is acknowledged", || {
         broker.with(|state| state.acked) == 1
     });
     stop_node(&broker, &mut node);
     assert_eq!((reply_count(&broker), dead_letter_count(&broker)), (0, 0));
 }
 
-/// Guards the node's memory against a broker that delivers as fast as it can.
+/// Guards against unbounded memory use when a broker delivers as fast as it can.
 #[test]
 fn unacknowledged_messages_never_exceed_the_prefetch() {
     let (broker, mut node) = start_broker_and_node(3);
     for n in 0..8 {
         broker.publish(READS, Message::new(&format!("hang:{n}")));
     }
-    wait_until("all are answered", || reply_count(&broker) == 8);
+    wait_until("all requests are answered", || reply_count(&broker) == 8);
     assert_eq!(broker.with(|state| state.most_unacked), 3);
     stop_node(&broker, &mut node);
 }
 
-/// A request that the policy rejects never ran, is answered at once and told when to retry.
+/// A request that the policy rejects has not run, is answered at once and gets a retry-after.
 #[test]
 fn rejected_request_never_ran_and_gets_a_retry_after() {
     let (broker, mut node) = start_broker_and_node(24);
@@ -66,8 +67,8 @@
     for body in &bodies {
         broker.publish(POSTS, Message::new(body));
     }
-    wait_until("all are answered", || reply_count(&broker) == 20);
-    wait_until("all are acknowledged", || {
+    wait_until("all requests are answered", || reply_count(&broker) == 20);
+    wait_until("all messages are acknowledged", || {
         broker.with(|state| state.acked) == 20
     });
     let statuses: Vec<(String, String)> = broker.with(|state| {
@@ -80,17 +81,18 @@
     let rejected: Vec<&String> = statuses
         .iter()
         .filter(|(_, s)| s == "refused")
-        .map(|(about, _)| about)
+        .map(|(correlation_id, _)| correlation_id)
         .collect();
     assert!(
         !rejected.is_empty() && rejected.len() < 20,
-        "six cores can't run twenty that hang: {rejected:?}"
+        "six cores admit some of 20 hanging runs, not all: {rejected:?}"
     );
-    for about in &rejected {
+    for correlation_id in &rejected {
         assert_eq!(
-            node.executor.run_count(about.trim_start_matches("about ")),
+            node.executor
+                .run_count(correlation_id.trim_start_matches("about ")),
             0,
-            "{about}"
+            "{correlation_id}"
         );
     }
     broker.with(|state| {
@@ -108,13 +110,16 @@
     stop_node(&broker, &mut node);
 }
 
-/// Deadlines hold as for front ends: a run that hangs fails by then, and a post must not be retried.
+/// Deadlines apply as they do to front ends: a run that hangs fails by its deadline, and a request
+/// that is not idempotent must not be retried.
 #[test]
 fn late_request_fails_by_its_deadline() {
     let (broker, mut node) = start_broker_and_node(4);
     broker.publish(POSTS, Message::new("hang"));
-    wait_until("it runs", || node.executor.run_count("hang") == 1);
-    wait_until("it is answered", || reply_count(&broker) == 1);
+    wait_until("the run has started", || {
+        node.executor.run_count("hang") == 1
+    });
+    wait_until("the request is answered", || reply_count(&broker) == 1);
     broker.with(|state| {
         assert_eq!(state.replies[0].text(STATUS), "failed");
         assert_eq!(state.replies[0].text(REASON), "given up");
@@ -123,10 +128,10 @@
             Some(&AMQPValue::Boolean(false))
         );
     });
-    wait_until("it is acknowledged", || {
+    wait_until("the message is acknowledged", || {
         broker.with(|state| state.acked) == 1
     });
-    wait_until("its run is stopped", || node.executor.kill_count() == 1);
+    wait_until("the run is stopped", || node.executor.kill_count() == 1);
     stop_node(&broker, &mut node);
 }
 
@@ -134,7 +139,9 @@
 fn failure_without_a_reply_queue_is_dead_lettered() {
     let (broker, mut node) = start_broker_and_node(4);
     broker.publish(READS, Message::without_reply("fail"));
-    wait_until("it is dead-lettered", || dead_letter_count(&broker) == 1);
+    wait_until("the message is dead-lettered", || {
+        dead_letter_count(&broker) == 1
+    });
     stop_node(&broker, &mut node);
 }
 
@@ -155,15 +162,18 @@
             ..Message::new("serve:long")
         },
     );
-    wait_until("both are dead-lettered", || dead_letter_count(&broker) == 2);
+    wait_until("both messages are dead-lettered", || {
+        dead_letter_count(&broker) == 2
+    });
     broker.publish(READS, Message::new("serve:after"));
-    wait_until("the next is served", || reply_count(&broker) == 1);
+    wait_until("the next message is served", || reply_count(&broker) == 1);
     assert_eq!(node.executor.run_count("serve:keyless"), 0);
     assert!(node.log().contains("no message_id") && node.log().contains("message too long"));
     stop_node(&broker, &mut node);
 }
 
-/// The quota of database calls is one for both: queues and front ends together never have more calls in flight.
+/// Queues and front ends share one quota of database calls: together they never have more in
+/// flight.
 #[test]
 fn listener_and_queues_share_one_quota_of_database_calls() {
     let (broker, mut node) = start_broker_and_node(8);
@@ -175,13 +185,13 @@
     for _ in 0..6 {
         assert!(client.read_message()["error"].is_object());
     }
-    wait_until("the queue's requests are answered", || {
+    wait_until("the requests of the queue are answered", || {
         reply_count(&broker) == 6
     });
     let most = node.database.peak_unanswered();
     assert!(
         (2..=5).contains(&most),
-        "{most} calls in flight of a quota of 5"
+        "at most {most} calls in flight with a quota of 5"
     );
     stop_node(&broker, &mut node);
 }
@@ -191,7 +201,7 @@
     let broker = FakeBroker::start();
     broker.with(|state| state.heartbeat = 1);
     let mut node = start_node(&broker, 4);
-    wait_until("heartbeats come", || {
+    wait_until("heartbeats are received", || {
         broker.with(|state| state.heartbeats) >= 2
     });
     wait_until("the silent connection is replaced", || {
@@ -200,16 +210,16 @@
     stop_node(&broker, &mut node);
 }
 
-/// A broker that refuses the login is retried, and front ends are served meanwhile.
+/// The node retries a broker that refuses the login, and meanwhile serves front ends.
 #[test]
-fn broker_that_refuses_the_login_is_retried_and_harms_no_one() {
+fn broker_that_refuses_the_login_is_retried_and_front_ends_are_served() {
     let broker = FakeBroker::start();
     let text = std::fs::read_to_string(broker.inventory(4).path())
-        .expect("a file")
+        .expect("the inventory is readable")
         .replace("username: guest", "username: eve");
     let inventory = ScratchFile::new("other.yaml", &text);
     let mut node = Node::start_with(Some(&inventory), |_| {});
-    wait_until("it is retried", || {
+    wait_until("the connection is retried", || {
         broker.with(|state| state.connections) >= 2
     });
     assert_eq!(
--- a/tests/amqp_consumer_model.rs
+++ b/tests/amqp_consumer_model.rs
@@ -1,4 +1,4 @@
-//! A model of an AMQP channel's consumer, against which random steps are checked.
+//! Model-based test of the consumer of an AMQP channel, with random steps.
 
 #[path = "common/steps.rs"]
 mod steps;
@@ -52,16 +52,16 @@
     }
 }
 
-/// What the broker and the node know of one channel.
+/// State of one channel as the broker and the node see it.
 #[derive(Default)]
 struct Model {
-    /// The consumer's requests without an answer of the broker.
+    /// Requests of the consumer that the broker has not answered.
     requests: Vec<AMQPClass>,
-    /// Tags that were delivered and not settled.
+    /// Tags of deliveries that are not settled.
     unsettled: BTreeSet<u64>,
-    /// Tags that the node has not answered.
+    /// Tags of deliveries that the node has not answered.
     in_flight: Vec<u64>,
-    /// Publishes without a confirm.
+    /// Numbers of publishes without a confirm.
     unconfirmed: Vec<u64>,
     published: u64,
     delivered: u64,
@@ -70,7 +70,7 @@
 }
 
 impl Model {
-    /// Applies what the consumer wants done; returns false if that breaks a rule.
+    /// Applies the effects of the consumer; returns false if one of them breaks a rule.
     fn apply_effects(&mut self, effects: &mut Vec<ConsumerEffect>) -> bool {
         effects.drain(..).all(|effect| match effect {
             ConsumerEffect::Deliver(delivery) => {
@@ -98,7 +98,7 @@
 
     fn apply_basic(&mut self, method: Basic) -> bool {
         match method {
-            // Settled once, and only after the node has answered.
+            // A delivery is settled once, and only after the node has answered it.
             Basic::Ack(basic::Ack {
                 delivery_tag: tag,
                 multiple: false,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The broker's answer to the last request of the consumer.
+    /// Returns the broker's answer to the last request of the consumer.
     fn next_broker_answer(&mut self) -> Option<AMQPClass> {
         let consumer_tag = ShortString::default();
         Some(match self.requests.pop()? {
@@ -149,10 +149,10 @@
 }
 
 fn short_string(text: &str) -> ShortString {
-    ShortString::try_new(text).expect("short")
+    ShortString::try_new(text).expect("a short string")
 }
 
-/// A consumer, its effects, and the model beside it.
+/// A consumer, its pending effects, and the model that it is checked against.
 struct CheckedConsumer {
     consumer: Consumer,
     effects: Vec<ConsumerEffect>,
@@ -272,27 +272,28 @@
         self.handle_method(AMQPClass::Basic(method));
     }
 
-    /// Whether the consumer agrees with the model after its effects.
-    fn agrees(&mut self) -> bool {
+    /// Applies the pending effects and returns whether the consumer agrees with the model.
+    fn agrees_with_model(&mut self) -> bool {
         let is_valid = self.model.apply_effects(&mut self.effects);
         let is_closed = self.consumer.channel_state() == ChannelState::Closed;
         is_valid
             && self.consumer.unsettled_count() == self.model.unsettled.len()
-            // One answer, or one copy, is published for a delivery at most.
+            // At most one answer or one copy is published for each delivery.
             && self.model.published <= self.model.answered
             && (!is_closed || self.model.unsettled.is_empty())
     }
 }
 
-/// Every delivery is settled exactly once, after its answer, and a channel closes only when all are settled.
+/// Every delivery is settled exactly once, after its answer, and a channel closes only when all are
+/// settled.
 #[test]
-fn consumer_settles_as_its_model_does() {
+fn consumer_agrees_with_its_model() {
     fn check(steps: Vec<ChannelStep>) -> bool {
         let mut checked = CheckedConsumer::new(!steps.len().is_multiple_of(2));
         checked.model.apply_effects(&mut checked.effects)
             && steps.into_iter().all(|step| {
                 checked.run_step(step);
-                checked.agrees()
+                checked.agrees_with_model()
             })
     }
     check_steps(check);
--- a/tests/amqp_frames.rs
+++ b/tests/amqp_frames.rs
@@ -1,4 +1,5 @@
-//! AMQP frames as the specification writes them. Both sides of the other tests share a codec, so its bytes are checked here.
+//! AMQP frames, byte for byte as in the specification. In the other tests both sides share one
+//! codec, so a codec error would go unnoticed there.
 
 use amq_protocol::frame::{AMQPContentHeader, AMQPFrame, ProtocolVersion};
 use amq_protocol::protocol::basic::{self, AMQPMethod as Basic, AMQPProperties};
@@ -8,36 +9,39 @@
 use protocol_gateway::amqp::codec;
 
 fn short_string(text: &str) -> ShortString {
-    ShortString::try_new(text).expect("short")
+    ShortString::try_new(text).expect("a short string")
 }
 
-/// Checks that the frame is written as these bytes, and read from them.
+/// Checks that the frame is encoded as these bytes and decoded from them.
 fn check_frame(frame: &AMQPFrame, bytes: &[u8]) {
-    assert_eq!(codec::encode(frame).expect("a frame"), bytes);
-    assert_eq!(&codec::read(bytes, 4096).expect("a frame"), frame);
+    assert_eq!(codec::encode(frame).expect("the frame is encoded"), bytes);
+    assert_eq!(
+        &codec::read(bytes, 4096).expect("the frame is decoded"),
+        frame
+    );
 }
 
-/// Checks a `basic` method on channel 1.
+/// Checks the encoding of a `basic` method on channel 1.
 fn check_basic(method: Basic, bytes: &[u8]) {
     check_frame(&AMQPFrame::Method(1, AMQPClass::Basic(method)), bytes);
 }
 
 #[test]
-fn protocol_header_has_its_bytes() {
+fn protocol_header_is_encoded_as_specified() {
     let header = AMQPFrame::ProtocolHeader(ProtocolVersion::amqp_0_9_1());
     assert_eq!(
-        codec::encode(&header).expect("a header"),
+        codec::encode(&header).expect("the header is encoded"),
         b"AMQP\x00\x00\x09\x01"
     );
 }
 
 #[test]
-fn heartbeat_has_its_bytes() {
+fn heartbeat_is_encoded_as_specified() {
     check_frame(&AMQPFrame::Heartbeat, b"\x08\x00\x00\x00\x00\x00\x00\xce");
 }
 
 #[test]
-fn connection_methods_have_their_bytes() {
+fn connection_methods_are_encoded_as_specified() {
     // class 10, method 31: channel-max, frame-max, heartbeat
     let tune_ok = connection::TuneOk {
         channel_max: 2,
@@ -59,7 +63,7 @@
 }
 
 #[test]
-fn settlements_have_their_bytes() {
+fn settlements_are_encoded_as_specified() {
     let (delivery_tag, multiple, requeue) = (5, false, true);
     check_basic(
         Basic::Ack(basic::Ack {
@@ -86,7 +90,7 @@
 }
 
 #[test]
-fn consumer_methods_have_their_bytes() {
+fn consumer_methods_are_encoded_as_specified() {
     check_basic(
         Basic::Qos(basic::Qos {
             prefetch_count: 16,
@@ -115,7 +119,7 @@
 }
 
 #[test]
-fn content_frames_have_their_bytes() {
+fn content_frames_are_encoded_as_specified() {
     let mut headers = FieldTable::default();
     headers.insert(short_string("a"), AMQPValue::LongLongInt(1));
     let properties = AMQPProperties::default()
@@ -127,7 +131,8 @@
         body_size: 3,
         properties,
     };
-    // class, weight, size; flags for headers (13), correlation-id (10) and reply-to (9); the table; the strings
+    // class, weight, size; flags for headers (13), correlation-id (10) and reply-to (9); the table;
+    // the strings
     check_frame(
         &AMQPFrame::Header(1, header),
         b"\x02\x00\x01\x00\x00\x00\x21\x00\x3c\x00\x00\x00\x00\x00\x00\x00\x00\x00\x03\x26\x00\
@@ -139,7 +144,8 @@
     );
 }
 
-/// Guards the node's memory and its parser: lengths are checked before anything is read for them.
+/// Guards the node's memory and its parser: a length is checked before the bytes that it announces
+/// are read.
 #[test]
 fn invalid_frames_are_errors() {
     for bytes in [
--- a/tests/amqp_redelivery.rs
+++ b/tests/amqp_redelivery.rs
@@ -1,4 +1,5 @@
-//! AMQP messages that are delivered again or handed back: nothing with an effect runs twice, and nothing is lost.
+//! AMQP messages that are redelivered or handed back: requests that are not idempotent never run
+//! twice, and no message is lost.
 
 #[path = "common/amqp_node.rs"]
 mod amqp_node;
@@ -9,21 +10,22 @@
 use doubles::broker::{Message, POSTS, READS};
 use doubles::*;
 
-/// Guards the single effect within one process: the same key again is dead-lettered, whatever became of the first.
+/// Guards against a second run within one process: a message with a key that has run is
+/// dead-lettered, whether the first run succeeded or failed.
 #[test]
 fn key_that_ran_never_runs_again() {
     let (broker, mut node) = start_broker_and_node(4);
     for body in ["serve:a", "fail"] {
         broker.publish(POSTS, Message::new(body));
-        wait_until("the first is answered", || {
+        wait_until("the first message has run", || {
             node.executor.run_count(body) == 1
         });
         broker.publish(POSTS, Message::new(body));
     }
-    wait_until("the second ones are dead-lettered", || {
+    wait_until("the repeated messages are dead-lettered", || {
         dead_letter_count(&broker) == 2
     });
-    wait_until("all are answered", || reply_count(&broker) == 4);
+    wait_until("all requests are answered", || reply_count(&broker) == 4);
     assert_eq!(
         (
             node.executor.run_count("serve:a"),
@@ -42,63 +44,75 @@
     stop_node(&broker, &mut node);
 }
 
-/// The keys of reads don't count: they may run as often as they are sent.
+/// The keys of reads are ignored: a read may run as often as it is sent.
 #[test]
 fn read_runs_again() {
     let (broker, mut node) = start_broker_and_node(4);
-    for again in [false, true] {
+    for is_redelivered in [false, true] {
         let message = Message::new("serve:a");
         broker.publish(
             READS,
-            if again {
+            if is_redelivered {
                 message.redelivered()
             } else {
                 message
             },
         );
     }
-    wait_until("both are served", || reply_count(&broker) == 2);
+    wait_until("both messages are served", || reply_count(&broker) == 2);
     assert_eq!(node.executor.run_count("serve:a"), 2);
     stop_node(&broker, &mut node);
 }
 
-/// Guards the single effect across connections: what was in flight when the connection broke is redelivered, marked.
+/// Guards against a second run across connections: messages that were in flight when the connection
+/// broke are redelivered, with the mark of a redelivery.
 #[test]
 fn connection_lost_during_a_run_runs_nothing_twice() {
     let (broker, mut node) = start_broker_and_node(4);
     broker.publish(POSTS, Message::new("hang"));
-    wait_until("it runs", || node.executor.run_count("hang") == 1);
+    wait_until("the run has started", || {
+        node.executor.run_count("hang") == 1
+    });
     broker.break_links();
-    wait_until("it is dead-lettered", || dead_letter_count(&broker) == 1);
+    wait_until("the message is dead-lettered", || {
+        dead_letter_count(&broker) == 1
+    });
     assert_eq!(
         broker.with(|state| state.replies[0].text(REASON)),
         "may have run"
     );
-    // The run goes on to its end, and its result is dropped: the delivery was settled before.
+    // The run continues to its end and its result is dropped, since the delivery is already
+    // settled.
     node.executor.finish_run("hang");
     broker.publish(POSTS, Message::new("serve:next"));
-    wait_until("the new connection serves", || {
+    wait_until("a message of the new connection has run", || {
         node.executor.run_count("serve:next") == 1
     });
-    wait_until("and answers", || reply_count(&broker) == 2);
+    wait_until("the message of the new connection is answered", || {
+        reply_count(&broker) == 2
+    });
     assert_eq!(node.executor.run_count("hang"), 1);
     stop_node(&broker, &mut node);
 }
 
-/// Guards the single effect across processes: the node is killed during a write, its successor gets the message again and
-/// can't know how far the write went.
+/// Guards against a second run across processes: the node is killed during a write, and its
+/// successor gets the message again without knowing how much of the write was executed.
 #[test]
 fn post_redelivered_after_its_node_was_killed_is_not_run() {
     let (broker, mut first) = start_broker_and_node(4);
     broker.publish(POSTS, Message::new("hang"));
-    wait_until("it runs", || first.executor.run_count("hang") == 1);
-    first.process.kill().expect("a child");
+    wait_until("the run has started", || {
+        first.executor.run_count("hang") == 1
+    });
+    first.process.kill().expect("the node can be killed");
     first.wait_for_exit();
-    wait_until("the broker has noticed", || {
+    wait_until("the broker has noticed the lost connection", || {
         broker.with(|state| state.unacked) == 0
     });
     let mut second = start_node(&broker, 4);
-    wait_until("it is dead-lettered", || dead_letter_count(&broker) == 1);
+    wait_until("the message is dead-lettered", || {
+        dead_letter_count(&broker) == 1
+    });
     assert_eq!(
         first.executor.run_count("hang") + second.executor.run_count("hang"),
         1
@@ -110,13 +124,16 @@
     stop_node(&broker, &mut second);
 }
 
-/// The broker goes on delivering while the node shuts down: all of it goes back without a run, posts as copies that carry
-/// no mark of an earlier delivery, so that the next node may run them, once.
+/// The broker continues to deliver while the node shuts down. These messages are handed back
+/// without a run; those that are not idempotent as copies without the mark of an earlier delivery,
+/// so that the next node may run them, once.
 #[test]
 fn messages_delivered_during_shutdown_are_handed_back_and_run_elsewhere() {
     let (broker, mut node) = start_broker_and_node(8);
     broker.publish(POSTS, Message::new("hang"));
-    wait_until("one runs", || node.executor.run_count("hang") == 1);
+    wait_until("the run has started", || {
+        node.executor.run_count("hang") == 1
+    });
     broker.with(|state| {
         for n in 0..3 {
             state
@@ -132,16 +149,17 @@
         ));
     });
     stop_node(&broker, &mut node);
-    let mut ran = 0;
+    let mut copies_run = 0;
     broker.with(|state| {
         assert_eq!(state.requeued, 3, "the reads");
         assert_eq!((state.ready[READS].len(), state.ready[POSTS].len()), (3, 3));
         for copy in &state.ready[POSTS] {
             assert!(!copy.redelivered);
             assert_eq!(copy.header(HANDED_BACK), Some(&AMQPValue::LongLongInt(1)));
-            ran += node.executor.run_count(&copy.body);
+            copies_run += node.executor.run_count(&copy.body);
         }
-        // A copy must not lose the mark of an earlier delivery.
+        // A redelivered message is not copied, as the copy would lose the mark of the earlier
+        // delivery.
         assert_eq!(
             state
                 .dead
@@ -159,21 +177,25 @@
             2
         );
     });
-    assert_eq!(ran, 0, "nothing that was handed back has run");
+    assert_eq!(copies_run, 0, "a message that was handed back has run");
     let mut next = start_node(&broker, 8);
-    wait_until("the next node serves all", || reply_count(&broker) == 2 + 6);
+    wait_until("the next node has served all messages", || {
+        reply_count(&broker) == 2 + 6
+    });
     for n in 0..3 {
         assert_eq!(next.executor.run_count(&format!("serve:post {n}")), 1);
     }
     stop_node(&broker, &mut next);
 }
 
-/// Guards a copy from what the broker would act on twice: another user's name closes the channel, and `CC` would send the
-/// message to other queues once more.
+/// Guards against properties of a copy that the broker would act on again: a user id of another
+/// user closes the channel, and `CC` would send the message to other queues once more.
 #[test]
 fn handed_back_copy_keeps_only_the_clients_properties() {
     let (broker, mut node) = start_broker_and_node(8);
-    wait_until("it consumes", || broker.with(|state| state.consumers) == 2);
+    wait_until("both queues are consumed", || {
+        broker.with(|state| state.consumers) == 2
+    });
     let mut message = Message::new("serve:a");
     let mut headers = FieldTable::default();
     headers.insert("CC".into(), AMQPValue::LongString("elsewhere".into()));
@@ -204,11 +226,13 @@
     );
 }
 
-/// A copy that can't be routed is returned before its confirm; then the original must not be lost.
+/// A copy that can't be routed is returned before its confirm; the original must not be lost then.
 #[test]
 fn unroutable_copy_requeues_the_original() {
     let (broker, mut node) = start_broker_and_node(8);
-    wait_until("it consumes", || broker.with(|state| state.consumers) == 2);
+    wait_until("both queues are consumed", || {
+        broker.with(|state| state.consumers) == 2
+    });
     broker.with(|state| {
         state.unroutable = true;
         state
@@ -229,11 +253,11 @@
     let (broker, mut node) = start_broker_and_node(4);
     broker.with(|state| state.hold_confirms = true);
     broker.publish(POSTS, Message::new("serve:a"));
-    wait_until("it is answered", || reply_count(&broker) == 1);
+    wait_until("the request is answered", || reply_count(&broker) == 1);
     assert_eq!(broker.with(|state| (state.acked, state.unacked)), (0, 1));
     broker.with(|state| state.hold_confirms = false);
     broker.break_links();
-    wait_until("it was redelivered and is dead-lettered", || {
+    wait_until("the message was redelivered and is dead-lettered", || {
         dead_letter_count(&broker) == 1
     });
     assert_eq!(node.executor.run_count("serve:a"), 1);
