--- a/tests/admin_commands.rs
+++ b/tests/admin_commands.rs
@@ -1,4 +1,5 @@
-//! The admin server on real sockets: `health`, `quiesce` and `resume`, and what they change for front ends.
+//! The admin server on real sockets: `health`, `quiesce` and `resume`, and their effect on front
+//! ends.
 
 #[path = "common/admin.rs"]
 mod admin;
@@ -14,7 +15,7 @@
 use serde_json::json;
 use test_doubles::*;
 
-const READ: &str = "statement-read";
+const READ_CLASS: &str = "statement-read";
 
 #[test]
 fn quiesced_node_serves_requests_and_resumes_on_command() {
@@ -23,17 +24,17 @@
     let mut client = node.connect();
     assert_eq!(send_command(admin, b"health\n"), "ok serving");
     assert_eq!(client.query_alive()["result"]["ready"], true);
-    // Once the command is answered no health check succeeds, on an old connection or a new one.
+    // Once the command is answered, health checks fail on existing and new connections.
     assert_eq!(send_command(admin, b"quiesce\n"), "ok quiesced");
     assert_eq!(client.query_alive()["result"]["ready"], false);
     assert_eq!(node.connect().query_alive()["result"]["ready"], false);
     wait_until("the endpoint list has the report", || {
         node.endpoint_list.has_report("HB n3 OUT")
     });
-    // Quiesce is no shutdown: a request after the drain grace of 500 ms is still served.
+    // Quiescing is not a shutdown: a request after the drain grace of 500 ms is still served.
     std::thread::sleep(Duration::from_millis(700));
     assert_eq!(
-        result_body(&client.request(READ, "serve:quiesced")),
+        result_body(&client.request(READ_CLASS, "serve:quiesced")),
         "done serve:quiesced"
     );
     assert_eq!(send_command(admin, b"health\n"), "ok quiesced");
@@ -61,13 +62,15 @@
         )
         .to_string(),
     );
-    wait_until("the file is read again", || {
+    wait_until("the configuration is reloaded", || {
         node.log().contains("configuration read again")
     });
     assert_eq!(client.query_alive()["result"]["ready"], false);
     // A run that hangs keeps the process alive until all commands are sent.
     client.send("settlement-post", "hang");
-    wait_until("it runs", || node.executor.run_count("hang") == 1);
+    wait_until("the run has started", || {
+        node.executor.run_count("hang") == 1
+    });
     node.terminate();
     assert_eq!(client.read_message()["method"], "farewell");
     assert_eq!(send_command(admin, b"resume\n"), "fail leaving");
@@ -81,17 +84,17 @@
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
-/// Before its executor is up a process accepts no clients, since another process may serve at its address. A quiesce
-/// command in that time is in effect from the first client on.
+/// Before its executor is up a process accepts no clients, since another process may serve at its
+/// address. A quiesce command in that time is in effect from the first client on.
 #[test]
 fn starting_process_accepts_no_clients_and_keeps_a_quiesce_command() {
-    let executor = TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let executor_address = executor.local_addr().expect("bound");
+    let executor = TcpListener::bind("127.0.0.1:0").expect("bind to loopback succeeds");
+    let executor_address = executor.local_addr().expect("the socket is bound");
     let node = Node::spawn(|config| {
         config["admin"] = json!("127.0.0.1:0");
         config["executor"] = json!(executor_address);
     });
-    let (mut link, _) = executor.accept().expect("a link");
+    let (mut link, _) = executor.accept().expect("the node connects");
     wait_until("the admin server listens", || {
         node.logged_address("admin").is_some()
     });
@@ -103,18 +106,18 @@
     );
     assert!(
         node.logged_address("listening").is_none(),
-        "it accepts no clients yet"
+        "the starting process accepts clients"
     );
     link.write_all(b"{\"action\":\"WELCOME\",\"code\":\"WARM\",\"wall_ms\":5}\n")
-        .expect("written");
-    wait_until("it is up", || {
+        .expect("the write succeeds");
+    wait_until("the node is up", || {
         send_command(admin, b"health\n") == "ok quiesced"
     });
-    // A thread of the test reads the log and may lag behind the admin server's reply.
+    // The log is read on a separate thread, which may lag behind the admin server's reply.
     wait_until("the log names the address", || {
         node.logged_address("listening").is_some()
     });
-    let address = node.logged_address("listening").expect("it listens");
+    let address = node.logged_address("listening").expect("the node listens");
     assert_eq!(
         TestClient::connect(address).query_alive()["result"]["ready"],
         false
@@ -146,14 +149,17 @@
         send_command(admin, &[b'q'; 4096]),
         "fail the line is too long"
     );
-    // A command without its line end is not carried out, even if its text is complete.
-    let mut cut = TcpStream::connect(admin).expect("the admin server accepts");
-    cut.write_all(b"quiesce").expect("written");
-    cut.shutdown(Shutdown::Write).expect("ended");
-    assert_eq!(read_reply(cut), "fail the line was cut short");
+    // A command without its line end is not executed, even if its text is complete.
+    let mut truncated = TcpStream::connect(admin).expect("the admin server accepts");
+    truncated.write_all(b"quiesce").expect("the write succeeds");
+    truncated
+        .shutdown(Shutdown::Write)
+        .expect("the write side is shut down");
+    assert_eq!(read_reply(truncated), "fail the line was cut short");
 }
 
-/// A hundred admin clients hold connections without completing a command, while front ends flood the node.
+/// A hundred admin clients hold connections without completing a command, while front ends flood
+/// the node.
 #[test]
 fn admin_server_answers_within_a_second_under_load() {
     let node = start_node_with_admin();
@@ -164,7 +170,8 @@
             scope.spawn(|| {
                 let mut client = node.connect();
                 while Instant::now() < end {
-                    let sent: Vec<u64> = (0..16).map(|_| client.send(READ, "serve")).collect();
+                    let sent: Vec<u64> =
+                        (0..16).map(|_| client.send(READ_CLASS, "serve")).collect();
                     for _ in sent {
                         client.read_message();
                     }
@@ -176,7 +183,7 @@
                 let mut stream = TcpStream::connect(admin).expect("the admin server accepts");
                 stream
                     .write_all(if n % 2 == 0 { b"heal" } else { b"" })
-                    .expect("written");
+                    .expect("the write succeeds");
                 stream
             })
             .collect();
@@ -198,8 +205,8 @@
 #[test]
 fn unusable_admin_address_prints_one_line_and_exits() {
     let unused: SocketAddr = "127.0.0.1:9".parse().expect("an address");
-    let address_in_use = TcpListener::bind("127.0.0.1:0").expect("loopback");
-    let address_in_use = json!(address_in_use.local_addr().expect("bound"));
+    let address_in_use = TcpListener::bind("127.0.0.1:0").expect("bind to loopback succeeds");
+    let address_in_use = json!(address_in_use.local_addr().expect("the socket is bound"));
     for (admin, variable, expected_error) in [
         (json!("nowhere"), None, "configuration: "),
         (json!(7), None, "configuration: "),
@@ -216,7 +223,7 @@
         let output = node_command(&file)
             .envs(variable.map(|value| ("PROXY_ADMIN", value)))
             .output()
-            .expect("it starts");
+            .expect("the program starts");
         let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(
             !output.status.success()
@@ -227,8 +234,8 @@
     }
 }
 
-/// Requests written just before and just after the quiesce command, on open connections: all are answered, and no health
-/// check after it succeeds.
+/// Requests written just before and just after the quiesce command, on open connections, are all
+/// answered. Health checks after the command fail.
 #[test]
 fn requests_sent_around_quiesce_are_all_answered() {
     let node = start_node_with_admin();
@@ -238,10 +245,13 @@
             TcpStream::connect(node.admin_address()).expect("the admin server accepts");
         let before: Vec<u64> = clients
             .iter_mut()
-            .map(|f| f.send("settlement-post", "serve"))
+            .map(|c| c.send("settlement-post", "serve"))
+            .collect();
+        command.write_all(b"quiesce\n").expect("the write succeeds");
+        let after: Vec<u64> = clients
+            .iter_mut()
+            .map(|c| c.send(READ_CLASS, "serve"))
             .collect();
-        command.write_all(b"quiesce\n").expect("written");
-        let after: Vec<u64> = clients.iter_mut().map(|f| f.send(READ, "serve")).collect();
         for ((client, first), second) in clients.iter_mut().zip(before).zip(after) {
             let mut answers = [client.read_answer(), client.read_answer()];
             answers.sort_unstable_by_key(|answer| answer["id"].as_u64());
--- a/tests/command_lines.rs
+++ b/tests/command_lines.rs
@@ -1,9 +1,9 @@
-//! The commands besides the node, as operators call them: what is printed, on which stream, and the exit code.
+//! Commands of the program other than the node: output, the stream it is printed on, and exit code.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// A temporary folder that is removed with the value.
+/// A temporary folder that is removed when the value is dropped.
 struct TestFolder(PathBuf);
 
 impl TestFolder {
@@ -12,14 +12,14 @@
             "protocol-gateway-commands-{}-{name}",
             std::process::id()
         ));
-        std::fs::create_dir_all(&dir).expect("a folder");
+        std::fs::create_dir_all(&dir).expect("the folder can be created");
         TestFolder(dir)
     }
 
     /// Writes a file and returns its path.
     fn write(&self, name: &str, text: &str) -> String {
         let path = self.0.join(name);
-        std::fs::write(&path, text).expect("a file");
+        std::fs::write(&path, text).expect("the file can be written");
         path.display().to_string()
     }
 }
@@ -30,17 +30,18 @@
     }
 }
 
-/// Runs the program with these arguments.
+/// Runs the program with these arguments and waits for its end.
 fn run(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_protocol-gateway"))
         .args(args)
         .env_remove("PROXY_CONFIG")
         .output()
-        .expect("it runs")
+        .expect("the program starts")
 }
-/// Whether a command succeeded, its standard output and its standard error.
+
+/// Returns whether a command succeeded, its standard output and its standard error.
 fn summary(output: &Output) -> (bool, String, String) {
-    let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("text");
+    let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("UTF-8 text");
     (
         output.status.success(),
         text(&output.stdout),
@@ -48,7 +49,7 @@
     )
 }
 
-/// Files of the repository, which operators start from.
+/// Example files of the repository, which operators start from.
 const CELLS: &str = include_str!("../deploy/cells.json5");
 const ROUTER: &str = include_str!("../deploy/router.json5");
 
@@ -76,7 +77,7 @@
 
 /// A plan lists the tenants that would move, and changes no file.
 #[test]
-fn plan_lists_what_would_move() {
+fn plan_lists_the_tenants_that_would_move() {
     let folder = TestFolder::new("plan");
     let now = folder.write("now.json5", CELLS);
     let same = folder.write(
@@ -99,7 +100,10 @@
         succeeded && plan.contains("tenant solpiana: oglio to adda\n"),
         "{plan}"
     );
-    assert_eq!(std::fs::read_to_string(&now).expect("a file"), CELLS);
+    assert_eq!(
+        std::fs::read_to_string(&now).expect("the file is readable"),
+        CELLS
+    );
 }
 
 #[test]
@@ -137,7 +141,7 @@
     }
     // An unknown command prints the usage and exits with 2.
     assert_eq!(run(&["cells", "sing"]).status.code(), Some(2));
-    // Without a configuration there is no node.
+    // The node does not start without a configuration.
     let (succeeded, _, error) = summary(&run(&[]));
     assert!(
         !succeeded && error == "protocol-gateway: PROXY_CONFIG is not set\n",
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration of a node: what is needed to start, reload on SIGHUP, and sites with settings of their own.
+//! Configuration of a node: required fields, reload on SIGHUP, and sites with different settings.
 
 #[path = "common/answers.rs"]
 mod answers;
@@ -7,25 +7,31 @@
 use serde_json::json;
 use test_doubles::*;
 
-const READ: &str = "statement-read";
-const POST: &str = "settlement-post";
+const READ_CLASS: &str = "statement-read";
+const POST_CLASS: &str = "settlement-post";
 
-/// Guards a serving node: SIGHUP used to end it. The new addresses are used, runs go on over the new link with no notice
-/// lost or handled twice, and an unusable file changes nothing.
+/// Guards against SIGHUP ending a serving node, as it once did. The node uses the new addresses,
+/// runs continue over the new link without a notice lost or handled twice, and an invalid file
+/// changes nothing.
 #[test]
-fn reload_moves_the_peers_and_ends_nothing() {
+fn reload_changes_peer_addresses_without_ending_runs() {
     let node = Node::start();
     let mut client = node.connect();
-    assert_eq!(result_body(&client.request(READ, "serve")), "done serve");
-    client.send(POST, "hang");
-    wait_until("it runs", || node.executor.run_count("hang") == 1);
+    assert_eq!(
+        result_body(&client.request(READ_CLASS, "serve")),
+        "done serve"
+    );
+    client.send(POST_CLASS, "hang");
+    wait_until("the run has started", || {
+        node.executor.run_count("hang") == 1
+    });
     let (database, list) = (FakeDatabase::start(), FakeEndpointList::start());
-    let moved = node_config(
+    let new_addresses = node_config(
         node.executor.open_second_address(),
         database.address,
         list.address,
     );
-    node.reload(&moved.to_string());
+    node.reload(&new_addresses.to_string());
     wait_until("the executor is connected at its new address", || {
         node.executor.join_positions() == [0, 1]
     });
@@ -36,7 +42,7 @@
     node.executor.finish_run("hang");
     assert_eq!(result_body(&client.read_message()), "late result");
     assert_eq!(
-        result_body(&client.request(POST, "call:ok#moved")),
+        result_body(&client.request(POST_CLASS, "call:ok#moved")),
         "rows for ok#moved"
     );
     assert_eq!(
@@ -51,7 +57,7 @@
         node.log().contains("the new configuration is not used")
     });
     assert_eq!(
-        result_body(&client.request(POST, "call:ok#kept")),
+        result_body(&client.request(POST_CLASS, "call:ok#kept")),
         "rows for ok#kept"
     );
     assert_eq!(
@@ -66,10 +72,10 @@
 #[test]
 fn unusable_configuration_prints_one_line_and_exits() {
     let unused = "127.0.0.1:9".parse().expect("an address");
-    let mut memoryless = node_config(unused, unused, unused);
-    memoryless["limits"]["memory_mb"] = json!(0);
-    let mut coreless = node_config(unused, unused, unused);
-    coreless["settings"]["specifics"]["cores"] = json!(0);
+    let mut without_memory = node_config(unused, unused, unused);
+    without_memory["limits"]["memory_mb"] = json!(0);
+    let mut without_cores = node_config(unused, unused, unused);
+    without_cores["settings"]["specifics"]["cores"] = json!(0);
     let mut without_database = node_config(unused, unused, unused);
     without_database
         .as_object_mut()
@@ -78,8 +84,8 @@
     let cases = [
         ("{".to_string(), "configuration:"),
         (without_database.to_string(), "`db`"),
-        (memoryless.to_string(), "limits.memory_mb"),
-        (coreless.to_string(), "settings name no cores"),
+        (without_memory.to_string(), "limits.memory_mb"),
+        (without_cores.to_string(), "settings name no cores"),
     ];
     for (text, expected_error) in cases {
         let file = ScratchFile::new("bad.json", &text);
@@ -93,7 +99,8 @@
     }
 }
 
-/// Nodes of a site that depend on nothing, as those of a second tier, have no database address, and start.
+/// Nodes of a site without a dependency, such as those of a second tier, start without a database
+/// address.
 #[test]
 fn node_without_a_dependency_starts_without_a_database() {
     let mut node = Node::start_with(None, |config| {
@@ -106,7 +113,8 @@
         result_body(&client.request("statement-read", "serve")),
         "done serve"
     );
-    // A call that a run still asks for can't be made; its request is answered by its deadline.
+    // A call that a run requests nevertheless can't be made; its request is answered by its
+    // deadline.
     assert!(error_code(&client.request("statement-read", "call:ok")) != 0);
     node.reload("{");
     assert_eq!(
@@ -117,13 +125,13 @@
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
-/// An endpoint list that never answers costs nothing: the node serves and shuts down.
+/// An endpoint list that does not answer has no effect on the node, which serves and shuts down.
 #[test]
-fn silent_endpoint_list_costs_nothing() {
-    // Bound and dropped: nobody listens at this address.
+fn silent_endpoint_list_does_not_affect_the_node() {
+    // The socket is closed again, so no process listens at this address.
     let closed_address = std::net::UdpSocket::bind("127.0.0.1:0")
         .and_then(|socket| socket.local_addr())
-        .expect("loopback");
+        .expect("bind to loopback succeeds");
     let mut node = Node::start_with(None, |config| config["members"] = json!(closed_address));
     let mut client = node.connect();
     for _ in 0..20 {
@@ -139,7 +147,8 @@
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
-/// Two nodes with different classes, tenants and deadlines in one test: neither uses anything of the other's.
+/// Two nodes with different classes, tenants and deadlines in one test: neither uses the settings
+/// of the other.
 #[test]
 fn settings_of_one_site_do_not_leak_into_another() {
     let one = Node::start();
@@ -173,12 +182,12 @@
     one.executor.finish_run("hang");
     assert_eq!(result_body(&at_one.read_answer()), "late result");
     assert!(!at_one.query_alive()["result"]["hint"].is_null());
-    // Each rejects what only the other's settings name.
+    // Each rejects classes and tenants that only the settings of the other define.
     at_one.send_with_fields("charge-card", "serve", &json!({}));
     assert_eq!(error_code(&at_one.read_message()), -32601);
-    let mut again = one.connect();
-    again.send_with_fields("statement-read", "serve", &json!({"acct": "ring-line"}));
-    assert_eq!(error_code(&again.read_message()), -32602);
+    let mut second_at_one = one.connect();
+    second_at_one.send_with_fields("statement-read", "serve", &json!({"acct": "ring-line"}));
+    assert_eq!(error_code(&second_at_one.read_message()), -32602);
     at_two.send_with_fields("statement-read", "serve", &json!({"acct": "ring-line"}));
     assert_eq!(error_code(&at_two.read_message()), -32601);
 }
