--- a/tests/cancellation.rs
+++ b/tests/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellations of requests, alone and at the same moment as an answer, the end of a run or a close.
+//! Cancellations of requests, alone and concurrent with an answer, the end of a run or a close.
 
 #[path = "common/answers.rs"]
 mod answers;
@@ -14,7 +14,7 @@
 fn cancelled_request_gets_no_answer_and_its_run_serves_the_retry() {
     let mut node = start_keyed_node();
     let mut client = node.connect();
-    // Of an unknown request, and of one that is answered.
+    // Cancellations of an unknown request and of an answered one have no effect.
     client.cancel(99);
     assert_eq!(
         result_body(&client.request("statement-read", "serve")),
@@ -22,7 +22,9 @@
     );
     client.cancel(1);
     let cancelled = submit(&mut client, "hang:a", TOKEN);
-    wait_until("it runs", || node.executor.run_count("hang:a") == 1);
+    wait_until("the run has started", || {
+        node.executor.run_count("hang:a") == 1
+    });
     client.cancel(cancelled);
     assert_eq!(
         result_body(&client.request("settlement-post", "serve")),
@@ -46,11 +48,13 @@
         ),
         (1, 0)
     );
-    // A read that nobody waits for is stopped, and cancelled requests do not delay the shutdown.
+    // An abandoned read is stopped, and cancelled requests do not delay the shutdown.
     let read = client.send("statement-read", "hang:b");
-    wait_until("it runs", || node.executor.run_count("hang:b") == 1);
+    wait_until("the run has started", || {
+        node.executor.run_count("hang:b") == 1
+    });
     client.cancel(read);
-    wait_until("it is stopped", || node.executor.kill_count() == 1);
+    wait_until("the run is stopped", || node.executor.kill_count() == 1);
     node.terminate();
     assert_eq!(node.wait_for_exit().code(), Some(0));
     assert!(
@@ -60,8 +64,8 @@
     );
 }
 
-/// A cancellation right after its request, before the policy has decided on it: nothing runs for nobody, and nothing stays
-/// open.
+/// A cancellation right after its request, before the policy has decided on it: the key is not run
+/// twice, and no request stays open.
 #[test]
 fn request_and_its_cancellation_in_one_write() {
     let mut node = start_keyed_node();
@@ -75,10 +79,11 @@
         );
         let cancel = json!({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": id}});
         client.send_line(&format!("{line}\n{cancel}"));
-        // The key is free again, or the run is joined: never two runs, and the second request is answered in any case.
+        // The key is free again or the second request joins the run. Either way there is one run,
+        // and the second request is answered.
         let id = submit(&mut client, &format!("hang:{n}"), &token);
         assert_eq!(client.query_alive()["result"]["ready"], true);
-        wait_until("it runs", || {
+        wait_until("the run has started", || {
             node.executor.run_count(&format!("hang:{n}")) == 1
         });
         node.executor.finish_run(&format!("hang:{n}"));
@@ -93,17 +98,19 @@
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
-/// A cancellation crosses the end of the run that it would stop: one answer at most, under its own id, and the run's core
-/// is free again.
+/// A cancellation races with the end of the run that it would stop: the cancelled request gets at
+/// most one answer, with its own id, and the run's slot on a core is released.
 #[test]
-fn cancellation_may_cross_the_end_of_its_run() {
+fn cancellation_may_race_with_the_end_of_its_run() {
     let mut node = start_keyed_node();
     let mut client = node.connect();
     for n in 0..20 {
         let name = format!("hang:{n}");
         let cancelled = client.send("statement-read", &name);
-        wait_until("it runs", || node.executor.run_count(&name) == 1);
-        // Either may reach the node first, and the stop may come after the end.
+        wait_until("the run has started", || {
+            node.executor.run_count(&name) == 1
+        });
+        // Either may reach the node first, and the stop command may arrive after the run has ended.
         client.cancel(cancelled);
         node.executor.finish_run(&name);
         let id = client.send("settlement-post", "serve");
@@ -121,16 +128,18 @@
     assert!(node.log().contains("unanswered: 0"), "{}", node.log());
 }
 
-/// A cancellation and the end of its connection in one write: the run by key goes on, and the retry gets its result on
-/// another connection.
+/// A connection is closed right after a cancellation: the run with an idempotency key continues,
+/// and the retry gets its result on another connection.
 #[test]
-fn cancellation_may_cross_the_close_of_its_connection() {
+fn cancellation_may_race_with_the_close_of_its_connection() {
     let node = start_keyed_node();
     for n in 0..10 {
         let (name, token) = (format!("hang:{n}"), format!("{n:032x}"));
         let mut cancelling = node.connect();
         let id = submit(&mut cancelling, &name, &token);
-        wait_until("it runs", || node.executor.run_count(&name) == 1);
+        wait_until("the run has started", || {
+            node.executor.run_count(&name) == 1
+        });
         cancelling.cancel(id);
         drop(cancelling);
         let mut next = node.connect();
--- a/tests/database_calls.rs
+++ b/tests/database_calls.rs
@@ -1,4 +1,5 @@
-//! The database's call pool, responders and line readers, in this process and with limits of the test's own.
+//! The database call pool, responders and line readers, in the test's process and with limits that
+//! each test sets.
 
 #[path = "common/call_pool.rs"]
 mod call_pool;
@@ -40,8 +41,8 @@
     assert_eq!(pool.call("ok", LONG_TIMEOUT), "rows for ok");
 }
 
-/// Guards against a reply being given to the wrong call: a 1xx response before the reply, and a copy of it or noise after
-/// it, which used to be given to the next call on the connection.
+/// Guards against a reply being given to the wrong call: a 1xx response before the reply, or a copy
+/// of the reply or noise after it, used to be given to the next call on the connection.
 #[test]
 fn surplus_bytes_of_a_reply_are_not_given_to_the_next_call() {
     let database = FakeDatabase::start();
@@ -70,10 +71,10 @@
     });
 }
 
-/// Guards a connection, and what waits for it, against an invalid or incomplete reply: it used to be waited for
-/// until the call's timeout. Nothing of it is passed to the run.
+/// Guards against an invalid or incomplete reply that occupies a connection until the call's
+/// timeout, as it once did, while other calls wait. No part of such a reply is passed to the run.
 #[test]
-fn an_invalid_reply_ends_its_call_soon_and_proves_nothing() {
+fn invalid_reply_ends_its_call_early_with_unknown_outcome() {
     let database = FakeDatabase::start();
     let pool = TestPool::start(database.address, |limits| limits.database.connections = 1);
     let ok = |heads: &str| format!("raw#HTTP/1.1 200 OK\r\n{heads}\r\nrows");
@@ -106,22 +107,23 @@
 
 #[test]
 fn refused_connection_proves_that_no_call_ran() {
-    // No other test listens at this address, so the port stays closed.
+    // No other test binds this loopback address, so the port stays closed.
     let address = TcpListener::bind("127.0.0.77:0")
-        .expect("loopback")
+        .expect("bind to loopback succeeds")
         .local_addr()
-        .expect("bound");
+        .expect("the socket is bound");
     let pool = TestPool::start(address, |limits| limits.database.connections = 1);
     assert_eq!(pool.call("ok", LONG_TIMEOUT), "never ran");
 }
 
-/// Guards "exactly one answer": a responder that is dropped on some path answers by itself.
+/// Guards the rule that each request gets exactly one answer: a responder that is dropped without
+/// an answer sends one.
 #[test]
 fn a_responder_answers_once_also_when_it_is_dropped() {
     let (outcomes, received) = mpsc::channel();
     let responder = || {
         let outcomes = outcomes.clone();
-        Responder::new(move |answer| outcomes.send(answer.outcome).expect("a listener"))
+        Responder::new(move |answer| outcomes.send(answer.outcome).expect("the receiver is open"))
     };
     responder().answer(Answer {
         outcome: Outcome::Failed(Failure::RunFailed),
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -1,4 +1,5 @@
-//! Deadlines: what counts into them, the caller's own budget, and what is skipped or dropped when time runs out.
+//! Deadlines: when they start, the caller's own budget, and the work that is skipped or dropped
+//! when time runs out.
 
 #[path = "common/answers.rs"]
 mod answers;
@@ -10,14 +11,14 @@
 use serde_json::{json, Value};
 use test_doubles::*;
 
-const READ: &str = "statement-read";
-const POST: &str = "settlement-post";
+const READ_CLASS: &str = "statement-read";
+const POST_CLASS: &str = "settlement-post";
 
 #[test]
 fn hanging_run_fails_at_its_deadline_and_is_stopped() {
     let node = Node::start();
     let started_at = unix_ms();
-    let answer = node.connect().request(POST, "hang");
+    let answer = node.connect().request(POST_CLASS, "hang");
     let took_ms = unix_ms() - started_at;
     assert_failed(&answer);
     assert!(
@@ -27,38 +28,43 @@
     wait_until("the run is stopped", || node.executor.kill_count() == 1);
 }
 
-/// Deadlines count from when a request came to the machine, not from when it was read.
+/// A deadline counts from the arrival of the request at the machine, not from the time it was read.
 #[test]
 fn deadline_counts_from_t0() {
     let node = Node::start();
     let started_at = unix_ms();
     let mut client = node.connect();
-    client.send_received_at(POST, "hang", started_at - 1200);
+    client.send_received_at(POST_CLASS, "hang", started_at - 1200);
     let answer = client.read_message();
     assert!(error_code(&answer) != 0, "{answer}");
     assert!(
         unix_ms() - started_at < 1300,
-        "answered {} ms after the reading",
+        "answered {} ms after it was sent",
         unix_ms() - started_at
     );
 }
 
-/// Guards the policy's estimate of its own queue: an age of days, from a wrong clock or a lying peer, used to count as time
-/// in the queue, and the node left the lists as jammed.
+/// Guards the policy's estimate of its own queue: an age of days, from a wrong clock or a false
+/// time in the request, used to count as time in the queue, and the node withdrew from the endpoint
+/// list as overloaded.
 #[test]
 fn request_of_implausible_age_is_rejected_and_ignored_in_estimates() {
     let node = Node::start();
     let mut client = node.connect();
-    client.send_received_at(READ, "serve:old", 1);
+    client.send_received_at(READ_CLASS, "serve:old", 1);
     assert_eq!(error_code(&client.read_message()), REJECTED);
-    assert_eq!(result_body(&client.request(READ, "serve")), "done serve");
+    assert_eq!(
+        result_body(&client.request(READ_CLASS, "serve")),
+        "done serve"
+    );
     assert_eq!(client.query_alive()["result"]["ready"], true);
     assert_eq!(node.executor.run_count("serve:old"), 0);
 }
 
-/// Where callers send how long they wait, that is the deadline; a budget that is no valid duration is an invalid request.
+/// Where callers send a budget, it is the deadline. A request with a budget that is not a valid
+/// duration is invalid.
 #[test]
-fn callers_budget_is_the_deadline() {
+fn budget_of_the_caller_is_the_deadline() {
     let node = Node::start_with(None, |config| {
         add_keyed_class(config);
         config["settings"]["specifics"]["passesDeadline"] = json!(true);
@@ -79,7 +85,7 @@
         "{} ms",
         unix_ms() - t0
     );
-    // The budget was spent before it was read: nothing is started for it.
+    // The budget was spent before the request was read: no run is started.
     client.send_with_fields(
         "statement-read",
         "serve",
@@ -91,7 +97,8 @@
     assert_eq!(result_body(&client.read_answer()), "done serve");
 }
 
-/// A call that would end too late is skipped where the answer without it is worth more than the complete one late.
+/// A call that would end too late is skipped if an answer without it is worth more than a late
+/// complete one.
 #[test]
 fn call_that_would_end_too_late_is_skipped() {
     let node = start_keyed_node();
@@ -109,7 +116,8 @@
     assert_eq!(node.database.call_count("hold#401"), 0);
 }
 
-/// The reply to a call comes when its request has been answered: it is dropped, and the next call works.
+/// A reply to a call that comes after its request has been answered is dropped, and the next call
+/// works.
 #[test]
 fn reply_after_the_deadline_of_its_request_is_dropped() {
     let node = Node::start();
@@ -118,7 +126,7 @@
     wait_until("the call is made", || {
         node.database.read_delayed_calls().in_flight == 1
     });
-    // Its deadline of 1.5 s comes first.
+    // The deadline of 1.5 s passes before the reply.
     assert!(error_code(&client.read_answer()) != 0);
     wait_until("the reply is sent", || {
         node.database.read_delayed_calls().in_flight == 0
--- a/tests/demo.rs
+++ b/tests/demo.rs
@@ -1,4 +1,5 @@
-//! `protocol-gateway demo` as operators run it: it ends with its table and exit code 0 when it is told to.
+//! `protocol-gateway demo` as operators run it: on SIGTERM it prints its table and exits with code
+//! 0.
 
 use std::io::{BufRead, BufReader, Read};
 use std::os::unix::process::CommandExt;
@@ -7,7 +8,7 @@
 
 use test_doubles::{wait_until, ScratchFile};
 
-/// A demo in a process group of its own, ended with the value.
+/// A demo in a process group of its own, which is killed when the value is dropped.
 struct Demo {
     process: Child,
     stdout: BufReader<ChildStdout>,
@@ -15,7 +16,7 @@
     _folder: ScratchFile,
 }
 
-/// How a demo ended, and what it wrote.
+/// Exit status and output of a demo.
 struct Outcome {
     status: ExitStatus,
     stdout: String,
@@ -35,7 +36,7 @@
             .process_group(0)
             .spawn()
             .expect("the program starts");
-        let stdout = BufReader::new(process.stdout.take().expect("it is piped"));
+        let stdout = BufReader::new(process.stdout.take().expect("the stream is piped"));
         Demo {
             process,
             stdout,
@@ -47,36 +48,36 @@
         let mut line = String::new();
         while !line.starts_with(start) {
             line.clear();
-            let length = self.stdout.read_line(&mut line).expect("text");
+            let length = self.stdout.read_line(&mut line).expect("UTF-8 text");
             assert!(length > 0, "the demo ended before a line with {start}");
         }
     }
 
     fn wait(mut self) -> Outcome {
-        let mut errors = self.process.stderr.take().expect("it is piped");
+        let mut errors = self.process.stderr.take().expect("the stream is piped");
         let reader = thread::spawn(move || {
             let mut text = String::new();
-            errors.read_to_string(&mut text).expect("text");
+            errors.read_to_string(&mut text).expect("UTF-8 text");
             text
         });
         let mut status = None;
         wait_until("the demo ends", || {
-            status = self.process.try_wait().expect("a child");
+            status = self.process.try_wait().expect("the demo can be waited for");
             status.is_some()
         });
         let mut stdout = String::new();
-        self.stdout.read_to_string(&mut stdout).expect("text");
+        self.stdout.read_to_string(&mut stdout).expect("UTF-8 text");
         Outcome {
-            status: status.expect("it has ended"),
+            status: status.expect("the demo has ended"),
             stdout,
-            stderr: reader.join().expect("text"),
+            stderr: reader.join().expect("the reader has not panicked"),
         }
     }
 }
 
 impl Drop for Demo {
     fn drop(&mut self) {
-        // One that has not ended is killed with its nodes.
+        // A demo that has not ended is killed with its nodes.
         if matches!(self.process.try_wait(), Ok(None)) {
             let group = self.process.id();
             let _ = Command::new("/bin/sh")
@@ -87,7 +88,7 @@
     }
 }
 
-/// Sends SIGTERM to `target`, a process id or minus the id of a group.
+/// Sends SIGTERM to `target`, a process id or the negated id of a process group.
 fn terminate(target: &str) {
     let kill = Command::new("/bin/sh")
         .args(["-c", &format!("kill -TERM {target}")])
@@ -103,7 +104,7 @@
     } = outcome;
     assert_eq!(status.code(), Some(0), "stdout: {stdout}\nstderr: {stderr}");
     assert!(!stderr.contains("panicked"), "{stderr}");
-    let last_table = stdout.rsplit("\nmember ").next().expect("text");
+    let last_table = stdout.rsplit("\nmember ").next().expect("a table");
     for member in ["n1", "n2", "r1"] {
         let row = |line: &str| line.starts_with(&format!("{member} "));
         assert!(last_table.lines().any(row), "{member}: {stdout}");
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn a_demo_ends_with_its_table_when_it_receives_sigterm() {
+fn demo_ends_with_its_table_when_it_receives_sigterm() {
     let mut demo = Demo::start();
     demo.read_until_line_starting_with("member ");
     demo.read_until_line_starting_with("r1 ");
@@ -120,9 +121,10 @@
     assert_ended_with_table(&demo.wait());
 }
 
-/// A terminal and some supervisors signal the whole process group, so the demo's nodes and its router end as well.
+/// Terminals and some supervisors signal the whole process group, so the demo's nodes and its
+/// router receive the signal as well.
 #[test]
-fn a_demo_ends_with_its_table_when_its_process_group_receives_sigterm() {
+fn demo_ends_with_its_table_when_its_process_group_receives_sigterm() {
     let mut demo = Demo::start();
     demo.read_until_line_starting_with("member ");
     demo.read_until_line_starting_with("r1 ");
@@ -132,13 +134,13 @@
 }
 
 #[test]
-fn a_demo_with_an_unknown_node_fails_with_one_line() {
+fn demo_with_an_unknown_node_fails_with_one_line() {
     let output = Command::new(env!("CARGO_BIN_EXE_protocol-gateway"))
         .args(["demo", "--nodes", "2", "--kill", "n3"])
         .env_remove("PROXY_CONFIG")
         .output()
         .expect("the program starts");
-    let stderr = String::from_utf8(output.stderr).expect("text");
+    let stderr = String::from_utf8(output.stderr).expect("UTF-8 text");
     assert_eq!(output.status.code(), Some(1), "{stderr}");
     assert_eq!(
         stderr,
