--- a/tests/fleet_membership_cost.rs
+++ b/tests/fleet_membership_cost.rs
@@ -1,4 +1,4 @@
-//! A measurement of what membership costs a node in a fleet of 256. It runs only when asked.
+//! Measures what membership costs a node in a fleet of 256. Runs only on request.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -9,28 +9,28 @@
 use slog::{o, Discard, Logger};
 use test_doubles::{wait_until, Node, ScratchFile};
 
-/// The stack of each member's thread, in bytes.
-const STACK_SIZE: usize = 160 * 1024;
+/// Size of the stack of each member's thread.
+const STACK_BYTES: usize = 160 * 1024;
 
-/// Starts a member on a socket of this process.
+/// Starts a member in this process, with a socket of its own.
 fn start_member(number: usize, seed: SocketAddr, log: &Logger) -> FleetHandle {
     let site = number % 3;
     let text = format!(
         "{{ version: 1, fleet: 'rig', site: 's{site}', listen: '127.0.0.1:0', seeds: ['{seed}'] }}"
     );
-    let config = Config::parse("f", &text).expect("it can be used");
+    let config = Config::parse("f", &text).expect("a valid fleet file");
     let member = LocalMember {
         name: format!("v{number}").into(),
         client_address: None,
         shared_counters: None,
     };
     let handle =
-        spawn_fleet_actor(config, member, STACK_SIZE, Box::new(|| {}), log).expect("a socket");
+        spawn_fleet_actor(config, member, STACK_BYTES, Box::new(|| {}), log).expect("a socket");
     handle.set_status(AdvertisedStatus::Up);
     handle
 }
 
-/// The latencies of 20,000 requests in µs, sorted.
+/// Returns the sorted latencies of 20,000 requests.
 fn measure_latencies_us(node: &Node) -> Vec<u128> {
     let mut client = node.connect();
     let mut latencies_us: Vec<u128> = (0..20_000)
@@ -44,7 +44,8 @@
     latencies_us
 }
 
-/// Prints a row with the processor time at rest over 20 s, memory, threads, and latencies of a node.
+/// Prints a row with the processor time of a node at rest over 20 s, its memory, its threads and
+/// the latencies of requests.
 fn report_cost(label: &str, node: &Node) {
     thread::sleep(Duration::from_secs(10));
     let started_at = Instant::now();
@@ -64,7 +65,7 @@
     );
 }
 
-/// 255 members on sockets of this process, and a node with and without membership of its own.
+/// Measures a node with and without membership, with 255 members in this process.
 #[test]
 #[ignore = "a measurement"]
 fn measure_membership_in_a_fleet_of_256() {
@@ -84,7 +85,7 @@
     for round in 0..2 {
         report_cost(&format!("{round}, without"), &Node::start());
         let node = Node::start_in_fleet(&fleet_file);
-        wait_until("all see it", || {
+        wait_until("all members see the node", || {
             members
                 .iter()
                 .all(|member| member.snapshot().present == 256)
--- a/tests/fleet_router.rs
+++ b/tests/fleet_router.rs
@@ -1,4 +1,5 @@
-//! The router as a member of the fleet: it uses the nodes that membership shows, and goes on without membership.
+//! The router as a member of the fleet: it uses the nodes in its membership view, and continues to
+//! serve without membership.
 
 #[path = "common/membership_scenarios.rs"]
 mod membership_scenarios;
@@ -40,7 +41,7 @@
     testbed.wait_until_up(&["r0"]);
     testbed.wait_until_converged(SETTLE_TIMEOUT);
     let mut client = testbed.connect("r0");
-    wait_until("the router has all nodes", || {
+    wait_until("the router uses all nodes", || {
         let body = format!("serve:{:?}", Instant::now());
         client.request("statement-read", &body);
         nodes.iter().all(|n| testbed.executor(n).total_runs() > 0)
@@ -48,7 +49,7 @@
     testbed
 }
 
-/// A request to the router and its end.
+/// A request to the router and its outcome.
 struct SentRequest {
     sent_at: Instant,
     took: Duration,
@@ -56,7 +57,7 @@
     body: String,
 }
 
-/// Sends one request after the other to the router for this long.
+/// Sends requests to the router one after the other for this duration.
 fn send_requests_for(testbed: &Testbed, duration: Duration) -> Vec<SentRequest> {
     let mut client = testbed.connect("r0");
     let end = Instant::now() + duration;
@@ -89,7 +90,7 @@
                 .any(|r| &*r.name == "n1" && r.state.status == AdvertisedStatus::Quiesced)
         })
     });
-    update.expect("it has");
+    update.expect("the router has it");
     thread::sleep(Duration::from_millis(50));
     let before = testbed.executor("n1").total_runs();
     assert!(send_requests_for(&testbed, Duration::from_millis(500))
@@ -97,27 +98,28 @@
         .all(|request| request.is_served));
     assert_eq!(testbed.executor("n1").total_runs(), before);
     assert_eq!(testbed.call_admin("n1", "resume"), "ok serving");
-    wait_until("it gets requests again", || {
+    wait_until("the resumed node gets requests", || {
         send_requests_for(&testbed, Duration::from_millis(50));
         testbed.executor("n1").total_runs() > before
     });
     // A killed node costs no read: another node serves it.
     testbed.kill("n2");
-    let asked = send_requests_for(&testbed, Duration::from_secs(2));
+    let requests = send_requests_for(&testbed, Duration::from_secs(2));
     assert!(
-        asked.len() > 20 && asked.iter().all(|request| request.is_served),
-        "{} asked",
-        asked.len()
+        requests.len() > 20 && requests.iter().all(|request| request.is_served),
+        "{} requests",
+        requests.len()
     );
 }
 
-/// A router that receives nothing of the fleet goes on with the nodes that it knew, and finds their state by health checks.
+/// A router that receives nothing from the fleet continues with the nodes that it knew, and detects
+/// their state by health checks.
 #[test]
-fn isolated_router_serves_on_with_the_nodes_it_knows() {
+fn isolated_router_continues_with_the_nodes_it_knows() {
     let mut testbed = start_fleet_with_router(3, true);
     testbed.change_all_links(json!("all datagrams lost"), |link| link.loss = 1.0);
     let mut served = Vec::new();
-    wait_until("the router knows that it is isolated", || {
+    wait_until("the router detects that it is isolated", || {
         served.extend(send_requests_for(&testbed, Duration::from_millis(100)));
         partition_status(&testbed, "r0") == "alone"
     });
@@ -129,7 +131,7 @@
     );
     assert_eq!(testbed.call_admin("n1", "quiesce"), "ok quiesced");
     let before = Cell::new(testbed.executor("n1").total_runs());
-    wait_until("a check finds that one is quiesced", || {
+    wait_until("a health check finds that n1 is quiesced", || {
         send_requests_for(&testbed, Duration::from_millis(100));
         before.replace(testbed.executor("n1").total_runs()) == testbed.executor("n1").total_runs()
     });
@@ -141,15 +143,15 @@
 #[test]
 #[ignore = "a measurement"]
 fn measure_from_quiesce_and_kill_to_the_last_request_routed_there() {
-    println!("| router | quiesce to last there, ms: median, worst | kill to last not served or over 50 ms late, ms: median, worst |");
+    println!("| router | quiesce to last request routed there, ms: median, worst | kill to last request that failed or took over 50 ms, ms: median, worst |");
     for uses_membership in [true, false] {
         let (mut quiesced, mut killed) = (Vec::new(), Vec::new());
         for _ in 0..10 {
             let mut testbed = start_fleet_with_router(4, uses_membership);
             let from = Instant::now();
             assert_eq!(testbed.call_admin("n1", "quiesce"), "ok quiesced");
-            let asked = send_requests_for(&testbed, Duration::from_millis(800));
-            let routed_there = asked
+            let requests = send_requests_for(&testbed, Duration::from_millis(800));
+            let routed_there = requests
                 .iter()
                 .filter(|request| testbed.executor("n1").run_count(&request.body) > 0);
             quiesced.push(
@@ -160,8 +162,8 @@
             );
             let from = Instant::now();
             testbed.kill("n2");
-            let asked = send_requests_for(&testbed, Duration::from_secs(4));
-            let harmed = asked
+            let requests = send_requests_for(&testbed, Duration::from_secs(4));
+            let harmed = requests
                 .iter()
                 .filter(|request| !request.is_served || request.took.as_millis() > 50);
             killed.push(
@@ -174,9 +176,9 @@
         quiesced.sort_unstable();
         killed.sort_unstable();
         let name = if uses_membership {
-            "by the view"
+            "membership view"
         } else {
-            "by asking, as before"
+            "health checks alone"
         };
         println!(
             "| {name} | {}, {} | {}, {} |",
@@ -185,12 +187,13 @@
     }
 }
 
-/// The scenario in the deploy folder that cuts and stalls streams: cut ones cost nobody an answer, and a node whose streams
-/// stall costs a few until the router ejects it, although membership holds it as up all the time.
+/// Scenario in the deploy folder that cuts and stalls streams. Cut streams cost no client an
+/// answer. A node whose streams stall costs a few answers until the router ejects it, although
+/// membership shows it as up all the time.
 #[test]
 fn scenario_from_a_file_cuts_and_stalls_streams() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/plays/streams.json5");
-    let scenario = Scenario::read(&file).expect("it can be used");
+    let scenario = Scenario::read(&file).expect("a valid scenario");
     let testbed = scenario.run(false).unwrap_or_else(|e| panic!("{e}"));
     let timeline = testbed.timeline();
     for event in ["\"cut\"", "\"stall\"", "\"served\""] {
@@ -199,6 +202,6 @@
     let text = std::fs::read_to_string(&file)
         .expect("readable")
         .replace("router: true", "router: false");
-    let error = Scenario::parse("play", &text).expect_err("nobody to ask");
+    let error = Scenario::parse("play", &text).expect_err("no router to send requests to");
     assert!(error.to_string().contains("steps[2]"), "{error}");
 }
--- a/tests/retry_quotas.rs
+++ b/tests/retry_quotas.rs
@@ -1,4 +1,4 @@
-//! A quota of retries that routers share, while streams are cut and the leader is killed.
+//! A retry quota that routers share, while streams are cut and the leader is killed.
 
 #[path = "common/testbed.rs"]
 mod testbed;
@@ -9,14 +9,14 @@
 use fault_testbed::{ProcessPlan, Testbed};
 use testbed::{node_names, plan_nodes, start_nodes, ClientLoad, LoadClients, SETTLE_TIMEOUT};
 
-/// The fleet's quota of retries.
-const RETRIES: u64 = 10;
+/// Total of the fleet's retry quota.
+const RETRY_QUOTA: u64 = 10;
 
-/// Starts three nodes and two routers that share a quota of retries.
+/// Starts three nodes and two routers that share a retry quota.
 fn start_fleet_with_routers() -> Testbed {
     let mut testbed = Testbed::new(9).expect("sockets");
     let fleet_fields = format!(
-        "period_ms: 200, keepers: ['n0', 'n1', 'n2'], budgets: {{ tries: {{ total: {RETRIES} }} }},"
+        "period_ms: 200, keepers: ['n0', 'n1', 'n2'], budgets: {{ tries: {{ total: {RETRY_QUOTA} }} }},"
     );
     plan_nodes(&mut testbed, 0..3, &fleet_fields);
     for name in ["r0", "r1"] {
@@ -38,14 +38,15 @@
     testbed
 }
 
-/// Both routers lease a part of the retry quota and never spend more than the total together, also while streams are cut
-/// under load, and they hold leases again under a new leader.
+/// Both routers lease a part of the retry quota and together never spend more than the total, even
+/// while streams are cut under load. Under a new leader they hold leases again.
 #[test]
-fn routers_share_one_quota_of_retries() {
+fn routers_share_one_retry_quota() {
     let mut testbed = start_fleet_with_routers();
-    // Streams of one router are cut now and then: what was in flight is lost, and retried within the quota.
-    let _many = LoadClients::start(&testbed, "r0", 12, ClientLoad::SHORT_CALLS);
-    let _few = LoadClients::start(&testbed, "r1", 2, ClientLoad::SHORT_CALLS);
+    // Streams of one router are cut repeatedly. The requests that were in flight on them are lost,
+    // and retried within the quota.
+    let _many_clients = LoadClients::start(&testbed, "r0", 12, ClientLoad::SHORT_CALLS);
+    let _few_clients = LoadClients::start(&testbed, "r1", 2, ClientLoad::SHORT_CALLS);
     let quota = |testbed: &Testbed, name: &str| {
         testbed
             .query_shared_state(name)
@@ -57,7 +58,7 @@
             return false;
         };
         assert!(
-            first.usage.in_use + second.usage.in_use <= RETRIES,
+            first.usage.in_use + second.usage.in_use <= RETRY_QUOTA,
             "{first:?} {second:?}"
         );
         if last_cut.get().elapsed() > Duration::from_millis(200) {
@@ -72,7 +73,7 @@
     };
     testbed
         .wait_for("both have leases", SETTLE_TIMEOUT, both_have_leases)
-        .expect("they do");
+        .expect("leases for both");
     let leader = testbed.leader("r0").expect("there is a leader");
     testbed.kill(&leader);
     testbed
@@ -80,8 +81,8 @@
             both_have_leases(testbed);
             testbed.leader("r0").is_some_and(|now| now != leader)
         })
-        .expect("one does");
+        .expect("a new leader");
     testbed
         .wait_for("both have leases", SETTLE_TIMEOUT, both_have_leases)
-        .expect("they do");
+        .expect("leases for both");
 }
--- a/tests/router_descriptors.rs
+++ b/tests/router_descriptors.rs
@@ -1,11 +1,12 @@
-//! The router while it has no descriptor left for another client.
+//! The router without file descriptors for further clients.
 
 use std::process::{Command, Stdio};
 
 use test_doubles::{gateway_program, wait_until, FakePeers, Node, ScratchFile, TestClient};
 
-/// Descriptors of the router's process: some for itself, and for fewer clients than connect.
-const DESCRIPTORS: usize = 24;
+/// Limit on the descriptors of the router's process: enough for itself and for fewer clients than
+/// connect.
+const DESCRIPTOR_LIMIT: usize = 24;
 const CLIENTS: usize = 30;
 
 const CELLS: &str = r#"{
@@ -15,7 +16,7 @@
     tenants: { alpenergia: { share: 100 } },
 }"#;
 
-/// Starts the router with few descriptors.
+/// Starts the router with a low limit on descriptors.
 fn start_router() -> Node {
     let cells = ScratchFile::new("cells.json5", CELLS);
     let text = format!(
@@ -29,7 +30,7 @@
     command
         .arg("-c")
         .arg(format!(
-            "ulimit -n {DESCRIPTORS} && exec \"$0\" route \"$1\""
+            "ulimit -n {DESCRIPTOR_LIMIT} && exec \"$0\" route \"$1\""
         ))
         .args([&program, config.path()])
         .stderr(Stdio::piped());
@@ -41,17 +42,18 @@
     router
 }
 
-/// Guards clients that wait to be accepted while the router is out of descriptors: it waited for the next event of its socket, which
-/// only a further client causes, and left them unaccepted although descriptors were free again.
+/// Guards clients that wait to be accepted while the router has no free descriptor. It waited for
+/// the next event of its socket, which only a further client causes, and left them waiting although
+/// descriptors were free again.
 #[test]
 fn waiting_clients_are_accepted_once_descriptors_are_free() {
     let router = start_router();
     let mut clients: Vec<TestClient> = (0..CLIENTS).map(|_| router.connect()).collect();
-    wait_until("descriptors run short", || {
+    wait_until("the router runs out of descriptors", || {
         router.log().contains("Too many open files")
     });
     let mut waiting = clients.pop().expect("a client that was not accepted");
-    // The others go, and none comes.
+    // The other clients disconnect, and no further client connects.
     clients.clear();
     let answer = waiting.query_alive();
     assert!(!answer.is_null(), "its connection ended");
