--- a/tests/golden_amqp.rs
+++ b/tests/golden_amqp.rs
@@ -1,5 +1,6 @@
-//! Golden properties of AMQP messages: what a node publishes for each outcome and what it hands back, as text, against
-//! the files of `tests/golden/wire/amqp`, which never change. Figures that differ from run to run stand as `#`.
+//! Golden properties of AMQP messages: what a node publishes for each outcome and what it hands
+//! back, as text, compared with the files of `tests/golden/wire/amqp`, which never change. Numbers
+//! that differ from run to run are replaced by `#`.
 
 mod doubles;
 
@@ -9,10 +10,10 @@
 use doubles::broker::{FakeBroker, Message, POSTS, READS};
 use doubles::*;
 
-/// Headers whose figures differ from run to run.
-const VARIABLE: [&str; 2] = ["x-mothwinch-hint", "x-mothwinch-retry-after-ms"];
+/// Headers whose numbers differ from run to run.
+const VARIABLE_HEADERS: [&str; 2] = ["x-mothwinch-hint", "x-mothwinch-retry-after-ms"];
 
-fn start() -> (FakeBroker, Node) {
+fn start_broker_and_node() -> (FakeBroker, Node) {
     let broker = FakeBroker::start();
     let node = Node::start_with(Some(&broker.inventory(8)), |config| {
         config["settings"]["specifics"]["say"] = "off".into();
@@ -21,8 +22,8 @@
     (broker, node)
 }
 
-/// Ends the node and compares what is in the broker's hands then.
-fn check(broker: &FakeBroker, node: &mut Node, name: &str) {
+/// Shuts the node down and compares the messages that the broker then holds with a golden file.
+fn check_messages(broker: &FakeBroker, node: &mut Node, name: &str) {
     node.terminate();
     assert_eq!(node.wait_for_exit().code(), Some(0));
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -40,16 +41,16 @@
                 .cloned()
                 .collect::<Vec<_>>()
         };
-        let places = [
+        let destinations = [
             ("reply", state.replies.clone()),
             ("dead", state.dead.clone()),
             (READS, ready(READS)),
             (POSTS, ready(POSTS)),
         ];
-        let lines = places.iter().flat_map(|(place, messages)| {
+        let lines = destinations.iter().flat_map(|(destination, messages)| {
             messages
                 .iter()
-                .map(move |message| format!("{place}: {}\n", text(message)))
+                .map(move |message| format!("{destination}: {}\n", format_message(message)))
         });
         let mut lines: Vec<String> = lines.collect();
         lines.sort();
@@ -58,8 +59,8 @@
     assert_eq!(got, want, "got:\n{got}");
 }
 
-/// A message on one line, its headers in the order of their names.
-fn text(message: &Message) -> String {
+/// Formats a message on one line, with its headers sorted by name.
+fn format_message(message: &Message) -> String {
     let properties = &message.properties;
     let headers = properties
         .headers()
@@ -68,7 +69,7 @@
     let mut headers: Vec<String> = headers
         .map(|(name, value)| match value {
             AMQPValue::LongLongInt(_) | AMQPValue::Double(_)
-                if VARIABLE.contains(&name.as_str()) =>
+                if VARIABLE_HEADERS.contains(&name.as_str()) =>
             {
                 format!("{name}={:?}:#", value.get_type())
             }
@@ -90,9 +91,9 @@
 }
 
 #[test]
-fn answers_carry_their_status_reason_and_advice() {
-    let (broker, mut node) = start();
-    let answered = |count: usize| {
+fn answers_carry_their_status_reason_and_retry_headers() {
+    let (broker, mut node) = start_broker_and_node();
+    let wait_until_answered = |count: usize| {
         wait_until("all are answered", || {
             broker.with(|state| state.acked + state.dead.len()) == count
         });
@@ -102,18 +103,18 @@
         broker.publish(queue, Message::new(&format!("bad:{name}")));
         broker.publish(queue, Message::new(&format!("fail:{name}")));
     }
-    answered(6);
+    wait_until_answered(6);
     broker.publish(POSTS, Message::new("hang:given up"));
     broker.publish(POSTS, Message::new("serve:delivered before").redelivered());
     broker.publish(POSTS, Message::new("serve:post"));
-    answered(9);
-    check(&broker, &mut node, "answers.txt");
+    wait_until_answered(9);
+    check_messages(&broker, &mut node, "answers.txt");
 }
 
 #[test]
 fn rejected_messages_get_a_retry_after() {
     let broker = FakeBroker::start();
-    // A tenant of another cell is refused on whatever comes.
+    // A tenant of another cell is rejected regardless of load.
     let cells = ScratchFile::new(
         "cells.json5",
         "{ version: 1, slack: 2, cells: { a: {}, b: {} }, tenants: { alpenergia: { cell: 'b' } },
@@ -121,21 +122,21 @@
     );
     let inventory = broker.inventory(8);
     let mut node = Node::start_with_cells(Some(&inventory), Some(&cells), |_| {});
-    let mut front = node.connect();
+    let mut front_end = node.connect();
     wait_until("there is a free value", || {
-        front.query_alive()["result"]["hint"].is_number()
+        front_end.query_alive()["result"]["hint"].is_number()
     });
     broker.publish(READS, Message::new("serve:read"));
     broker.publish(POSTS, Message::new("serve:post"));
     wait_until("both are answered", || {
         broker.with(|state| state.acked) == 2
     });
-    check(&broker, &mut node, "refused.txt");
+    check_messages(&broker, &mut node, "refused.txt");
 }
 
 #[test]
 fn malformed_messages_and_failures_without_a_reply_queue_are_rejected() {
-    let (broker, mut node) = start();
+    let (broker, mut node) = start_broker_and_node();
     broker.publish(
         POSTS,
         Message {
@@ -155,26 +156,26 @@
     wait_until("all are settled", || {
         broker.with(|state| state.acked + state.dead.len()) == 4
     });
-    check(&broker, &mut node, "rejected.txt");
+    check_messages(&broker, &mut node, "rejected.txt");
 }
 
 #[test]
-fn messages_during_shutdown_are_handed_back_with_their_marks() {
-    let (broker, mut node) = start();
+fn messages_during_shutdown_are_handed_back_with_their_headers() {
+    let (broker, mut node) = start_broker_and_node();
     broker.with(|state| {
-        let mut again = Message::new("serve:again");
+        let mut handed_back = Message::new("serve:again");
         let mut headers = amq_protocol::types::FieldTable::default();
         headers.insert("x-mothwinch-handed-back".into(), AMQPValue::LongLongInt(4));
         headers.insert("x-mothwinch-copy".into(), AMQPValue::LongLongInt(9));
         headers.insert("trace".into(), AMQPValue::LongLongInt(7));
-        again.properties = again.properties.with_headers(headers);
+        handed_back.properties = handed_back.properties.with_headers(headers);
         state
             .push_on_cancel
             .push((POSTS.into(), Message::new("serve:post")));
-        state.push_on_cancel.push((POSTS.into(), again));
+        state.push_on_cancel.push((POSTS.into(), handed_back));
         state
             .push_on_cancel
             .push((READS.into(), Message::new("serve:read")));
     });
-    check(&broker, &mut node, "handed_back.txt");
+    check_messages(&broker, &mut node, "handed_back.txt");
 }
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -17,8 +17,9 @@
 use shared_state::{DependencyHealth, SharedStateSnapshot};
 use test_doubles::Node;
 
-/// The names in a help text by section, with their defaults, and its line of usage; descriptions are left out.
-fn names(help: &str) -> BTreeMap<String, Vec<String>> {
+/// Returns the names in a help text by section, with their defaults, and its usage line.
+/// Descriptions are omitted.
+fn parse_help(help: &str) -> BTreeMap<String, Vec<String>> {
     let mut sections: BTreeMap<String, Vec<String>> = BTreeMap::new();
     let mut section = String::new();
     for line in help.lines() {
@@ -42,20 +43,20 @@
     sections
 }
 
-/// The names of a command and of all commands under it, by the words that call them.
-fn commands(words: &[String], into: &mut BTreeMap<String, BTreeMap<String, Vec<String>>>) {
+/// Collects the names of a command and of all its subcommands, by the words that invoke them.
+fn collect_commands(words: &[String], into: &mut BTreeMap<String, BTreeMap<String, Vec<String>>>) {
     let args: Vec<String> = words.iter().cloned().chain(["-h".to_string()]).collect();
-    let ended = run(&Folder::new().0, &args, &BTreeMap::new());
-    assert_eq!(ended.code, Some(0), "{words:?}: {}", ended.err);
-    let found = names(&ended.out);
+    let outcome = run(&Folder::new().0, &args, &BTreeMap::new());
+    assert_eq!(outcome.code, Some(0), "{words:?}: {}", outcome.err);
+    let found = parse_help(&outcome.out);
     for command in found
         .get("commands")
         .into_iter()
         .flatten()
         .filter(|c| *c != "help")
     {
-        let longer: Vec<String> = words.iter().chain([command]).cloned().collect();
-        commands(&longer, into);
+        let subcommand_words: Vec<String> = words.iter().chain([command]).cloned().collect();
+        collect_commands(&subcommand_words, into);
     }
     into.insert(words.join(" "), found);
 }
@@ -63,15 +64,16 @@
 #[test]
 fn every_command_has_its_arguments_flags_and_defaults() {
     let mut found = BTreeMap::new();
-    commands(&[], &mut found);
+    collect_commands(&[], &mut found);
     let found = json!(found);
     assert_eq!(found, data::<Value>("command_lines.json"), "found {found}");
 }
 
-/// Three members that share a budget, counts and judgements; the one that grants the budget is asked.
+/// Three members that share a budget, counts and outlier reports. The commands query the leader,
+/// which grants the budget.
 #[test]
 fn the_json_of_the_fleet_commands_has_its_fields_and_types() {
-    const MOST: Duration = Duration::from_secs(40);
+    const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(40);
     let mut testbed = Testbed::new(3).expect("sockets");
     for n in 0..3 {
         let fleet = "period_ms: 200, keepers: ['n0', 'n1', 'n2'], counts: true, judgements: true, \
@@ -87,11 +89,11 @@
     testbed.set_seeds(&["n0"]);
     testbed.names().iter().for_each(|name| testbed.start(name));
     testbed.wait_until_up(&["n0", "n1", "n2"]);
-    testbed.wait_until_converged(MOST);
+    testbed.wait_until_converged(CONVERGENCE_TIMEOUT);
     let want: BTreeMap<String, Value> = data("fleet_json.json");
     for (words, want) in &want {
         let found = |testbed: &Testbed| {
-            // The member that grants knows the holders of the budget.
+            // The leader knows the lease holders of the budget.
             let name = testbed.leader("n0")?;
             let at = testbed.node(&name).logged_address("fleet")?.to_string();
             let file = testbed.fleet_file_path(&name).display().to_string();
@@ -100,12 +102,14 @@
                 .map(String::from)
                 .chain(["--at".into(), at, file])
                 .collect::<Vec<_>>();
-            let ended = run(&Folder::new().0, &args, &BTreeMap::new());
-            serde_json::from_str(&ended.out)
+            let outcome = run(&Folder::new().0, &args, &BTreeMap::new());
+            serde_json::from_str(&outcome.out)
                 .ok()
                 .map(|value: Value| shape(&value))
         };
-        let fits = testbed.wait_for(words, MOST, |testbed| found(testbed).as_ref() == Some(want));
+        let fits = testbed.wait_for(words, CONVERGENCE_TIMEOUT, |testbed| {
+            found(testbed).as_ref() == Some(want)
+        });
         assert!(
             fits.is_some(),
             "{words}: found {:?}",
@@ -114,9 +118,10 @@
     }
 }
 
-/// What a settled fleet doesn't show: a member without an answer, one that serves nothing, and views that differ.
+/// Report entries that a converged fleet does not have: a member without an answer, a member
+/// without a client address, and differing views.
 #[test]
-fn missing_answers_and_differences_have_their_place_in_the_json() {
+fn missing_answers_and_differences_have_their_fields_in_the_json() {
     let member = MemberReport {
         state: "up",
         site: "milano".into(),
@@ -154,12 +159,12 @@
 
 #[test]
 fn states_and_partition_statuses_have_their_names_in_the_json() {
-    let state = |said, standing| {
+    let state = |advertised_status, observed_liveness| {
         let member_state = MemberState {
             incarnation: 1,
             version: 0,
-            status: said,
-            liveness: standing,
+            status: advertised_status,
+            liveness: observed_liveness,
         };
         let at = SocketAddr::from(([127, 0, 0, 1], 7946));
         state_name(&MemberRecord {
@@ -172,14 +177,17 @@
         })
     };
     let mut states = Vec::new();
-    for said in [
+    for advertised_status in [
         AdvertisedStatus::Joining,
         AdvertisedStatus::Up,
         AdvertisedStatus::Quiesced,
         AdvertisedStatus::Leaving,
         AdvertisedStatus::Left,
     ] {
-        states.push([Liveness::Alive, Liveness::Suspect, Liveness::Dead].map(|s| state(said, s)));
+        states.push(
+            [Liveness::Alive, Liveness::Suspect, Liveness::Dead]
+                .map(|liveness| state(advertised_status, liveness)),
+        );
     }
     let conclusions = [
         PartitionStatus::Majority,
@@ -199,16 +207,17 @@
     assert_eq!(found, data::<Value>("fleet_names.json"), "found {found}");
 }
 
-/// Each line by a caller of its own to one node that serves; characters stand for bytes of the same number.
+/// Sends each line on a connection of its own to one serving node. Each character stands for the
+/// byte with the same value.
 #[test]
 fn each_admin_command_has_its_answer_to_the_byte() {
     let node = Node::start_with(None, |config| config["admin"] = json!("127.0.0.1:0"));
     for (line, want) in data::<Vec<(String, String)>>("admin.json") {
-        assert_eq!(ask(node.admin_address(), &line), want, "{line:?}");
+        assert_eq!(send_line(node.admin_address(), &line), want, "{line:?}");
     }
 }
 
-fn ask(admin: SocketAddr, line: &str) -> String {
+fn send_line(admin: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(admin).expect("it listens");
     stream
         .set_read_timeout(Some(Duration::from_secs(15)))
--- a/tests/golden_config.rs
+++ b/tests/golden_config.rs
@@ -1,4 +1,5 @@
-//! The node's configuration file, its `PROXY_*` variables and the inventory: every key and variable, and the errors.
+//! The node's configuration file, its `PROXY_*` variables and the inventory: every key and
+//! variable, and the errors.
 
 #[path = "common/golden.rs"]
 mod golden;
@@ -20,12 +21,12 @@
 }
 
 #[test]
-fn the_variable_for_the_admin_address_wins_over_the_file() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("loopback");
+fn the_variable_for_the_admin_address_overrides_the_file() {
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("loopback");
     let peers = FakePeers::start();
-    let mut text = peers.node_config();
-    text["admin"] = json!(taken.local_addr().expect("bound"));
-    let file = ScratchFile::new("config.json", &text.to_string());
+    let mut config = peers.node_config();
+    config["admin"] = json!(occupied.local_addr().expect("bound"));
+    let file = ScratchFile::new("config.json", &config.to_string());
     let mut command = node_command(&file);
     command.env("PROXY_ADMIN", "127.0.0.1:0");
     let node = Node::spawn_command(command, peers, file);
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -1,5 +1,5 @@
-//! The project's own files in JSON5 and the file for the deployment: every key, the errors with their positions, and the
-//! files under `deploy/`.
+//! The project's own JSON5 files and the file for the deployment: every key, the errors with their
+//! positions, and the files under `deploy/`.
 
 #[path = "common/golden.rs"]
 mod golden;
@@ -57,7 +57,7 @@
             err: String::new(),
         };
         assert_eq!(run(&folder.0, &args, &BTreeMap::new()), success, "{file}");
-        // Without an argument the same file is read, beside the working folder.
+        // Without an argument, the command reads the same file from `deploy` in the working folder.
         assert_eq!(run(root(), &args[..2], &BTreeMap::new()), success, "{file}");
     }
     let router = router::Config::read(&deploy.join("router.json5"));
@@ -69,13 +69,14 @@
         count += 1;
     }
     assert!(count >= 2);
-    // The inventory under deploy/ fits a site with its classes and tenants.
+    // The inventory under deploy/ is valid for a site with its classes and tenants.
     check_groups("deploy_inventory.json");
 }
 
-/// Paths of the sources may move; keys, their types, the build and the way to start the programs may not.
+/// Source paths may change. Keys, their types, the build and the commands that start the programs
+/// may not.
 #[test]
-fn the_deployment_file_has_its_keys_and_names_what_is_there() {
+fn the_deployment_file_has_its_keys_and_existing_paths() {
     let want: BTreeMap<String, Value> = data("balancer.json");
     let text = std::fs::read_to_string(root().join("deploy/balancer.toml")).expect("a file");
     let read = |line: &str| {
--- a/tests/golden_locks.rs
+++ b/tests/golden_locks.rs
@@ -1,5 +1,6 @@
-//! The lock files by which two processes of one node see each other. In a replacement an old and a new program meet
-//! there: names of files, words and what they mean may not change. The files under `golden/` never change.
+//! The lock files through which two processes of one node detect each other. During a replacement,
+//! an old and a new version of the program use them together: the names of the files, the status
+//! words and their meaning may not change. The files under `golden/` never change.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{Read, Seek, Write};
@@ -9,7 +10,7 @@
 use protocol_gateway::instance_lock::{InstanceLock, ResourceShareLocks};
 use slog::{o, Discard, Logger};
 
-/// A folder of this test that is removed with the value.
+/// A folder of this test that is removed on drop.
 struct TestFolder(PathBuf);
 impl TestFolder {
     fn new(name: &str) -> TestFolder {
@@ -19,10 +20,10 @@
         TestFolder(path)
     }
     fn files(&self) -> Vec<String> {
-        let entry = |e: std::io::Result<std::fs::DirEntry>| e.expect("an entry").file_name();
-        let read = std::fs::read_dir(&self.0).expect("the folder");
-        let mut files: Vec<String> = read
-            .map(|e| entry(e).to_string_lossy().into_owned())
+        let file_name = |e: std::io::Result<std::fs::DirEntry>| e.expect("an entry").file_name();
+        let entries = std::fs::read_dir(&self.0).expect("the folder");
+        let mut files: Vec<String> = entries
+            .map(|e| file_name(e).to_string_lossy().into_owned())
             .collect();
         files.sort();
         files
@@ -38,8 +39,8 @@
     Logger::root(Discard, o!())
 }
 
-/// A lock as an old program holds it, with this text in its file.
-fn held(path: &Path, text: &[u8]) -> File {
+/// Locks a file as an old program does, and writes this text to it.
+fn hold_lock(path: &Path, text: &[u8]) -> File {
     let options = OpenOptions::new()
         .read(true)
         .write(true)
@@ -52,7 +53,7 @@
     file
 }
 
-fn locked(folder: &Path, name: &str, state: ProcessState) -> InstanceLock {
+fn acquire_lock(folder: &Path, name: &str, state: ProcessState) -> InstanceLock {
     let mut lock = InstanceLock::new(folder, name);
     lock.try_acquire(state, &log());
     assert!(lock.may_accept_clients());
@@ -112,8 +113,8 @@
     let mut written = String::new();
     for name in names {
         let folder = TestFolder::new("names");
-        let first = locked(&folder.0, name, ProcessState::Serving);
-        let second = locked(&folder.0, name, ProcessState::Serving);
+        let first = acquire_lock(&folder.0, name, ProcessState::Serving);
+        let second = acquire_lock(&folder.0, name, ProcessState::Serving);
         let mut shares = ResourceShareLocks::new(&folder.0, name, &first);
         assert_eq!(
             shares.update(ProcessState::Serving, SiblingProcess::Absent, 0, &log()),
@@ -130,7 +131,7 @@
 }
 
 #[test]
-fn words_of_all_states_are_stable() {
+fn status_words_of_all_states_are_stable() {
     let hex = |bytes: &[u8]| bytes.iter().map(|b| format!("{b:02x}")).collect::<String>();
     let written: String = STATES
         .iter()
@@ -141,14 +142,15 @@
     assert_eq!(TOTAL_SHARES, 8);
 }
 
-/// An old program holds either instance lock: what it wrote is understood, whichever started first.
+/// An old program holds either instance lock. Its status word is read correctly, whichever process
+/// started first.
 #[test]
-fn word_of_an_old_program_is_understood() {
+fn status_word_of_an_old_program_is_read() {
     for (own, other) in [(0, 1), (1, 0)] {
         let folder = TestFolder::new(&format!("word-{own}"));
         let path = |n: u32| folder.0.join(format!("mothwinch-a_b-1.seat{n}"));
-        let mut old = held(&path(other), b"idle           \n");
-        let new = locked(&folder.0, "a b-1", ProcessState::default());
+        let mut old = hold_lock(&path(other), b"idle           \n");
+        let new = acquire_lock(&folder.0, "a b-1", ProcessState::default());
         for (text, sibling) in [
             (b"idle           \n", SiblingProcess::Idle),
             (b"taking clients \n", SiblingProcess::AcceptingClients),
@@ -180,11 +182,11 @@
     }
 }
 
-/// The other way around: what an old program looks at is the lock and the 16 bytes.
+/// The reverse case: an old program checks the lock and reads the 16 bytes of the status word.
 #[test]
-fn old_program_understands_what_is_written() {
+fn old_program_can_read_the_status_word() {
     let folder = TestFolder::new("written");
-    let mut new = locked(&folder.0, "n", ProcessState::default());
+    let mut new = acquire_lock(&folder.0, "n", ProcessState::default());
     for (name, state) in STATES {
         new.publish(state);
         let mut file = File::open(folder.0.join("mothwinch-n.seat0")).expect("the lock file");
@@ -206,12 +208,12 @@
     assert!(file.try_lock_shared().is_ok(), "the lock is free again");
 }
 
-/// Two old programs live: a new one waits, and acquires a lock once one of them has ended.
+/// Two old programs are running. A new one waits, and acquires a lock once one of them has exited.
 #[test]
 fn new_program_waits_while_old_ones_hold_both_locks() {
     let folder = TestFolder::new("waits");
     let locks = [0, 1].map(|n| {
-        held(
+        hold_lock(
             &folder.0.join(format!("mothwinch-n.seat{n}")),
             b"leaving        \n",
         )
@@ -227,13 +229,13 @@
     drop(second);
 }
 
-/// Shares that an old program holds are not acquired, and those that it releases are.
+/// Shares that an old program holds are not acquired, and shares that it releases are.
 #[test]
-fn shares_that_an_old_program_holds_are_left_to_it() {
+fn shares_that_an_old_program_holds_are_not_acquired() {
     let folder = TestFolder::new("shares");
     let path = |n: u32| folder.0.join(format!("mothwinch-n.part{n}"));
-    let mut old: Vec<File> = (0..6).map(|n| held(&path(n), b"")).collect();
-    let new = locked(&folder.0, "n", ProcessState::default());
+    let mut old: Vec<File> = (0..6).map(|n| hold_lock(&path(n), b"")).collect();
+    let new = acquire_lock(&folder.0, "n", ProcessState::default());
     let mut shares = ResourceShareLocks::new(&folder.0, "n", &new);
     assert_eq!(
         shares.update(
--- a/tests/golden_simulator.rs
+++ b/tests/golden_simulator.rs
@@ -1,13 +1,14 @@
-//! Golden sessions of the simulator's wire: the adapter program gets `NAME.in` on its standard input and has to write
-//! `NAME.out` and `NAME.err` byte for byte. The forms in them never change; which action is taken changes with the policy alone.
+//! Golden sessions of the simulator's wire protocol: the adapter program gets `NAME.in` on its
+//! standard input and has to write `NAME.out` and `NAME.err` byte for byte. The message formats in
+//! them never change. The actions in them change only with the policy.
 
 use std::fs::{self, File};
 use std::path::PathBuf;
 use std::process::Command;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_simulator-adapter");
+const ADAPTER_PROGRAM: &str = env!("CARGO_BIN_EXE_simulator-adapter");
 
-/// Runs the session `name`; a session that is expected to write an error is expected to fail.
+/// Runs the session `name`. A session with an expected error also has to fail.
 fn replay(name: &str) {
     let file = |suffix| {
         PathBuf::from(env!("CARGO_MANIFEST_DIR"))
@@ -16,7 +17,7 @@
             .with_extension(suffix)
     };
     let input = File::open(file("in")).expect("an input file");
-    let output = Command::new(PROGRAM)
+    let output = Command::new(ADAPTER_PROGRAM)
         .stdin(input)
         .output()
         .expect("the program starts");
--- a/tests/golden_wire.rs
+++ b/tests/golden_wire.rs
@@ -1,17 +1,24 @@
-//! Golden transcripts of the node's wires: the front ends' JSON-RPC, the executor's lines, the database's HTTP and the
-//! list's datagrams. Each file of `tests/golden/wire/node` is a script that is played against the program; the texts in
-//! it are compared byte for byte. The files never change. Steps of a script:
+//! Golden transcripts of the node's wire protocols: JSON-RPC with front ends, lines with the
+//! executor, HTTP with the database and datagrams to the endpoint list. Each file of
+//! `tests/golden/wire/node` is a script that is run against the program. The texts in it are
+//! compared byte for byte. The files never change. Steps of a script:
 //!
-//! - `set POINTER JSON`: changes a field of `config.json`; `cells FILE`: names the file of cells; `start`: starts the program.
-//! - `open PEER`: a front end connects, `send PEER TEXT`, `want PEER TEXT`: exactly this is the peer's next message.
-//! - `find PEER TEXT`: this is one of the peer's next messages. `poll PEER TEXT => TEXT`: asked again, until this is the answer.
-//! - `fill PEER TEXT`: sends the text 64 times, with numbers from 101 up for `$ID`.
-//! - `close PEER`, `closed PEER` (by the program), `signal NAME`, `exit CODE`.
-//! - `move executor`: to another address, by a new configuration. `takes MS`: the database needs so long for its call.
+//! - `set POINTER JSON`: changes a field of `config.json`; `cells FILE`: sets the cells file;
+//!   `start`: starts the program.
+//! - `open PEER`: a front end connects; `send PEER TEXT`; `want PEER TEXT`: the peer's next message
+//!   is exactly this text.
+//! - `find PEER TEXT`: one of the peer's next messages is this text; `poll PEER TEXT => TEXT`:
+//!   repeats the first text until its answer is the second.
+//! - `fill PEER TEXT`: sends the text 64 times, with `$ID` replaced by the numbers from 101.
+//! - `close PEER`; `closed PEER`: the program closes the connection; `signal NAME`; `exit CODE`.
+//! - `move executor`: moves the executor to another address by a new configuration; `takes MS`: the
+//!   database takes this long for its call.
 //!
-//! The peers `executor`, `database` and `list` are sockets of the test's. `$NOW` is the time in Unix milliseconds, `$EARLIER` some time before. A figure
-//! that differs from run to run stands as `#`, `\r` and `\n` for themselves. Meters are answered while the script waits, so that the
-//! executor's other notices are never written at the same time, and no answer falls between two steps.
+//! The peers `executor`, `database` and `list` are sockets of the test. `$NOW` is the time in Unix
+//! milliseconds, and `$EARLIER` is 700 ms before it. A number that differs from run to run is
+//! written `#`, and CR and LF are written `\r` and `\n`. Requests for gauges are answered only
+//! while the script waits for another message, so that the executor's other notices are never
+//! written at the same time, and no answer is sent between two steps.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -27,15 +34,15 @@
 use test_doubles::unix_ms;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_protocol-gateway");
-/// What the log says before the address that the program listens at.
-const LISTENING: &str = "listening, at: ";
-const PATIENCE: Duration = Duration::from_secs(30);
-/// How long a report to the list is waited for before meters are answered.
-const LIST_POLL: Duration = Duration::from_millis(20);
-/// How much earlier than `$NOW` is `$EARLIER`, in milliseconds.
-const EARLIER: u64 = 700;
-/// What stands before a figure that differs from run to run.
-const VARIABLE: [&str; 5] = [
+/// Text of the log that precedes the address on which the program listens.
+const LISTENING_LOG_TEXT: &str = "listening, at: ";
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Duration of one wait for a report to the list, after which requests for gauges are answered.
+const LIST_READ_TIMEOUT: Duration = Duration::from_millis(20);
+/// Difference between `$NOW` and `$EARLIER`.
+const EARLIER_BY_MS: u64 = 700;
+/// Texts that precede a number that differs from run to run.
+const VARIABLE_NUMBER_PREFIXES: [&str; 5] = [
     "\"hint\":",
     "\"backoff\":",
     "\"echo\":\"",
@@ -43,19 +50,19 @@
     "Host: 127.0.0.1:",
 ];
 
-fn data() -> PathBuf {
+fn golden_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/wire")
 }
 
-/// The text with `#` for figures that differ from run to run, on one line.
+/// Returns the text on one line, with `#` in place of numbers that differ from run to run.
 fn normalized(text: &str) -> String {
     let mut text = text.replace('\r', "\\r").replace('\n', "\\n");
-    for marker in VARIABLE {
+    for prefix in VARIABLE_NUMBER_PREFIXES {
         let mut from = 0;
-        while let Some(at) = text[from..].find(marker).map(|at| from + at + marker.len()) {
-            let is_figure = |c: char| c.is_ascii_digit() || ".e-".contains(c);
+        while let Some(at) = text[from..].find(prefix).map(|at| from + at + prefix.len()) {
+            let is_number_char = |c: char| c.is_ascii_digit() || ".e-".contains(c);
             let length = text[at..]
-                .find(|c| !is_figure(c))
+                .find(|c| !is_number_char(c))
                 .unwrap_or(text.len() - at);
             if length > 0 {
                 text.replace_range(at..at + length, "#");
@@ -66,30 +73,31 @@
     text
 }
 
-fn sent(text: &str) -> Vec<u8> {
+/// Replaces the placeholders and escapes in a text of a script.
+fn to_bytes(text: &str) -> Vec<u8> {
     let now = unix_ms();
     let text = text
         .replace("$NOW", &now.to_string())
-        .replace("$EARLIER", &(now - EARLIER).to_string());
+        .replace("$EARLIER", &(now - EARLIER_BY_MS).to_string());
     text.replace("\\r", "\r").replace("\\n", "\n").into_bytes()
 }
 
-/// The next line without its end; none at the end of the connection.
-fn line(from: &mut impl BufRead) -> Option<String> {
+/// Reads the next line without its line break; `None` at the end of the connection.
+fn read_line(from: &mut impl BufRead) -> Option<String> {
     let mut line = String::new();
     let read = from.read_line(&mut line).unwrap_or(0);
     (read > 0).then(|| line.strip_suffix('\n').expect("a whole line").to_string())
 }
 
-/// A server on loopback, and the connections to it.
+/// Listens on loopback, and returns the address and the accepted connections.
 fn listen() -> (SocketAddr, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
     let address = listener.local_addr().expect("loopback");
-    let (tell, streams) = channel();
+    let (stream_sender, streams) = channel();
     thread::spawn(move || {
         while listener
             .accept()
-            .is_ok_and(|(stream, _)| tell.send(stream).is_ok())
+            .is_ok_and(|(stream, _)| stream_sender.send(stream).is_ok())
         {}
     });
     (address, streams)
@@ -101,29 +109,32 @@
 }
 
 impl Peer {
-    /// Reads messages by `read` until there is none.
+    /// Creates a peer whose messages are read by `read` until it returns `None`.
     fn new(
         stream: TcpStream,
         mut read: impl FnMut(&mut BufReader<TcpStream>) -> Option<String> + Send + 'static,
     ) -> Peer {
-        let (tell, messages) = channel();
+        let (message_sender, messages) = channel();
         let mut from = BufReader::new(stream.try_clone().expect("a connection"));
-        thread::spawn(
-            move || while read(&mut from).is_some_and(|message| tell.send(message).is_ok()) {},
-        );
+        thread::spawn(move || {
+            while read(&mut from).is_some_and(|message| message_sender.send(message).is_ok()) {}
+        });
         Peer { stream, messages }
     }
-    fn front(to: SocketAddr) -> Peer {
-        Peer::new(TcpStream::connect(to).expect("the program listens"), line)
+    fn front_end(to: SocketAddr) -> Peer {
+        Peer::new(
+            TcpStream::connect(to).expect("the program listens"),
+            read_line,
+        )
     }
-    fn executor(stream: TcpStream, readings: Sender<Reading>) -> Peer {
-        let meters = stream.try_clone().expect("a connection");
+    fn executor(stream: TcpStream, gauge_requests: Sender<GaugeRequest>) -> Peer {
+        let answer_stream = stream.try_clone().expect("a connection");
         Peer::new(stream, move |from| {
-            let text = line(from)?;
+            let text = read_line(from)?;
             let command: Value = serde_json::from_str(&text).expect("a command");
-            if is_meter(&text) {
-                let stream = meters.try_clone().expect("a connection");
-                let _ = readings.send(Reading {
+            if is_gauge_request(&text) {
+                let stream = answer_stream.try_clone().expect("a connection");
+                let _ = gauge_requests.send(GaugeRequest {
                     stream,
                     echo: command["echo"].clone(),
                 });
@@ -131,15 +142,15 @@
             Some(text)
         })
     }
-    /// A call at the database: its head and its body.
+    /// A database call whose message is its head and body.
     fn call(stream: TcpStream) -> Peer {
         Peer::new(stream, |from| {
             let (mut text, mut length) = (String::new(), 0);
             while !text.ends_with("\r\n\r\n") {
                 let start = text.len();
                 from.read_line(&mut text).ok().filter(|read| *read > 0)?;
-                if let Some(figure) = text[start..].strip_prefix("Content-Length: ") {
-                    length = figure.trim().parse().expect("a length");
+                if let Some(value) = text[start..].strip_prefix("Content-Length: ") {
+                    length = value.trim().parse().expect("a length");
                 }
             }
             let mut body = vec![0; length];
@@ -149,13 +160,13 @@
     }
 }
 
-/// The program asks the executor for its gauges.
-struct Reading {
+/// A request of the program to the executor for its gauges.
+struct GaugeRequest {
     stream: TcpStream,
     echo: Value,
 }
 
-impl Reading {
+impl GaugeRequest {
     fn answer(mut self) {
         let notice =
             json!({"action": "METERS", "echo": self.echo, "meters": [0.1, 1, 0.1, 5]}).to_string();
@@ -163,7 +174,7 @@
     }
 }
 
-fn is_meter(text: &str) -> bool {
+fn is_gauge_request(text: &str) -> bool {
     text.starts_with("{\"action\":\"METER\"") && !text.contains("quiet")
 }
 
@@ -174,15 +185,17 @@
     database: Receiver<TcpStream>,
     list: UdpSocket,
     peers: HashMap<String, Peer>,
-    /// What executors were asked for, and the one that is answered next.
-    readings: (Sender<Reading>, Receiver<Reading>),
-    due_reading: Option<Reading>,
+    /// Requests for gauges to the executor.
+    gauge_requests: (Sender<GaugeRequest>, Receiver<GaugeRequest>),
+    /// The request for gauges that is answered next.
+    next_gauge_request: Option<GaugeRequest>,
     folder: PathBuf,
     process: Option<Child>,
     address: Option<SocketAddr>,
-    /// Where the program listens; ends with its log.
+    /// Addresses on which the program listens; closed at the end of its log.
     addresses: Receiver<SocketAddr>,
-    reported: String,
+    /// The last report to the list.
+    last_report: String,
     log: Arc<Mutex<Vec<String>>>,
 }
 
@@ -190,8 +203,10 @@
     fn new(name: &str) -> ScriptRun {
         let ((executor_at, executor), (database_at, database)) = (listen(), listen());
         let list = UdpSocket::bind("127.0.0.1:0").expect("loopback");
-        list.set_read_timeout(Some(LIST_POLL)).expect("an option");
-        let text = std::fs::read_to_string(data().join("config.json")).expect("a configuration");
+        list.set_read_timeout(Some(LIST_READ_TIMEOUT))
+            .expect("an option");
+        let text =
+            std::fs::read_to_string(golden_folder().join("config.json")).expect("a configuration");
         let mut config: Value = serde_json::from_str(&text).expect("JSON");
         config["executor"] = json!(executor_at);
         config["db"] = json!(database_at);
@@ -199,7 +214,7 @@
         let folder =
             std::env::temp_dir().join(format!("golden-wire-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let (peers, reported) = (HashMap::new(), String::new());
+        let (peers, last_report) = (HashMap::new(), String::new());
         let (cells, process, address) = (None, None, None);
         ScriptRun {
             config,
@@ -208,13 +223,13 @@
             database,
             list,
             peers,
-            readings: channel(),
-            due_reading: None,
+            gauge_requests: channel(),
+            next_gauge_request: None,
             folder,
             process,
             address,
             addresses: crossbeam_channel::never(),
-            reported,
+            last_report,
             log: Arc::default(),
         }
     }
@@ -237,68 +252,70 @@
             .stderr(Stdio::piped())
             .spawn();
         let mut process = spawned.expect("the program starts");
-        let (tell, told) = channel();
+        let (address_sender, addresses) = channel();
         let log = BufReader::new(process.stderr.take().expect("a log"));
         let lines = self.log.clone();
         thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
                 let address = line
-                    .split(LISTENING)
+                    .split(LISTENING_LOG_TEXT)
                     .nth(1)
                     .and_then(|rest| rest.split(',').next());
                 lines.lock().expect("a log").push(line.clone());
                 if let Some(Ok(address)) = address.map(|text| text.trim().parse::<SocketAddr>()) {
-                    let _ = tell.send(address);
+                    let _ = address_sender.send(address);
                 }
             }
         });
         self.process = Some(process);
-        self.addresses = told;
+        self.addresses = addresses;
         let addresses = self.addresses.clone();
         self.address = Some(self.wait_for(&addresses).expect("the program listens"));
     }
 
-    /// The next of these, and none at their end or after a while. Meters that are asked for meanwhile are answered, but not before
-    /// what has come ahead of them is taken.
+    /// Returns the next value; `None` if the channel is closed or `MESSAGE_TIMEOUT` has elapsed.
+    /// Requests for gauges that arrive meanwhile are answered, but not before values received ahead
+    /// of them have been taken.
     fn wait_for<T>(&mut self, receiver: &Receiver<T>) -> Option<T> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + MESSAGE_TIMEOUT;
         loop {
-            let due_reading = self.due_reading.take();
-            let due_reading = due_reading.or_else(|| self.readings.1.try_recv().ok());
+            let next_gauge_request = self.next_gauge_request.take();
+            let next_gauge_request =
+                next_gauge_request.or_else(|| self.gauge_requests.1.try_recv().ok());
             match receiver.try_recv() {
                 Err(TryRecvError::Empty) => {}
                 outcome => {
-                    self.due_reading = due_reading;
+                    self.next_gauge_request = next_gauge_request;
                     return outcome.ok();
                 }
             }
-            if let Some(reading) = due_reading {
-                reading.answer();
+            if let Some(request) = next_gauge_request {
+                request.answer();
                 continue;
             }
-            let mut either = Select::new();
-            either.recv(receiver);
-            either.recv(&self.readings.1);
-            if either.ready_deadline(end).is_err() {
+            let mut select = Select::new();
+            select.recv(receiver);
+            select.recv(&self.gauge_requests.1);
+            if select.ready_deadline(end).is_err() {
                 return None;
             }
         }
     }
 
-    /// The next message of a peer.
+    /// Returns the next message of a peer.
     fn wait_for_message(&mut self, messages: &Receiver<String>) -> Option<String> {
         self.wait_for(messages).map(|message| normalized(&message))
     }
 
-    /// The next report to the list.
+    /// Returns the next report to the list.
     fn wait_for_report(&mut self) -> String {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + MESSAGE_TIMEOUT;
         let mut datagram = [0; 256];
         loop {
-            let readings = self.due_reading.take().into_iter();
-            readings
-                .chain(self.readings.1.try_iter())
-                .for_each(Reading::answer);
+            let pending = self.next_gauge_request.take().into_iter();
+            pending
+                .chain(self.gauge_requests.1.try_iter())
+                .for_each(GaugeRequest::answer);
             match self.list.recv(&mut datagram) {
                 Ok(length) => return String::from_utf8_lossy(&datagram[..length]).into_owned(),
                 Err(e) => assert!(Instant::now() < end, "a report: {e}"),
@@ -310,8 +327,8 @@
         if peer == "list" {
             loop {
                 let report = self.wait_for_report();
-                // The same is reported again and again.
-                if std::mem::replace(&mut self.reported, report.clone()) != report {
+                // The node repeats its report while its status stays the same.
+                if std::mem::replace(&mut self.last_report, report.clone()) != report {
                     return report;
                 }
             }
@@ -319,7 +336,7 @@
         if peer == "executor" && !self.peers.contains_key(peer) {
             let links = self.executor.clone();
             let stream = self.wait_for(&links).expect("a link");
-            let executor = Peer::executor(stream, self.readings.0.clone());
+            let executor = Peer::executor(stream, self.gauge_requests.0.clone());
             self.peers.insert(peer.into(), executor);
         }
         if peer == "database" {
@@ -332,14 +349,14 @@
             let message = self
                 .wait_for_message(&messages)
                 .unwrap_or_else(|| panic!("{peer}: no message"));
-            if !(peer == "executor" && is_meter(&message)) || is_meter(want) {
+            if !(peer == "executor" && is_gauge_request(&message)) || is_gauge_request(want) {
                 return message;
             }
         }
     }
 
     fn send(&mut self, peer: &str, text: &str) {
-        let mut bytes = sent(text);
+        let mut bytes = to_bytes(text);
         if peer != "database" {
             bytes.push(b'\n');
         }
@@ -366,11 +383,11 @@
                 let field = self.config.pointer_mut(peer).expect("a field");
                 *field = serde_json::from_str(text).expect("JSON");
             }
-            "cells" => self.cells = Some(data().join(peer)),
+            "cells" => self.cells = Some(golden_folder().join(peer)),
             "start" => self.start(),
             "open" => {
-                let front = Peer::front(self.address.expect("started"));
-                self.peers.insert(peer.into(), front);
+                let front_end = Peer::front_end(self.address.expect("started"));
+                self.peers.insert(peer.into(), front_end);
             }
             "send" => self.send(peer, text),
             "fill" => {
@@ -379,10 +396,10 @@
             "want" => assert_eq!(self.next(peer, text), text),
             "find" => while self.next(peer, text) != text {},
             "poll" => {
-                let (ask, want) = text.split_once(" => ").expect("an answer");
-                let end = Instant::now() + PATIENCE;
+                let (request, want) = text.split_once(" => ").expect("an answer");
+                let end = Instant::now() + MESSAGE_TIMEOUT;
                 loop {
-                    self.send(peer, ask);
+                    self.send(peer, request);
                     let answer = self.next(peer, want);
                     if answer == want {
                         break;
@@ -397,7 +414,7 @@
             "closed" => {
                 let peer = self.peers.remove(peer).expect("a peer");
                 while let Some(message) = self.wait_for_message(&peer.messages) {
-                    assert!(is_meter(&message), "instead of the end: {message}");
+                    assert!(is_gauge_request(&message), "instead of the end: {message}");
                 }
             }
             "move" => {
@@ -408,7 +425,8 @@
                     .expect("a file");
                 self.signal("HUP");
             }
-            // What the database takes for a call, and not a wait for anything.
+            // Simulates the time that the database takes for a call; it is not a wait for a
+            // condition.
             "takes" => thread::sleep(Duration::from_millis(peer.parse().expect("a number"))),
             "signal" => self.signal(peer),
             "exit" => {
@@ -444,8 +462,9 @@
 }
 
 fn run_script(name: &str) {
-    let script = std::fs::read_to_string(data().join("node").join(name)).expect("a script");
-    let mut play = ScriptRun::new(name);
+    let script =
+        std::fs::read_to_string(golden_folder().join("node").join(name)).expect("a script");
+    let mut script_run = ScriptRun::new(name);
     for (number, line) in script.lines().enumerate() {
         if line.is_empty() || line.starts_with("# ") {
             continue;
@@ -453,7 +472,7 @@
         println!("{name}:{}: {line}", number + 1);
         let mut words = line.splitn(3, ' ');
         let mut word = || words.next().unwrap_or("");
-        play.step(word(), word(), word());
+        script_run.step(word(), word(), word());
     }
 }
 
@@ -498,7 +517,7 @@
 }
 
 #[test]
-fn node_that_shuts_down_sends_goodbye_and_is_reported_out() {
+fn node_that_shuts_down_sends_a_close_notice_and_is_reported_out() {
     run_script("leaving.txt");
 }
 
