--- a/tests/idempotency.rs
+++ b/tests/idempotency.rs
@@ -1,4 +1,5 @@
-//! Classes that run by idempotency key: repeats, their window, and a full key table.
+//! Classes whose requests run by idempotency key: repeated requests, the idempotency window, and a
+//! full key table.
 
 #[path = "common/admin.rs"]
 mod admin;
@@ -24,7 +25,7 @@
     let mut another = node.connect();
     submit(&mut another, "serve", TOKEN);
     assert_eq!(result_body(&another.read_answer()), "done serve");
-    // Another key is another request; a failed run is not repeated either.
+    // A different key is a different request. A failed run is not repeated either.
     submit(&mut client, "serve", OTHER_TOKEN);
     assert_eq!(result_body(&client.read_answer()), "done serve");
     assert_eq!(node.executor.run_count("serve"), 2);
@@ -36,8 +37,8 @@
     assert_eq!(node.executor.run_count("fail"), 1);
 }
 
-/// The window counts from the arrival of the request that ran, and the arrival of the repeat decides: both sides of the
-/// edge, with times that the client names.
+/// The window is measured from the arrival of the request that ran to the arrival of the repeated
+/// request. Both sides of its end are tested, with arrival times set by the client.
 #[test]
 fn idempotency_window_counts_from_the_arrival_of_the_first_request() {
     let node = start_keyed_node();
@@ -63,7 +64,7 @@
     );
     assert_eq!(result_body(&client.read_answer()), "done serve");
     assert_eq!(node.executor.run_count("serve"), 2);
-    // A request that arrived before that and was read late is still a repeat.
+    // A request that arrived within the window is still a repeat, even if it is read late.
     client.send_with_fields(
         "version-submit",
         "serve",
@@ -81,21 +82,22 @@
     submit(&mut first, "hang:a", TOKEN);
     wait_until("it runs", || node.executor.run_count("hang:a") == 1);
     submit(&mut second, "hang:a", TOKEN);
-    // Read after the repeat, so the repeat has been read once this is answered.
+    // This request is read after the repeat: once it is answered, the repeat has been read.
     assert_eq!(
         result_body(&second.request("statement-read", "serve")),
         "done serve"
     );
-    // The first connection closes; the run goes on, and the repeat gets its result.
+    // The first connection closes. The run continues, and the repeat gets its result.
     drop(first);
     node.executor.finish_run("hang:a");
     assert_eq!(result_body(&second.read_answer()), "late result");
     assert_eq!(node.executor.run_count("hang:a"), 1);
 }
 
-/// Guards a request by key against a second run at the process that takes over: it knows no key of the earlier one, and ran repeats of
-/// what had run there (soak with conditions, seed 1001). A repeat is neither run nor rejected there within the window, or while the
-/// earlier process lives; what is no repeat runs.
+/// Guards against a second run of a request with an idempotency key in the process that takes over.
+/// That process has none of the earlier one's keys, and ran repeats of requests that had run there
+/// (soak with conditions, seed 1001). Within the window, or while the earlier process is running, a
+/// repeat is neither run nor rejected there. A request that is not a repeat runs.
 #[test]
 fn keyed_request_runs_once_across_a_replacement() {
     let window_ms = 30_000;
@@ -107,7 +109,9 @@
     };
     let mut first = Node::start_with(None, set_window);
     submit(&mut first.connect(), "serve:a", TOKEN);
-    wait_until("it has run", || first.executor.run_count("serve:a") == 1);
+    wait_until("the first request has run", || {
+        first.executor.run_count("serve:a") == 1
+    });
     let second = first.start_replacement_with(set_window);
     wait_until_accepting_clients(&second);
     first.terminate();
@@ -123,8 +127,8 @@
     assert_eq!(result_body(&client.read_answer()), "done serve:b");
 }
 
-/// A repeat written on another connection at the moment in which the first run ends: it joins the run or finds its
-/// result, and gets the same either way.
+/// A repeat sent on another connection at the moment the first run ends joins the run or finds its
+/// result. It gets the same result either way.
 #[test]
 fn repeat_at_the_moment_of_the_first_answer_gets_the_same_result() {
     let node = start_keyed_node();
@@ -148,7 +152,7 @@
     let mut client = node.connect();
     node.executor.lose_next_command();
     let first = submit(&mut client, "serve", TOKEN);
-    wait_until("the link is open again", || {
+    wait_until("the executor connection is open again", || {
         node.executor.join_positions().len() == 2
     });
     let second = submit(&mut client, "serve", TOKEN);
--- a/tests/inventory.rs
+++ b/tests/inventory.rs
@@ -1,4 +1,4 @@
-//! Inventories in YAML and CSV: what is read from them, and which errors stop the start of a node.
+//! Inventories in YAML and CSV: how they are parsed, and which errors stop the start of a node.
 
 use std::path::Path;
 use std::process::Command;
@@ -103,30 +103,30 @@
 
 const CSV_HEADER: &str = "queue,class,host,username,password_env,prefetch\n";
 
-/// The error of an inventory that can't be used.
+/// Returns the error of an invalid inventory.
 fn load_error(name: &str, text: &str) -> String {
     load(name, text).expect_err("an error").to_string()
 }
 
-/// The error of the YAML inventory with one text replaced.
+/// Returns the error of the YAML inventory with one text replaced.
 fn yaml_error(from: &str, to: &str) -> String {
     assert!(YAML.contains(from));
     load_error("i.yaml", &YAML.replacen(from, to, 1))
 }
 
-/// The error of a CSV inventory with these rows.
+/// Returns the error of a CSV inventory with these rows.
 fn csv_error(rows: &str) -> String {
     load_error("i.csv", &format!("{CSV_HEADER}{rows}\n"))
 }
 
-/// Checks that each error contains the text that is expected of it.
+/// Checks that each error contains its expected text.
 fn check_errors(cases: &[(String, &str)]) {
     for (error, expected) in cases {
         assert!(error.contains(expected), "got {error}, expected {expected}");
     }
 }
 
-/// Each error in a variable names the line and the field.
+/// Each error in a value names the line and the field.
 #[test]
 fn errors_in_yaml_values_name_the_line_and_the_field() {
     check_errors(&[
@@ -170,7 +170,7 @@
     ]);
 }
 
-/// What is not valid YAML or has another structure is reported.
+/// Text that is not valid YAML or has another structure is reported.
 #[test]
 fn errors_in_the_structure_of_yaml_are_reported() {
     check_errors(&[
@@ -193,7 +193,7 @@
     ]);
 }
 
-/// Each error in a row names the line and, where there is one, the field.
+/// Each error in a row names the line and, if there is one, the field.
 #[test]
 fn errors_in_csv_rows_name_the_line_and_the_field() {
     check_errors(&[
@@ -253,7 +253,8 @@
     );
 }
 
-/// An invalid inventory stops the start with one line on standard error, and unknown arguments stop it as well.
+/// An invalid inventory stops the start with one line on standard error, and unknown arguments stop
+/// it as well.
 #[test]
 fn an_invalid_inventory_or_argument_stops_the_start() {
     let unused = "127.0.0.1:9".parse().expect("an address");
--- a/tests/jsonrpc_errors.rs
+++ b/tests/jsonrpc_errors.rs
@@ -1,4 +1,4 @@
-//! The exact answers to lines that break the protocol, which clients get over the wire.
+//! The exact answers that clients get to lines that violate the protocol.
 use crossbeam_channel::bounded;
 use protocol_gateway::net::jsonrpc::{NodeContext, ServerLoop};
 use protocol_gateway::node::Limits;
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use test_doubles::*;
 
-/// What a fresh connection gets for a line, up to its close.
+/// Returns everything that the server sends on a new connection after this line, up to the close.
 fn answer_to(line: &str) -> String {
     let limits = Limits::new(512);
     let (policy, _inbox) = bounded(limits.policy.mailbox);
@@ -27,7 +27,7 @@
     server.listen(socket, Instant::now()).expect("it listens");
     client
         .write_all(format!("{line}\n").as_bytes())
-        .expect("written");
+        .expect("the line is sent");
     client.set_nonblocking(true).expect("an option");
     let (mut received, mut buffer) = (Vec::new(), [0; 1024]);
     let end = Instant::now() + Duration::from_secs(20);
--- a/tests/node_requests.rs
+++ b/tests/node_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of front ends to the program on real sockets, and the database calls that they make.
+//! Requests of front ends to the program over real sockets, and the database calls that they make.
 
 #[path = "common/answers.rs"]
 mod answers;
@@ -12,8 +12,8 @@
 const READ: &str = "statement-read";
 const POST: &str = "settlement-post";
 
-/// Guards against an actor that counted its first round from a time that never came: no batch was handled, each request was
-/// lost, and the thread used a whole core.
+/// Guards against an actor whose first round started at a time that never came. It handled no
+/// batch, lost each request, and its thread used a whole core.
 #[test]
 fn first_request_is_served_with_the_executors_result() {
     let node = Node::start();
@@ -30,9 +30,10 @@
     assert_failed(&answer);
 }
 
-/// A command that the executor declines is answered at once, and notices about unknown runs are ignored.
+/// A request whose command the executor rejects fails at once, and notices about unknown runs are
+/// ignored.
 #[test]
-fn command_declined_by_the_executor_fails_at_once() {
+fn command_rejected_by_the_executor_fails_at_once() {
     let node = Node::start();
     let mut client = node.connect();
     let answer = client.request(READ, "bad");
@@ -49,7 +50,8 @@
     assert_eq!(node.database.call_count("ok#1"), 1);
 }
 
-/// A connection that breaks during a call proves nothing about it, so a call of a post is not retried.
+/// A connection that breaks during a call does not show whether the call has taken effect, so a
+/// call of a post is not retried.
 #[test]
 fn broken_call_is_retried_for_reads_only() {
     let node = Node::start();
@@ -58,7 +60,7 @@
     assert_failed(&answer);
     assert_eq!(node.database.call_count("break#post"), 1);
     client.send(READ, "call:break#read");
-    wait_until("the read's call is repeated", || {
+    wait_until("the read's call is retried", || {
         node.database.call_count("break#read") > 1
     });
 }
@@ -68,13 +70,11 @@
     let node = Node::start();
     for body in ["busy#post", "gone#post"] {
         node.connect().send(POST, &format!("call:{body}"));
-        wait_until("the call is repeated", || {
-            node.database.call_count(body) > 1
-        });
+        wait_until("the call is retried", || node.database.call_count(body) > 1);
     }
 }
 
-/// Invalid lines, each with the error code and the id of its answer.
+/// Returns invalid lines, each with the error code and the id of its answer.
 fn malformed_lines() -> Vec<(String, i64, Value)> {
     let valid = json!({"rid": "0123456789abcdef", "t0": unix_ms(), "peer": 1, "mem": 1.0, "prio": 0.1,
                       "acct": "alpenergia", "body": encode_base64("serve:malformed")});
@@ -130,8 +130,9 @@
     ]
 }
 
-/// Guards the executor against invalid requests, and the node against peers that send them without end: each gets the
-/// standard error, then the connection closes. Unknown tenants and figures out of range used to be run.
+/// Guards the executor against invalid requests, and the node against peers that send them
+/// endlessly. Each gets the standard error, then its connection closes. Requests with an unknown
+/// tenant or a number out of range used to be run.
 #[test]
 fn malformed_input_gets_a_standard_error_and_a_close() {
     let node = Node::start();
@@ -152,12 +153,12 @@
     assert_eq!(result_body(&client.request(READ, "serve")), "done serve");
 }
 
-/// Guards the node's memory: a line without an end must not grow without bound.
+/// Guards the node's memory against a line that never ends.
 #[test]
 fn endless_line_closes_the_connection() {
     let node = Node::start();
     let mut client = node.connect();
-    // The node may close while this is still being written.
+    // The node may close the connection during this write.
     let _ = client.stream.write_all(&vec![b'x'; 64 * 1024]);
     let answer = client.read_message();
     assert!(
@@ -182,12 +183,12 @@
         answer["result"]["hint"].is_number()
     });
     assert_eq!(answer["result"]["ready"], true);
-    wait_until("it is on the list", || {
+    wait_until("the node is on the endpoint list", || {
         node.endpoint_list.has_report("HB n3 UP")
     });
 }
 
-/// The requests of a connection that closes go on: the policy and the executor still count them.
+/// The requests of a connection that closes continue: the policy and the executor still count them.
 #[test]
 fn closed_connection_does_not_end_its_requests() {
     let node = Node::start();
@@ -204,8 +205,8 @@
     );
 }
 
-/// Guards against two answers under one id: the peer gets the error without an id, and its connection closes with nothing
-/// more answered.
+/// Guards against two answers with the same id. The peer gets the error without an id, and its
+/// connection closes without further answers.
 #[test]
 fn id_in_use_closes_the_connection() {
     let node = Node::start();
@@ -226,9 +227,10 @@
     assert_eq!(client.read_message(), Value::Null);
 }
 
-/// Guards front ends that have given up requests without a cancellation: those stay open here beside the 32 that the front
-/// end counts. Beyond the connection's limit only the new request is rejected, and the open ones are answered; closing the
-/// connection would lose them all.
+/// Guards front ends that have abandoned requests without a cancellation. Those requests are still
+/// open at the node, in addition to the 32 that the front end counts. Above the connection's limit,
+/// only the new request is rejected and the open ones are answered. Closing the connection would
+/// lose them all.
 #[test]
 fn requests_beyond_the_connections_limit_are_rejected_and_it_stays_open() {
     let node = Node::start();
@@ -252,8 +254,8 @@
     });
 }
 
-/// A tenant of another cell is rejected before anything runs, with the epoch that the node knows. A broken cells file at a
-/// reload changes nothing, and a good one is used.
+/// A tenant of another cell is rejected before anything runs, with the epoch that the node knows.
+/// On a reload, an invalid cells file changes nothing and a valid one is used.
 #[test]
 fn tenant_of_another_cell_is_rejected_with_the_epoch() {
     let cells_file = |home: &str| {
@@ -278,17 +280,17 @@
     );
     std::fs::write(file.path(), &cells_file("a")[..60]).expect("a file");
     node.reload(&config.to_string());
-    wait_until("the broken file is rejected", || {
+    wait_until("the invalid file is rejected", || {
         node.log().contains("the new cells are not used")
     });
     assert_eq!(
         error_code(&client.request(POST, "serve:elsewhere")),
         REJECTED
     );
-    // A file migrates nobody: the tenant stays in b until a migration is committed.
+    // Reading a file migrates no tenant: this one stays in b until a migration is committed.
     std::fs::write(file.path(), cells_file("a")).expect("a file");
     node.reload(&config.to_string());
-    wait_until("the good one is read", || {
+    wait_until("the valid file is read", || {
         node.log().contains("cells read again")
     });
     assert_eq!(
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown on SIGTERM: what is answered, what is rejected, and when the process exits.
+//! Shutdown on SIGTERM: which requests are answered or rejected, and when the process exits.
 
 #[path = "common/answers.rs"]
 mod answers;
@@ -13,9 +13,9 @@
 const POST: &str = "settlement-post";
 
 #[test]
-fn shutdown_answers_all_runs_nothing_late_and_exits_with_0() {
+fn shutdown_answers_all_starts_no_late_run_and_exits_with_0() {
     let mut node = Node::start_with(None, |config| {
-        // A run that hangs keeps the process alive until all requests are sent.
+        // A run that hangs keeps the process running until all requests have been sent.
         config["settings"]["lanes"][1]["deadline"] = json!(6000);
         config["stop_ms"] = json!(15000);
     });
@@ -28,12 +28,13 @@
     wait_until("the endpoint list has the report", || {
         node.endpoint_list.has_report("HB n3 OUT")
     });
-    // A front end that does not know yet may still connect, is served within the drain grace, and learns it by a health check.
+    // A front end that has not been notified may still connect. It is served within the drain
+    // grace, and a health check tells it that the node is not ready.
     let mut early = node.connect();
     early.send_received_at(READ, "serve:early", terminated_at);
     assert_eq!(result_body(&early.read_message()), "done serve:early");
     assert_eq!(early.query_alive()["result"]["ready"], false);
-    wait_until("the grace of 500 ms is over", || {
+    wait_until("the drain grace of 500 ms has ended", || {
         unix_ms() > terminated_at + 1000
     });
     let answer = early.request(READ, "serve:late");
@@ -45,7 +46,7 @@
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
-/// What was read is answered before the stop timeout, also where its deadline is later.
+/// Requests that were read are answered before the stop timeout, even if their deadline is later.
 #[test]
 fn shutdown_answers_before_the_stop_timeout() {
     let mut node = Node::start_with(None, |config| config["stop_ms"] = json!(900));
@@ -59,7 +60,7 @@
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
-/// Requests written just before and just after the signal, on open connections: all are answered.
+/// Requests sent just before and just after the signal on open connections are all answered.
 #[test]
 fn requests_sent_around_sigterm_are_all_answered() {
     let mut node = Node::start();
@@ -85,14 +86,15 @@
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
-/// SIGTERM with a run, a call and half a line in progress: all that was read is answered.
+/// SIGTERM with a run, a call and half a line in progress: all requests that were read are
+/// answered.
 #[test]
 fn sigterm_with_requests_at_every_stage_answers_all() {
     let mut node = Node::start();
     let (mut runs, mut calls, mut half) = (node.connect(), node.connect(), node.connect());
     let run = runs.send("settlement-post", "hang:a");
     let call = calls.send("statement-read", "call:silent");
-    wait_until("both are at work", || {
+    wait_until("the run and the call are in progress", || {
         node.executor.run_count("hang:a") == 1 && node.database.call_count("silent") == 1
     });
     let (id, line) = half.format_request("statement-read", "serve", &json!({}));
@@ -110,9 +112,9 @@
     assert_eq!(node.wait_for_exit().code(), Some(0));
 }
 
-/// A reload during shutdown connects to the peers' new addresses and ends nothing early.
+/// A reload during shutdown connects to the peers' new addresses and ends no request early.
 #[test]
-fn reload_during_shutdown_moves_the_peers_and_ends_nothing() {
+fn reload_during_shutdown_moves_the_peers_and_ends_no_request() {
     let mut node = Node::start();
     let mut client = node.connect();
     let run = client.send("settlement-post", "hang:a");
@@ -125,12 +127,12 @@
         node.endpoint_list.address,
     );
     node.reload(&moved.to_string());
-    wait_until("it is connected at the new address", || {
+    wait_until("it is connected to the new address", || {
         node.executor.join_positions().len() == 2
     });
-    // Again, with an unusable file.
+    // Again, with an invalid file.
     node.reload("{\"name\":");
-    wait_until("the bad one is rejected", || {
+    wait_until("the invalid configuration is rejected", || {
         node.log().contains("the new configuration is not used")
     });
     node.executor.finish_run("hang:a");
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -1,8 +1,9 @@
-//! The simulator's adapter: events in, actions out, and one line about what is malformed.
+//! The simulator's adapter: it reads events, writes actions, and reports a malformed line in one
+//! line.
 use protocol_gateway::wire::Host;
 use serde_json::{json, Value};
 
-fn facts() -> Value {
+fn settings() -> Value {
     json!({
         "servers": 4, "round": 2.0, "worthBy": "request", "overShareWorth": 0.1, "news": {"later": 1},
         "lanes": [{"name": "look", "promise": 2000.0, "deadline": 6000.0, "effect": "repeatable",
@@ -20,14 +21,14 @@
     json!({"t": t, "backends": [{"backendId": id, "events": events}]}).to_string()
 }
 
-fn started() -> Host {
+fn start_host() -> Host {
     let mut host = Host::default();
     let reply = host.handle_line(&batch(
         1.0,
         3,
-        &json!([{"Spawn": {"nonce64": 9, "facts": facts()}}]),
+        &json!([{"Spawn": {"nonce64": 9, "facts": settings()}}]),
     ));
-    assert!(reply.expect("starts").contains("\"backendId\":3"));
+    assert!(reply.expect("it starts").contains("\"backendId\":3"));
     host
 }
 
@@ -43,7 +44,7 @@
 
 #[test]
 fn a_request_is_admitted_under_its_own_id_even_with_unknown_names() {
-    let mut host = started();
+    let mut host = start_host();
     let id = (1_u64 << 52) - 1;
     for (n, query) in [
         json!({"msgId": id, "type": "look", "userGroup": "a", "footprint": 10.0, "age": 1.5, "odd": [1]}),
@@ -52,7 +53,7 @@
     .into_iter()
     .enumerate()
     {
-        let reply = host.handle_line(&batch(2.0 + n as f64, 3, &json!([{"Query": query}]))).expect("is read");
+        let reply = host.handle_line(&batch(2.0 + n as f64, 3, &json!([{"Query": query}]))).expect("a valid line");
         assert!(reply.contains(r#"{"Admit":{"msgId":"#), "{reply}");
     }
     let end = json!([{"Finished": {"msgId": id, "outcome": "GOOD", "duration": 3.0}}]);
@@ -61,7 +62,7 @@
 
 #[test]
 fn a_malformed_line_is_reported_with_its_instance() {
-    for (line, words) in [
+    for (line, expected) in [
         ("no json".to_string(), "expected"),
         (
             batch(2.0, 8, &json!([{"Left": {"msgId": 1}}])),
@@ -92,12 +93,18 @@
             "backend 3: a run can't end",
         ),
     ] {
-        let error = started().handle_line(&line).expect_err("is malformed");
-        assert!(error.contains(words) && !error.contains('\n'), "{error}");
+        let error = start_host()
+            .handle_line(&line)
+            .expect_err("a malformed line");
+        assert!(error.contains(expected) && !error.contains('\n'), "{error}");
     }
-    let mut none = facts();
-    none["specifics"]["cores"] = json!(0);
-    let spawn = batch(1.0, 2, &json!([{"Spawn": {"nonce64": 1, "facts": none}}]));
+    let mut without_cores = settings();
+    without_cores["specifics"]["cores"] = json!(0);
+    let spawn = batch(
+        1.0,
+        2,
+        &json!([{"Spawn": {"nonce64": 1, "facts": without_cores}}]),
+    );
     assert_eq!(
         Host::default().handle_line(&spawn),
         Err("backend 2: settings name no cores".into())
@@ -105,18 +112,18 @@
 }
 
 #[test]
-fn a_restarted_server_remembers_nothing() {
-    let mut host = started();
+fn a_restarted_server_keeps_no_state() {
+    let mut host = start_host();
     host.handle_line(&batch(
         2.0,
         3,
         &json!([{"Query": {"msgId": 7, "type": "look"}}]),
     ))
-    .expect("is read");
-    let spawn = json!({"Spawn": {"nonce64": 9, "facts": facts()}});
+    .expect("a valid line");
+    let spawn = json!({"Spawn": {"nonce64": 9, "facts": settings()}});
     let reply = host
         .handle_line(&batch(3.0, 3, &json!([{"Retire": {}}, spawn])))
-        .expect("starts anew");
+        .expect("it restarts");
     assert!(
         !reply.contains("\"msgId\":7") && reply.contains("Readiness"),
         "{reply}"
@@ -131,12 +138,12 @@
 
 #[test]
 fn equal_events_give_equal_actions_in_any_host() {
-    let play = || {
-        let mut host = started();
+    let run = || {
+        let mut host = start_host();
         let queries: Vec<Value> = (1..40)
             .map(|id| json!({"Query": {"msgId": id, "type": "look", "userGroup": "a"}}))
             .collect();
         host.handle_line(&batch(2.0, 3, &Value::Array(queries)))
     };
-    assert_eq!(play(), play());
+    assert_eq!(run(), run());
 }
