--- a/tests/doubles/broker/channel.rs
+++ b/tests/doubles/broker/channel.rs
@@ -1,4 +1,5 @@
-//! One channel of a connection to the fake broker: its consumer, its unsettled deliveries, and a publish in progress.
+//! One channel of a connection to the fake broker: its consumer, its unsettled deliveries, and a
+//! publish in progress.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +7,10 @@
 
 use super::message::Message;
 
-/// A publish whose frames are still coming.
+/// A publish whose frames have not all been received.
 pub(super) struct PartialPublish {
     publish: basic::Publish,
-    /// The properties, and the size of the body.
+    /// The properties and the size of the body in bytes.
     header: Option<(AMQPProperties, u64)>,
     body: Vec<u8>,
 }
@@ -35,7 +36,7 @@
 pub(super) struct BrokerChannel {
     pub queue: String,
     pub prefetch: usize,
-    /// Whether it consumes from its queue.
+    /// True if the channel consumes from its queue.
     pub is_active: bool,
     pub unacked: BTreeMap<u64, Message>,
     pub partial_publish: Option<PartialPublish>,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Removes the publish once it is complete, with the tag of its confirm.
+    /// Removes the publish if it is complete, and returns it with the tag of its confirm.
     pub(super) fn take_complete_publish(&mut self) -> Option<(basic::Publish, Message, u64)> {
         let complete = self
             .partial_publish
--- a/tests/doubles/broker/connection.rs
+++ b/tests/doubles/broker/connection.rs
@@ -22,11 +22,11 @@
 use super::{BrokerState, POSTS, READS};
 use crate::doubles::lock;
 
-/// The class of content headers of `basic` methods.
+/// Class id of the content headers of `basic` methods.
 const BASIC_CLASS_ID: u16 = 60;
-/// The largest frame that is read, in bytes.
+/// Size of the largest frame that is read.
 const MAX_FRAME_BYTES: usize = 1 << 20;
-/// The largest body frame that is sent, in bytes.
+/// Size of the largest body frame that is sent.
 const BODY_FRAME_BYTES: usize = 4000;
 
 /// A connection and its channels.
@@ -84,7 +84,7 @@
         frames
     }
 
-    /// Puts what was not settled back into its queues, marked as delivered before.
+    /// Returns unsettled messages to their queues, marked as redelivered.
     fn requeue_unsettled(self) {
         let mut state = lock(&self.state);
         for channel in self.channels.into_values() {
@@ -101,7 +101,7 @@
     }
 
     fn send(&self, frames: &[AMQPFrame]) {
-        // A broken connection shows at the reader.
+        // The reader detects a broken connection.
         let _ = codec::write(&self.stream, frames);
     }
 
@@ -234,20 +234,21 @@
         }
     }
 
-    /// Delivers what a broker had on its way when the cancel came, and ends the consumer.
+    /// Delivers the messages that a broker would have sent before it received the cancel, and ends
+    /// the consumer.
     fn cancel_consumer(&mut self, id: u16, consumer_tag: ShortString) {
         let Some(channel) = self.channels.get_mut(&id) else {
             return;
         };
-        let mut on_the_way = Vec::new();
+        let mut in_transit = Vec::new();
         lock(&self.state).push_on_cancel.retain(|(queue, message)| {
             let is_other_queue = *queue != channel.queue;
             if !is_other_queue {
-                on_the_way.push(message.clone());
+                in_transit.push(message.clone());
             }
             is_other_queue
         });
-        for message in on_the_way {
+        for message in in_transit {
             self.deliver(id, &message);
         }
         if let Some(channel) = self.channels.get_mut(&id) {
@@ -317,7 +318,8 @@
             .and_then(VecDeque::pop_front)
     }
 
-    /// Accepts a publish once it is complete: a request into its queue, an answer among the replies.
+    /// Accepts a publish if it is complete: a request goes into its queue, an answer to the
+    /// replies.
     fn accept_complete_publish(&mut self, id: u16) {
         let Some(channel) = self.channels.get_mut(&id) else {
             return;
@@ -364,7 +366,8 @@
     }
 }
 
-/// What a rejection does with its message: back to the head of its queue, or to the dead letters.
+/// Returns what a rejection does with its message: back to the head of its queue, or to the dead
+/// letters.
 fn return_message(requeue: bool) -> impl FnOnce(&mut BrokerState, &str, Message) {
     move |state, queue, mut message| {
         if requeue {
--- a/tests/doubles/broker/message.rs
+++ b/tests/doubles/broker/message.rs
@@ -12,7 +12,7 @@
 }
 
 impl Message {
-    /// A request with an id of its own and a queue for its reply.
+    /// Creates a request with an id of its own and a queue for its reply.
     pub(crate) fn new(body: &str) -> Message {
         let properties = AMQPProperties::default()
             .with_message_id(short_string(&format!("key of {body}")))
@@ -25,7 +25,7 @@
         }
     }
 
-    /// A request that wants no reply.
+    /// Creates a request without a reply queue.
     pub(crate) fn without_reply(body: &str) -> Message {
         let id = Message::new(body)
             .properties
@@ -40,18 +40,18 @@
         }
     }
 
-    /// The same message, marked as delivered before.
+    /// Returns the message, marked as redelivered.
     pub(crate) fn redelivered(mut self) -> Message {
         self.redelivered = true;
         self
     }
 
-    /// The value of a header.
+    /// Returns the value of a header.
     pub(crate) fn header(&self, name: &str) -> Option<&AMQPValue> {
         self.properties.headers().as_ref()?.inner().get(name)
     }
 
-    /// The text of a header, empty without one.
+    /// Returns the text of a header, empty without one.
     pub(crate) fn text(&self, name: &str) -> String {
         match self.header(name) {
             Some(AMQPValue::LongString(text)) => text.to_string(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The correlation id, empty without one.
+    /// Returns the correlation id, empty without one.
     pub(crate) fn correlation(&self) -> String {
         self.properties
             .correlation_id()
@@ -69,7 +69,7 @@
     }
 }
 
-/// A short string of the protocol.
+/// Converts a text to a short string of the protocol.
 pub(crate) fn short_string(text: &str) -> ShortString {
     ShortString::try_new(text).expect("short")
 }
--- a/tests/doubles/broker/mod.rs
+++ b/tests/doubles/broker/mod.rs
@@ -1,5 +1,4 @@
-//! A fake AMQP broker: queues in memory, spoken to by AMQP 0-9-1 frames. It counts settlements and violations of the
-//! protocol.
+//! A fake AMQP 0-9-1 broker with queues in memory. It counts settlements and protocol violations.
 
 mod channel;
 mod connection;
@@ -19,7 +18,8 @@
 /// The queue of posts.
 pub(crate) const POSTS: &str = "posts";
 
-/// The broker's queues, what it has counted, and how it is to behave. Tests read and change it under the lock.
+/// The broker's queues, its counters and its configured behaviour. Tests read and change it under
+/// the lock.
 #[derive(Default)]
 pub(crate) struct BrokerState {
     /// Messages waiting for delivery, by queue.
@@ -37,13 +37,13 @@
     pub heartbeats: usize,
     /// Settlements of unknown deliveries, and channels closed with unsettled ones.
     pub violations: Vec<String>,
-    /// Messages to deliver between a cancel and its answer, with their queues.
+    /// Messages to deliver between a cancel and its reply, with their queues.
     pub push_on_cancel: Vec<(String, Message)>,
-    /// The heartbeat offered to consumers, in seconds. The broker itself sends none.
+    /// Heartbeat interval offered to consumers, in seconds. The broker itself sends none.
     pub heartbeat: u16,
-    /// Whether copies that go back to their queue can't be routed.
+    /// True if copies that are published back to their queue are returned as unroutable.
     pub unroutable: bool,
-    /// Whether publishes are never confirmed.
+    /// True if publishes are never confirmed.
     pub hold_confirms: bool,
     links: Vec<TcpStream>,
 }
@@ -65,7 +65,7 @@
         FakeBroker { address, state }
     }
 
-    /// An inventory with a queue of reads and one of posts at this broker.
+    /// Creates an inventory with a queue of reads and one of posts at this broker.
     pub(crate) fn inventory(&self, prefetch: u16) -> ScratchFile {
         let text = format!(
             "all:\n  vars: {{host: 127.0.0.1, port: {}, vhost: billing, username: guest, prefetch: {prefetch},\n         \
@@ -76,7 +76,7 @@
         ScratchFile::new("inventory.yaml", &text)
     }
 
-    /// Puts a message into a queue.
+    /// Appends a message to a queue.
     pub(crate) fn publish(&self, queue: &str, message: Message) {
         self.with(|state| {
             state
