--- a/tests/node_requests.rs
+++ b/tests/node_requests.rs
@@ -12,8 +12,8 @@
 const READ: &str = "statement-read";
 const POST: &str = "settlement-post";
 
-/// Guards against an actor whose first round started at a time that never came. It handled no
-/// batch, lost each request, and its thread used a whole core.
+/// Guards against an actor that scheduled its first round relative to a time that is never reached.
+/// It handled no batch, lost each request, and its thread used a whole core.
 #[test]
 fn first_request_is_served_with_the_executors_result() {
     let node = Node::start();
