--- a/tests/amqp_redelivery.rs
+++ b/tests/amqp_redelivery.rs
@@ -144,7 +144,7 @@
         // A copy must not lose the mark of an earlier delivery.
         assert_eq!(
             state
-                .dead
+                .dead_letters
                 .iter()
                 .map(|m| m.body.as_str())
                 .collect::<Vec<_>>(),
--- a/tests/common/amqp_node.rs
+++ b/tests/common/amqp_node.rs
@@ -40,5 +40,5 @@
 
 /// How many messages are among the dead letters.
 pub(crate) fn dead_letter_count(broker: &FakeBroker) -> usize {
-    broker.with(|state| state.dead.len())
+    broker.with(|state| state.dead_letters.len())
 }
--- a/tests/doubles/broker/connection.rs
+++ b/tests/doubles/broker/connection.rs
@@ -379,7 +379,7 @@
                 .or_default()
                 .push_front(message);
         } else {
-            state.dead.push(message);
+            state.dead_letters.push(message);
         }
     }
 }
--- a/tests/doubles/broker/mod.rs
+++ b/tests/doubles/broker/mod.rs
@@ -27,7 +27,7 @@
     /// Messages published to other queues.
     pub replies: Vec<Message>,
     /// Messages rejected without requeueing.
-    pub dead: Vec<Message>,
+    pub dead_letters: Vec<Message>,
     pub acked: usize,
     pub requeued: usize,
     pub unacked: usize,
--- a/tests/golden_amqp.rs
+++ b/tests/golden_amqp.rs
@@ -43,7 +43,7 @@
         };
         let destinations = [
             ("reply", state.replies.clone()),
-            ("dead", state.dead.clone()),
+            ("dead", state.dead_letters.clone()),
             (READS, ready(READS)),
             (POSTS, ready(POSTS)),
         ];
@@ -95,7 +95,7 @@
     let (broker, mut node) = start_broker_and_node();
     let wait_until_answered = |count: usize| {
         wait_until("all are answered", || {
-            broker.with(|state| state.acked + state.dead.len()) == count
+            broker.with(|state| state.acked + state.dead_letters.len()) == count
         });
     };
     for (queue, name) in [(READS, "read"), (POSTS, "post")] {
@@ -154,7 +154,7 @@
     broker.publish(READS, Message::without_reply("fail"));
     broker.publish(READS, Message::without_reply("serve"));
     wait_until("all are settled", || {
-        broker.with(|state| state.acked + state.dead.len()) == 4
+        broker.with(|state| state.acked + state.dead_letters.len()) == 4
     });
     check_messages(&broker, &mut node, "rejected.txt");
 }
