--- a/tests/amqp_redelivery.rs
+++ b/tests/amqp_redelivery.rs
@@ -162,7 +162,7 @@
         // delivery.
         assert_eq!(
             state
-                .dead
+                .dead_letters
                 .iter()
                 .map(|m| m.body.as_str())
                 .collect::<Vec<_>>(),
--- a/tests/common/amqp_node.rs
+++ b/tests/common/amqp_node.rs
@@ -41,5 +41,5 @@
 
 /// Returns the number of dead-lettered messages.
 pub(crate) fn dead_letter_count(broker: &FakeBroker) -> usize {
-    broker.with(|state| state.dead.len())
+    broker.with(|state| state.dead_letters.len())
 }
