--- a/crates/fault-injection/tests/accept_errors.rs
+++ b/crates/fault-injection/tests/accept_errors.rs
@@ -1,4 +1,5 @@
-//! Clients that wait to be accepted while that fails are accepted once it succeeds again, without another client.
+//! Clients that connect while `accept4` fails are accepted as soon as it succeeds again, without
+//! another client having to connect.
 
 #[path = "common/faults.rs"]
 mod faults;
@@ -12,7 +13,7 @@
 use serde_json::json;
 use test_doubles::wait_until;
 
-/// How accept fails; ECONNABORTED and EINTR are gone at the next try.
+/// Errors of `accept4`. With ECONNABORTED and EINTR the next call can succeed at once.
 const ERRORS: [i32; 8] = [
     EMFILE,
     ENFILE,
@@ -23,39 +24,38 @@
     ECONNABORTED,
     EINTR,
 ];
-/// How long a client waits for its answer.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time that a client waits for its answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Sends a line on a new connection that can't be accepted at first, and returns the first line of the answer.
-fn ask_while_accepting_fails(
-    address: SocketAddr,
-    line: &str,
-    error: i32,
-    faults: &Faults,
-) -> String {
+/// Sends a line on a new connection that can't be accepted at first, and returns the first line of
+/// the answer.
+fn send_while_accept_fails(address: SocketAddr, line: &str, error: i32, faults: &Faults) -> String {
     let failed_before = faults.failed_accepts();
     faults.set_accept_error(error);
-    let mut client = TcpStream::connect(address).expect("the system takes it");
+    let mut client = TcpStream::connect(address).expect("the connection enters the backlog");
     client
         .write_all(format!("{line}\n").as_bytes())
-        .expect("written");
+        .expect("the line can be written");
     wait_until("accepting fails", || {
         faults.failed_accepts() > failed_before
     });
     faults.set_accept_error(0);
-    client.set_read_timeout(Some(PATIENCE)).expect("an option");
+    client
+        .set_read_timeout(Some(ANSWER_TIMEOUT))
+        .expect("the timeout can be set");
     let mut answer = String::new();
     let read = BufReader::new(client).read_line(&mut answer);
     read.unwrap_or_else(|e| panic!("error {error}: {e}"));
     answer
 }
 
-/// An operator's command waited until another client connected to the admin server: the platform's own look at the node is one.
+/// Guards against a fault where an operator's command waited until another client, such as the
+/// platform's check of the node, connected to the admin server.
 #[test]
 fn admin_server_accepts_a_waiting_client_after_an_error() {
     let (node, faults) = start_node(|config| config["admin"] = json!("127.0.0.1:0"));
     for error in ERRORS {
-        let answer = ask_while_accepting_fails(node.admin_address(), "health", error, &faults);
+        let answer = send_while_accept_fails(node.admin_address(), "health", error, &faults);
         assert!(answer.starts_with("ok"), "error {error}: {answer}");
     }
 }
@@ -65,7 +65,7 @@
     let (node, faults) = start_node(|config| config["admin"] = json!("127.0.0.1:0"));
     let alive = json!({"jsonrpc": "2.0", "id": 1, "method": "alive"}).to_string();
     for error in ERRORS {
-        let answer = ask_while_accepting_fails(node.address, &alive, error, &faults);
+        let answer = send_while_accept_fails(node.address, &alive, error, &faults);
         assert!(answer.contains("\"result\""), "error {error}: {answer}");
     }
 }
--- a/crates/fault-injection/tests/clock_steps.rs
+++ b/crates/fault-injection/tests/clock_steps.rs
@@ -1,4 +1,4 @@
-//! A node whose wall clock is stepped keeps to deadlines and windows in real time.
+//! Deadlines and idempotency windows of a node follow elapsed time when its wall clock is stepped.
 
 #[path = "common/faults.rs"]
 mod faults;
@@ -10,17 +10,18 @@
 use serde_json::{json, Value};
 use test_doubles::{unix_ms, wait_until, Node, TestClient};
 
-const READ: &str = "statement-read";
-const POST: &str = "settlement-post";
-/// The deadline of all classes, and by how much an answer may be later.
+const READ_CLASS: &str = "statement-read";
+const POST_CLASS: &str = "settlement-post";
+/// The deadline of all classes, and the time by which an answer may exceed it.
 const DEADLINE: Duration = Duration::from_millis(1500);
 const ANSWER_SLACK: Duration = Duration::from_millis(100);
-/// How much earlier than its deadline a request may be given up, so that its answer is in time.
+/// Time before its deadline at which the node may already abandon a request, so that the answer is
+/// in time.
 const GIVE_UP_MARGIN: Duration = Duration::from_millis(200);
-/// How long a busy machine may keep this test from running. No step is as short.
+/// Delay that a busy machine may add to this test. All steps are longer.
 const SCHEDULING_DELAY: Duration = Duration::from_millis(400);
-const KEYED: &str = "version-submit";
-const KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+const KEYED_CLASS: &str = "version-submit";
+const IDEMPOTENCY_KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 const SECOND_MS: i64 = 1000;
 const STEPS_MS: [i64; 6] = [
     SECOND_MS,
@@ -38,12 +39,12 @@
     step_ms: i64,
 }
 
-/// Whose wall clock a request's time of arrival is read from.
+/// The machine whose wall clock gives the arrival time of a request.
 #[derive(Clone, Copy, Debug)]
 enum ClientClock {
-    /// That of another machine, which was not stepped.
+    /// Another machine, whose clock is not stepped.
     Other,
-    /// That of the node's machine.
+    /// The machine of the node.
     Same,
 }
 
@@ -60,14 +61,14 @@
         }
     }
 
-    /// Steps the node's wall clock by so much more.
+    /// Steps the wall clock of the node, in addition to earlier steps.
     fn step(&mut self, step_ms: i64) {
         self.step_ms += step_ms;
         self.faults.set_clock_step_ms(self.step_ms);
     }
 
-    /// The time of arrival that a request carries.
-    fn time_of(&self, clock: ClientClock) -> u64 {
+    /// Returns the arrival time that a request carries, in Unix milliseconds.
+    fn arrival_time_ms(&self, clock: ClientClock) -> u64 {
         match clock {
             ClientClock::Other => unix_ms(),
             ClientClock::Same => unix_ms().saturating_add_signed(self.step_ms),
@@ -76,25 +77,27 @@
 
     fn request(&self, clock: ClientClock, body: &str) -> Value {
         let mut client = self.node.connect();
-        client.send_received_at(READ, body, self.time_of(clock));
+        client.send_received_at(READ_CLASS, body, self.arrival_time_ms(clock));
         client.read_answer()
     }
 }
 
-/// Adds a class that is run by key, whose window is longer than the test and shorter than an hour.
+/// Adds a class with idempotency keys, whose window is longer than the test and shorter than an
+/// hour.
 fn add_keyed_class(config: &mut Value) {
     let settings = &mut config["settings"];
     let classes = settings["lanes"].as_array_mut().expect("classes");
     classes.push(
-        json!({"name": KEYED, "promise": 1000.0, "deadline": 1500.0, "effect": "by_key",
+        json!({"name": KEYED_CLASS, "promise": 1000.0, "deadline": 1500.0, "effect": "by_key",
                "lateWorth": 0.2, "window": 600_000.0, "worth": 1.0}),
     );
     settings["specifics"]["classCalls"] = json!([true, true, true]);
     settings["specifics"]["classSkipWorth"] = json!([0.0, 0.0, 0.0]);
 }
 
-/// After a step forward by an hour nothing was served for as long as it was observed, and after one back answers came later than the
-/// deadline (12 s, 8 clients, one play each, on 92b6dcc).
+/// Guards against a fault seen on 92b6dcc, in one run of 12 s with 8 clients for each step: after a
+/// step of an hour forward no request was served until the end of the run, and after a step of an
+/// hour back answers came after the deadline.
 #[test]
 fn requests_are_served_after_each_step() {
     let mut node = SteppedNode::start();
@@ -111,16 +114,16 @@
 }
 
 #[test]
-fn open_requests_are_served_over_a_step() {
+fn open_requests_are_served_across_a_step() {
     let mut node = SteppedNode::start();
     for (runs, step_ms) in STEPS_MS.into_iter().enumerate() {
         let mut client = node.node.connect();
-        client.send(READ, "hang");
+        client.send(READ_CLASS, "hang");
         wait_until("it runs", || {
             node.node.executor.run_count("hang") == runs + 1
         });
         node.step(step_ms);
-        // Something happens at the node, so that it looks at its clock.
+        // The node handles another event, for which it reads its clock.
         let other = node.request(ClientClock::Other, "serve:other");
         assert!(other["result"].is_object(), "{step_ms}: {other}");
         node.node.executor.finish_run("hang");
@@ -130,20 +133,20 @@
 }
 
 #[test]
-fn deadline_is_a_span_of_real_time_over_a_step() {
+fn deadline_follows_elapsed_time_across_a_step() {
     thread::scope(|scope| {
         for step_ms in STEPS_MS {
-            scope.spawn(move || check_deadline_over_a_step(step_ms));
+            scope.spawn(move || check_deadline_across_a_step(step_ms));
         }
     });
 }
 
-fn check_deadline_over_a_step(step_ms: i64) {
+fn check_deadline_across_a_step(step_ms: i64) {
     let mut node = SteppedNode::start();
     let mut client = node.node.connect();
     let sent_at = Instant::now();
-    client.send(POST, "hang");
-    // Counted also if it has been stopped again meanwhile.
+    client.send(POST_CLASS, "hang");
+    // The count includes a run that has already been stopped.
     wait_until("it runs", || node.node.executor.run_count("hang") == 1);
     node.step(step_ms);
     let answer = client.read_answer();
@@ -155,11 +158,15 @@
 }
 
 #[test]
-fn key_is_remembered_over_steps_within_its_window() {
+fn idempotency_key_is_kept_across_steps_within_its_window() {
     let mut node = SteppedNode::start();
     let mut client = node.node.connect();
     let submit = |client: &mut TestClient, t0: u64| {
-        client.send_with_fields(KEYED, "serve:once", &json!({"token": KEY, "t0": t0}));
+        client.send_with_fields(
+            KEYED_CLASS,
+            "serve:once",
+            &json!({"token": IDEMPOTENCY_KEY, "t0": t0}),
+        );
         client.read_answer()
     };
     let first = submit(&mut client, unix_ms());
@@ -167,7 +174,7 @@
     for step_ms in STEPS_MS {
         node.step(step_ms);
         for clock in [ClientClock::Other, ClientClock::Same] {
-            let repeat = submit(&mut client, node.time_of(clock));
+            let repeat = submit(&mut client, node.arrival_time_ms(clock));
             assert_eq!(repeat["result"], first["result"], "{step_ms} {clock:?}");
         }
     }
