--- a/crates/fault-soak/src/bin/fault-soak.rs
+++ b/crates/fault-soak/src/bin/fault-soak.rs
@@ -1,4 +1,5 @@
-//! Plays seeds of the soak test side by side, and prints each: its faults, and for a broken rule the order of events.
+//! Executes seeds of the soak test in parallel, and prints a report of each: its faults, and the
+//! order of events if a rule was violated.
 
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::SeqCst};
--- a/crates/fault-soak/src/database.rs
+++ b/crates/fault-soak/src/database.rs
@@ -1,4 +1,4 @@
-//! The database, which judges how many calls the node has there.
+//! The test double of the database, which checks the number of calls of the nodes.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -17,53 +17,53 @@
 use crate::plan::{CALLS_WINDOW, LINGER};
 use crate::window::MeanWindow;
 
-/// How long a call takes.
+/// Duration of a call in milliseconds.
 const CALL_MS: std::ops::Range<u64> = 10..60;
-/// How much longer calls of a slow database take.
-const SLOWNESS: u64 = 20;
-/// How long a database that hears no close goes on with a call.
-const DEAF_CALL_MS: std::ops::Range<u64> = 2000..6000;
-/// The time between two looks at a connection.
-const LOOK_INTERVAL: Duration = Duration::from_millis(3);
+/// Factor of the duration of calls at a slow database.
+const SLOW_CALL_FACTOR: u64 = 20;
+/// Duration in milliseconds of a call at a database that ignores closes.
+const CLOSE_IGNORING_CALL_MS: std::ops::Range<u64> = 2000..6000;
+/// Time between two checks of a connection.
+const POLL_INTERVAL: Duration = Duration::from_millis(3);
 
-/// Faults of the database that are there now.
+/// The current faults of the database.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DatabaseFaults {
-    /// Calls take long.
+    /// True if calls take longer.
     pub(crate) is_slow: bool,
-    /// The end of a connection is not noticed while a call is made.
-    pub(crate) hears_no_close: bool,
-    /// Calls are not answered.
+    /// True if a call continues when its connection is closed.
+    pub(crate) ignores_close: bool,
+    /// True if calls are not answered.
     pub(crate) is_silent: bool,
 }
 
 struct DatabaseState {
     faults: DatabaseFaults,
-    /// Calls in progress.
+    /// Number of calls in progress.
     calls: usize,
-    /// The last call of each request: an earlier one is given up by it.
+    /// Number of the last call of each request, which ends an earlier call of the same request.
     last_calls: HashMap<String, u64>,
     next_call: u64,
-    /// When the last of the calls ends that hear no close, at the latest.
-    deaf_until: Option<Instant>,
+    /// Latest end of the calls that ignore a close.
+    close_ignoring_until: Option<Instant>,
     connections: HashMap<u64, TcpStream>,
     window: MeanWindow,
     peak_share: f64,
-    has_fallen: bool,
+    has_reported_overload: bool,
     ticked_at: Instant,
     rng: ChaCha8Rng,
 }
 
-/// Whether a run of this request waits for a call.
+/// Returns true if the run of this request waits for a call.
 type WaitsForCall = dyn Fn(&str) -> bool + Send + Sync;
 
-/// What the database knows of a node.
+/// A node as seen by the database.
 pub(crate) struct DatabaseUser {
     pub(crate) journal: Arc<Journal>,
     pub(crate) waits_for_call: Box<WaitsForCall>,
 }
 
-/// The database of a play, which its nodes share.
+/// The database of a soak run, which its nodes share.
 pub(crate) struct Database {
     quota: f64,
     users: Vec<DatabaseUser>,
@@ -75,16 +75,17 @@
     body: String,
 }
 
-/// How a call in progress ended.
+/// How a call ended.
 enum CallEnd {
-    /// Its time is over, and it is answered.
+    /// The call has completed, and is answered unless the database is silent.
     Done,
-    /// A later call of the request, or the node, gave it up.
-    GivenUp,
+    /// The connection was closed, the run no longer waits for the call, or a later call of the
+    /// request replaced it.
+    Abandoned,
 }
 
 impl Database {
-    /// A database that survives this mean of calls.
+    /// Creates a database that can sustain this mean number of calls.
     pub(crate) fn new(quota: f64, seed: u64, users: Vec<DatabaseUser>) -> Arc<Database> {
         Arc::new(Database {
             quota,
@@ -94,11 +95,11 @@
                 calls: 0,
                 last_calls: HashMap::new(),
                 next_call: 0,
-                deaf_until: None,
+                close_ignoring_until: None,
                 connections: HashMap::new(),
                 window: MeanWindow::new(CALLS_WINDOW),
                 peak_share: 0.0,
-                has_fallen: false,
+                has_reported_overload: false,
                 ticked_at: Instant::now(),
                 rng: ChaCha8Rng::seed_from_u64(seed),
             }),
@@ -119,7 +120,7 @@
         user.is_some_and(|user| (user.waits_for_call)(uid))
     }
 
-    /// Starts to take connections, and returns the address.
+    /// Starts to accept connections, and returns the address.
     pub(crate) fn open(self: &Arc<Database>) -> Result<SocketAddr, SoakError> {
         let database = Arc::clone(self);
         let address = try_serve_connections(move |stream| database.serve(&stream))?;
@@ -131,25 +132,28 @@
         change(&mut self.state().faults);
     }
 
-    /// Breaks all connections. Calls on them are given up.
+    /// Breaks all connections with a call. The calls on them are abandoned.
     pub(crate) fn break_connections(&self) {
         for connection in self.state().connections.values() {
             let _ = connection.shutdown(Shutdown::Both);
         }
     }
 
-    /// Whether calls go on that began while the end of a connection was not noticed.
-    pub(crate) fn has_deaf_calls(&self) -> bool {
+    /// Returns true if calls that ignore a close may still be in progress.
+    pub(crate) fn has_close_ignoring_calls(&self) -> bool {
         let now = Instant::now();
-        self.state().deaf_until.is_some_and(|until| now < until)
+        self.state()
+            .close_ignoring_until
+            .is_some_and(|until| now < until)
     }
 
-    /// The highest mean of calls so far, as a share of what the database survives.
+    /// Returns the highest mean number of calls so far, as a share of what the database can
+    /// sustain.
     pub(crate) fn peak_share(&self) -> f64 {
         self.state().peak_share
     }
 
-    /// Lets the time pass since the last tick.
+    /// Advances the database by the time since the last tick, and checks the number of calls.
     pub(crate) fn tick(&self) {
         let mut state = self.state();
         let now = Instant::now();
@@ -159,10 +163,10 @@
         state.window.add(elapsed, calls);
         let share = state.window.mean() / self.quota;
         state.peak_share = state.peak_share.max(share);
-        if share > 1.0 && !state.has_fallen {
-            state.has_fallen = true;
+        if share > 1.0 && !state.has_reported_overload {
+            state.has_reported_overload = true;
             let text = format!(
-                "overload: {:.2} calls in the mean, the nodes' share is {:.2}",
+                "overload: {:.2} calls on average, the quota of the nodes is {:.2}",
                 state.window.mean(),
                 self.quota
             );
@@ -182,11 +186,11 @@
                 write_reply(stream, "409 Conflict", "Never-Started: 1\r\n", "");
                 continue;
             }
-            let number = self.begin(&call, stream);
-            let end = self.wait(&call, number, stream);
-            self.end(number);
+            let number = self.start_call(&call, stream);
+            let end = self.wait_for_call_end(&call, number, stream);
+            self.end_call(number);
             match end {
-                CallEnd::GivenUp => return,
+                CallEnd::Abandoned => return,
                 CallEnd::Done if self.state().faults.is_silent => {
                     wait_for_close(stream);
                     return;
@@ -202,7 +206,7 @@
         }
     }
 
-    fn begin(&self, call: &Call, stream: &TcpStream) -> u64 {
+    fn start_call(&self, call: &Call, stream: &TcpStream) -> u64 {
         let mut state = self.state();
         state.next_call += 1;
         let number = state.next_call;
@@ -214,45 +218,45 @@
         number
     }
 
-    fn end(&self, number: u64) {
+    fn end_call(&self, number: u64) {
         let mut state = self.state();
         state.calls -= 1;
         state.connections.remove(&number);
     }
 
-    /// Goes on with a call until its time is over or it is given up.
-    fn wait(&self, call: &Call, number: u64, stream: &TcpStream) -> CallEnd {
-        let (until, hears_close) = {
+    /// Waits until a call has completed or is abandoned.
+    fn wait_for_call_end(&self, call: &Call, number: u64, stream: &TcpStream) -> CallEnd {
+        let (until, notices_close) = {
             let mut state = self.state();
             let faults = state.faults;
-            let slowness = if faults.is_slow { SLOWNESS } else { 1 };
-            let ms = if faults.hears_no_close {
-                state.rng.random_range(DEAF_CALL_MS)
+            let factor = if faults.is_slow { SLOW_CALL_FACTOR } else { 1 };
+            let ms = if faults.ignores_close {
+                state.rng.random_range(CLOSE_IGNORING_CALL_MS)
             } else {
-                state.rng.random_range(CALL_MS) * slowness
+                state.rng.random_range(CALL_MS) * factor
             };
             let until = Instant::now() + Duration::from_millis(ms);
-            if faults.hears_no_close {
-                state.deaf_until = state.deaf_until.max(Some(until));
+            if faults.ignores_close {
+                state.close_ignoring_until = state.close_ignoring_until.max(Some(until));
             }
-            (until, !faults.hears_no_close)
+            (until, !faults.ignores_close)
         };
         while Instant::now() < until {
             let is_replaced = self.state().last_calls.get(&call.uid) != Some(&number);
             let is_abandoned =
-                hears_close && (is_closed(stream) || !self.waits_for_call(&call.uid));
+                notices_close && (is_closed(stream) || !self.waits_for_call(&call.uid));
             if is_replaced || is_abandoned {
                 let linger_ms = self.state().rng.random_range(0..LINGER.as_millis() as u64);
                 thread::sleep(Duration::from_millis(linger_ms));
-                return CallEnd::GivenUp;
+                return CallEnd::Abandoned;
             }
-            thread::sleep(LOOK_INTERVAL);
+            thread::sleep(POLL_INTERVAL);
         }
         CallEnd::Done
     }
 }
 
-/// Whether the node has closed its side.
+/// Returns true if the connection is closed.
 fn is_closed(stream: &TcpStream) -> bool {
     let mut byte = [0];
     if stream.set_nonblocking(true).is_err() {
@@ -268,7 +272,7 @@
 
 fn wait_for_close(stream: &TcpStream) {
     while !is_closed(stream) {
-        thread::sleep(LOOK_INTERVAL);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
--- a/crates/fault-soak/src/driver/mod.rs
+++ b/crates/fault-soak/src/driver/mod.rs
@@ -1,4 +1,4 @@
-//! Plays the plan of a node: starts the stand-ins and the node, and brings the faults about.
+//! Executes the plan of a node: starts the node and its test doubles, and injects the faults.
 
 mod process_faults;
 
@@ -9,64 +9,66 @@
 
 use serde_json::{json, Value};
 
-use crate::client::{crowd, Client, Front};
+use crate::client::{stall_connections, Client, LoadTarget};
 use crate::database::Database;
 use crate::error::SoakError;
 use crate::journal::Journal;
 use crate::machine::GaugeFault;
-use crate::machine_world::MachineWorld;
+use crate::machine_world::MachineSimulation;
 use crate::node_process::NodeProcess;
 use crate::plan::{Fault, FaultKind, Plan, STOP_TIMEOUT};
 use crate::port::Port;
 use crate::report::SoakReport;
 
 /// The number in the first node's name.
-const FIRST_NODE: usize = 3;
-/// Clients of a play; every other one goes on with connections on which the node has said goodbye.
-const CLIENTS: usize = 4;
-/// How long a node may take to serve.
+const FIRST_NODE_NUMBER: usize = 3;
+/// Number of clients of a node; every other one keeps using connections after a close notice.
+const CLIENT_COUNT: usize = 4;
+/// Time within which a started node has to listen.
 const START_TIMEOUT: Duration = Duration::from_secs(6);
-/// The time between two looks at the database.
-const LOOK_INTERVAL: Duration = Duration::from_millis(2);
-/// How long a node that was killed is gone.
+/// Time between two checks of the database.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Time between the exit of a process and the start of the next one.
 const DOWN_TIME: Duration = Duration::from_millis(300);
-/// The quiet time after the faults, of which the last part has to show that the node serves as before.
+/// Length of the quiet time after the faults. Its last part checks that the node serves requests
+/// again.
 const QUIET_TIME: Duration = Duration::from_secs(6);
-/// The part of the quiet time that is not judged.
+/// First part of the quiet time, in which the service is not checked.
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
-/// What is asked of the node in the quiet time, as a fraction of what the machine can do.
+/// Load in the quiet time, as a fraction of the capacity of the machine.
 const QUIET_LOAD: f64 = 0.3;
-/// The fraction of that which has to be served.
-const SERVED_WHEN_QUIET: f64 = 0.8;
+/// Fraction of the requests in the checked part of the quiet time that must be served.
+const MIN_SERVED_WHEN_QUIET: f64 = 0.8;
 
-/// A process of the node with its configuration.
+/// The current process of the node with its configuration and its port of the machine.
 struct RunningNode {
     process: NodeProcess,
     config: Value,
     port: Arc<Port>,
 }
 
-/// What a node of a play is started with.
+/// The arguments with which a node of a soak run is started.
 pub(crate) struct NodeContext {
-    /// Its number among the nodes of the play, from 0.
+    /// Number of the node in the soak run, from 0.
     pub(crate) number: usize,
     pub(crate) plan: Plan,
     pub(crate) journal: Arc<Journal>,
-    pub(crate) world: Arc<MachineWorld>,
+    pub(crate) simulation: Arc<MachineSimulation>,
     pub(crate) database: Arc<Database>,
     pub(crate) database_address: SocketAddr,
 }
 
-/// A node of a play with its clients and peers.
-pub(crate) struct RunningSoak {
+/// A node of a soak run with its clients and peers.
+pub(crate) struct NodeSoak {
     name: String,
     plan: Plan,
     journal: Arc<Journal>,
-    world: Arc<MachineWorld>,
+    simulation: Arc<MachineSimulation>,
     database: Arc<Database>,
     database_address: SocketAddr,
-    front: Arc<Front>,
-    list: Option<UdpSocket>,
+    target: Arc<LoadTarget>,
+    /// The endpoint list service, which only receives load reports; `None` while it is unavailable.
+    endpoint_list: Option<UdpSocket>,
     list_address: SocketAddr,
     node: RunningNode,
     starts: u64,
@@ -75,40 +77,41 @@
     logs: Vec<String>,
 }
 
-impl RunningSoak {
+impl NodeSoak {
     /// Starts a node and its peers.
-    pub(crate) fn start(context: NodeContext) -> Result<RunningSoak, SoakError> {
+    pub(crate) fn start(context: NodeContext) -> Result<NodeSoak, SoakError> {
         let NodeContext {
             number,
             plan,
             journal,
-            world,
+            simulation,
             database,
             database_address,
         } = context;
-        let list = UdpSocket::bind("127.0.0.1:0").map_err(SoakError::system("listen as list"))?;
-        let list_address = list
-            .local_addr()
-            .map_err(SoakError::system("the list's address"))?;
-        world.start_ticking(&database);
-        let front = Arc::new(Front::new(number, plan.requests_per_s));
-        let peers = Peers {
+        let endpoint_list = UdpSocket::bind("127.0.0.1:0")
+            .map_err(SoakError::system("bind the endpoint list socket"))?;
+        let list_address = endpoint_list.local_addr().map_err(SoakError::system(
+            "get the address of the endpoint list socket",
+        ))?;
+        simulation.start_ticking(&database);
+        let target = Arc::new(LoadTarget::new(number, plan.requests_per_s));
+        let peers = PeerAddresses {
             database: database_address,
-            list: list_address,
+            endpoint_list: list_address,
         };
-        let port = world.machine().ports[0].clone();
-        let name = format!("n{}", number + FIRST_NODE);
+        let port = simulation.machine().ports[0].clone();
+        let name = format!("n{}", number + FIRST_NODE_NUMBER);
         let config = peers.config(&name, &plan, plan.site.is_cold, port.open_address()?, None);
         let node = start_node(&name, 0, config, port)?;
-        let mut started = RunningSoak {
+        let mut started = NodeSoak {
             name,
             plan,
             journal,
-            world,
+            simulation,
             database,
             database_address,
-            front,
-            list: Some(list),
+            target,
+            endpoint_list: Some(endpoint_list),
             list_address,
             node,
             starts: 1,
@@ -120,56 +123,56 @@
         Ok(started)
     }
 
-    /// Plays the faults, and checks the service after them.
-    pub(crate) fn play(mut self) -> Result<SoakReport, SoakError> {
+    /// Injects the faults, and checks the service after them.
+    pub(crate) fn run(mut self) -> Result<SoakReport, SoakError> {
         let clients = self.start_clients();
-        self.bring_faults_about()?;
+        self.inject_faults()?;
         self.check_service_after_faults();
-        self.front.end();
+        self.target.stop_clients();
         for client in clients {
             let _ = client.join();
         }
         thread::sleep(crate::plan::LONGEST_DEADLINE);
         self.journal.check_overdue();
-        self.journal.check_refused();
+        self.journal.check_closed_immediately();
         Ok(self.finish())
     }
 
-    fn peers(&self) -> Peers {
-        Peers {
+    fn peer_addresses(&self) -> PeerAddresses {
+        PeerAddresses {
             database: self.database_address,
-            list: self.list_address,
+            endpoint_list: self.list_address,
         }
     }
 
     fn publish_address(&mut self) -> Result<SocketAddr, SoakError> {
         let address = self.node.process.wait_for_address(START_TIMEOUT)?;
-        self.front.set_address(Some(address));
+        self.target.set_address(Some(address));
         Ok(address)
     }
 
     fn start_clients(&self) -> Vec<thread::JoinHandle<()>> {
         let mut threads = Vec::new();
-        for number in 0..CLIENTS {
+        for number in 0..CLIENT_COUNT {
             let client = Client {
-                front: self.front.clone(),
+                target: self.target.clone(),
                 journal: self.journal.clone(),
-                clients: CLIENTS,
+                clients: CLIENT_COUNT,
                 classes: self.plan.classes(),
-                ignores_goodbye: number % 2 == 0 || self.plan.conditions.ignores_goodbyes,
+                ignores_close_notice: number % 2 == 0 || self.plan.conditions.ignores_close_notices,
             };
             let seed = self.plan.seed.wrapping_mul(31).wrapping_add(number as u64);
             threads.push(thread::spawn(move || client.run(seed)));
         }
-        if self.plan.crowd > 0 {
-            let (front, connections) = (self.front.clone(), self.plan.crowd);
-            threads.push(thread::spawn(move || crowd(&front, connections)));
+        if self.plan.stalled_connections > 0 {
+            let (target, count) = (self.target.clone(), self.plan.stalled_connections);
+            threads.push(thread::spawn(move || stall_connections(&target, count)));
         }
         threads
     }
 
-    /// Begins and ends the faults in their order.
-    fn bring_faults_about(&mut self) -> Result<(), SoakError> {
+    /// Begins and ends each fault at its time.
+    fn inject_faults(&mut self) -> Result<(), SoakError> {
         let mut steps: Vec<(Duration, Fault, bool)> = Vec::new();
         for fault in &self.plan.faults {
             steps.push((fault.from, *fault, true));
@@ -197,7 +200,7 @@
     fn apply_fault(&mut self, kind: FaultKind, begins: bool) -> Result<(), SoakError> {
         match kind {
             FaultKind::CoresStandStill { gauges_show_idle } => {
-                self.world.machine().machine.set_faults(|faults| {
+                self.simulation.machine().machine.set_faults(|faults| {
                     faults.stands_still = begins;
                     if gauges_show_idle {
                         faults.gauges = gauge_fault(GaugeFault::ShowIdle, begins);
@@ -205,24 +208,24 @@
                 });
             }
             FaultKind::GaugesAreOld => {
-                let gauges = gauge_fault(GaugeFault::Old, begins);
-                self.world
+                let gauges = gauge_fault(GaugeFault::Stale, begins);
+                self.simulation
                     .machine()
                     .machine
                     .set_faults(|faults| faults.gauges = gauges);
             }
             FaultKind::MachineIsSlow => {
-                let machine = self.world.machine();
+                let machine = self.simulation.machine();
                 machine.machine.set_faults(|faults| faults.is_slow = begins);
             }
             FaultKind::ExecutorIsSilent => self.node.port.set_silent(begins),
             FaultKind::DatabaseIsSlow => self.database.set_faults(|f| f.is_slow = begins),
             FaultKind::DatabaseHearsNoClose => {
-                self.database.set_faults(|f| f.hears_no_close = begins);
+                self.database.set_faults(|f| f.ignores_close = begins);
             }
             FaultKind::DatabaseIsSilent => self.database.set_faults(|f| f.is_silent = begins),
-            FaultKind::ListIsOut if begins => self.list = None,
-            FaultKind::ListIsOut => self.list = UdpSocket::bind(self.list_address).ok(),
+            FaultKind::ListIsOut if begins => self.endpoint_list = None,
+            FaultKind::ListIsOut => self.endpoint_list = UdpSocket::bind(self.list_address).ok(),
             _ if !begins => {}
             FaultKind::LinkBreaks => self.node.port.break_link(),
             FaultKind::LinkIsHalfOpen => self.node.port.leave_half_open(),
@@ -239,32 +242,32 @@
         if let Some(status) = self.node.process.status() {
             let log = self.node.process.log();
             let text = format!(
-                "crash: the process ended with {status}; its log ends: {}",
-                tail(&log)
+                "crash: the process exited with {status}; last lines of its log: {}",
+                last_lines(&log)
             );
             self.journal.record_violation(text);
         }
     }
 
-    /// Asks little of the node, and checks that it is served.
+    /// Puts a low load on the node, and checks that it is served.
     fn check_service_after_faults(&mut self) {
-        // A fault is over with the calls that it holds up.
-        while self.database.has_deaf_calls() {
-            thread::sleep(LOOK_INTERVAL);
+        // The fault lasts until the calls that it prolongs have ended.
+        while self.database.has_close_ignoring_calls() {
+            thread::sleep(POLL_INTERVAL);
         }
         let site = &self.plan.site;
         let capacity = f64::from(site.cores) * 1e3 / site.work_ms;
-        self.front.set_rate(capacity * QUIET_LOAD);
-        self.journal.record_event("quiet from here on");
+        self.target.set_rate(capacity * QUIET_LOAD);
+        self.journal.record_event("quiet time begins");
         thread::sleep(RECOVERY_TIME);
         let before = self.journal.totals();
         thread::sleep(QUIET_TIME.saturating_sub(RECOVERY_TIME));
         let after = self.journal.totals();
-        let asked = after.sent + after.unsent - before.sent - before.unsent;
+        let offered = after.sent + after.unsent - before.sent - before.unsent;
         let served = after.served - before.served;
-        if (served as f64) < asked as f64 * SERVED_WHEN_QUIET - 2.0 {
+        if (served as f64) < offered as f64 * MIN_SERVED_WHEN_QUIET - 2.0 {
             let text =
-                format!("service: {served} of {asked} requests were served after the faults");
+                format!("service: {served} of {offered} requests were served after the faults");
             self.journal.record_violation(text);
         }
         self.check_processes();
@@ -272,9 +275,9 @@
 
     fn finish(mut self) -> SoakReport {
         self.node.process.signal("TERM");
-        self.end_process("end");
-        self.world.end();
-        let machine = self.world.machine().machine.clone();
+        self.wait_for_exit_or_kill("end");
+        self.simulation.end();
+        let machine = self.simulation.machine().machine.clone();
         SoakReport {
             violations: self.journal.violations(),
             events: self.journal.events(),
@@ -288,13 +291,13 @@
     }
 }
 
-/// The peers of a node that stay for a whole play.
-struct Peers {
+/// Addresses of the peers that stay the same for a whole soak run.
+struct PeerAddresses {
     database: SocketAddr,
-    list: SocketAddr,
+    endpoint_list: SocketAddr,
 }
 
-impl Peers {
+impl PeerAddresses {
     fn config(
         &self,
         name: &str,
@@ -304,7 +307,7 @@
         listen: Option<SocketAddr>,
     ) -> Value {
         let listen = listen.map_or("127.0.0.1:0".to_string(), |address| address.to_string());
-        json!({"name": name, "listen": listen, "admin": "127.0.0.1:0", "executor": executor, "members": self.list,
+        json!({"name": name, "listen": listen, "admin": "127.0.0.1:0", "executor": executor, "members": self.endpoint_list,
                "db": self.database, "seed": format!("{:016x}", plan.seed),
                "stop_ms": STOP_TIMEOUT.as_millis() as u64,
                "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -326,17 +329,17 @@
     })
 }
 
-/// The fault of the gauges while it is there.
-fn gauge_fault(fault: GaugeFault, is_there: bool) -> GaugeFault {
-    if is_there {
+/// Returns the fault if it is present, otherwise no fault.
+fn gauge_fault(fault: GaugeFault, is_present: bool) -> GaugeFault {
+    if is_present {
         fault
     } else {
         GaugeFault::None
     }
 }
 
-/// The last lines of a text.
-fn tail(text: &str) -> String {
+/// Returns the last five lines of a text, joined into one.
+fn last_lines(text: &str) -> String {
     let lines: Vec<&str> = text.lines().rev().take(5).collect();
     lines.into_iter().rev().collect::<Vec<_>>().join(" | ")
 }
--- a/crates/fault-soak/src/journal.rs
+++ b/crates/fault-soak/src/journal.rs
@@ -1,4 +1,5 @@
-//! What all peers of the nodes know of all requests, the rules that this lets them check, and the order of events.
+//! The journal that all peers of a node share: its requests, the rules that are checked with them,
+//! and the order of events.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,17 +10,20 @@
     ConnectionEnd, RequestEnd, RequestRecord, RequestTotals, RunPermit, SentRequest, Violation,
 };
 
-/// How late an answer may be on top of its deadline: the settings' slack, the page's 50 ms, and what a busy machine may take to run
-/// a client.
+/// Time by which an answer may exceed its deadline: the `answerSlack` of the settings, the
+/// documented 50 ms, and the delay that a busy machine may add to a client.
 const ANSWER_SLACK: Duration = Duration::from_millis(100 + 50 + 250);
-/// A request may cross the close of its connection within this time.
-const CROSSING: Duration = Duration::from_millis(50);
-/// A new connection may cross the end of a process, whose listening socket closes, by this much.
-const PROCESS_END_SLACK: Duration = Duration::from_millis(300);
-/// What a busy machine may add to the time after which nothing is run any more.
+/// Longest time between the sending of a request and the close of its connection for which the
+/// request may still have been in transit, so that it does not count as lost.
+const CLOSE_RACE_SLACK: Duration = Duration::from_millis(50);
+/// Longest time between the exit of a process, which closes its listening socket, and the close of
+/// a new connection for which the exit may have caused the close.
+const PROCESS_EXIT_SLACK: Duration = Duration::from_millis(300);
+/// Delay that a busy machine may add to the time after which no request is run any more.
 const DRAIN_SLACK: Duration = Duration::from_millis(50 + 250);
 
-/// A request is booked so long after it was written: the page's 0.1 s, and what a busy machine may take to run the node.
+/// Time after which a written request counts as booked: the documented 0.1 s, and the delay that a
+/// busy machine may add to the node.
 const BOOKED_AFTER: Duration = Duration::from_millis(100 + 250);
 
 #[derive(Debug, Default)]
@@ -27,27 +31,27 @@
     requests: HashMap<String, RequestRecord>,
     violations: Vec<Violation>,
     events: Vec<(Duration, String)>,
-    /// When each process was told to leave, where nothing replaces it.
+    /// When each generation of the node got SIGTERM without a replacement.
     draining_since: HashMap<usize, Instant>,
     totals: RequestTotals,
-    /// Requests on new connections that were closed at once.
-    refused: Vec<(Instant, String)>,
-    /// When processes ended by themselves.
-    process_ends: Vec<Instant>,
+    /// First requests on connections that the node closed immediately, with the time of the close.
+    closed_immediately: Vec<(Instant, String)>,
+    /// When processes exited by themselves.
+    process_exits: Vec<Instant>,
 }
 
 impl JournalState {
-    /// Whether a run of any request under this key made this result.
+    /// Returns true if a run of any request with this key produced this result.
     fn has_result(&self, key: Option<&str>, result: Option<&str>) -> bool {
-        let mut tries = self
+        let mut attempts = self
             .requests
             .values()
             .filter(|r| key.is_some() && r.key.as_deref() == key);
-        tries.any(|record| result.is_some() && record.result.as_deref() == result)
+        attempts.any(|record| result.is_some() && record.result.as_deref() == result)
     }
 }
 
-/// All requests of a play, the broken rules and the order of events.
+/// All requests to a node in a soak run, the rule violations and the order of events.
 #[derive(Debug)]
 pub struct Journal {
     started_at: Instant,
@@ -55,7 +59,7 @@
 }
 
 impl Journal {
-    /// An empty journal of a play that begins now.
+    /// Creates an empty journal of a soak run that starts now.
     pub fn new() -> Journal {
         Journal {
             started_at: Instant::now(),
@@ -67,18 +71,18 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Time since the start of the play.
+    /// Returns the time since the start of the soak run.
     pub fn elapsed(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// Notes an event.
+    /// Records an event.
     pub fn record_event(&self, text: impl Into<String>) {
         let at = self.elapsed();
         self.state().events.push((at, text.into()));
     }
 
-    /// Notes that a rule was broken.
+    /// Records a rule violation.
     pub fn record_violation(&self, text: impl Into<String>) {
         let at = self.elapsed();
         let text = text.into();
@@ -87,28 +91,28 @@
         state.violations.push(Violation { at, text });
     }
 
-    /// The broken rules so far.
+    /// Returns the rule violations so far.
     pub fn violations(&self) -> Vec<Violation> {
         self.state().violations.clone()
     }
 
-    /// The events so far, with the time since the start of the play.
+    /// Returns the events so far, with the time since the start of the soak run.
     pub fn events(&self) -> Vec<(Duration, String)> {
         self.state().events.clone()
     }
 
-    /// What became of the requests so far.
+    /// Returns the counts of requests by outcome so far.
     pub fn totals(&self) -> RequestTotals {
         self.state().totals
     }
 
-    /// A process was told to leave, and no other takes over.
-    pub(crate) fn drain_began(&self, process: usize) {
+    /// Records that the node got SIGTERM and no other process takes over.
+    pub(crate) fn drain_began(&self, generation: usize) {
         let now = Instant::now();
-        self.state().draining_since.insert(process, now);
+        self.state().draining_since.insert(generation, now);
     }
 
-    /// A request is about to be written to a process.
+    /// Records a request that is about to be written to the node.
     pub fn request_sent(&self, request: &SentRequest<'_>) {
         let mut state = self.state();
         state.totals.sent += 1;
@@ -117,7 +121,7 @@
             key: request.key.map(str::to_string),
             body: request.body.to_string(),
             sent_at: Instant::now(),
-            process: request.process,
+            generation: request.generation,
             end: None,
             commands: 0,
             has_run: false,
@@ -127,12 +131,13 @@
         state.requests.insert(request.uid.to_string(), record);
     }
 
-    /// A client had a request, and no node took its connection.
+    /// Records a request for which no connection to a node was available.
     pub(crate) fn request_unsent(&self) {
         self.state().totals.unsent += 1;
     }
 
-    /// A client has read the answer of a request. `result` is what it was served.
+    /// Records that a client has read the answer to a request, and checks the answer. `result` is
+    /// the result in the answer, if any.
     pub fn request_answered(&self, uid: &str, end: RequestEnd, result: Option<&str>) {
         let broken = self.check_answer(uid, end, result);
         for text in broken {
@@ -145,7 +150,7 @@
         state.totals.served += usize::from(end == RequestEnd::Served);
         state.totals.rejected += usize::from(end == RequestEnd::Rejected);
         let Some(record) = state.requests.get_mut(uid) else {
-            return vec![format!("an answer to {uid}, which nobody sent")];
+            return vec![format!("an answer to {uid}, which no client sent")];
         };
         let mut broken = Vec::new();
         match record.end {
@@ -168,29 +173,33 @@
         let is_own_result = record.result.as_deref() == result;
         if end == RequestEnd::Served && !is_own_result && !state.has_result(key.as_deref(), result)
         {
-            broken.push(format!("lost: {uid} was served what no run made for it"));
+            broken.push(format!(
+                "lost: {uid} was served a result that no run produced for it"
+            ));
         }
         broken
     }
 
-    /// Kilobytes booked for requests of the present life of the node that wait for an answer and do not run, as `runs` tells.
+    /// Returns the kilobytes booked for requests of the current generation of the node that wait
+    /// for an answer and do not run according to `runs`.
     pub(crate) fn waiting_kb(&self, runs: impl Fn(&str) -> bool) -> f64 {
         let state = self.state();
-        let life = state.requests.values().map(|r| r.process).max();
+        let generation = state.requests.values().map(|r| r.generation).max();
         let waiting = state.requests.iter().filter(|(uid, record)| {
-            let is_open = record.end.is_none() && Some(record.process) == life;
+            let is_open = record.end.is_none() && Some(record.generation) == generation;
             is_open && record.sent_at.elapsed() > BOOKED_AFTER && !runs(uid)
         });
         waiting.count() as f64 * REQUEST_KB
     }
 
-    /// A process ended by itself.
-    pub(crate) fn process_ended(&self) {
+    /// Records that a process exited by itself.
+    pub(crate) fn process_exited(&self) {
         let now = Instant::now();
-        self.state().process_ends.push(now);
+        self.state().process_exits.push(now);
     }
 
-    /// The connection of a request ended without its answer.
+    /// Records that the connection of a request ended without the answer, and reports the request
+    /// as lost unless it may have been in transit.
     pub(crate) fn connection_ended(&self, uid: &str, end: ConnectionEnd) {
         let now = Instant::now();
         let is_lost = {
@@ -199,10 +208,10 @@
                 return;
             };
             let is_open = record.end.is_none() && end != ConnectionEnd::Killed;
-            let is_lost = is_open && now > record.sent_at + CROSSING;
-            record.end.get_or_insert(RequestEnd::Excused);
-            if is_open && !is_lost && end == ConnectionEnd::New {
-                state.refused.push((now, uid.to_string()));
+            let is_lost = is_open && now > record.sent_at + CLOSE_RACE_SLACK;
+            record.end.get_or_insert(RequestEnd::NoAnswerExpected);
+            if is_open && !is_lost && end == ConnectionEnd::ClosedNew {
+                state.closed_immediately.push((now, uid.to_string()));
             }
             is_lost
         };
@@ -213,33 +222,42 @@
         }
     }
 
-    /// A request on a new connection is lost as that is closed, unless a process ended just then.
-    pub(crate) fn check_refused(&self) {
-        let refused: Vec<String> = {
+    /// Reports first requests on connections that were closed immediately as lost, unless a process
+    /// exited at about that time.
+    pub(crate) fn check_closed_immediately(&self) {
+        let lost: Vec<String> = {
             let state = self.state();
-            let crosses_end = |at: Instant| {
-                let mut ends = state.process_ends.iter();
-                ends.any(|end| at < *end + PROCESS_END_SLACK && *end < at + PROCESS_END_SLACK)
+            let is_near_exit = |at: Instant| {
+                let mut exits = state.process_exits.iter();
+                exits.any(|exit| at < *exit + PROCESS_EXIT_SLACK && *exit < at + PROCESS_EXIT_SLACK)
             };
-            let refused = state.refused.iter().filter(|(at, _)| !crosses_end(*at));
-            refused.map(|(_, uid)| uid.clone()).collect()
+            let lost = state
+                .closed_immediately
+                .iter()
+                .filter(|(at, _)| !is_near_exit(*at));
+            lost.map(|(_, uid)| uid.clone()).collect()
         };
-        for uid in refused {
+        for uid in lost {
             self.record_violation(format!(
-                "lost: the new connection of {uid} was closed at once"
+                "lost: the new connection of {uid} was closed immediately"
             ));
         }
     }
 
-    /// A request can't be answered any more as its process was killed.
-    pub fn process_killed(&self, process: usize) {
+    /// Records that the node was killed: its requests get no more answers, except those that it has
+    /// already written.
+    pub fn process_killed(&self, generation: usize) {
         let mut state = self.state();
-        for record in state.requests.values_mut().filter(|r| r.process == process) {
+        for record in state
+            .requests
+            .values_mut()
+            .filter(|r| r.generation == generation)
+        {
             record.end.get_or_insert(RequestEnd::Killed);
         }
     }
 
-    /// Requests that should have been answered by now are lost.
+    /// Reports requests that should have been answered by now as lost.
     pub(crate) fn check_overdue(&self) {
         let overdue: Vec<String> = {
             let mut state = self.state();
@@ -250,7 +268,7 @@
             let records = state.requests.iter_mut().filter(|(_, r)| is_overdue(r));
             records
                 .map(|(uid, record)| {
-                    record.end = Some(RequestEnd::Excused);
+                    record.end = Some(RequestEnd::NoAnswerExpected);
                     uid.clone()
                 })
                 .collect()
@@ -260,7 +278,7 @@
         }
     }
 
-    /// A command to run a request has come, which does not run now.
+    /// Records and checks a command to run a request that is not running.
     pub(crate) fn run_commanded(&self, uid: &str, class: &str, body: &str) -> RunPermit {
         let (permit, broken) = self.check_command(uid, class, body);
         for text in broken {
@@ -284,32 +302,34 @@
             broken.push(format!("duplicate: a second command to run {uid}"));
         }
         if record.end.is_some() {
-            return (RunPermit::Over, broken);
+            return (RunPermit::Ended, broken);
         }
-        let drained_at = state.draining_since.get(&record.process);
+        let drained_at = state.draining_since.get(&record.generation);
         let latest_arrival = drained_at.map(|at| *at + DRAIN_GRACE + DRAIN_SLACK);
         if latest_arrival.is_some_and(|latest| record.sent_at > latest) {
             broken.push(format!(
-                "drain: {uid} was run, though it came after the grace"
+                "drain: {uid} was run, although it was sent after the drain grace period"
             ));
         }
         record.has_run = true;
-        let (key, process, sent_at) = (record.key.clone(), record.process, record.sent_at);
+        let (key, generation, sent_at) = (record.key.clone(), record.generation, record.sent_at);
         if let Some(key) = key {
             let ran_before = state.requests.iter().any(|(other, record)| {
-                let is_try = record.key.as_ref() == Some(&key) && other != uid;
+                let is_attempt = record.key.as_ref() == Some(&key) && other != uid;
                 let is_in_window = sent_at < record.sent_at + KEY_WINDOW;
-                is_try && record.has_run && record.process == process && is_in_window
+                is_attempt && record.has_run && record.generation == generation && is_in_window
             });
             if ran_before {
-                broken.push(format!("duplicate: {uid} was run, the key {key} had run"));
+                broken.push(format!(
+                    "duplicate: {uid} was run, although its key {key} had already run"
+                ));
             }
         }
         (RunPermit::Run, broken)
     }
 
-    /// Whether the request is answered, or nobody waits for it.
-    pub(crate) fn is_over(&self, uid: &str) -> bool {
+    /// Returns true if the request is answered, abandoned or unknown.
+    pub(crate) fn has_ended(&self, uid: &str) -> bool {
         let state = self.state();
         state
             .requests
@@ -317,21 +337,21 @@
             .is_none_or(|record| record.end.is_some())
     }
 
-    /// A run has made a result.
+    /// Records the result of a run.
     pub(crate) fn set_result(&self, uid: &str, result: &str) {
         if let Some(record) = self.state().requests.get_mut(uid) {
             record.result = Some(result.to_string());
         }
     }
 
-    /// The database has replied to a call.
+    /// Records the reply of the database to a call.
     pub(crate) fn set_reply(&self, uid: &str, reply: &str) {
         if let Some(record) = self.state().requests.get_mut(uid) {
             record.reply = Some(reply.to_string());
         }
     }
 
-    /// A reply was given to the run that waits for it.
+    /// Checks a reply that was passed to the run that waits for it.
     pub(crate) fn check_reply(&self, uid: &str, reply: &str) {
         let state = self.state();
         let expected = state
@@ -341,7 +361,7 @@
         drop(state);
         if expected.as_deref() != Some(reply) {
             self.record_violation(format!(
-                "lost: the run of {uid} got a reply that the database did not give"
+                "lost: the run of {uid} got a reply that the database did not send"
             ));
         }
     }
--- a/crates/fault-soak/src/lib.rs
+++ b/crates/fault-soak/src/lib.rs
@@ -1,10 +1,13 @@
-//! A soak test: real nodes over loopback, faults drawn from a seed, and stand-ins that judge the rules from the peers' side.
+//! A soak test: real nodes on loopback, faults drawn from a seed, and test doubles of the nodes'
+//! peers that check the rules.
 //!
-//! - [`Plan`]: the site and the faults of a seed, drawn without I/O or clock.
-//! - [`run_seed`]: plays a plan and returns a [`SoakReport`] with the broken rules and the order of events.
+//! - [`Plan`]: the site, the load and the faults of a seed, drawn without I/O or clock.
+//! - [`run_seed`]: executes a plan and returns a [`SoakReport`] with the rule violations and the
+//!   order of events. One execution is called a soak run, as opposed to the run of a request on the
+//!   executor.
 //!
-//! The machine, the database and the clients of a node share a [`Journal`] of all requests, which knows what each may ask of the
-//! others. The node knows nothing of it.
+//! The machine, the database and the clients of a node share a [`Journal`] of all requests, from
+//! which each can check the messages that reach it. The node has no access to the journal.
 
 mod client;
 mod database;
--- a/crates/fault-soak/src/machine.rs
+++ b/crates/fault-soak/src/machine.rs
@@ -1,7 +1,7 @@
-//! The machine of a node: its cores, and the runs on them.
+//! The simulated machine of a node's executor: its cores, and the runs on them.
 //!
-//! All runs share the cores evenly. The machine judges what the node puts on it: the mean of the runs on its cores must stay within
-//! what the settings say it survives.
+//! All runs share the cores evenly. The machine checks the load from the node: the mean number of
+//! runs on its cores must not exceed what it can sustain according to the settings.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,59 +18,60 @@
 use crate::site_settings::CLASSES;
 use crate::window::MeanWindow;
 
-/// The speed of a slow machine.
-const SLOW_SPEED: f64 = 0.2;
-/// Calls that a run of a class which calls makes at the most.
-const MOST_CALLS: u32 = 2;
-/// How much over the limit the mean may be, for the machine's own clock.
+/// Factor of the speed of a slow machine.
+const SLOW_MACHINE_SPEED: f64 = 0.2;
+/// Largest number of calls of a run, for classes whose runs call the database.
+const MAX_CALLS_PER_RUN: u32 = 2;
+/// Largest share of the limit that the mean may reach, which allows for the inaccuracy of the
+/// machine's own clock.
 const LIMIT_TOLERANCE: f64 = 1.001;
 
 /// Identifies a port of the machine, through which one process of the node has its runs.
 pub(crate) type PortId = usize;
 
-/// Something that a process is told of a run.
+/// A message to a process about a run.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Notice {
-    /// It is over.
+    /// The run has ended.
     Exit {
         uid: String,
         code: &'static str,
         wall_ms: f64,
         content: Option<String>,
     },
-    /// It waits for a call with this body.
+    /// The run waits for a call with this body.
     Callout { uid: String, content: String },
 }
 
 struct Run {
     port: PortId,
     started_at: Instant,
-    /// Work that is left until its next call or its end, in ms of a core.
+    /// Remaining processor time until its next call or its end, in milliseconds on one core.
     remaining_ms: f64,
     calls_left: u32,
     waits_for_call: bool,
 }
 
-/// What the gauges of a machine show.
+/// The fault of a machine's gauges.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum GaugeFault {
-    /// The truth.
+    /// The readings are correct.
     #[default]
     None,
-    /// Idle cores.
+    /// The readings show idle cores.
     ShowIdle,
-    /// What they showed when the fault began.
-    Old,
+    /// The readings are those from before the fault.
+    Stale,
 }
 
-/// Faults of the machine that are there now.
+/// The current faults of the machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MachineFaults {
-    /// No run makes progress, and none can be stopped.
+    /// True if no run makes progress and none can be stopped.
     pub(crate) stands_still: bool,
-    /// What the gauges show.
+    /// The fault of the gauges.
     pub(crate) gauges: GaugeFault,
-    /// The machine is slow.
+    /// True if the machine is slow.
     pub(crate) is_slow: bool,
 }
 
@@ -80,9 +81,9 @@
     last_gauges: [f64; 4],
     window: MeanWindow,
     peak_share: f64,
-    has_fallen: bool,
+    has_reported_overload: bool,
     peak_memory_share: f64,
-    is_out_of_memory: bool,
+    has_reported_memory_shortage: bool,
     started_at: Instant,
     is_cold: bool,
     ticked_at: Instant,
@@ -98,7 +99,7 @@
 }
 
 impl Machine {
-    /// A machine that has just been started.
+    /// Creates a machine that has just been started.
     pub(crate) fn new(plan: &Plan, seed: u64, is_cold: bool, journal: Arc<Journal>) -> Machine {
         let now = Instant::now();
         Machine {
@@ -111,9 +112,9 @@
                 last_gauges: [0.0; 4],
                 window: MeanWindow::new(RUNS_WINDOW),
                 peak_share: 0.0,
-                has_fallen: false,
+                has_reported_overload: false,
                 peak_memory_share: 0.0,
-                is_out_of_memory: false,
+                has_reported_memory_shortage: false,
                 started_at: now,
                 is_cold,
                 ticked_at: now,
@@ -131,29 +132,30 @@
         change(&mut self.state().faults);
     }
 
-    /// Whether it started cold, and how long ago.
-    pub(crate) fn start(&self) -> (bool, Duration) {
+    /// Returns whether the machine started cold, and its age.
+    pub(crate) fn cold_start_and_age(&self) -> (bool, Duration) {
         let state = self.state();
         (state.is_cold, state.started_at.elapsed())
     }
 
-    /// The highest mean of runs on the cores so far, as a share of what the machine survives.
+    /// Returns the highest mean number of runs on the cores so far, as a share of what the machine
+    /// can sustain.
     pub(crate) fn peak_share(&self) -> f64 {
         self.state().peak_share
     }
 
-    /// The most memory that was booked so far, as a share of what there is.
+    /// Returns the highest booked memory so far, as a share of the machine's memory.
     pub(crate) fn peak_memory_share(&self) -> f64 {
         self.state().peak_memory_share
     }
 
-    /// The gauges: busy share of the cores, runs that want one, used memory, connections.
+    /// Returns the gauges: busy share of the cores, runnable runs, used memory, connections.
     pub(crate) fn gauges(&self) -> [f64; 4] {
         let mut state = self.state();
         if state.faults.gauges == GaugeFault::ShowIdle {
             return [0.0; 4];
         }
-        if state.faults.gauges != GaugeFault::Old {
+        if state.faults.gauges != GaugeFault::Stale {
             let on_cores = state.on_cores();
             let busy = (on_cores / f64::from(self.site.cores)).min(1.0);
             state.last_gauges = [busy, on_cores, 0.1, 5.0];
@@ -161,7 +163,8 @@
         state.last_gauges
     }
 
-    /// A process commands a run. Returns what it is told at once, or an error where it is told that it commanded nothing.
+    /// Handles the command of a process to run a request. Returns the immediate notice to the
+    /// process, if any, or an error if the request is unknown.
     pub(crate) fn run(
         &self,
         port: PortId,
@@ -174,7 +177,7 @@
         }
         match self.journal.run_commanded(uid, class, body) {
             RunPermit::Unknown => Err(RejectedCommand),
-            RunPermit::Over => Ok(Some(exit(uid, "MOOT", 0.0, None))),
+            RunPermit::Ended => Ok(Some(exit(uid, "MOOT", 0.0, None))),
             RunPermit::Run => {
                 self.state().start_run(&self.site, port, uid, class);
                 Ok(None)
@@ -182,7 +185,7 @@
         }
     }
 
-    /// A process commands a run to stop.
+    /// Handles the command of a process to stop a run.
     pub(crate) fn stop(&self, uid: &str) -> Result<Option<Notice>, RejectedCommand> {
         if self.site.stops == Stops::Rejected {
             return Err(RejectedCommand);
@@ -195,7 +198,7 @@
         Ok(stopped.map(|run| exit(uid, "STOPPED", run.wall_ms(), None)))
     }
 
-    /// A process returns the reply to the call that a run waits for.
+    /// Passes the reply to the call that a run waits for, and checks it.
     pub(crate) fn reply(&self, uid: &str, content: &str) {
         let is_awaited = {
             let mut state = self.state();
@@ -207,7 +210,7 @@
         }
     }
 
-    /// Whether a run waits for its call.
+    /// Returns true if the run of this request waits for a call.
     pub(crate) fn waits_for_call(&self, uid: &str) -> bool {
         self.state()
             .runs
@@ -215,7 +218,7 @@
             .is_some_and(|run| run.waits_for_call)
     }
 
-    /// Lets the time pass since the last tick. Returns what each port is told.
+    /// Advances the machine by the time since the last tick. Returns the notices for the ports.
     pub(crate) fn tick(&self) -> Vec<(PortId, Notice)> {
         let mut state = self.state();
         let now = Instant::now();
@@ -242,14 +245,14 @@
         notices
     }
 
-    /// Checks the memory that is booked for requests and runs.
+    /// Checks that the memory booked for requests and runs fits into the machine.
     pub(crate) fn check_memory(&self) {
         let mut state = self.state();
         let runs_kb = state.runs.len() as f64 * REQUEST_KB * RUN_MEMORY_FACTOR;
         let booked_kb = runs_kb + self.journal.waiting_kb(|uid| state.runs.contains_key(uid));
         state.peak_memory_share = state.peak_memory_share.max(booked_kb / self.memory_kb);
-        if booked_kb > self.memory_kb && !state.is_out_of_memory {
-            state.is_out_of_memory = true;
+        if booked_kb > self.memory_kb && !state.has_reported_memory_shortage {
+            state.has_reported_memory_shortage = true;
             self.journal.record_violation(format!(
                 "memory: {booked_kb:.0} kB are booked, {} of them for runs, of {:.0}",
                 runs_kb, self.memory_kb
@@ -261,13 +264,13 @@
         let on_cores = state.on_cores();
         state.window.add(elapsed, on_cores);
         let speed = state.speed();
-        let survived = f64::from(self.site.cores) * (1.0 + (self.site.runs_per_core - 1.0) * speed);
-        let share = state.window.mean() / survived;
+        let limit = f64::from(self.site.cores) * (1.0 + (self.site.runs_per_core - 1.0) * speed);
+        let share = state.window.mean() / limit;
         state.peak_share = state.peak_share.max(share);
-        if share > LIMIT_TOLERANCE && !state.has_fallen {
-            state.has_fallen = true;
+        if share > LIMIT_TOLERANCE && !state.has_reported_overload {
+            state.has_reported_overload = true;
             self.journal.record_violation(format!(
-                "overload: {:.2} runs on the cores in the mean, {survived:.2} are survived",
+                "overload: {:.2} runs on the cores on average, the limit is {limit:.2}",
                 state.window.mean()
             ));
         }
@@ -275,19 +278,19 @@
 
     fn advance(&self, state: &mut MachineState, elapsed: Duration) -> Vec<(PortId, Notice)> {
         let share = (f64::from(self.site.cores) / state.on_cores().max(1.0)).min(1.0);
-        let slowness = if state.faults.is_slow {
-            SLOW_SPEED
+        let fault_speed = if state.faults.is_slow {
+            SLOW_MACHINE_SPEED
         } else {
             1.0
         };
-        let progress_ms = elapsed.as_secs_f64() * 1e3 * share * state.speed() * slowness;
+        let progress_ms = elapsed.as_secs_f64() * 1e3 * share * state.speed() * fault_speed;
         let mut notices = Vec::new();
-        let mut over = Vec::new();
+        let mut ended = Vec::new();
         for (uid, run) in &mut state.runs {
             if run.waits_for_call {
-                if self.journal.is_over(uid) {
+                if self.journal.has_ended(uid) {
                     notices.push((run.port, exit(uid, "STOPPED", run.wall_ms(), None)));
-                    over.push(uid.clone());
+                    ended.push(uid.clone());
                 }
                 continue;
             }
@@ -305,17 +308,17 @@
             } else {
                 let result = format!("result of {uid}");
                 notices.push((run.port, exit(uid, "OK", run.wall_ms(), Some(result))));
-                over.push(uid.clone());
+                ended.push(uid.clone());
             }
         }
-        for uid in over {
+        for uid in ended {
             state.runs.remove(&uid);
         }
         notices
     }
 }
 
-/// A command named a request that never came, or is not allowed.
+/// A command that names an unknown request, or that the site does not allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RejectedCommand;
 
@@ -325,7 +328,7 @@
         on_cores.count() as f64
     }
 
-    /// The share of its full speed that the machine has.
+    /// Returns the current speed as a share of the full speed.
     fn speed(&self) -> f64 {
         if !self.is_cold {
             return 1.0;
@@ -337,7 +340,7 @@
     fn start_run(&mut self, site: &SitePlan, port: PortId, uid: &str, class: &str) {
         let may_call = CLASSES.iter().any(|c| c.name == class && c.may_call);
         let calls_left = if may_call {
-            self.rng.random_range(0..=MOST_CALLS)
+            self.rng.random_range(0..=MAX_CALLS_PER_RUN)
         } else {
             0
         };
--- a/crates/fault-soak/src/machine_world.rs
+++ b/crates/fault-soak/src/machine_world.rs
@@ -1,4 +1,4 @@
-//! The present machine of a node with its ports, and the passing of its time.
+//! The current machine of a node with its ports, and the thread that advances its time.
 
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,8 +11,8 @@
 use crate::plan::Plan;
 use crate::port::Port;
 
-/// The time between two steps of the machine and of the database.
-const TICK: Duration = Duration::from_millis(2);
+/// Time between two ticks of the machine and of the database.
+const TICK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The machine of a node, and its ports.
 pub(crate) struct MachineWithPorts {
@@ -21,7 +21,8 @@
 }
 
 impl MachineWithPorts {
-    /// A machine with one port, for the start of this number.
+    /// Starts a machine with one port. `start` is the number of the node's starts so far, and
+    /// selects the random numbers of the machine.
     pub(crate) fn start(
         plan: &Plan,
         start: u64,
@@ -38,39 +39,40 @@
     }
 }
 
-/// What the threads of a node's play share.
-pub(crate) struct MachineWorld {
+/// The current machine of a node, shared by the threads of its soak run.
+pub(crate) struct MachineSimulation {
     machine: Mutex<MachineWithPorts>,
     has_ended: AtomicBool,
 }
 
-impl MachineWorld {
-    /// A world with this machine, whose time does not pass yet.
-    pub(crate) fn new(machine: MachineWithPorts) -> Arc<MachineWorld> {
-        Arc::new(MachineWorld {
+impl MachineSimulation {
+    /// Creates the shared state with this machine. Its time does not advance until
+    /// [`MachineSimulation::start_ticking`].
+    pub(crate) fn new(machine: MachineWithPorts) -> Arc<MachineSimulation> {
+        Arc::new(MachineSimulation {
             machine: Mutex::new(machine),
             has_ended: AtomicBool::new(false),
         })
     }
 
-    /// The present machine.
+    /// Returns the current machine.
     pub(crate) fn machine(&self) -> MutexGuard<'_, MachineWithPorts> {
         self.machine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets time pass for the machine and the database, until the end of the play.
-    pub(crate) fn start_ticking(self: &Arc<MachineWorld>, database: &Arc<Database>) {
-        let (world, database) = (self.clone(), database.clone());
+    /// Starts a thread that advances the machine and the database until [`MachineSimulation::end`].
+    pub(crate) fn start_ticking(self: &Arc<MachineSimulation>, database: &Arc<Database>) {
+        let (simulation, database) = (self.clone(), database.clone());
         thread::spawn(move || {
-            while !world.has_ended.load(SeqCst) {
-                world.tick();
+            while !simulation.has_ended.load(SeqCst) {
+                simulation.tick();
                 database.tick();
-                thread::sleep(TICK);
+                thread::sleep(TICK_INTERVAL);
             }
         });
     }
 
-    /// Ends the passing of time.
+    /// Stops the thread that advances the time.
     pub(crate) fn end(&self) {
         self.has_ended.store(true, SeqCst);
     }
--- a/crates/fault-soak/src/node_process.rs
+++ b/crates/fault-soak/src/node_process.rs
@@ -12,10 +12,10 @@
 
 use crate::error::SoakError;
 
-/// The time between two looks at a process.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+/// Time between two checks of a process.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A node's process, killed with the value.
+/// A process of a node, which is killed when the value is dropped.
 pub(crate) struct NodeProcess {
     process: Child,
     log: Arc<Mutex<String>>,
@@ -23,7 +23,7 @@
 }
 
 impl NodeProcess {
-    /// Starts a process with this configuration in a file of this name.
+    /// Starts a process with this configuration, in a file of this name.
     pub(crate) fn start(name: &str, config: &Value) -> Result<NodeProcess, SoakError> {
         let config = ScratchFile::try_new(name, &config.to_string())?;
         let mut process = try_node_command(&config)?
@@ -47,7 +47,7 @@
         })
     }
 
-    /// What it has logged.
+    /// Returns the log of the process so far.
     pub(crate) fn log(&self) -> String {
         self.log
             .lock()
@@ -55,7 +55,7 @@
             .clone()
     }
 
-    /// Waits until it takes clients, and returns its address.
+    /// Waits until the process listens for clients, and returns its address.
     pub(crate) fn wait_for_address(&mut self, timeout: Duration) -> Result<SocketAddr, SoakError> {
         let deadline = Instant::now() + timeout;
         loop {
@@ -70,20 +70,20 @@
             if Instant::now() > deadline || self.status().is_some() {
                 return Err(SoakError::NotStarted(log));
             }
-            thread::sleep(LOOK_INTERVAL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
     /// Sends a signal, named without `SIG`.
     pub(crate) fn signal(&self, name: &str) {
-        // A process that has ended gets none.
+        // The error for a process that has already exited is ignored.
         let pid = self.process.id();
         let _ = Command::new("/bin/sh")
             .args(["-c", &format!("kill -{name} {pid} 2>/dev/null")])
             .status();
     }
 
-    /// Replaces the configuration, and has it read.
+    /// Replaces the configuration, and has the process reload it.
     pub(crate) fn reload(&self, config: &Value) -> Result<(), SoakError> {
         std::fs::write(self.config.path(), config.to_string())
             .map_err(SoakError::system("write the configuration"))?;
@@ -91,23 +91,23 @@
         Ok(())
     }
 
-    /// How it ended, if it has.
+    /// Returns the exit status if the process has exited.
     pub(crate) fn status(&mut self) -> Option<ExitStatus> {
         self.process.try_wait().ok().flatten()
     }
 
-    /// Waits until it has ended by itself; `None` if it has not by then.
+    /// Waits until the process has exited by itself; returns `None` if it has not by this time.
     pub(crate) fn wait(&mut self, until: Instant) -> Option<ExitStatus> {
         loop {
             let status = self.status();
             if status.is_some() || Instant::now() >= until {
                 return status;
             }
-            thread::sleep(LOOK_INTERVAL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Kills it, and waits for its end.
+    /// Kills the process, and waits for its exit.
     pub(crate) fn kill(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
--- a/crates/fault-soak/src/open_requests.rs
+++ b/crates/fault-soak/src/open_requests.rs
@@ -1,20 +1,21 @@
-//! The requests that are open on a client's connection, shared by the thread that writes them and the one that reads answers.
+//! The open requests on a client connection, shared by the thread that writes requests and the
+//! thread that reads answers.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Requests that were written and have no answer yet, by their id on the connection.
+/// Requests that were written and not answered yet, by their id on the connection.
 #[derive(Debug, Default)]
 pub struct OpenRequests {
     state: Mutex<OpenState>,
 }
 
-/// A request that has no answer.
+/// A request without an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenRequest {
-    /// Its number on the connection; the first has 1.
+    /// Number of the request on the connection, from 1.
     pub id: u64,
-    /// What the node calls it.
+    /// The request uid.
     pub uid: String,
 }
 
@@ -29,13 +30,14 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How many are open.
+    /// Returns the number of open requests.
     pub fn count(&self) -> usize {
         self.state().uids.len()
     }
 
-    /// Adds a request that is about to be written. Returns whether it may be written: nobody reads its answer once the
-    /// connection has ended, though the system still takes what is written.
+    /// Adds a request that is about to be written, and returns true if it may be written. Once the
+    /// connection has ended, no thread reads answers, although the operating system still accepts
+    /// writes.
     pub fn add(&self, id: u64, uid: &str) -> bool {
         let mut state = self.state();
         if !state.has_ended {
@@ -44,12 +46,12 @@
         !state.has_ended
     }
 
-    /// Removes the request with this id, as it is answered or was not written.
+    /// Removes the request with this id, because it was answered or could not be written.
     pub fn remove(&self, id: u64) -> Option<String> {
         self.state().uids.remove(&id)
     }
 
-    /// The connection has ended. Returns the requests that can't be answered any more.
+    /// Marks the connection as ended, and returns the requests that can no longer be answered.
     pub fn close(&self) -> Vec<OpenRequest> {
         let mut state = self.state();
         state.has_ended = true;
--- a/crates/fault-soak/src/plan.rs
+++ b/crates/fault-soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a seed stands for: the site, the load and the faults, drawn without I/O or clock.
+//! The plan of a seed: the site, the load and the faults, drawn without I/O or clock.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,105 +8,108 @@
 
 use crate::site_settings::{ClassPlan, CLASSES};
 
-/// The longest deadline of the site's classes: the platform waits for it, and for a grace, before it kills a process.
+/// Longest deadline of the site's classes. The platform waits for this and a grace period before it
+/// kills a process.
 pub(crate) const LONGEST_DEADLINE: Duration = Duration::from_millis(1500);
-/// From the signal to end until the kill, at the earliest that the platform allows.
+/// Time from SIGTERM to the kill, the shortest that the platform allows.
 pub(crate) const STOP_TIMEOUT: Duration = Duration::from_millis(1500 + 700);
-/// How long faults are drawn for; the rest of a play is quiet.
+/// Length of the period with faults; the rest of a soak run has none.
 const FAULT_PERIOD: Duration = Duration::from_secs(14);
-/// The window of the mean of runs on the cores.
+/// Window of the mean number of runs on the cores.
 pub(crate) const RUNS_WINDOW: Duration = Duration::from_secs(3);
-/// The window of the mean of calls at the database.
+/// Window of the mean number of calls at the database.
 pub(crate) const CALLS_WINDOW: Duration = Duration::from_secs(5);
-/// How long the database goes on with a call that it knows to be given up.
+/// Longest time that the database continues a call after it has noticed that the call is abandoned.
 pub(crate) const LINGER: Duration = Duration::from_millis(200);
-/// How long after the signal to end arrivals may still be run.
+/// Time after SIGTERM during which arriving requests may still be run.
 pub(crate) const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// The share of its speed that a cold machine has at its start, and how long it takes to warm up.
+/// Share of its full speed that a cold machine has at its start. See [`WARM_UP`].
 pub(crate) const START_CAPACITY: f64 = 0.3;
-/// Within this time of a keyed request that ran no other one under its key may run.
+/// Time after a keyed request that ran, during which no other request with its key may run.
 pub(crate) const KEY_WINDOW: Duration = Duration::from_secs(5);
-/// Kilobytes that are booked for a request.
+/// Memory booked for a request, in kilobytes.
 pub(crate) const REQUEST_KB: f64 = 24.5;
-/// How many times that is booked while it runs.
+/// Factor by which the booked memory of a request is larger while it runs.
 pub(crate) const RUN_MEMORY_FACTOR: f64 = 8.0;
-/// Kilobytes of a machine whose memory never runs short.
+/// Memory of a machine that never runs short of it, in kilobytes.
 const AMPLE_MEMORY_KB: f64 = 26622.0;
-/// What a key costs in the executor's memory where there are keys: so little that it limits nothing.
+/// Memory of the executor that a key costs at sites with keys, in kilobytes: too little to limit
+/// anything.
 pub(crate) const SMALL_KEY_KB: f64 = 0.1;
-const FEWEST_RUNS_IN_MEMORY: u32 = 4;
-const MOST_RUNS_IN_MEMORY: u32 = 8;
-/// The stream of the seed's random numbers that the conditions are drawn from; the streams after it are those of further nodes.
+const MIN_RUNS_IN_MEMORY: u32 = 4;
+const MAX_RUNS_IN_MEMORY: u32 = 8;
+/// Random number stream of the seed that the conditions are drawn from; the following streams
+/// belong to the other nodes.
 const CONDITIONS_STREAM: u64 = 1;
-/// See [`START_CAPACITY`].
+/// Time until a cold machine has reached its full speed. See [`START_CAPACITY`].
 pub(crate) const WARM_UP: Duration = Duration::from_secs(6);
 
-/// Whether the site allows runs to be stopped.
+/// Whether the site allows commands to stop runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stops {
-    /// Stops are carried out.
+    /// Commands to stop a run are carried out.
     Allowed,
     /// Commands to stop a run are rejected.
     Rejected,
 }
 
-/// The site of a play.
+/// The site of a soak run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SitePlan {
-    /// Cores of the machine.
+    /// Number of cores of the machine.
     pub cores: u32,
-    /// Runs for each core that a warm machine survives.
+    /// Number of runs per core that a warm machine can sustain.
     pub runs_per_core: f64,
-    /// The node's share of the calls that the database survives.
+    /// The node's quota of the concurrent calls that the database can sustain.
     pub call_quota: f64,
-    /// Whether runs may be stopped.
+    /// Whether the site allows commands to stop runs.
     pub stops: Stops,
-    /// Whether the machine starts cold.
+    /// True if the machine starts cold.
     pub is_cold: bool,
-    /// Mean work of a run, in ms of a core.
+    /// Mean processor time of a run, in milliseconds on one core.
     pub work_ms: f64,
 }
 
-/// One kind of fault.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// No run makes progress, and no command stops one. The gauges may show idle cores meanwhile.
+    /// The cores are stalled: no run makes progress, and no command stops one.
     CoresStandStill {
-        /// Whether the gauges show idle cores.
+        /// True if the gauges show idle cores during the fault.
         gauges_show_idle: bool,
     },
-    /// The gauges stay as they are.
+    /// The gauges keep their readings from before the fault.
     GaugesAreOld,
     /// The machine works at a fifth of its speed.
     MachineIsSlow,
-    /// The executor answers nothing, and sends what it has to say afterwards.
+    /// The executor sends nothing, and sends the delayed messages after the fault.
     ExecutorIsSilent,
     /// The executor's connection breaks.
     LinkBreaks,
-    /// The executor's connection stays open and carries nothing any more.
+    /// The executor's connection stays open but transmits nothing any more.
     LinkIsHalfOpen,
     /// Calls take 20 times as long.
     DatabaseIsSlow,
-    /// The database goes on with calls whose connection is closed.
+    /// The database continues calls whose connection is closed.
     DatabaseHearsNoClose,
-    /// The database does not answer, and notices when calls are given up.
+    /// The database does not answer, but notices when calls are abandoned.
     DatabaseIsSilent,
     /// The database's connections break.
     DatabaseConnectionsBreak,
-    /// Nobody listens to the node's reports to the endpoint list.
+    /// The endpoint list service does not receive the node's load reports.
     ListIsOut,
-    /// The configuration is read again, with another address of the executor.
+    /// The node reloads its configuration, which has another address of the executor.
     Reload,
-    /// The node is told to end, and is started anew after it has, or was killed.
+    /// The node gets SIGTERM, and is started again after it has exited or was killed.
     Restart,
-    /// The node is killed with its executor, and both are started anew.
+    /// The node and its executor are killed, and both are started again.
     Kill,
-    /// A second process takes over from the first, which is told to end then.
+    /// A second process takes over from the first, which then gets SIGTERM.
     Replacement,
 }
 
 impl FaultKind {
-    fn is_of_database(self) -> bool {
+    fn affects_database(self) -> bool {
         matches!(
             self,
             FaultKind::DatabaseIsSlow
@@ -117,14 +120,14 @@
     }
 }
 
-/// A fault and when it is there.
+/// A fault and the time at which it is present.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// What happens.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// When it begins, from the start of the play.
+    /// Start of the fault, from the start of the soak run.
     pub from: Duration,
-    /// How long it lasts, where it does.
+    /// Duration of the fault, for kinds that have one.
     pub length: Duration,
 }
 
@@ -135,18 +138,18 @@
     }
 }
 
-/// What some plays have beside the faults.
+/// Conditions of a soak run in addition to its faults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Conditions {
-    /// Nodes that share the database, each with a machine, clients and faults of its own.
+    /// Number of nodes that share the database, each with its own machine, clients and faults.
     pub nodes: usize,
-    /// Whether all clients go on with connections on which the node has said goodbye, until those end.
-    pub ignores_goodbyes: bool,
-    /// Whether signals come in series, in place of single ones.
+    /// True if all clients keep using a connection after the node's close notice, until it ends.
+    pub ignores_close_notices: bool,
+    /// True if the node gets series of signals in place of single ones.
     pub has_signal_series: bool,
-    /// Whether there is a class by idempotency key, whose requests are tried again.
+    /// True if the site has a class with idempotency keys, whose requests are retried.
     pub has_keys: bool,
-    /// Runs for each core that the machine's memory is enough for, where it is scarce.
+    /// Number of runs per core that fit into the machine's memory; `None` if memory is not scarce.
     pub runs_in_memory: Option<u32>,
 }
 
@@ -154,7 +157,7 @@
     fn default() -> Conditions {
         Conditions {
             nodes: 1,
-            ignores_goodbyes: false,
+            ignores_close_notices: false,
             has_signal_series: false,
             has_keys: false,
             runs_in_memory: None,
@@ -162,27 +165,28 @@
     }
 }
 
-/// What a seed stands for.
+/// The plan of a seed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// The seed.
     pub seed: u64,
     /// The site.
     pub site: SitePlan,
-    /// Requests a second of all clients, while faults are drawn.
+    /// Request rate of all clients per second in the period with faults.
     pub requests_per_s: f64,
-    /// Connections that never finish a request.
-    pub crowd: usize,
-    /// The faults, in the order of their beginnings.
+    /// Number of connections whose request is never completed.
+    pub stalled_connections: usize,
+    /// The faults, ordered by start.
     pub faults: Vec<Fault>,
-    /// How long faults are drawn for.
+    /// Length of the period with faults.
     pub fault_period: Duration,
-    /// What there is beside the faults.
+    /// Conditions in addition to the faults.
     pub conditions: Conditions,
 }
 
 impl Plan {
-    /// Draws the plan of a seed with further conditions: its faults and its site are those of [`Plan::draw`].
+    /// Draws the plan of a seed with further conditions. Its faults and site are those of
+    /// [`Plan::draw`].
     pub fn draw_with_conditions(seed: u64) -> Plan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(CONDITIONS_STREAM);
@@ -192,12 +196,12 @@
             } else {
                 1
             },
-            ignores_goodbyes: rng.random_bool(0.6),
+            ignores_close_notices: rng.random_bool(0.6),
             has_signal_series: rng.random_bool(0.6),
             has_keys: rng.random_bool(0.5),
             runs_in_memory: rng
                 .random_bool(0.5)
-                .then(|| rng.random_range(FEWEST_RUNS_IN_MEMORY..=MOST_RUNS_IN_MEMORY)),
+                .then(|| rng.random_range(MIN_RUNS_IN_MEMORY..=MAX_RUNS_IN_MEMORY)),
         };
         Plan {
             conditions,
@@ -205,13 +209,14 @@
         }
     }
 
-    /// The plans of the nodes of a play. All have one site; the faults of the database are those of the first node's plan.
+    /// Returns the plans of all nodes of a soak run. They have the same site; the faults of the
+    /// database are those in the plan of the first node.
     pub(crate) fn node_plans(&self) -> Vec<Plan> {
         let other_plan = |node: usize| {
             let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
             rng.set_stream(CONDITIONS_STREAM + node as u64);
             let mut faults = draw_faults(&mut rng);
-            faults.retain(|fault| !fault.kind.is_of_database());
+            faults.retain(|fault| !fault.kind.affects_database());
             Plan {
                 faults,
                 ..self.clone()
@@ -221,7 +226,7 @@
         std::iter::once(self.clone()).chain(others).collect()
     }
 
-    /// The classes of the site.
+    /// Returns the classes of the site.
     pub(crate) fn classes(&self) -> &'static [ClassPlan] {
         if self.conditions.has_keys {
             &CLASSES
@@ -230,7 +235,7 @@
         }
     }
 
-    /// Kilobytes of the machine's memory.
+    /// Returns the memory of the machine in kilobytes.
     pub(crate) fn memory_kb(&self) -> f64 {
         let Some(runs_per_core) = self.conditions.runs_in_memory else {
             return AMPLE_MEMORY_KB;
@@ -246,13 +251,13 @@
         let site = draw_site(&mut rng);
         let capacity = f64::from(site.cores) * 1e3 / site.work_ms;
         let requests_per_s = capacity * rng.random_range(0.4..1.3);
-        let crowd = if rng.random_bool(0.25) { 200 } else { 0 };
+        let stalled_connections = if rng.random_bool(0.25) { 200 } else { 0 };
         let faults = draw_faults(&mut rng);
         Plan {
             seed,
             site,
             requests_per_s,
-            crowd,
+            stalled_connections,
             faults,
             fault_period: FAULT_PERIOD,
             conditions: Conditions::default(),
--- a/crates/fault-soak/src/play.rs
+++ b/crates/fault-soak/src/play.rs
@@ -1,21 +1,21 @@
-//! Plays a plan: all of its nodes side by side, on one database.
+//! Executes a plan: all of its nodes in parallel, with one database.
 
 use std::sync::Arc;
 use std::thread;
 
 use crate::database::{Database, DatabaseUser};
-use crate::driver::{NodeContext, RunningSoak};
+use crate::driver::{NodeContext, NodeSoak};
 use crate::error::SoakError;
 use crate::journal::Journal;
-use crate::machine_world::{MachineWithPorts, MachineWorld};
+use crate::machine_world::{MachineSimulation, MachineWithPorts};
 use crate::plan::Plan;
 use crate::report::SoakReport;
 
-/// A node of the play before it is started.
+/// A node of the soak run before it is started.
 struct PreparedNode {
     plan: Plan,
     journal: Arc<Journal>,
-    world: Arc<MachineWorld>,
+    simulation: Arc<MachineSimulation>,
 }
 
 impl PreparedNode {
@@ -25,23 +25,23 @@
         PreparedNode {
             plan,
             journal,
-            world: MachineWorld::new(machine),
+            simulation: MachineSimulation::new(machine),
         }
     }
 
     fn database_user(&self) -> DatabaseUser {
-        let world = self.world.clone();
+        let simulation = self.simulation.clone();
         DatabaseUser {
             journal: self.journal.clone(),
-            waits_for_call: Box::new(move |uid| world.machine().machine.waits_for_call(uid)),
+            waits_for_call: Box::new(move |uid| simulation.machine().machine.waits_for_call(uid)),
         }
     }
 }
 
-/// Plays a plan.
+/// Executes a plan.
 ///
 /// # Errors
-/// [`SoakError`] where the play itself, and not a node, failed.
+/// [`SoakError`] if the soak run itself failed, and not a node.
 pub fn run_seed(plan: &Plan) -> Result<SoakReport, SoakError> {
     let prepared: Vec<_> = plan
         .node_plans()
@@ -52,27 +52,28 @@
     let users = prepared.iter().map(PreparedNode::database_user).collect();
     let database = Database::new(quota, plan.seed, users);
     let database_address = database.open()?;
-    // The processes of a node meet in the folder of the thread that starts them.
-    let play_node = &|number: usize, node: PreparedNode| {
+    // All processes of a node are started by one thread, since they share the scratch directory of
+    // that thread, which holds their lock files.
+    let run_node = &|number: usize, node: PreparedNode| {
         let context = NodeContext {
             number,
             plan: node.plan,
             journal: node.journal,
-            world: node.world,
+            simulation: node.simulation,
             database: database.clone(),
             database_address,
         };
-        RunningSoak::start(context)?.play()
+        NodeSoak::start(context)?.run()
     };
     let reports = thread::scope(|scope| {
-        let plays: Vec<_> = prepared
+        let threads: Vec<_> = prepared
             .into_iter()
             .enumerate()
-            .map(|(number, node)| scope.spawn(move || play_node(number, node)))
+            .map(|(number, node)| scope.spawn(move || run_node(number, node)))
             .collect();
-        let reports = plays
+        let reports = threads
             .into_iter()
-            .map(|play| play.join().map_err(|_| SoakError::Panicked)?);
+            .map(|handle| handle.join().map_err(|_| SoakError::Panicked)?);
         reports.collect::<Result<Vec<_>, _>>()
     })?;
     let all = reports.into_iter().reduce(SoakReport::merge);
--- a/crates/fault-soak/src/port.rs
+++ b/crates/fault-soak/src/port.rs
@@ -1,4 +1,4 @@
-//! A port of the machine: the executor's protocol with one process of the node.
+//! A port of the machine, which speaks the executor's protocol with one process of the node.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -14,7 +14,7 @@
 use crate::journal::Journal;
 use crate::machine::{Machine, Notice, PortId, RejectedCommand};
 
-/// How long a node may take no output before its link counts as broken.
+/// Timeout of a write to a link: if the node accepts no output for this long, the write fails.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Default)]
@@ -22,16 +22,16 @@
     /// All notices so far; the first has the position 1.
     notices: Vec<String>,
     link: Option<TcpStream>,
-    /// Counts the links: commands of earlier ones are not carried out any more.
+    /// Number of links so far; commands from earlier links are ignored.
     link_number: u64,
-    /// The present link carries nothing any more.
+    /// True if the current link is open but transmits nothing.
     is_half_open: bool,
-    /// What the executor has to say is held back until it is not silent any more.
+    /// True if the executor sends nothing; its messages are held back until it is no longer silent.
     is_silent: bool,
     held_back: String,
 }
 
-/// A port of the machine. It goes on with the machine when its process is gone.
+/// A port of the machine. It continues to exist with the machine after its process has exited.
 pub(crate) struct Port {
     id: PortId,
     machine: Arc<Machine>,
@@ -40,7 +40,7 @@
 }
 
 impl Port {
-    /// A port without links.
+    /// Creates a port without links.
     pub(crate) fn new(id: PortId, machine: Arc<Machine>, journal: Arc<Journal>) -> Port {
         Port {
             id,
@@ -54,7 +54,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens an address of this port. It may have several.
+    /// Opens an address of this port, which may have several.
     pub(crate) fn open_address(self: &Arc<Port>) -> Result<SocketAddr, SoakError> {
         let port = Arc::clone(self);
         let address = try_serve_connections(move |stream| port.serve(&stream))?;
@@ -68,12 +68,12 @@
         }
     }
 
-    /// Leaves the present link open, but has it carry nothing any more.
+    /// Leaves the current link open, but transmits nothing on it any more.
     pub(crate) fn leave_half_open(&self) {
         self.state().is_half_open = true;
     }
 
-    /// Has the executor send nothing, or send what was held back.
+    /// Makes the executor silent, or ends its silence and sends the messages that were held back.
     pub(crate) fn set_silent(&self, is_silent: bool) {
         let mut state = self.state();
         state.is_silent = is_silent;
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Tells the process something of one of its runs.
+    /// Sends a notice about a run to the process, and keeps it for later links.
     pub(crate) fn notify(&self, notice: &Notice) {
         let mut state = self.state();
         let position = state.notices.len() + 1;
@@ -115,13 +115,13 @@
         let mut number = 0;
         let mut reader = BufReader::new(reading_half);
         let mut line = String::new();
-        // A node that is killed may leave half a line at the end.
+        // A node that is killed may leave an incomplete line at the end.
         while reader.read_line(&mut line).is_ok() && line.ends_with('\n') {
             match serde_json::from_str::<Value>(&line) {
                 Ok(command) if command["action"] == "JOIN" => {
                     number = self.join(stream, command["pos"].as_u64().unwrap_or(0));
                 }
-                Ok(command) => self.carry_out(number, &command),
+                Ok(command) => self.execute_command(number, &command),
                 Err(error) => {
                     self.journal
                         .record_violation(format!("protocol: {error}: {line}"));
@@ -132,9 +132,9 @@
         }
     }
 
-    /// Makes a connection the link, which replaces the one before. Returns its number.
+    /// Makes a connection the link, which replaces the previous one. Returns its number.
     fn join(&self, stream: &TcpStream, position: u64) -> u64 {
-        let (is_cold, age) = self.machine.start();
+        let (is_cold, age) = self.machine.cold_start_and_age();
         let code = if is_cold { "COLD" } else { "WARM" };
         let welcome =
             json!({"action": "WELCOME", "code": code, "wall_ms": age.as_secs_f64() * 1e3});
@@ -153,7 +153,7 @@
         state.link_number
     }
 
-    fn carry_out(&self, link_number: u64, command: &Value) {
+    fn execute_command(&self, link_number: u64, command: &Value) {
         {
             let state = self.state();
             if state.link_number != link_number || state.is_half_open {
--- a/crates/fault-soak/src/report.rs
+++ b/crates/fault-soak/src/report.rs
@@ -1,4 +1,4 @@
-//! What a play has shown.
+//! The report of a soak run.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,29 +6,29 @@
 use crate::plan::{Conditions, Plan};
 use crate::request_record::{RequestTotals, Violation};
 
-/// What a play has shown.
+/// The report of a soak run.
 #[derive(Clone, Debug)]
 pub struct SoakReport {
-    /// What was played.
+    /// The executed plan.
     pub plan: Plan,
-    /// The rules that were broken.
+    /// The rule violations.
     pub violations: Vec<Violation>,
-    /// The order of events, with the time since the start of the play.
+    /// The events in order, with the time since the start of the soak run.
     pub events: Vec<(Duration, String)>,
-    /// What became of the requests.
+    /// Counts of requests by outcome.
     pub totals: RequestTotals,
-    /// The highest mean of runs on the cores, as a share of what the machine survives.
+    /// Highest mean number of runs on the cores, as a share of what the machine can sustain.
     pub peak_runs: f64,
-    /// The highest mean of calls, as a share of the node's quota.
+    /// Highest mean number of calls, as a share of the nodes' quota.
     pub peak_calls: f64,
-    /// The most memory that was booked on a machine, as a share of what it has.
+    /// Most memory booked on a machine, as a share of its memory.
     pub peak_memory: f64,
     /// The logs of the node's processes.
     pub logs: Vec<String>,
 }
 
 impl SoakReport {
-    /// The report of two nodes of a play. The plan stays that of the first.
+    /// Merges the reports of two nodes of a soak run. The plan remains that of the first.
     #[must_use]
     pub fn merge(mut self, other: SoakReport) -> SoakReport {
         self.violations.extend(other.violations);
--- a/crates/fault-soak/src/request_record.rs
+++ b/crates/fault-soak/src/request_record.rs
@@ -1,16 +1,16 @@
-//! What the peers of a node know of its requests and of broken rules.
+//! Records of requests and rule violations, as the peers of a node see them.
 
 use std::fmt;
 use std::time::{Duration, Instant};
 
 use crate::site_settings::ClassPlan;
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// When, from the start of the play.
+    /// Time since the start of the soak run.
     pub at: Duration,
-    /// Which rule, and how.
+    /// The violated rule, and how it was violated.
     pub text: String,
 }
 
@@ -20,91 +20,93 @@
     }
 }
 
-/// How a request ended for its client.
+/// Outcome of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
     /// Answered with the result of a run.
     Served,
-    /// Answered as never run.
+    /// Answered with a rejection, which promises that the request never ran.
     Rejected,
     /// Answered with an error.
     Failed,
-    /// The request crossed the close of its connection, or its loss is reported.
-    Excused,
-    /// The process was killed. An answer that it had written before may still reach the client.
+    /// No answer is expected: the request was sent while its connection was being closed, or its
+    /// loss has been reported.
+    NoAnswerExpected,
+    /// The process was killed. An answer that it wrote before may still reach the client.
     Killed,
 }
 
-/// How a connection ended on which a request had no answer.
+/// How a connection with an unanswered request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionEnd {
-    /// Its process was killed, or the request was not written in full.
+    /// The process was killed, or the request was not written in full.
     Killed,
-    /// The node closed it, and had answered nothing on it yet.
-    New,
-    /// The node closed it after earlier requests.
-    Used,
+    /// The node closed the connection, on which this was the first request.
+    ClosedNew,
+    /// The node closed the connection after earlier requests.
+    ClosedUsed,
 }
 
 /// A request that is about to be written to a process.
 pub struct SentRequest<'a> {
-    /// What the node calls it.
+    /// The request uid.
     pub uid: &'a str,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassPlan,
-    /// Its idempotency key, where its class has them.
+    /// The idempotency key, if the class has them.
     pub key: Option<&'a str>,
-    /// What it carries.
+    /// The body.
     pub body: &'a str,
-    /// The life of the node that it is sent to.
-    pub process: usize,
+    /// The generation of the node that the request is sent to: each kill or restart begins a new
+    /// one.
+    pub generation: usize,
 }
 
-/// What is known of a request.
+/// The known state of a request.
 #[derive(Debug)]
 pub(crate) struct RequestRecord {
     pub(crate) class: ClassPlan,
     pub(crate) key: Option<String>,
     pub(crate) body: String,
     pub(crate) sent_at: Instant,
-    pub(crate) process: usize,
+    pub(crate) generation: usize,
     pub(crate) end: Option<RequestEnd>,
-    /// How many commands to run it came.
+    /// Number of commands to run the request.
     pub(crate) commands: usize,
-    /// Whether a run of it began.
+    /// True if a run of the request has begun.
     pub(crate) has_run: bool,
-    /// The result that its run made.
+    /// The result of the run.
     pub(crate) result: Option<String>,
-    /// The reply that the database gave to its last call.
+    /// The reply of the database to the last call.
     pub(crate) reply: Option<String>,
 }
 
-/// What a command to run finds of its request.
+/// Whether a command to run a request may start a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunPermit {
-    /// It may run, and calls the database so often.
+    /// A run is started.
     Run,
-    /// The request is over: nothing is started.
-    Over,
-    /// No such request came.
+    /// The request has ended: no run is started.
+    Ended,
+    /// No such request was sent.
     Unknown,
 }
 
-/// Counts over a part of a play.
+/// Counts of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestTotals {
-    /// Requests that were written.
+    /// Number of requests that were written.
     pub sent: usize,
-    /// Requests that no connection could be had for.
+    /// Number of requests for which no connection was available.
     pub unsent: usize,
-    /// Requests that were served.
+    /// Number of requests that were served.
     pub served: usize,
-    /// Requests that were rejected.
+    /// Number of requests that were rejected.
     pub rejected: usize,
 }
 
 impl RequestTotals {
-    /// The sums of two counts.
+    /// Returns the sums of both counts.
     #[must_use]
     pub fn plus(self, other: RequestTotals) -> RequestTotals {
         RequestTotals {
--- a/crates/fault-soak/src/site_settings.rs
+++ b/crates/fault-soak/src/site_settings.rs
@@ -1,4 +1,4 @@
-//! The classes of the plans' sites, and the settings that a node gets.
+//! The classes of the sites, and the settings of their nodes.
 
 use std::time::Duration;
 
@@ -12,20 +12,20 @@
 /// A class of the site.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassPlan {
-    /// What requests call it.
+    /// Name of the class in requests.
     pub name: &'static str,
-    /// Within this time a request is answered.
+    /// Time within which a request has to be answered.
     pub deadline: Duration,
-    /// Whether a request may run more than once.
+    /// True if a request may run more than once.
     pub may_run_again: bool,
-    /// Whether its runs call the database.
+    /// True if its runs may call the database.
     pub may_call: bool,
-    /// Whether its requests carry an idempotency key.
+    /// True if its requests carry an idempotency key.
     pub is_keyed: bool,
 }
 
 impl ClassPlan {
-    /// How often its requests may run, in the settings' words.
+    /// Returns the value of the setting `effect`, which says how often requests may run.
     fn effect(self) -> &'static str {
         match self {
             ClassPlan { is_keyed: true, .. } => "by_key",
@@ -38,7 +38,7 @@
     }
 }
 
-/// The classes of all sites; the last one is there where the conditions ask for keys.
+/// The classes of all sites. The last one exists only if the conditions include keys.
 pub(crate) const CLASSES: [ClassPlan; 4] = [
     ClassPlan {
         name: "statement-read",
@@ -71,7 +71,7 @@
 ];
 
 impl Plan {
-    /// The settings of a node of this site.
+    /// Returns the settings of a node of this site.
     pub(crate) fn settings(&self, is_cold: bool) -> Value {
         let site = &self.site;
         let ms = |duration: Duration| duration.as_secs_f64() * 1e3;
--- a/crates/fault-soak/tests/journal.rs
+++ b/crates/fault-soak/tests/journal.rs
@@ -1,4 +1,4 @@
-//! What the journal takes for a broken rule.
+//! Which sequences of events the journal reports as rule violations.
 
 use std::time::Duration;
 
@@ -12,17 +12,18 @@
     is_keyed: false,
 };
 
-/// The soak said that a request was answered twice where its process was killed just after it had written the only answer: the client
-/// read that answer after the kill was noted (seed 1061, 5 plays). A second answer breaks the rule as before.
+/// Guards against a false report of a second answer (seed 1061, in 5 soak runs): a process was
+/// killed just after it had written the only answer, and the client read it after the kill was
+/// recorded. An actual second answer is still a violation.
 #[test]
-fn answer_that_a_killed_process_had_written_is_the_first_one() {
+fn answer_written_before_a_kill_counts_as_the_first_one() {
     let journal = Journal::new();
     journal.request_sent(&SentRequest {
         uid: "first",
         class: CLASS,
         key: None,
         body: "body",
-        process: 1,
+        generation: 1,
     });
     journal.process_killed(1);
     journal.request_answered("first", RequestEnd::Failed, None);
--- a/crates/fault-soak/tests/open_requests.rs
+++ b/crates/fault-soak/tests/open_requests.rs
@@ -1,9 +1,9 @@
-//! What becomes of requests as their connection ends.
+//! Open requests when their connection ends.
 
 use fault_soak::{OpenRequest, OpenRequests};
 
 #[test]
-fn open_requests_are_returned_as_the_connection_ends() {
+fn open_requests_are_returned_when_the_connection_ends() {
     let requests = OpenRequests::default();
     assert!(requests.add(1, "first"));
     assert!(requests.add(2, "second"));
@@ -17,12 +17,13 @@
     assert_eq!(requests.count(), 0);
 }
 
-/// The soak said that a request was never answered which no node had got.
+/// Guards against a false report of an unanswered request that no node had received.
 ///
-/// A node that has no room for a connection closes it at once. The client's reading thread saw the end and returned the open
-/// requests, none; then its writing thread added one, and wrote it into the closed connection, which the system takes.
-/// Nobody was left to end that request. All 123 requests reported so in 42 plays of seed 23 (14 side by side) were
-/// written within 0.2 ms of the end of their connection's reading thread.
+/// A node without a free slot for a connection closes it immediately. The client's reading thread
+/// saw the end and returned the open requests, of which there were none. Then the writing thread
+/// added one and wrote it to the closed connection, which the operating system accepts. No thread
+/// was left to end that request. All 123 requests that 42 soak runs of seed 23 (14 in parallel)
+/// reported were written within 0.2 ms of the exit of their connection's reading thread.
 #[test]
 fn no_request_is_added_once_the_connection_has_ended() {
     let requests = OpenRequests::default();
--- a/crates/fault-soak/tests/plan.rs
+++ b/crates/fault-soak/tests/plan.rs
@@ -1,11 +1,11 @@
-//! Plans are drawn alike each time, and means are over the whole window.
+//! Plans are deterministic, and a mean covers its whole window.
 
 use std::time::Duration;
 
 use fault_soak::{MeanWindow, Plan};
 
 #[test]
-fn a_seed_always_stands_for_the_same_plan() {
+fn a_seed_always_gives_the_same_plan() {
     for seed in 0..50 {
         let plan = Plan::draw(seed);
         assert_eq!(plan, Plan::draw(seed));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn mean_counts_what_is_in_the_window_and_forgets_the_rest() {
+fn mean_covers_the_window_and_drops_older_intervals() {
     let mut window = MeanWindow::new(Duration::from_secs(3));
     window.add(Duration::from_secs(1), 6.0);
     assert_eq!(window.mean(), 2.0);
