--- a/crates/test-doubles/src/client.rs
+++ b/crates/test-doubles/src/client.rs
@@ -9,7 +9,8 @@
 use crate::error::{expect_ok, TestDoubleError};
 use crate::waiting::WAIT_TIMEOUT;
 
-/// A client connection, with blocking reads that time out after 20 s. Methods without `try_` panic on errors.
+/// A client connection, with blocking reads that time out after 20 s. Methods without `try_` panic
+/// on errors.
 pub struct TestClient {
     /// The connection.
     pub stream: TcpStream,
@@ -26,7 +27,7 @@
     /// Connects to a node or a router.
     ///
     /// # Errors
-    /// [`TestDoubleError::Io`] if it does not listen.
+    /// [`TestDoubleError::Io`] if nothing listens at the address.
     pub fn try_connect(address: SocketAddr) -> Result<TestClient, TestDoubleError> {
         let open = || {
             let stream = TcpStream::connect(address)?;
@@ -42,12 +43,12 @@
         open().map_err(TestDoubleError::io(format!("connecting to {address}")))
     }
 
-    /// Sends a line as it is.
+    /// Sends a line unchanged.
     pub fn send_line(&mut self, line: &str) {
         expect_ok(self.try_send_line(line));
     }
 
-    /// Sends a line as it is.
+    /// Sends a line unchanged.
     ///
     /// # Errors
     /// [`TestDoubleError::Io`] if the connection is closed.
@@ -68,14 +69,15 @@
         self.send_with_fields(class, body, &json!({"t0": received_at}))
     }
 
-    /// Sends a request whose parameters have these fields in place of the usual ones, and returns its id.
+    /// Sends a request whose parameters have these fields in place of the usual ones, and returns
+    /// its id.
     pub fn send_with_fields(&mut self, class: &str, body: &str, fields: &Value) -> u64 {
         let (id, line) = self.format_request(class, body, fields);
         self.send_line(&line);
         id
     }
 
-    /// The id and the line of the next request, which is not sent.
+    /// Returns the id and the line of the next request, without sending it.
     pub fn format_request(&mut self, class: &str, body: &str, fields: &Value) -> (u64, String) {
         self.last_id += 1;
         // Unique among the connections of a test that are open at the same time.
@@ -92,8 +94,9 @@
 
     /// Cancels a request.
     pub fn cancel(&mut self, id: u64) {
-        let notice = json!({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": id}});
-        self.send_line(&notice.to_string());
+        let notification =
+            json!({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": id}});
+        self.send_line(&notification.to_string());
     }
 
     /// Reads the next message; null at the end of the connection.
@@ -104,7 +107,8 @@
     /// Reads the next message; null at the end of the connection.
     ///
     /// # Errors
-    /// [`TestDoubleError::Io`] if none comes in time, [`TestDoubleError::InvalidJson`] for other text.
+    /// [`TestDoubleError::Io`] if no message arrives within 20 s, [`TestDoubleError::InvalidJson`]
+    /// for text that is not JSON.
     pub fn try_read_message(&mut self) -> Result<Value, TestDoubleError> {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
@@ -115,7 +119,8 @@
         }
     }
 
-    /// Reads the next answer; null at the end of the connection. The node's goodbye, which may come before it, is skipped.
+    /// Reads the next answer; null at the end of the connection. A close notice before the answer
+    /// is skipped.
     pub fn read_answer(&mut self) -> Value {
         expect_ok(self.try_read_answer())
     }
@@ -137,8 +142,9 @@
     /// Sends a request and reads its answer.
     ///
     /// # Errors
-    /// [`TestDoubleError::ConnectionClosed`] if the connection ends before it, [`TestDoubleError::UnexpectedAnswer`] if
-    /// another request is answered, and the errors of sending and reading.
+    /// [`TestDoubleError::ConnectionClosed`] if the connection ends before the answer,
+    /// [`TestDoubleError::UnexpectedAnswer`] for the answer to another request, and the errors of
+    /// sending and reading.
     pub fn try_request(&mut self, class: &str, body: &str) -> Result<Value, TestDoubleError> {
         let (id, line) = self.format_request(class, body, &Value::Null);
         self.try_send_line(&line)?;
@@ -152,7 +158,8 @@
         Ok(answer)
     }
 
-    /// Asks whether the node is alive and ready, and returns the answer; null at the end of the connection.
+    /// Asks whether the node is alive and ready, and returns the answer; null at the end of the
+    /// connection.
     pub fn query_alive(&mut self) -> Value {
         self.last_id += 1;
         let id = self.last_id;
--- a/crates/test-doubles/src/command.rs
+++ b/crates/test-doubles/src/command.rs
@@ -1,4 +1,4 @@
-//! The gateway's program and its command line.
+//! The path of the gateway program and the command that starts a node.
 
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
@@ -8,13 +8,15 @@
 
 /// The file name of the program.
 const PROGRAM_NAME: &str = "protocol-gateway";
-/// Names another program to run, such as an earlier build to compare with.
+/// Environment variable with the path of another program to run, such as an earlier build for
+/// comparison.
 const PROGRAM_VARIABLE: &str = "GATEWAY_PROGRAM";
-/// The deploy file, whose command sets variables for the program.
+/// The deploy file, whose command sets environment variables for the program.
 const DEPLOY_FILE: &str = include_str!("../../../deploy/balancer.toml");
 
-/// The path of the gateway's program: `GATEWAY_PROGRAM` if set, this process's own program where it is the gateway, else
-/// the one built beside the test. Panics where this process has no program.
+/// Returns the path of the gateway program: `GATEWAY_PROGRAM` if set, the program of this process
+/// if that is the gateway, otherwise the one that was built with the test. Panics if the path of
+/// this process's program is unknown.
 pub fn gateway_program() -> PathBuf {
     expect_ok(try_gateway_program())
 }
@@ -23,7 +25,8 @@
     if let Ok(program) = std::env::var(PROGRAM_VARIABLE) {
         return Ok(program.into());
     }
-    let own = std::env::current_exe().map_err(TestDoubleError::io("finding this program"))?;
+    let own = std::env::current_exe()
+        .map_err(TestDoubleError::io("finding the program of this process"))?;
     if own.file_name().is_some_and(|name| name == PROGRAM_NAME) {
         return Ok(own);
     }
@@ -36,15 +39,16 @@
         ))
 }
 
-/// The command that starts a node with this configuration file; panics where there is no program.
+/// Returns the command that starts a node with this configuration file; panics if the path of the
+/// program is unknown.
 pub fn node_command(config: &ScratchFile) -> Command {
     expect_ok(try_node_command(config))
 }
 
-/// The command that starts a node with this configuration file, with standard error piped.
+/// Returns the command that starts a node with this configuration file, with standard error piped.
 ///
 /// # Errors
-/// [`TestDoubleError`] where the program can't be found.
+/// [`TestDoubleError`] if the path of the program is unknown, or the deploy file has no command.
 pub fn try_node_command(config: &ScratchFile) -> Result<Command, TestDoubleError> {
     let mut command = Command::new(try_gateway_program()?);
     command.envs(deploy_variables()?);
@@ -57,7 +61,7 @@
     Ok(command)
 }
 
-/// The variables that the deploy file's command sets before `exec`.
+/// Returns the environment variables that the command in the deploy file sets before `exec`.
 fn deploy_variables() -> Result<Vec<(&'static str, &'static str)>, TestDoubleError> {
     let run = DEPLOY_FILE
         .lines()
--- a/crates/test-doubles/src/database.rs
+++ b/crates/test-doubles/src/database.rs
@@ -14,48 +14,50 @@
 
 /// A database. Clones share their state.
 ///
-/// The first word of a call's body, up to `#`, selects what happens to it:
+/// The first word of a call's body, up to `#`, selects how the call is handled:
 ///
-/// - `ok`: answered at once; `busy`, `gone`, `wrong`: rejected with 503, 409 or 500.
-/// - `hold#MS`: answered after so many milliseconds and counted while it is delayed, also if the node gives it up.
-/// - `raw#REPLY`: answered with this text as it is; the connection stays open.
+/// - `ok`: answered immediately; `busy`, `gone`, `wrong`: rejected with 503, 409 or 500.
+/// - `hold#MS`: answered after this number of milliseconds, and counted as delayed until then, even
+///   if the node abandons the call.
+/// - `raw#REPLY`: answered with this text unchanged; the connection stays open.
 /// - `forever`: answered with a head that does not end.
 /// - `break`: the connection is closed.
-/// - `cut#MS`: the connection breaks after so many milliseconds, and the call goes on.
+/// - `cut#MS`: the connection is closed without an answer after this number of milliseconds, as if it
+///   broke while the call continues; counted as delayed until then.
 /// - anything else, such as `silent`: not answered.
 #[derive(Clone)]
 pub struct FakeDatabase {
-    /// Where it takes connections.
+    /// The address that the database listens on.
     pub address: SocketAddr,
     state: Arc<Mutex<DatabaseState>>,
 }
 
-/// Numbers of delayed calls.
+/// Counts of delayed calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DelayedCalls {
-    /// Delayed now.
+    /// Number of calls that are delayed now.
     pub in_flight: usize,
-    /// The most that were delayed at once since these numbers were last read.
+    /// Peak number of calls delayed at the same time since the counts were last read.
     pub peak: usize,
-    /// All since the start.
+    /// Number of delayed calls since the start.
     pub total: usize,
 }
 
 #[derive(Default)]
 struct DatabaseState {
-    /// How often each body came.
+    /// Number of calls by body.
     calls: HashMap<String, usize>,
     connections: usize,
     open_connections: usize,
     unanswered: usize,
     peak_unanswered: usize,
     delayed: DelayedCalls,
-    /// How the node broke the protocol, if it did.
+    /// The first protocol violation of the node, if any.
     protocol_error: Option<String>,
 }
 
 impl FakeDatabase {
-    /// Starts the database; panics where the system provides no socket.
+    /// Starts the database; panics if the operating system provides no socket.
     pub fn start() -> FakeDatabase {
         expect_ok(FakeDatabase::try_start())
     }
@@ -63,7 +65,7 @@
     /// Starts the database.
     ///
     /// # Errors
-    /// [`TestDoubleError::Io`] where the system provides no socket.
+    /// [`TestDoubleError::Io`] if the operating system provides no socket.
     pub fn try_start() -> Result<FakeDatabase, TestDoubleError> {
         let state = Arc::new(Mutex::new(DatabaseState::default()));
         let shared = state.clone();
@@ -71,7 +73,8 @@
         Ok(FakeDatabase { address, state })
     }
 
-    /// The numbers of delayed calls; [`DelayedCalls::peak`] begins anew.
+    /// Returns the counts of delayed calls, and resets [`DelayedCalls::peak`] to the number of
+    /// calls that are delayed now.
     pub fn read_delayed_calls(&self) -> DelayedCalls {
         let mut state = self.checked_state();
         let delayed = state.delayed;
@@ -79,31 +82,33 @@
         delayed
     }
 
-    /// The most calls without an answer that were in flight at once.
+    /// Returns the peak number of calls that were unanswered at the same time, without those
+    /// delayed.
     pub fn peak_unanswered(&self) -> usize {
         self.checked_state().peak_unanswered
     }
 
-    /// The number of connections since the start.
+    /// Returns the number of connections since the start.
     pub fn connection_count(&self) -> usize {
         self.checked_state().connections
     }
 
-    /// The number of connections that are open.
+    /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
         self.checked_state().open_connections
     }
 
-    /// How often a call with this body came.
+    /// Returns the number of calls with this body.
     pub fn call_count(&self, body: &str) -> usize {
         let state = self.checked_state();
         state.calls.get(body).copied().unwrap_or(0)
     }
 
-    /// Checks that the node has kept to the protocol.
+    /// Checks that the node has not violated the protocol.
     ///
     /// # Errors
-    /// [`TestDoubleError::Protocol`] with its first offence. The methods that read numbers panic in that case.
+    /// [`TestDoubleError::Protocol`] with the first violation. The methods that read counts panic
+    /// in that case.
     pub fn check_protocol(&self) -> Result<(), TestDoubleError> {
         let state = lock_state(&self.state);
         let error = state.protocol_error.clone();
@@ -195,11 +200,11 @@
     }
     let ms = argument.split('#').next().and_then(|ms| ms.parse().ok());
     thread::sleep(Duration::from_millis(ms.unwrap_or(0)));
-    // Counted down before the answer: the node may send the next call as soon as it has it.
+    // Decremented before the answer: the node may send the next call as soon as it has received it.
     lock_state(state).delayed.in_flight -= 1;
 }
 
-/// Waits until the node gives a call up, which closes the connection.
+/// Waits until the node abandons a call and closes the connection.
 fn leave_unanswered(
     reader: &mut BufReader<TcpStream>,
     state: &Mutex<DatabaseState>,
--- a/crates/test-doubles/src/encoding.rs
+++ b/crates/test-doubles/src/encoding.rs
@@ -1,4 +1,4 @@
-//! The encodings that the protocols of a node use in their fields.
+//! Encodings of fields in the protocols of a node.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
@@ -11,7 +11,7 @@
     STANDARD.encode(text)
 }
 
-/// Decodes base64 of UTF-8 text; panics where it is anything else.
+/// Decodes base64 of UTF-8 text; panics for anything else.
 pub fn decode_base64(text: &str) -> String {
     expect_ok(try_decode_base64(text))
 }
@@ -24,7 +24,7 @@
     String::from_utf8(bytes).map_err(|error| TestDoubleError::InvalidBase64(error.to_string()))
 }
 
-/// The wall clock, in milliseconds since the Unix epoch; 0 for a clock before it.
+/// Returns the time of the wall clock in milliseconds since the Unix epoch; 0 for a time before it.
 pub fn unix_ms() -> u64 {
     UnixTime::now().whole_ms()
 }
--- a/crates/test-doubles/src/endpoint_list.rs
+++ b/crates/test-doubles/src/endpoint_list.rs
@@ -7,19 +7,19 @@
 use crate::error::{expect_ok, TestDoubleError};
 use crate::waiting::lock_state;
 
-/// The longest load report, in bytes.
-const REPORT_BYTES: usize = 256;
+/// Largest size of a load report, in bytes.
+const MAX_REPORT_BYTES: usize = 256;
 
 /// An endpoint list service that records the load reports sent to it. Clones share their state.
 #[derive(Clone)]
 pub struct FakeEndpointList {
-    /// Where nodes send their reports.
+    /// The address that nodes send their reports to.
     pub address: SocketAddr,
     reports: Arc<Mutex<Vec<String>>>,
 }
 
 impl FakeEndpointList {
-    /// Starts the service; panics where the system provides no socket.
+    /// Starts the service; panics if the operating system provides no socket.
     pub fn start() -> FakeEndpointList {
         expect_ok(FakeEndpointList::try_start())
     }
@@ -27,7 +27,7 @@
     /// Starts the service.
     ///
     /// # Errors
-    /// [`TestDoubleError::Io`] where the system provides no socket.
+    /// [`TestDoubleError::Io`] if the operating system provides no socket.
     pub fn try_start() -> Result<FakeEndpointList, TestDoubleError> {
         let socket =
             UdpSocket::bind("127.0.0.1:0").map_err(TestDoubleError::io("binding on loopback"))?;
@@ -37,7 +37,7 @@
         let reports = Arc::new(Mutex::new(Vec::new()));
         let shared = reports.clone();
         thread::spawn(move || {
-            let mut datagram = [0; REPORT_BYTES];
+            let mut datagram = [0; MAX_REPORT_BYTES];
             while let Ok(length) = socket.recv(&mut datagram) {
                 let report = String::from_utf8_lossy(&datagram[..length]).into_owned();
                 lock_state(&shared).push(report);
@@ -46,7 +46,7 @@
         Ok(FakeEndpointList { address, reports })
     }
 
-    /// Whether this report has arrived.
+    /// Returns true if this report has arrived.
     pub fn has_report(&self, report: &str) -> bool {
         lock_state(&self.reports).iter().any(|r| r == report)
     }
--- a/crates/test-doubles/src/error.rs
+++ b/crates/test-doubles/src/error.rs
@@ -2,31 +2,31 @@
 
 use std::io;
 
-/// Why a test double could not do what was asked of it.
+/// The failure of a test double's operation.
 #[derive(Debug, thiserror::Error)]
 pub enum TestDoubleError {
     /// The operating system refused an operation.
     #[error("{action}: {source}")]
     Io {
-        /// What was attempted.
+        /// The attempted operation.
         action: String,
         /// The cause.
         source: io::Error,
     },
     /// A message is not valid JSON.
-    #[error("a message is not JSON: {0}")]
+    #[error("message is not valid JSON: {0}")]
     InvalidJson(#[from] serde_json::Error),
-    /// Text is not base64 of UTF-8.
+    /// A text is not base64 of UTF-8.
     #[error("not base64 of UTF-8 text: {0}")]
     InvalidBase64(String),
-    /// The node broke the protocol of a fake.
-    #[error("the node broke the protocol: {0}")]
+    /// The node violated the protocol of a test double.
+    #[error("protocol violation by the node: {0}")]
     Protocol(String),
-    /// A condition did not hold in time.
-    #[error("waited in vain: {0}")]
+    /// A condition did not become true within the time limit.
+    #[error("timed out waiting for: {0}")]
     Timeout(String),
     /// The node closed the connection while an answer was expected.
-    #[error("the connection was closed before the answer")]
+    #[error("the connection was closed before the answer arrived")]
     ConnectionClosed,
     /// An answer has the id of another request.
     #[error("an answer to another request: {0}")]
@@ -36,7 +36,7 @@
     Signal {
         /// The name of the signal, without `SIG`.
         signal: String,
-        /// The id of the process.
+        /// The process id.
         pid: u32,
     },
     /// Something that the environment should provide is missing.
@@ -45,14 +45,15 @@
 }
 
 impl TestDoubleError {
-    /// Returns a function for `map_err` that adds what was attempted to an error of the operating system.
+    /// Returns a function for `map_err` that adds the attempted operation to an error of the
+    /// operating system.
     pub(crate) fn io(action: impl Into<String>) -> impl FnOnce(io::Error) -> TestDoubleError {
         let action = action.into();
         move |source| TestDoubleError::Io { action, source }
     }
 }
 
-/// The value of a result; panics with the error, which fails the test that runs.
+/// Returns the value of a result; panics with the error, which fails the current test.
 #[track_caller]
 pub(crate) fn expect_ok<T>(result: Result<T, TestDoubleError>) -> T {
     result.unwrap_or_else(|error| panic!("{error}"))
--- a/crates/test-doubles/src/executor/mod.rs
+++ b/crates/test-doubles/src/executor/mod.rs
@@ -16,17 +16,18 @@
 
 /// An executor. Clones share their state.
 ///
-/// A request's body selects how its run goes: `serve` and `fail` end at once, `bad` is rejected as a command, `call:BODY`
-/// first calls the database with that body, and anything else, such as `hang`, goes on until it is ended.
+/// The body of a request selects how its run proceeds: `serve` and `fail` end immediately, `bad` is
+/// rejected as a command, `call:BODY` first calls the database with that body, and anything else,
+/// such as `hang`, runs until it is stopped or finished.
 #[derive(Clone)]
 pub struct FakeExecutor {
-    /// Where nodes connect to it.
+    /// The address that nodes connect to.
     pub address: SocketAddr,
     state: Arc<Mutex<ExecutorState>>,
 }
 
 impl FakeExecutor {
-    /// Starts the executor; panics where the system provides no socket.
+    /// Starts the executor; panics if the operating system provides no socket.
     pub fn start() -> FakeExecutor {
         expect_ok(FakeExecutor::try_start())
     }
@@ -34,58 +35,60 @@
     /// Starts the executor.
     ///
     /// # Errors
-    /// [`TestDoubleError::Io`] where the system provides no socket.
+    /// [`TestDoubleError::Io`] if the operating system provides no socket.
     pub fn try_start() -> Result<FakeExecutor, TestDoubleError> {
         let state = Arc::new(Mutex::new(ExecutorState::default()));
         let address = serve_links(state.clone())?;
         Ok(FakeExecutor { address, state })
     }
 
-    /// Opens a second address of the same executor: its runs and notice numbers carry on.
+    /// Opens a second address of the same executor, which continues its runs and the positions of
+    /// its notices.
     pub fn open_second_address(&self) -> SocketAddr {
         expect_ok(serve_links(self.state.clone()))
     }
 
-    /// How often a request with this body was run.
+    /// Returns the number of runs of requests with this body.
     pub fn run_count(&self, body: &str) -> usize {
         self.checked_state().run_count(body)
     }
 
-    /// How many requests were run.
+    /// Returns the number of runs.
     pub fn total_runs(&self) -> usize {
         expect_ok(self.try_total_runs())
     }
 
-    /// How many requests were run.
+    /// Returns the number of runs.
     ///
     /// # Errors
-    /// [`TestDoubleError::Protocol`] if the node broke the protocol. The methods without `try_` panic in that case.
+    /// [`TestDoubleError::Protocol`] if the node violated the protocol. The methods without `try_`
+    /// panic in that case.
     pub fn try_total_runs(&self) -> Result<usize, TestDoubleError> {
         self.check_protocol()?;
         Ok(lock_state(&self.state).total_runs())
     }
 
-    /// The positions of notices that links joined at, in order.
+    /// Returns the notice positions that links joined at, in order.
     pub fn join_positions(&self) -> Vec<u64> {
         self.checked_state().join_positions.clone()
     }
 
-    /// How many commands to end a run came.
+    /// Returns the number of commands to stop a run.
     pub fn kill_count(&self) -> usize {
         self.checked_state().kill_count
     }
 
-    /// Has the cores stand still: no run makes progress, and no command ends one.
+    /// Stalls the cores: no run makes progress, and no command stops one.
     pub fn stand_still(&self) {
         self.checked_state().stand_still();
     }
 
-    /// Has the cores go on after they stood still.
+    /// Resumes the cores after [`FakeExecutor::stand_still`].
     pub fn resume(&self) {
         self.checked_state().resume();
     }
 
-    /// Loses each command to run, and its link with it, or no longer does.
+    /// Sets whether each command to run is lost, together with its link.
     pub fn set_loses_commands(&self, loses_commands: bool) {
         self.checked_state().command_loss = if loses_commands {
             CommandLoss::All
@@ -94,37 +97,38 @@
         };
     }
 
-    /// Leaves the link open, but without commands and notices; the next link works.
+    /// Leaves the link open, but ignores commands and sends no notices on it; the next link works.
     pub fn leave_link_half_open(&self) {
         self.checked_state().is_link_half_open = true;
     }
 
-    /// Sets the readings that the node gets, in the order of the settings.
+    /// Sets the gauge readings that the node receives, in the order of the settings.
     pub fn set_gauges(&self, gauges: [f64; 4]) {
         self.checked_state().gauges = gauges;
     }
 
-    /// Sets how long ago the executor started, as it tells nodes that connect from now on.
+    /// Sets the age of the executor, which it reports to nodes that connect from now on.
     pub fn set_age(&self, age: Duration) {
         self.checked_state().age = age;
     }
 
-    /// Runs that are on the cores now.
+    /// Returns the number of runs that are on the cores now.
     pub fn on_cores(&self) -> usize {
         self.checked_state().on_cores()
     }
 
-    /// The most runs that were on the cores at once.
+    /// Returns the peak number of runs on the cores.
     pub fn peak_on_cores(&self) -> usize {
         self.checked_state().peak_on_cores
     }
 
-    /// The fewest commands to end it that any run in progress has got; `None` without runs.
+    /// Returns the smallest number of stop commands that any run in progress has received; `None`
+    /// without runs.
     pub fn fewest_kills(&self) -> Option<usize> {
         self.checked_state().fewest_kills()
     }
 
-    /// Ends a run that hangs, successfully.
+    /// Finishes a hanging run successfully.
     ///
     /// # Panics
     /// If no such run is in progress.
@@ -133,20 +137,20 @@
         assert!(finished, "no run of {body} is in progress");
     }
 
-    /// Breaks the link; notices until the next one are kept for it.
+    /// Breaks the link; notices are kept for the next link.
     pub fn break_link(&self) {
         self.checked_state().break_link();
     }
 
-    /// Loses the next command to run, and the link with it.
+    /// Loses the next command to run, together with the link.
     pub fn lose_next_command(&self) {
         self.checked_state().command_loss = CommandLoss::Next;
     }
 
-    /// Checks that the node has kept to the protocol.
+    /// Checks that the node has not violated the protocol.
     ///
     /// # Errors
-    /// [`TestDoubleError::Protocol`] with its first offence.
+    /// [`TestDoubleError::Protocol`] with the first violation.
     pub fn check_protocol(&self) -> Result<(), TestDoubleError> {
         let error = lock_state(&self.state).protocol_error.clone();
         error.map_or(Ok(()), |error| Err(TestDoubleError::Protocol(error)))
@@ -169,14 +173,14 @@
     })
 }
 
-/// Reads the commands of a link until its end.
+/// Handles the commands of a link until its end.
 fn read_commands(stream: &TcpStream, state: &Mutex<ExecutorState>) -> Result<(), TestDoubleError> {
     let Ok(reading_half) = stream.try_clone() else {
         return Ok(());
     };
     let mut reader = BufReader::new(reading_half);
     let mut line = String::new();
-    // A node that is killed may leave half a line at the end.
+    // A node that is killed may leave an incomplete line at the end.
     while reader.read_line(&mut line).is_ok() && line.ends_with('\n') {
         let command: Value = serde_json::from_str(&line)?;
         line.clear();
--- a/crates/test-doubles/src/executor/runs.rs
+++ b/crates/test-doubles/src/executor/runs.rs
@@ -10,9 +10,9 @@
 use crate::encoding::{encode_base64, try_decode_base64};
 use crate::error::TestDoubleError;
 
-/// The age of an executor that a test sets none for.
+/// Default age of an executor.
 const INITIAL_AGE: Duration = Duration::from_millis(5);
-/// The gauges of an executor with idle cores, in the order of the settings.
+/// The gauge readings of an executor with idle cores, in the order of the settings.
 const IDLE_GAUGES: [f64; 4] = [0.1, 1.0, 0.1, 5.0];
 
 /// Which commands to run are lost with their link.
@@ -23,39 +23,39 @@
     All,
 }
 
-/// What an executor keeps over all its links.
+/// The state of an executor across all its links.
 pub(super) struct ExecutorState {
-    /// How often each body was run.
+    /// Number of runs by body.
     run_counts: HashMap<String, usize>,
-    /// Runs in progress, by the id of their request.
+    /// Runs in progress, by request uid.
     running: HashMap<String, Run>,
-    /// How many commands to end a run came.
+    /// Number of commands to stop a run.
     pub(super) kill_count: usize,
-    /// The positions that links joined at.
+    /// Notice positions that links joined at.
     pub(super) join_positions: Vec<u64>,
     /// All notices so far; the first has the position 1.
     notices: Vec<String>,
     link: Option<TcpStream>,
     /// Which commands to run are lost with their link.
     pub(super) command_loss: CommandLoss,
-    /// How the node broke the protocol, if it did.
+    /// The first protocol violation of the node, if any.
     pub(super) protocol_error: Option<String>,
-    /// No run makes progress, and no command ends one.
+    /// True if no run makes progress and no command stops one.
     is_standing_still: bool,
-    /// The link neither carries commands nor notices any more, but stays open.
+    /// True if the link is open, but its commands are ignored and no notices are sent on it.
     pub(super) is_link_half_open: bool,
-    /// The most runs that were on the cores at once.
+    /// Peak number of runs on the cores.
     pub(super) peak_on_cores: usize,
-    /// The readings that the node gets.
+    /// The gauge readings that the node receives.
     pub(super) gauges: [f64; 4],
-    /// How long ago it started, as it tells the node.
+    /// Age of the executor that it reports to nodes.
     pub(super) age: Duration,
 }
 
 struct Run {
     body: String,
     waits_for_call: bool,
-    /// How many commands to end it came.
+    /// Number of commands to stop the run.
     kills: usize,
 }
 
@@ -112,13 +112,13 @@
         }
     }
 
-    /// Runs on the cores: those that wait for no call.
+    /// Returns the number of runs on the cores, which are those that do not wait for a call.
     pub(super) fn on_cores(&self) -> usize {
         let on_cores = self.running.values().filter(|run| !run.waits_for_call);
         on_cores.count()
     }
 
-    /// The fewest commands to end it that any run has got; `None` without runs.
+    /// Returns the smallest number of stop commands that any run has received; `None` without runs.
     pub(super) fn fewest_kills(&self) -> Option<usize> {
         self.running.values().map(|run| run.kills).min()
     }
@@ -127,7 +127,7 @@
         self.is_standing_still = true;
     }
 
-    /// Lets the cores go on: runs that only had to be served end.
+    /// Resumes the cores, and advances all runs as their bodies say.
     pub(super) fn resume(&mut self) {
         self.is_standing_still = false;
         let uids: Vec<String> = self.running.keys().cloned().collect();
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Ends the run with this body successfully; whether there was one.
+    /// Finishes a run with this body successfully. Returns true if there was one.
     pub(super) fn finish_run(&mut self, body: &str) -> bool {
         let found = self.running.iter().find(|(_, run)| run.body == body);
         let Some(uid) = found.map(|(uid, _)| uid.clone()) else {
@@ -150,7 +150,7 @@
         let uid = command["uid"].as_str().unwrap_or("").to_string();
         match command["action"].as_str() {
             _ if self.is_link_half_open => {}
-            Some("EXEC") if self.loses_command() => self.break_link(),
+            Some("EXEC") if self.take_command_loss() => self.break_link(),
             Some("EXEC") if !self.running.contains_key(&uid) => {
                 self.start_run(&uid, &decode_content(command)?);
             }
@@ -170,8 +170,8 @@
         Ok(())
     }
 
-    /// Whether the command to run that has come is lost.
-    fn loses_command(&mut self) -> bool {
+    /// Returns true if the current command to run is to be lost.
+    fn take_command_loss(&mut self) -> bool {
         let is_lost = self.command_loss != CommandLoss::None;
         if self.command_loss == CommandLoss::Next {
             self.command_loss = CommandLoss::None;
@@ -191,7 +191,7 @@
         self.advance_run(uid);
     }
 
-    /// Has a run do what its body says, unless the cores stand still.
+    /// Advances a run as its body says, unless the cores are stalled.
     fn advance_run(&mut self, uid: &str) {
         let Some(run) = self.running.get_mut(uid) else {
             return;
@@ -225,13 +225,14 @@
 
     fn reject_run(&mut self, uid: &str) {
         self.running.remove(uid);
-        // A message that a node does not know must not end its link.
+        // A node must keep its link when it receives an unknown message or invalid JSON.
         self.write("{\"action\":\"NEWS\",\"pos\":0}\nnot JSON\n");
         let rejection = json!({"action": "BAD", "code": "EXEC", "uid": uid});
         self.write(&format!("{rejection}\n"));
     }
 
-    /// Ends a run without its call, with a result if the command names the notice of that call.
+    /// Ends a run without its call, and with a result only if the command names the notice of that
+    /// call.
     fn bypass_call(&mut self, uid: &str, command: &Value) -> Result<(), TestDoubleError> {
         let position = command["pos"].as_u64().unwrap_or(0) as usize;
         let index = position
--- a/crates/test-doubles/src/http_call.rs
+++ b/crates/test-doubles/src/http_call.rs
@@ -5,13 +5,14 @@
 
 use crate::error::TestDoubleError;
 
-/// Digits of a request's id in the `Request-Ref` header.
+/// Number of digits of a request uid in the `Request-Ref` header.
 const REQUEST_REF_DIGITS: usize = 16;
 
-/// Reads the next call and returns its body; none at the end of the connection.
+/// Reads the next call and returns its body; `None` at the end of the connection.
 ///
 /// # Errors
-/// [`TestDoubleError::Protocol`] for a call that does not name its request, or has no valid length.
+/// [`TestDoubleError::Protocol`] for a call that does not name its request or has an invalid
+/// length.
 pub(crate) fn read_call(
     reader: &mut BufReader<TcpStream>,
 ) -> Result<Option<String>, TestDoubleError> {
@@ -44,11 +45,11 @@
         if let Some(text) = line.strip_prefix("content-length: ") {
             length = text
                 .parse()
-                .map_err(|_| TestDoubleError::Protocol(format!("the call's length is {text}")))?;
+                .map_err(|_| TestDoubleError::Protocol(format!("invalid call length {text}")))?;
         }
     }
     if !has_request_ref {
-        let message = "a call does not name its request";
+        let message = "a call has no valid Request-Ref header";
         return Err(TestDoubleError::Protocol(message.into()));
     }
     Ok(Some(length))
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,7 +1,8 @@
-//! Test doubles of everything a node talks to, on loopback, and the node itself as a child process.
+//! Test doubles of the peers of a node, on loopback, and the node itself as a child process.
 //!
-//! What a fake does with a request is encoded in the request's body; see [`FakeExecutor`] and [`FakeDatabase`]. Functions
-//! named `try_...` return errors and are for programs; those without the prefix panic, which keeps tests short.
+//! The body of a request selects how a fake handles it; see [`FakeExecutor`] and [`FakeDatabase`].
+//! Functions named `try_...` return errors and are meant for programs; those without the prefix
+//! panic, which keeps tests short.
 
 mod client;
 mod command;
--- a/crates/test-doubles/src/loopback_server.rs
+++ b/crates/test-doubles/src/loopback_server.rs
@@ -1,4 +1,4 @@
-//! A TCP server on loopback with a thread for each connection.
+//! A TCP server on loopback with one thread per connection.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -6,16 +6,17 @@
 
 use crate::error::{expect_ok, TestDoubleError};
 
-/// Starts a server that calls `handler` with each connection on a thread of its own, and returns its address. Panics where
-/// the system provides no socket.
+/// Starts a server that calls `handler` for each connection on a separate thread, and returns its
+/// address. Panics if the operating system provides no socket.
 pub fn serve_connections(handler: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     expect_ok(try_serve_connections(handler))
 }
 
-/// Starts a server that calls `handler` with each connection on a thread of its own, and returns its address.
+/// Starts a server that calls `handler` for each connection on a separate thread, and returns its
+/// address.
 ///
 /// # Errors
-/// [`TestDoubleError::Io`] where the system provides no socket.
+/// [`TestDoubleError::Io`] if the operating system provides no socket.
 pub fn try_serve_connections(
     handler: impl Fn(TcpStream) + Send + Sync + 'static,
 ) -> Result<SocketAddr, TestDoubleError> {
@@ -28,7 +29,7 @@
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let handler = handler.clone();
-            // A connection that takes no options has been closed already.
+            // Setting an option fails if the connection has already been closed.
             if stream.set_nodelay(true).is_ok() {
                 thread::spawn(move || handler(stream));
             }
--- a/crates/test-doubles/src/node/mod.rs
+++ b/crates/test-doubles/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A node as a child process, with its fake peers.
+//! A node as a child process, with test doubles of its peers.
 
 mod start;
 mod usage;
@@ -18,7 +18,7 @@
 
 pub use usage::ProcessUsage;
 
-/// The services that a node talks to.
+/// Test doubles of the services that a node uses.
 #[derive(Clone)]
 pub struct FakePeers {
     /// The executor.
@@ -29,15 +29,15 @@
     pub endpoint_list: FakeEndpointList,
 }
 
-/// A node as a child process, killed with the value.
+/// A node as a child process, which is killed when the value is dropped.
 pub struct Node {
-    /// Its executor.
+    /// The executor of the node.
     pub executor: FakeExecutor,
-    /// Its database.
+    /// The database of the node.
     pub database: FakeDatabase,
-    /// Its endpoint list service.
+    /// The endpoint list service of the node.
     pub endpoint_list: FakeEndpointList,
-    /// Where it takes clients; port 0 until that is known.
+    /// The address that the node listens on for clients; port 0 until it is known.
     pub address: SocketAddr,
     /// The process.
     pub process: Child,
@@ -46,7 +46,7 @@
 }
 
 impl Node {
-    /// The address that the first log line with this message has, as `MESSAGE, at: ADDRESS`.
+    /// Returns the address in the first log line of the form `MESSAGE, at: ADDRESS`.
     pub fn logged_address(&self, message: &str) -> Option<SocketAddr> {
         let prefix = format!("{message}, at: ");
         let log = lock_state(&self.log);
@@ -56,44 +56,44 @@
         })
     }
 
-    /// The address of its admin server; panics if it has none.
+    /// Returns the address of the node's admin server; panics if the node has logged none.
     pub fn admin_address(&self) -> SocketAddr {
         expect_ok(self.try_admin_address())
     }
 
-    /// The address of its admin server.
+    /// Returns the address of the node's admin server.
     ///
     /// # Errors
-    /// [`TestDoubleError::Missing`] if it has logged none.
+    /// [`TestDoubleError::Missing`] if the node has logged none.
     pub fn try_admin_address(&self) -> Result<SocketAddr, TestDoubleError> {
         self.logged_address("admin")
             .ok_or(TestDoubleError::Missing("the node's admin address"))
     }
 
-    /// A new client connection; panics if the node does not listen.
+    /// Opens a client connection; panics if the node does not listen.
     pub fn connect(&self) -> TestClient {
         TestClient::connect(self.address)
     }
 
-    /// What it has logged so far.
+    /// Returns the log of the node so far.
     pub fn log(&self) -> String {
         lock_state(&self.log).clone()
     }
 
-    /// The resources that the process uses now; panics if it does not run.
+    /// Returns the resource usage of the process; panics if the process does not run.
     pub fn usage(&self) -> ProcessUsage {
         expect_ok(ProcessUsage::read(self.process.id()))
     }
 
-    /// Kills it, and waits for its end; panics if that fails.
+    /// Kills the process and waits for its exit; panics if that fails.
     pub fn kill(&mut self) {
         expect_ok(self.try_kill());
     }
 
-    /// Kills it, and waits for its end.
+    /// Kills the process and waits for its exit.
     ///
     /// # Errors
-    /// [`TestDoubleError::Io`] where the system refuses.
+    /// [`TestDoubleError::Io`] if the operating system refuses.
     pub fn try_kill(&mut self) -> Result<(), TestDoubleError> {
         self.process
             .kill()
@@ -107,7 +107,7 @@
         expect_ok(self.send_signal("TERM"));
     }
 
-    /// Replaces the configuration file, and has the node read it.
+    /// Replaces the configuration file, and has the node reload it.
     ///
     /// # Panics
     /// If that fails.
@@ -119,7 +119,7 @@
     /// Sends the process a signal, named without `SIG`.
     ///
     /// # Errors
-    /// [`TestDoubleError::Signal`] if there is no such process any more.
+    /// [`TestDoubleError::Signal`] if the process no longer exists.
     pub fn send_signal(&self, signal: &str) -> Result<(), TestDoubleError> {
         let pid = self.process.id();
         let status = Command::new("/bin/sh")
@@ -133,12 +133,12 @@
         Err(TestDoubleError::Signal { signal, pid })
     }
 
-    /// Waits for the process to end by itself; panics if it does not within 20 s.
+    /// Waits until the process exits by itself; panics if it does not within 20 s.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         expect_ok(self.try_wait_for_exit())
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits until the process exits by itself.
     ///
     /// # Errors
     /// [`TestDoubleError::Timeout`] if it does not within 20 s.
--- a/crates/test-doubles/src/node/start.rs
+++ b/crates/test-doubles/src/node/start.rs
@@ -1,4 +1,4 @@
-//! Starts nodes in the set-ups that tests need.
+//! Starts nodes with the configurations that tests need.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use crate::waiting::{lock_state, wait_until};
 
 impl FakePeers {
-    /// Starts all of them; panics where the system provides no socket.
+    /// Starts all test doubles; panics if the operating system provides no socket.
     pub fn start() -> FakePeers {
         FakePeers {
             executor: FakeExecutor::start(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The configuration of a node that talks to them.
+    /// Returns the configuration of a node that uses these peers.
     pub fn node_config(&self) -> Value {
         node_config(
             self.executor.address,
@@ -39,17 +39,21 @@
 }
 
 impl Node {
-    /// A node that is up and serving. This and the other functions without `try_` panic if it does not start.
+    /// Starts a node and waits until it is ready. This and the other functions without `try_` panic
+    /// if the node does not start.
     pub fn start() -> Node {
         Node::start_with(None, |_| {})
     }
 
-    /// A node that is up and serving, with a changed configuration and maybe an inventory of brokers.
+    /// Starts a node with a changed configuration and an optional inventory of brokers, and waits
+    /// until it is ready, as [`Node::start_with_cells`] does.
     pub fn start_with(inventory: Option<&ScratchFile>, change: impl FnOnce(&mut Value)) -> Node {
         Node::start_with_cells(inventory, None, change)
     }
 
-    /// A node that is up and serving, with a changed configuration and maybe an inventory and a file of cells.
+    /// Starts a node with a changed configuration, an optional inventory of brokers and an optional
+    /// cells file. Waits until the node is ready, or only until it listens if the configuration
+    /// names another executor.
     pub fn start_with_cells(
         inventory: Option<&ScratchFile>,
         cells: Option<&ScratchFile>,
@@ -71,14 +75,14 @@
         }
         let mut node = Node::spawn_command(command, peers, file);
         node.wait_until_listening();
-        // With another executor, the test itself says what to wait for.
+        // With another executor, the test itself waits for the state that it needs.
         if config["executor"] == json!(node.executor.address) {
             node.wait_until_ready();
         }
         node
     }
 
-    /// A node that is up and serving, in the fleet of this file.
+    /// Starts a node in the fleet of this file, and waits until the node is ready.
     pub fn start_in_fleet(fleet: &ScratchFile) -> Node {
         let peers = FakePeers::start();
         let file = ScratchFile::new("config.json", &peers.node_config().to_string());
@@ -90,7 +94,7 @@
         node
     }
 
-    /// A node with a changed configuration that may not come up; it is not waited for.
+    /// Starts a node with a changed configuration that may fail to start; does not wait for it.
     pub fn spawn(change: impl FnOnce(&mut Value)) -> Node {
         let peers = FakePeers::start();
         let mut config = peers.node_config();
@@ -99,13 +103,15 @@
         Node::spawn_command(node_command(&file), peers, file)
     }
 
-    /// A second process of this node beside it, with an executor and an admin server of its own.
+    /// Starts a second process of this node next to the first, with its own executor and admin
+    /// server.
     #[must_use]
     pub fn start_replacement(&self) -> Node {
         self.start_replacement_with(|_| {})
     }
 
-    /// A second process of this node beside it, as with [`Node::start_replacement`], with a changed configuration.
+    /// Starts a second process of this node, as [`Node::start_replacement`] does, with a changed
+    /// configuration.
     #[must_use]
     pub fn start_replacement_with(&self, change: impl FnOnce(&mut Value)) -> Node {
         let peers = FakePeers {
@@ -117,7 +123,7 @@
         config["listen"] = json!(self.address);
         config["admin"] = json!("127.0.0.1:0");
         change(&mut config);
-        // Named by its executor, which no other test has.
+        // The port of the executor makes the file name unique.
         let name = format!("{}.json", peers.executor.address.port());
         let file = ScratchFile::new(&name, &config.to_string());
         let mut node = Node::spawn_command(node_command(&file), peers, file);
@@ -125,15 +131,18 @@
         node
     }
 
-    /// The process of this command, with these peers and its configuration file; it is not waited for.
+    /// Starts a process with this command, these peers and the configuration file of the command;
+    /// does not wait until it listens.
     pub fn spawn_command(command: Command, peers: FakePeers, config: ScratchFile) -> Node {
         expect_ok(Node::try_spawn_command(command, peers, config))
     }
 
-    /// The process of this command, with these peers and its configuration file; it is not waited for.
+    /// Starts a process with this command, these peers and the configuration file of the command;
+    /// does not wait until it listens.
     ///
     /// # Errors
-    /// [`TestDoubleError::Io`] if it can't be started; [`TestDoubleError::Missing`] if its standard error is not piped.
+    /// [`TestDoubleError::Io`] if it can't be started; [`TestDoubleError::Missing`] if its standard
+    /// error is not piped.
     pub fn try_spawn_command(
         mut command: Command,
         peers: FakePeers,
--- a/crates/test-doubles/src/scratch_file.rs
+++ b/crates/test-doubles/src/scratch_file.rs
@@ -9,21 +9,21 @@
 use crate::error::{expect_ok, TestDoubleError};
 
 thread_local! {
-    /// The folder of the test that runs on this thread, while it has files.
+    /// The folder of the test that runs on this thread, as long as the test has files.
     static FOLDER: RefCell<Weak<TempDir>> = const { RefCell::new(Weak::new()) };
 }
 
-/// A file in a temporary folder that all files of the same thread share, and so of the same test. Removed with the value,
-/// the folder with its last file.
+/// A file in a temporary folder that all files of the same thread share, and therefore of the
+/// same test. The file is removed when the value is dropped, the folder with the last file.
 ///
-/// The nodes of a test have this folder as their `TMPDIR`: their lock files meet there.
+/// The nodes of a test have this folder as their `TMPDIR`, so that they share their lock files.
 pub struct ScratchFile {
     path: PathBuf,
     folder: Arc<TempDir>,
 }
 
 impl ScratchFile {
-    /// Writes a file; panics where that fails.
+    /// Writes a file; panics if that fails.
     pub fn new(name: &str, text: &str) -> ScratchFile {
         expect_ok(ScratchFile::try_new(name, text))
     }
@@ -31,7 +31,7 @@
     /// Writes a file.
     ///
     /// # Errors
-    /// [`TestDoubleError::Io`] where the folder or the file can't be written.
+    /// [`TestDoubleError::Io`] if the folder or the file can't be written.
     pub fn try_new(name: &str, text: &str) -> Result<ScratchFile, TestDoubleError> {
         let folder = shared_folder()?;
         let path = folder.path().join(name);
@@ -39,12 +39,12 @@
         Ok(ScratchFile { path, folder })
     }
 
-    /// The path of the file.
+    /// Returns the path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// The folder of the test.
+    /// Returns the folder of the test.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// The folder of this thread, made where there is none.
+/// Returns the folder of this thread, and creates it if there is none.
 fn shared_folder() -> Result<Arc<TempDir>, TestDoubleError> {
     FOLDER.with_borrow_mut(|current| {
         if let Some(folder) = current.upgrade() {
@@ -65,7 +65,7 @@
         let folder = tempfile::Builder::new()
             .prefix("protocol-gateway-")
             .tempdir()
-            .map_err(TestDoubleError::io("making a temporary folder"))?;
+            .map_err(TestDoubleError::io("creating a temporary folder"))?;
         let folder = Arc::new(folder);
         *current = Arc::downgrade(&folder);
         Ok(folder)
--- a/crates/test-doubles/src/settings.rs
+++ b/crates/test-doubles/src/settings.rs
@@ -4,7 +4,8 @@
 
 use serde_json::{json, Value};
 
-/// The settings of a small site. The deadlines are short, so that what is late shows soon.
+/// Returns the settings of a small site. The deadlines are short, so that tests detect late answers
+/// soon.
 pub fn small_site_settings() -> Value {
     let lane = |name: &str, effect: &str, worth: f64| {
         json!({"name": name, "promise": 1000.0, "deadline": 1500.0, "effect": effect, "lateWorth": 0.2,
@@ -25,7 +26,7 @@
     })
 }
 
-/// The configuration of a node that talks to these peers.
+/// Returns the configuration of a node that uses these peers.
 pub fn node_config(executor: SocketAddr, database: SocketAddr, endpoint_list: SocketAddr) -> Value {
     json!({"name": "n3", "listen": "127.0.0.1:0", "executor": executor, "members": endpoint_list, "db": database,
            "seed": "8c1f30d27a5be964", "stop_ms": 8000, "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
--- a/crates/test-doubles/src/waiting.rs
+++ b/crates/test-doubles/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Waiting for conditions, and locks that threads of a double share with a test.
+//! Waiting for conditions, and locking state that a test shares with the threads of a test double.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::thread;
@@ -6,9 +6,9 @@
 
 use crate::error::{expect_ok, TestDoubleError};
 
-/// The longest that anything is waited for.
+/// Timeout of all waits.
 pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
-/// The time between two checks of a condition.
+/// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Waits until a condition holds, and panics if it does not within 20 s.
@@ -19,7 +19,8 @@
 /// Waits until a condition holds.
 ///
 /// # Errors
-/// [`TestDoubleError::Timeout`] with `what` if it does not within 20 s.
+/// [`TestDoubleError::Timeout`] with `what`, the description of the condition, if it does not hold
+/// within 20 s.
 pub fn try_wait_until(
     what: &str,
     mut condition: impl FnMut() -> bool,
@@ -34,15 +35,15 @@
     Ok(())
 }
 
-/// Locks state that a test shares with a thread of a double.
+/// Locks state that a test shares with a thread of a test double.
 ///
 /// # Panics
-/// If that thread panicked with the lock.
+/// If that thread panicked while it held the lock.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("a test double failed")
+    mutex.lock().expect("a thread of a test double panicked")
 }
 
-/// Locks state of a double whose threads do not panic.
+/// Locks state of a test double, also if a thread panicked while it held the lock.
 pub(crate) fn lock_state<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/test-doubles/tests/errors.rs
+++ b/crates/test-doubles/tests/errors.rs
@@ -1,4 +1,5 @@
-//! Failures of the doubles are errors, and a node that breaks a protocol is noticed.
+//! Failures of the test doubles are returned as errors, and protocol violations of a node are
+//! detected.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn a_connection_to_nobody_is_an_error() {
+fn a_connection_to_a_closed_port_is_an_error() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
     let address = listener.local_addr().expect("bound");
     drop(listener);
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn the_database_notices_a_call_without_its_request() {
+fn the_database_detects_a_call_without_a_request_uid() {
     let database = FakeDatabase::start();
     database.check_protocol().expect("nothing was sent");
     let call = "POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nok";
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn the_database_notices_a_second_call_before_the_answer_to_the_first() {
+fn the_database_detects_a_second_call_before_the_answer_to_the_first() {
     let database = FakeDatabase::start();
     let call =
         "POST / HTTP/1.1\r\nRequest-Ref: 0123456789abcdef\r\nContent-Length: 6\r\n\r\nsilent";
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn the_executor_notices_a_command_that_is_not_json() {
+fn the_executor_detects_a_command_that_is_not_json() {
     let executor = FakeExecutor::start();
     let join = "{\"action\":\"JOIN\",\"pos\":0}\n";
     send_and_wait_for_close(executor.address, &format!("{join}EXEC\n"));
@@ -101,9 +102,9 @@
     ));
 }
 
-/// A node that is killed may leave half a line.
+/// A node that is killed may leave an incomplete line.
 #[test]
-fn the_executor_ignores_half_a_command_at_the_end_of_a_link() {
+fn the_executor_ignores_an_incomplete_command_at_the_end_of_a_link() {
     let executor = FakeExecutor::start();
     let mut link = TcpStream::connect(executor.address).expect("it listens");
     link.write_all(b"{\"action\":\"JOIN\",\"pos\":0}\n{\"action\":")
@@ -112,5 +113,5 @@
     test_doubles::wait_until("the link has joined", || executor.join_positions() == [0]);
     executor
         .check_protocol()
-        .expect("half a line is no command");
+        .expect("an incomplete line is not a command");
 }
--- a/crates/test-doubles/tests/scratch_file.rs
+++ b/crates/test-doubles/tests/scratch_file.rs
@@ -1,17 +1,17 @@
-//! Scratch files of a test share a folder, which ends with the last of them.
+//! Scratch files of a test share a folder, which is removed with the last file.
 
 use std::thread;
 
 use test_doubles::ScratchFile;
 
-/// The nodes of a test have the folder as their `TMPDIR`: their lock files meet there.
+/// The nodes of a test have the folder as their `TMPDIR`, so that they share their lock files.
 #[test]
 fn files_of_a_thread_share_a_folder_until_the_last_is_dropped() {
     let first = ScratchFile::new("first", "1");
     let second = ScratchFile::new("second", "2");
     let folder = first.folder().to_path_buf();
     assert_eq!(second.folder(), folder);
-    // What a node leaves there is removed as well.
+    // Files that a node leaves in the folder are removed too.
     std::fs::write(folder.join("lock"), "").expect("the folder exists");
     let first_path = first.path().to_path_buf();
     drop(first);
