--- a/crates/fault-soak/src/client.rs
+++ b/crates/fault-soak/src/client.rs
@@ -35,7 +35,8 @@
 /// Time that a client waits after it could not connect.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 
-/// Number of bits by which the node's number is shifted in a request uid.
+/// Shift of the node's number in a request uid, whose highest bits identify the node that the
+/// request is sent to.
 pub(crate) const NODE_SHIFT: u32 = 48;
 
 /// State that the clients of a node share: the address of the node and the load on it.
--- a/crates/fault-soak/src/site_settings.rs
+++ b/crates/fault-soak/src/site_settings.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// The classes of all sites. The last one exists only if the conditions include keys.
+/// The classes of all sites. The last one is used only if the conditions include keys.
 pub(crate) const CLASSES: [ClassPlan; 4] = [
     ClassPlan {
         name: "statement-read",
