--- a/crates/test-doubles/src/database.rs
+++ b/crates/test-doubles/src/database.rs
@@ -22,8 +22,8 @@
 /// - `raw#REPLY`: answered with this text unchanged; the connection stays open.
 /// - `forever`: answered with a head that does not end.
 /// - `break`: the connection is closed.
-/// - `cut#MS`: the connection is closed without an answer after this number of milliseconds, as if it
-///   broke while the call continues; counted as delayed until then.
+/// - `cut#MS`: the connection is closed without an answer after this number of milliseconds, as if
+///   it broke while the call continues; counted as delayed until then.
 /// - anything else, such as `silent`: not answered.
 #[derive(Clone)]
 pub struct FakeDatabase {
