--- a/crates/fleet-runtime/src/actor/aggregation.rs
+++ b/crates/fleet-runtime/src/actor/aggregation.rs
@@ -1,4 +1,5 @@
-//! Running the aggregation of counters and health observations, and concluding the health of the ledger.
+//! Runs the aggregation of counters and health observations, and evaluates the health of the
+//! ledger.
 
 use std::time::Duration;
 
@@ -18,7 +19,8 @@
 use super::spawn::Identity;
 use super::FleetActor;
 
-/// The aggregation of counters over the fleet, this node's own counters, and the health of the ledger that follows.
+/// The aggregation of counters over the fleet, this node's own counters, and the health of the
+/// ledger that is derived from both.
 pub(super) struct Aggregation {
     pub(super) node: AggregationNode,
     counters: SharedCounters,
@@ -45,7 +47,8 @@
         }
     }
 
-    /// What this node observes of the ledger, for its report.
+    /// Returns the ledger's health as this node observes it, for its report. Empty if there were
+    /// too few calls.
     fn ledger_observations(&self) -> Vec<ServiceObservation> {
         let observed = self.counters.observe_ledger().health;
         observed
@@ -74,7 +77,8 @@
 }
 
 impl FleetActor {
-    /// Reports this node's counters if that is due, and publishes what is known.
+    /// Runs the timers of the aggregation that are due: sends this node's report and publishes the
+    /// aggregate.
     pub(super) fn update_aggregation(&mut self) {
         let now = self.now();
         if !self.socket.is_open() {
@@ -129,7 +133,7 @@
         self.send_shared_state(messages);
     }
 
-    /// Publishes the aggregate and the health of the ledger that follows from it.
+    /// Publishes the aggregate and the health of the ledger that is derived from it.
     fn publish_aggregate(&mut self) {
         let now = self.now();
         let Some(aggregation) = &mut self.aggregation else {
@@ -162,9 +166,10 @@
         }
     }
 
-    /// Has a node that alone can't reach the ledger advertised as quiesced, so that routers pass it over, as long as more
-    /// than half of the serving nodes accept requests. Otherwise nodes that fail serve the fleet better than none.
-    fn set_withdrawn(&mut self, is_wanted: bool) {
+    /// Advertises this node as quiesced if it alone can't reach the ledger, so that routers skip
+    /// it. That requires that more than half of the serving nodes are others that accept requests;
+    /// otherwise nodes that fail are better for the fleet than none.
+    fn set_withdrawn(&mut self, is_requested: bool) {
         let own_name = &self.membership.own_record().name;
         let mut serving = 0;
         let mut accepting_elsewhere = 0;
@@ -173,11 +178,12 @@
             accepting_elsewhere +=
                 usize::from(record.accepts_requests() && record.name != *own_name);
         }
-        self.is_withdrawn = is_wanted && accepting_elsewhere * 2 > serving;
+        self.is_withdrawn = is_requested && accepting_elsewhere * 2 > serving;
         self.advertise_status();
     }
 
-    /// Advertises the status of the process to the other members.
+    /// Advertises the status of the process to the other members, or `Quiesced` instead of `Up`
+    /// while the node is withdrawn.
     pub(super) fn advertise_status(&mut self) {
         let status = if self.is_withdrawn && self.process_status == AdvertisedStatus::Up {
             AdvertisedStatus::Quiesced
@@ -189,7 +195,7 @@
         self.schedule_publication();
     }
 
-    /// What this node knows of the shared state, for tools.
+    /// Returns what this node knows of the shared state, for queries from tools.
     pub(super) fn shared_state_snapshot(&self) -> SharedStateSnapshot {
         let now = self.now();
         let budgets = self.budgets.as_ref().map(|budgets| budgets.snapshot(now));
--- a/crates/fleet-runtime/src/actor/budgets.rs
+++ b/crates/fleet-runtime/src/actor/budgets.rs
@@ -1,4 +1,4 @@
-//! Running the budgets: reporting usage, renewing leases, and publishing what may be spent.
+//! Runs the budgets: reports usage, renews leases, and publishes the quotas that may be spent.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,14 +18,14 @@
 /// The budgets that the fleet divides among its members, and this member's shares of them.
 pub(super) struct BudgetSharing {
     protocol: Budgets,
-    /// In the order of the configuration.
+    /// This member's shares, in the order of the configuration.
     quotas: Vec<(Name, QuotaHandle)>,
-    /// The leader that grants budgets when it was last logged.
+    /// The last logged leader, which grants the budgets.
     logged_leader: Option<Name>,
 }
 
 impl BudgetSharing {
-    /// The budgets of a configuration; `None` if it has none.
+    /// Creates the budgets of a configuration. Returns `None` if it has none.
     pub(super) fn new(
         config: &Config,
         identity: &Identity,
@@ -55,7 +55,7 @@
         })
     }
 
-    /// This member's shares, with the names of the budgets.
+    /// Returns this member's shares, with the names of the budgets.
     pub(super) fn quotas(&self) -> &[(Name, QuotaHandle)] {
         &self.quotas
     }
@@ -68,7 +68,8 @@
         self.protocol.snapshot(now)
     }
 
-    /// Sets the totals of the budgets from a new configuration. A budget that is missing there keeps its total.
+    /// Sets the totals of the budgets from a reloaded configuration. A budget that is missing there
+    /// keeps its total.
     pub(super) fn reload_totals(&mut self, current: &Config, reloaded: &Config) {
         let total = |name: &Name| {
             let budget = reloaded.budgets.iter().find(|budget| budget.name == *name);
@@ -82,7 +83,8 @@
         self.protocol.set_totals(&totals);
     }
 
-    /// Records whether another process of the same name runs, so that the guaranteed quotas are not spent by both.
+    /// Records whether another process with the same name is running, so that the guaranteed quotas
+    /// are not spent by both.
     pub(super) fn set_sibling_running(&mut self, is_running: bool, now: Duration) {
         if is_running {
             self.protocol.yield_to_sibling();
@@ -97,7 +99,8 @@
         }
     }
 
-    /// Publishes what may be spent; whether the leased units of any budget have changed.
+    /// Publishes the quotas that may be spent. Returns true if the leased units of any budget have
+    /// changed.
     fn publish_quotas(&self, log: &Logger) -> bool {
         let mut has_changed = false;
         for (index, (name, quota)) in self.quotas.iter().enumerate() {
@@ -124,7 +127,8 @@
 }
 
 impl FleetActor {
-    /// Reports what is in use and wanted, runs the timers that are due, and publishes what may be spent.
+    /// Reports usage and demand, runs the timers that are due, and publishes the quotas that may be
+    /// spent.
     pub(super) fn update_budgets(&mut self) {
         if !self.socket.is_open() {
             return;
--- a/crates/fleet-runtime/src/actor/commands.rs
+++ b/crates/fleet-runtime/src/actor/commands.rs
@@ -1,4 +1,4 @@
-//! Applying the commands of the process.
+//! Applies the commands of the process.
 
 use std::ops::ControlFlow;
 
@@ -10,7 +10,7 @@
 use super::{random_index, FleetActor};
 
 impl FleetActor {
-    /// Applies a command; breaks if the actor is to end.
+    /// Applies a command. Breaks if the actor must end.
     pub(super) fn handle_command(&mut self, command: ActorCommand) -> ControlFlow<()> {
         let now = self.now();
         match command {
@@ -30,7 +30,7 @@
             }
             ActorCommand::Stop { announces, done } => {
                 self.end_membership(announces);
-                // A caller that no longer waits needs no reply.
+                // Fails if the caller's wait has timed out; it then needs no reply.
                 let _ = done.try_send(());
                 return ControlFlow::Break(());
             }
@@ -39,12 +39,13 @@
         ControlFlow::Continue(())
     }
 
-    /// Applies what can change without a restart: seeds, timing and the totals of budgets.
+    /// Applies the settings that can change without a restart: seeds, timing and the totals of
+    /// budgets.
     fn reload_config(&mut self, config: Config) {
         if !self.config.has_same_fixed_settings(&config) {
             warn!(
                 self.log,
-                "fleet, site, addresses, counts and judgements of the fleet's file change with a restart only"
+                "changes to fleet, site, addresses, counts or judgements in the fleet file take effect only after a restart"
             );
         }
         self.membership.set_seeds(config.seeds.clone());
@@ -52,7 +53,8 @@
         if let Some(budgets) = &mut self.budgets {
             budgets.reload_totals(&self.config, &config);
         }
-        // If observations of the ledger were switched off here, its health would stay at the last conclusion for good.
+        // Sharing stays as it is: if observations of the ledger were switched off here, its health
+        // would never be updated again.
         self.config = Config {
             shares_counts: self.config.shares_counts,
             shares_ledger_health: self.config.shares_ledger_health,
--- a/crates/fleet-runtime/src/actor/datagrams.rs
+++ b/crates/fleet-runtime/src/actor/datagrams.rs
@@ -1,4 +1,4 @@
-//! Receiving datagrams, and carrying out what the membership protocol decides.
+//! Receives datagrams, and carries out the effects of the membership protocol.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -10,18 +10,20 @@
 
 use super::{random_index, FleetActor};
 
-/// Datagrams that are read before the timers are checked again, so that a flood can't delay the protocol.
-const MAX_DATAGRAMS_AT_ONCE: usize = 64;
+/// Maximum number of datagrams that are read before the timers are checked again, so that a flood
+/// of datagrams can't delay the protocol.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
 impl FleetActor {
-    /// Reads a bounded number of datagrams; whether there may be more.
+    /// Reads a bounded number of datagrams. Returns true if there may be more.
     pub(super) fn receive_datagrams(&mut self) -> bool {
         let mut buffer = [0; MAX_DATAGRAM_LEN + 1];
-        for _ in 0..MAX_DATAGRAMS_AT_ONCE {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             match self.socket.receive(&mut buffer) {
                 Ok((length, source)) => self.handle_datagram(&buffer[..length], source),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
-                // An earlier send met a closed port; the failure detector finds such a member.
+                // An earlier datagram was sent to a closed port. The failure detector finds such a
+                // member.
                 Err(_) => {}
             }
         }
@@ -83,7 +85,8 @@
         }]);
     }
 
-    /// Sends messages on shared state. One to a member that is not present is dropped: that member asks again.
+    /// Sends messages of the shared state protocols. Messages to members that are not present are
+    /// dropped; such a member asks again.
     pub(super) fn send_shared_state(&mut self, messages: Vec<Outgoing>) {
         let mut effects = Vec::new();
         for Outgoing { to, message } in messages {
@@ -93,7 +96,7 @@
         self.apply_effects(effects);
     }
 
-    /// Carries out what the membership protocol decided.
+    /// Carries out the effects of the membership protocol, and logs what they changed.
     pub(super) fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
@@ -108,7 +111,7 @@
         self.log_partition_status_change();
     }
 
-    /// Moves to the configured address once the process that had it has released it.
+    /// Binds the configured address once the process that used it has released it.
     pub(super) fn rebind_if_due(&mut self) {
         if !self.socket.rebind_if_due(self.config.listen, &self.poll) {
             return;
--- a/crates/fleet-runtime/src/actor/mod.rs
+++ b/crates/fleet-runtime/src/actor/mod.rs
@@ -1,7 +1,7 @@
 //! The fleet actor: one thread that owns the UDP socket and the timers of a fleet member.
 //!
-//! It carries out what the membership protocol, the budgets and the aggregation of counters decide, applies the
-//! commands of the process, and publishes what it knows.
+//! It carries out the decisions of the membership protocol, the budgets and the aggregation of
+//! counters, applies the commands of the process, and publishes the resulting state.
 
 mod aggregation;
 mod budgets;
@@ -34,14 +34,15 @@
 
 const SOCKET: Token = Token(0);
 const WAKER: Token = Token(1);
-/// Events of the poll that are read at once.
+/// Maximum number of events that one poll returns.
 const EVENT_CAPACITY: usize = 4;
-/// The longest wait while no timer is due: an upper bound, as a wake-up a minute costs nothing.
+/// Maximum duration of a poll while no timer is due. The cost of one wake-up per minute is
+/// negligible.
 const MAX_POLL_TIMEOUT: Duration = Duration::from_secs(60);
-/// The pause after a failed poll.
+/// Pause after a failed poll.
 const POLL_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
-/// The state of the actor's thread. Times that the protocols see count from `started_at`.
+/// The state of the actor's thread. The protocols use times relative to `started_at`.
 struct FleetActor {
     config: Config,
     membership: MembershipView,
@@ -50,18 +51,18 @@
     started_at: Instant,
     rng: ChaCha8Rng,
     commands: Receiver<ActorCommand>,
-    /// `None` where the fleet file has no budgets.
+    /// `None` if the fleet file has no budgets.
     budgets: Option<BudgetSharing>,
-    /// `None` where nodes share neither counts nor health observations.
+    /// `None` if the nodes share neither counts nor health observations.
     aggregation: Option<Aggregation>,
-    /// The status that the process set.
+    /// The status that the process has set.
     process_status: AdvertisedStatus,
-    /// Whether the process is advertised as quiesced because only this node can't reach the ledger.
+    /// True if the process is advertised as quiesced because only this node can't reach the ledger.
     is_withdrawn: bool,
     publisher: Publisher,
-    /// The partition status when it was last logged.
+    /// The last logged partition status.
     partition_status: PartitionStatus,
-    /// Whether another process had this member's name when that was last logged.
+    /// True if another process used this member's name when that was last logged.
     is_superseded: bool,
     log: Logger,
 }
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The time on the clock that the protocols use.
+    /// Returns the time on the clock that the protocols use.
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
@@ -100,7 +101,7 @@
     fn poll_events(&mut self, events: &mut Events, timeout: Duration) {
         match self.poll.poll(events, Some(timeout)) {
             Err(e) if e.kind() != ErrorKind::Interrupted => {
-                warn!(self.log, "fleet: poll"; "error" => %e);
+                warn!(self.log, "fleet: polling the socket failed"; "error" => %e);
                 std::thread::sleep(POLL_ERROR_PAUSE);
             }
             _ => {}
@@ -114,7 +115,7 @@
         ControlFlow::Continue(())
     }
 
-    /// How long the poll may wait.
+    /// Returns the duration that the poll may wait.
     fn time_to_next_timer(&self) -> Duration {
         let now = Instant::now();
         let protocols = if self.socket.is_open() {
@@ -153,7 +154,7 @@
     }
 }
 
-/// Draws an index below a length.
+/// Returns a function that draws a random index below a length.
 fn random_index(rng: &mut ChaCha8Rng) -> impl FnMut(usize) -> usize + '_ {
     |length| rng.random_range(0..length.max(1))
 }
--- a/crates/fleet-runtime/src/actor/publishing.rs
+++ b/crates/fleet-runtime/src/actor/publishing.rs
@@ -1,4 +1,4 @@
-//! Publishing the state of the membership to the process and to the log.
+//! Publishes the state of the membership to the process and to the log.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,11 +13,11 @@
 
 use super::FleetActor;
 
-/// Where the actor publishes snapshots of the membership.
+/// Publishes snapshots of the membership and notifies the process.
 pub(super) struct Publisher {
     snapshot: Arc<ArcSwap<MembershipSnapshot>>,
     on_change: Box<dyn Fn() + Send>,
-    /// When the next snapshot is due; `None` while nothing has changed.
+    /// Time at which the next snapshot is due. `None` while nothing has changed.
     publish_at: Option<Instant>,
 }
 
@@ -37,7 +37,7 @@
         self.publish_at
     }
 
-    /// Notifies the process that something it reads has changed.
+    /// Notifies the process that published state has changed.
     pub(super) fn notify(&self) {
         (self.on_change)();
     }
@@ -46,7 +46,7 @@
         self.publish_at.get_or_insert_with(Instant::now);
     }
 
-    /// Whether a snapshot is due; if so, it no longer is.
+    /// Returns true if a snapshot is due, and resets that.
     fn start_if_due(&mut self) -> bool {
         let now = Instant::now();
         let is_due = self.publish_at.is_some_and(|publish_at| publish_at <= now);
@@ -62,7 +62,7 @@
 }
 
 impl FleetActor {
-    /// Has a snapshot published at the end of this turn of the loop.
+    /// Schedules a snapshot for the end of this iteration of the loop.
     pub(super) fn schedule_publication(&mut self) {
         self.publisher.schedule();
     }
@@ -77,7 +77,8 @@
         self.publisher.notify();
     }
 
-    /// Has the aggregation choose among the members that report now.
+    /// Passes the members that serve clients to the aggregation, which chooses its aggregators
+    /// among them.
     fn update_reporting_members(&mut self) {
         let Some(aggregation) = &mut self.aggregation else {
             return;
@@ -93,7 +94,7 @@
         aggregation.node.set_members(reporting);
     }
 
-    /// Logs a change of a member's status, unless it is the state that was last published.
+    /// Logs a change of a member's state, unless it equals the state that was last published.
     pub(super) fn log_member_change(&self, record: &MemberRecord) {
         let published = self.publisher.snapshot.load();
         let previous = published.member(&record.name).map(LoggedState::from);
@@ -106,7 +107,8 @@
             Liveness::Suspect => "suspect",
             Liveness::Dead => "dead",
         };
-        // Members become suspect and alive again by the loss of a few datagrams alone.
+        // Logged at debug level: the loss of a few datagrams is enough to make a member suspect and
+        // alive again.
         let is_refuted = current.liveness == Liveness::Alive
             && previous.is_some_and(|previous| previous.liveness == Liveness::Suspect);
         if current.liveness == Liveness::Suspect || is_refuted {
@@ -124,9 +126,9 @@
         }
         self.is_superseded = !self.is_superseded;
         let note = if self.is_superseded {
-            "another process has the name"
+            "another process uses this member's name"
         } else {
-            "the name is this process's again"
+            "this process uses the name again"
         };
         info!(self.log, "membership"; "note" => note);
     }
@@ -146,12 +148,12 @@
     }
 }
 
-/// Whether a member is present and serves clients.
+/// Returns true if a member is present and serves clients.
 pub(super) fn serves_clients(record: &MemberRecord) -> bool {
     record.client_address.is_some() && record.state.is_present()
 }
 
-/// What of a member's record is worth a line in the log.
+/// The part of a member's record whose changes are logged.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct LoggedState {
     incarnation: u64,
--- a/crates/fleet-runtime/src/actor/socket.rs
+++ b/crates/fleet-runtime/src/actor/socket.rs
@@ -1,4 +1,5 @@
-//! The actor's UDP socket: binding it, also while another process still has the address, and logging what is dropped.
+//! The actor's UDP socket. Binds it, even while another process still uses the address, and counts
+//! and logs dropped datagrams.
 
 use std::fmt;
 use std::io::{self, ErrorKind};
@@ -14,15 +15,15 @@
 
 use super::SOCKET;
 
-/// The interval between attempts to bind the configured address while another process has it.
+/// Interval between attempts to bind the configured address while another process uses it.
 pub(super) const REBIND_INTERVAL: Duration = Duration::from_secs(1);
-/// The interval between log lines about dropped datagrams.
+/// Minimum interval between log lines about dropped datagrams.
 const DROP_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 pub(super) struct FleetSocket {
-    /// `None` while another process has the only address that other members know.
+    /// `None` while another process uses the only address that other members know.
     socket: Option<UdpSocket>,
-    /// When binding the configured address is tried again; `None` once it is bound.
+    /// Time of the next attempt to bind the configured address. `None` once it is bound.
     rebind_at: Option<Instant>,
     dropped_datagrams: u64,
     drop_logged_at: Option<Instant>,
@@ -30,8 +31,9 @@
 }
 
 impl FleetSocket {
-    /// Binds the configured address. While another process, which this one replaces, still has it, a temporary port is
-    /// bound instead, or no socket where the configuration advertises an address: there others can't learn a second one.
+    /// Binds the configured address. While the process that this one replaces still uses it, a
+    /// temporary port is bound instead. If the configuration advertises an address, no socket is
+    /// bound until then, as others could not learn a second address.
     pub(super) fn bind(config: &Config, poll: &Poll, log: &Logger) -> io::Result<FleetSocket> {
         let mut rebind_at = None;
         let socket = match bind_udp(config.listen, poll) {
@@ -59,7 +61,7 @@
         self.socket.is_some()
     }
 
-    /// The address of the socket; `None` while there is none.
+    /// Returns the address of the socket. `None` while there is no socket.
     pub(super) fn local_address(&self) -> io::Result<Option<SocketAddr>> {
         self.socket.as_ref().map(UdpSocket::local_addr).transpose()
     }
@@ -68,7 +70,8 @@
         self.rebind_at
     }
 
-    /// Tries to bind the configured address again if that is due; whether it is bound now.
+    /// Tries to bind the configured address again if that is due. Returns true if this call has
+    /// bound it.
     pub(super) fn rebind_if_due(&mut self, listen: SocketAddr, poll: &Poll) -> bool {
         let now = Instant::now();
         if self.rebind_at.is_none_or(|rebind_at| rebind_at > now) {
@@ -83,7 +86,7 @@
         true
     }
 
-    /// Receives a datagram. Without a socket there is never one.
+    /// Receives a datagram. Returns [`ErrorKind::WouldBlock`] if there is none or no socket.
     pub(super) fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         match &self.socket {
             Some(socket) => socket.recv_from(buffer),
@@ -91,7 +94,7 @@
         }
     }
 
-    /// Sends a datagram. One that can't be sent counts as lost, which the protocols tolerate.
+    /// Sends a datagram. A datagram that can't be sent is lost, which the protocols tolerate.
     pub(super) fn send(&self, to: SocketAddr, mut packet: Packet) {
         if let Body::QueryReply { summary, .. } = &mut packet.body {
             summary.dropped = self.dropped_datagrams;
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Counts a datagram that is dropped, and logs some of them.
+    /// Counts a dropped datagram, and logs at most one per [`DROP_LOG_INTERVAL`].
     pub(super) fn record_drop(&mut self, source: SocketAddr, reason: &dyn fmt::Display) {
         self.dropped_datagrams += 1;
         let now = Instant::now();
--- a/crates/fleet-runtime/src/actor/spawn.rs
+++ b/crates/fleet-runtime/src/actor/spawn.rs
@@ -1,4 +1,4 @@
-//! Starting the fleet actor.
+//! Starts the fleet actor.
 
 use std::hash::{BuildHasher, RandomState};
 use std::io;
@@ -29,7 +29,7 @@
 use super::socket::FleetSocket;
 use super::{FleetActor, WAKER};
 
-/// Commands that may wait for the actor; a sender of more waits itself.
+/// Maximum number of queued commands. A sender blocks while the queue is full.
 const COMMAND_CAPACITY: usize = 16;
 
 /// The process as a member of its fleet.
@@ -37,14 +37,14 @@
 pub struct LocalMember {
     /// The member's name.
     pub name: Name,
-    /// Where its clients connect; `None` for a member that serves none.
+    /// The address to which its clients connect. `None` for a member that serves no clients.
     pub client_address: Option<SocketAddr>,
-    /// Its counters, where the fleet file has them shared.
+    /// Its counters. `None` if the fleet file shares neither counts nor health observations.
     pub shared_counters: Option<SharedCounters>,
 }
 
-/// Starts a member on a thread with a stack of `stack_size` bytes. `on_change` is called on that thread after each
-/// change of what the handle shows.
+/// Starts a member on a thread with a stack of `stack_size` bytes. `on_change` is called on that
+/// thread after each change of the state that the handle shows.
 ///
 /// # Errors
 /// The socket can't be bound, or the thread can't be started.
@@ -112,11 +112,11 @@
     Ok(())
 }
 
-/// The socket, and what wakes the thread that waits for it.
+/// The socket, the poll that waits for it, and the waker of that poll.
 struct ActorIo {
     poll: Poll,
     socket: FleetSocket,
-    /// The address of the socket, or the configured one while there is no socket.
+    /// The address of the socket, or the configured address while there is no socket.
     address: SocketAddr,
     waker: Arc<Waker>,
 }
@@ -136,14 +136,15 @@
     }
 }
 
-/// Which run of which member this process is.
+/// The member's name, and the incarnation that identifies this process among those with the name.
 pub(super) struct Identity {
     pub(super) name: Name,
     /// Higher with each start of the process.
     pub(super) incarnation: u64,
 }
 
-/// A seed from the system's randomness, from which the standard library seeds its hash tables.
+/// Returns a seed from the operating system's random source, which the standard library uses for
+/// its hash tables.
 fn random_seed(name: &Name) -> u64 {
     RandomState::new().hash_one(name)
 }
--- a/crates/fleet-runtime/src/config/file.rs
+++ b/crates/fleet-runtime/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The fields of the fleet file as they are written.
+//! The format of the fleet file.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/fleet-runtime/src/config/mod.rs
+++ b/crates/fleet-runtime/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! The fleet file, in JSON5: which fleet a process is a member of, its addresses, and what the fleet shares.
+//! The fleet file, in JSON5: the fleet that a process is a member of, its addresses, and the state
+//! that the fleet shares.
 
 mod checks;
 mod file;
@@ -14,47 +15,48 @@
 use checks::Checker;
 use file::{BudgetSection, FleetFile};
 
-/// The name of the budget of concurrent ledger calls.
+/// The name of the budget that limits concurrent ledger calls.
 pub const LEDGER_BUDGET: &str = "ledger";
-/// The name of the budget of the routers' retries per second.
+/// The name of the budget that limits the routers' retries per second.
 pub const RETRY_BUDGET: &str = "tries";
 
 /// The settings of one member of a fleet.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The fleet's name; datagrams of other fleets are dropped.
+    /// The fleet's name. Datagrams of other fleets are dropped.
     pub fleet: Name,
-    /// The member's name, for a process whose own configuration has none.
+    /// The member's name, for a process whose own configuration does not set one.
     pub name: Option<Name>,
-    /// The site, as operators name their locations.
+    /// The name of the member's site.
     pub site: Name,
     /// The UDP address that the member listens on.
     pub listen: SocketAddr,
-    /// The UDP address that others send to, if it differs from `listen`.
+    /// The UDP address to which other members send, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// The address that clients connect to, if it differs from where the node listens.
+    /// The address to which clients connect, if it differs from the address that the node listens
+    /// on.
     pub client_address: Option<SocketAddr>,
-    /// Members that are contacted at the start, and again while they are not known.
+    /// Addresses that are contacted at the start, and again while their members are not known.
     pub seeds: Vec<SocketAddr>,
-    /// Timing and sizes of the membership protocol.
+    /// The timing and limits of the membership protocol.
     pub settings: Settings,
-    /// The members that elect the leader which grants the budgets.
+    /// The members that elect the leader, which grants the budgets.
     pub voters: Vec<Name>,
     /// The budgets that the fleet divides among its members.
     pub budgets: Vec<QuotaConfig>,
-    /// Whether nodes share their requests in flight by tenant.
+    /// True if nodes share the number of their requests in flight by tenant.
     pub shares_counts: bool,
-    /// Whether nodes share what they observe of the ledger's health.
+    /// True if nodes share their observations of the ledger's health.
     pub shares_ledger_health: bool,
 }
 
-/// Why a fleet file can't be used.
+/// The reason why a fleet file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file can't be read.
     #[error(transparent)]
     Unreadable(#[from] UnreadableFile),
-    /// The file has an error.
+    /// The file's content is invalid.
     #[error(transparent)]
     Invalid(#[from] ConfigFileError),
 }
@@ -63,16 +65,16 @@
     /// Reads a fleet file.
     ///
     /// # Errors
-    /// The file can't be read, or has an error.
+    /// The file can't be read, or is invalid.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
         let text = read_text(path)?;
         Ok(Config::parse(&path.display().to_string(), &text)?)
     }
 
-    /// Parses the text of a fleet file; errors call the file `file_name`.
+    /// Parses the text of a fleet file. `file_name` is the file's name in errors.
     ///
     /// # Errors
-    /// The first field that can't be used, with its line where that is known.
+    /// The first invalid field, with its line if that is known.
     pub fn parse(file_name: &str, text: &str) -> Result<Config, ConfigFileError> {
         let file: FleetFile = json5::from_str(text)
             .map_err(|error| ConfigFileError::from_json5(file_name, &error))?;
@@ -104,12 +106,13 @@
         }
     }
 
-    /// The UDP address that other members send to.
+    /// Returns the UDP address to which other members send.
     pub(crate) fn advertised_address(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 
-    /// Whether `other` differs only in settings that take effect without a restart.
+    /// Returns true if `other` has the same fleet, site, addresses and sharing, which change only
+    /// with a restart.
     pub(crate) fn has_same_fixed_settings(&self, other: &Config) -> bool {
         self.fleet == other.fleet
             && self.site == other.site
@@ -133,12 +136,13 @@
     }
 }
 
-/// The settings of the membership protocol: the defaults, and what the file sets.
+/// Returns the settings of the membership protocol: the defaults, overridden by the fields of the
+/// file.
 fn membership_settings(file: &FleetFile) -> Settings {
     let mut settings = Settings::default();
     if let Some(ms) = file.period_ms {
         settings.probe_interval = Duration::from_millis(ms);
-        // The proportions of the defaults.
+        // The same ratios to the probe interval as in the defaults.
         settings.gossip_interval = settings.probe_interval / 5;
         settings.probe_timeout = settings.probe_interval * 6 / 25;
     }
--- a/crates/fleet-runtime/src/handle.rs
+++ b/crates/fleet-runtime/src/handle.rs
@@ -1,4 +1,5 @@
-//! The handle by which the rest of the process reads the fleet's state and sends commands to the fleet actor.
+//! The handle by which the rest of the process reads the fleet's state and sends commands to the
+//! fleet actor.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,24 +14,24 @@
 use crate::quota_handle::QuotaHandle;
 use crate::snapshot::MembershipSnapshot;
 
-/// How long [`FleetHandle::leave`] and [`FleetHandle::stop_silently`] wait for the actor.
+/// Maximum time that [`FleetHandle::leave`] and [`FleetHandle::stop_silently`] wait for the actor.
 const STOP_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A command to the fleet actor.
 pub(crate) enum ActorCommand {
-    /// Advertise this status of the process.
+    /// Advertises this status of the process.
     SetStatus(AdvertisedStatus),
-    /// Advertise where clients connect.
+    /// Advertises this address to which clients connect.
     SetClientAddress(SocketAddr),
-    /// Use this configuration from now on.
+    /// Applies this reloaded configuration.
     ReloadConfig(Box<Config>),
-    /// Another process of the same name runs, or has ended.
+    /// Records whether another process with the same name is running.
     SetSiblingRunning(bool),
-    /// End the actor; it replies on `done` once it has.
+    /// Ends the actor.
     Stop {
-        /// Whether the other members are notified.
+        /// True if the other members are notified.
         announces: bool,
-        /// Where the actor replies.
+        /// Receives a message when the actor is about to end.
         done: Sender<()>,
     },
 }
@@ -47,7 +48,7 @@
 }
 
 impl FleetHandle {
-    /// This node's share of the budget of this name, if the fleet file has that budget.
+    /// Returns this node's share of the budget of this name, if the fleet file has that budget.
     pub fn quota(&self, budget: &str) -> Option<QuotaHandle> {
         self.quotas
             .iter()
@@ -55,7 +56,7 @@
             .map(|(_, quota)| quota.clone())
     }
 
-    /// The last published state of the membership. Does not block.
+    /// Returns the last published state of the membership, without blocking.
     pub fn snapshot(&self) -> Arc<MembershipSnapshot> {
         self.snapshot.load_full()
     }
@@ -65,7 +66,7 @@
         self.send(ActorCommand::SetStatus(status));
     }
 
-    /// Advertises where clients connect, unless the fleet file names an address.
+    /// Advertises the address to which clients connect, unless the fleet file sets one.
     pub fn set_client_address(&self, address: SocketAddr) {
         self.send(ActorCommand::SetClientAddress(address));
     }
@@ -75,8 +76,8 @@
         self.send(ActorCommand::ReloadConfig(Box::new(config)));
     }
 
-    /// Notifies the actor that another process of the same name runs, or has ended, so that the guaranteed quota of the
-    /// name is not spent by both.
+    /// Notifies the actor whether another process with the same name is running, so that the
+    /// guaranteed quota of the name is not spent by both.
     pub fn set_sibling_running(&self, is_running: bool) {
         self.send(ActorCommand::SetSiblingRunning(is_running));
     }
@@ -94,12 +95,13 @@
     fn stop(&self, announces: bool) {
         let (done, stopped) = bounded(1);
         self.send(ActorCommand::Stop { announces, done });
-        // The process ends in any case.
+        // After a time-out the process ends without waiting for the actor.
         let _ = stopped.recv_timeout(STOP_TIMEOUT);
     }
 
     fn send(&self, command: ActorCommand) {
-        // The actor reads its commands at once; one that has ended needs none.
+        // The actor reads its commands promptly, so this blocks briefly at most. An actor that has
+        // ended needs no commands.
         let _ = self.commands.send(command);
         let _ = self.waker.wake();
     }
--- a/crates/fleet-runtime/src/lib.rs
+++ b/crates/fleet-runtime/src/lib.rs
@@ -1,8 +1,9 @@
-//! Runs a fleet member on a real UDP socket.
+//! Runs a fleet member on a UDP socket.
 //!
-//! The decisions are made elsewhere: [`membership`] decides about members, [`shared_state`] about budgets and
-//! aggregated counters. This crate reads the fleet file ([`Config`]), runs one thread with the socket and the timers
-//! ([`spawn_fleet_actor`]), publishes the state to the process ([`FleetHandle`]) and has the queries of tools
+//! The protocols are implemented without I/O in other crates: [`membership`] tracks the members,
+//! and [`shared_state`] budgets and aggregated counters. This crate reads the fleet file
+//! ([`Config`]), runs one thread with the socket and the timers ([`spawn_fleet_actor`]), publishes
+//! the state to the process ([`FleetHandle`]) and provides the queries for tools
 //! ([`query_members`], [`query_shared_state`]).
 
 mod actor;
--- a/crates/fleet-runtime/src/query.rs
+++ b/crates/fleet-runtime/src/query.rs
@@ -1,4 +1,4 @@
-//! Queries to a running member over UDP, as command-line tools and tests use them.
+//! Queries to a running member over UDP, for command-line tools and tests.
 
 use std::io;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
@@ -8,7 +8,7 @@
 use membership::{Body, MemberRecord, Name, Packet};
 use shared_state::{Message, SharedStateSnapshot};
 
-/// How long a query waits for its answer before it is sent again.
+/// Time without an answer after which a query is sent again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 /// A member's view of the fleet.
@@ -18,11 +18,11 @@
     pub responder: MemberRecord,
     /// The summary of its view.
     pub summary: ViewSummary,
-    /// All members that it knows, by name.
+    /// All members that it knows, in the order of their names.
     pub members: Vec<MemberRecord>,
 }
 
-/// What a member knows of the fleet's shared state.
+/// The fleet's shared state as a member knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SharedStateReply {
     /// The member that answered.
@@ -31,11 +31,11 @@
     pub state: SharedStateSnapshot,
 }
 
-/// Why a query has no reply.
+/// The reason why a query failed.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
-    /// No answer came in time.
-    #[error("{address}: no answer; is it the fleet's address of a member of this fleet?")]
+    /// No answer was received in time.
+    #[error("{address}: no answer; check that this is the UDP address of a member of this fleet")]
     NoAnswer {
         /// The address that was queried.
         address: SocketAddr,
@@ -45,10 +45,11 @@
     Io(#[from] io::Error),
 }
 
-/// Asks the member at `address` for its view of the fleet, page by page, for at most `timeout`.
+/// Queries the member at `address` for its view of the fleet, page by page. Takes at most about
+/// `timeout`.
 ///
 /// # Errors
-/// No answer came in time, or the socket failed.
+/// No answer was received in time, or the socket failed.
 pub fn query_members(
     address: SocketAddr,
     fleet: &str,
@@ -64,7 +65,7 @@
             seq,
             after: after.clone(),
         })?;
-        // Without an answer in time the same page is asked for again.
+        // Without an answer in time, the same page is requested again.
         let Some(page) = client.receive_page(seq)? else {
             continue;
         };
@@ -82,10 +83,10 @@
     }
 }
 
-/// Asks the member at `address` for its shared state, for at most `timeout`.
+/// Queries the member at `address` for its shared state. Takes at most about `timeout`.
 ///
 /// # Errors
-/// No answer came in time, or the socket failed.
+/// No answer was received in time, or the socket failed.
 pub fn query_shared_state(
     address: SocketAddr,
     fleet: &str,
@@ -162,13 +163,15 @@
         Ok(())
     }
 
-    /// The next datagram; `None` if none came within the socket's timeout or it can't be decoded.
+    /// Receives the next datagram. Returns `None` if there is none within the socket's timeout, or
+    /// it can't be decoded.
     fn receive(&mut self) -> Option<Packet> {
         let length = self.socket.recv(&mut self.buffer).ok()?;
         Packet::decode(&self.buffer[..length], self.fleet).ok()
     }
 
-    /// Waits for the page with this number; `None` if it did not come within the retry interval.
+    /// Waits for the reply with this sequence number. Returns `None` if it is not received within
+    /// the retry interval.
     fn receive_page(&mut self, seq: u32) -> Result<Option<MemberPage>, QueryError> {
         let sent_at = Instant::now();
         loop {
@@ -205,7 +208,7 @@
     }
 }
 
-/// The local address from which a member at `address` can be reached.
+/// Returns the local address to bind in order to reach a member at `address`.
 fn local_address_for(address: SocketAddr) -> SocketAddr {
     match address {
         SocketAddr::V4(v4) if v4.ip().is_loopback() => (Ipv4Addr::LOCALHOST, 0).into(),
--- a/crates/fleet-runtime/src/quota_handle.rs
+++ b/crates/fleet-runtime/src/quota_handle.rs
@@ -1,4 +1,5 @@
-//! This node's share of a budget, as the code that spends it reads it and reports its use. Nothing here blocks.
+//! This node's share of a budget. The code that spends it reads the limit and reports its usage
+//! here, without blocking.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
@@ -25,8 +26,8 @@
 }
 
 impl QuotaHandle {
-    /// A share of which nothing may be spent yet. Times of the quota count from `started_at`; `waker` wakes the fleet
-    /// actor.
+    /// Creates a share of which nothing may be spent yet. Times of the quota are relative to
+    /// `started_at`. `waker` wakes the fleet actor.
     pub(crate) fn new(started_at: Instant, waker: Arc<Waker>) -> QuotaHandle {
         QuotaHandle {
             started_at,
@@ -36,12 +37,13 @@
         }
     }
 
-    /// The units that may be in use now.
+    /// Returns the number of units that may be in use now.
     pub fn limit(&self) -> Units {
         self.spendable.load().limit(self.started_at.elapsed())
     }
 
-    /// Reports how many units are in use, and how many would be if the quota allowed it.
+    /// Reports the number of units in use, and the number that would be in use if the quota were
+    /// unlimited. Wakes the actor if the demand has risen above the limit.
     pub fn report_usage(&self, in_use: Units, demand: Units) {
         self.usage.in_use.store(in_use, Relaxed);
         let previous_demand = self.usage.demand.swap(demand, Relaxed);
@@ -51,13 +53,13 @@
         }
     }
 
-    /// The longest that a unit may stay in use: after this time the spender must have ended what it began, as the units
-    /// may be granted to another node.
+    /// Returns the maximum time that a unit may stay in use. After that time the spender must have
+    /// ended its calls, as the units may be granted to another node.
     pub fn max_use_duration(&self) -> Duration {
         LeaseTimings::default().max_call_duration
     }
 
-    /// The usage that was last reported.
+    /// Returns the last reported usage.
     pub(crate) fn usage(&self) -> QuotaUsage {
         QuotaUsage {
             in_use: self.usage.in_use.load(Relaxed),
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Sets what may be spent from now on; returns what could be spent before.
+    /// Sets the quota that may be spent, and returns the previous one.
     pub(crate) fn set_spendable(&self, spendable: SpendableQuota) -> SpendableQuota {
         let previous = **self.spendable.load();
         if spendable != previous {
--- a/crates/fleet-runtime/src/shared_counters.rs
+++ b/crates/fleet-runtime/src/shared_counters.rs
@@ -1,5 +1,6 @@
-//! Counts of requests in flight and observations of the ledger: what this node contributes, and the sums over
-//! the fleet. Threads that serve requests write and read here without waiting for the fleet actor.
+//! Counts of requests in flight and observations of the ledger: those of this node, and their
+//! aggregate over the fleet. Threads that serve requests write and read them without waiting for
+//! the fleet actor.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -10,32 +11,32 @@
     Aggregate, AtomicSketchCounters, AttemptWindow, DependencyHealth, ObservedHealth,
 };
 
-/// What the fleet actor last published.
+/// The aggregate that the fleet actor last published.
 #[derive(Clone, Debug)]
 pub(crate) struct FleetCounters {
-    /// The sum of the other nodes' counts.
+    /// The other nodes' counts and observations.
     pub(crate) aggregate: Aggregate,
-    /// When the aggregate is too old to be used.
+    /// Time from which the aggregate is too old to be used.
     pub(crate) expires_at: Instant,
-    /// The health of the ledger, as this node concludes from its own and the others' observations.
+    /// The health of the ledger, evaluated from this node's and the others' observations.
     pub(crate) ledger_health: DependencyHealth,
 }
 
-/// Requests that the other nodes have in flight.
+/// The numbers of requests that the other nodes have in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InFlightElsewhere {
-    /// Nodes whose counts are included, this one among them.
+    /// Number of nodes in the sum, including this one.
     pub node_count: u32,
-    /// Requests in flight at the other nodes, one figure for each key that was asked for.
+    /// Number of requests in flight at the other nodes, for each requested key.
     pub requests: Vec<u32>,
 }
 
 /// This node's recent calls to the ledger.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LedgerObservation {
-    /// The ledger's health as these calls show it; `None` where there were too few.
+    /// The ledger's health according to these calls. `None` if there were too few.
     pub(crate) health: Option<ObservedHealth>,
-    /// How many calls there were, and how many of them failed.
+    /// Number of calls, and of those that failed.
     pub(crate) calls: AttemptCounts,
 }
 
@@ -51,7 +52,7 @@
 impl Default for SharedCounters {
     fn default() -> SharedCounters {
         let started_at = Instant::now();
-        let nothing_known = FleetCounters {
+        let no_aggregate = FleetCounters {
             aggregate: Aggregate::default(),
             expires_at: started_at,
             ledger_health: DependencyHealth::Unknown,
@@ -60,18 +61,18 @@
             started_at,
             in_flight: Arc::default(),
             ledger_calls: Arc::default(),
-            fleet: Arc::new(ArcSwap::from_pointee(nothing_known)),
+            fleet: Arc::new(ArcSwap::from_pointee(no_aggregate)),
         }
     }
 }
 
 impl SharedCounters {
-    /// This node's counters of requests in flight.
+    /// Returns this node's counters of requests in flight.
     pub fn in_flight(&self) -> Arc<AtomicSketchCounters> {
         self.in_flight.clone()
     }
 
-    /// Records a call to the ledger that has ended: its duration, or `None` if it failed.
+    /// Records a completed call to the ledger with its duration, or `None` if it failed.
     pub fn record_ledger_call(&self, duration: Option<Duration>) {
         let now = self.started_at.elapsed();
         self.ledger_calls
@@ -80,11 +81,12 @@
             .record(now, duration);
     }
 
-    /// What the other nodes have in flight for each key; `None` while there is no fresh aggregate.
+    /// Returns the number of requests that the other nodes have in flight for each key. `None`
+    /// while there is no recent aggregate.
     pub fn in_flight_elsewhere(&self, keys: &[u64]) -> Option<InFlightElsewhere> {
         let fleet = self.fleet.load();
-        let is_fresh = fleet.aggregate.aggregator.is_some() && Instant::now() < fleet.expires_at;
-        is_fresh.then(|| InFlightElsewhere {
+        let is_recent = fleet.aggregate.aggregator.is_some() && Instant::now() < fleet.expires_at;
+        is_recent.then(|| InFlightElsewhere {
             node_count: fleet.aggregate.covered_nodes,
             requests: keys
                 .iter()
@@ -93,12 +95,12 @@
         })
     }
 
-    /// The health of the ledger, as this node concludes.
+    /// Returns the health of the ledger, as the fleet actor last evaluated it.
     pub fn ledger_health(&self) -> DependencyHealth {
         self.fleet.load().ledger_health
     }
 
-    /// The ledger's health as this node's recent calls show it.
+    /// Returns this node's recent calls to the ledger and the health that they show.
     pub(crate) fn observe_ledger(&self) -> LedgerObservation {
         let now = self.started_at.elapsed();
         let window = self
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Replaces what is known of the fleet.
+    /// Replaces the published aggregate.
     pub(crate) fn publish(&self, counters: FleetCounters) {
         self.fleet.store(Arc::new(counters));
     }
--- a/crates/fleet-runtime/src/snapshot.rs
+++ b/crates/fleet-runtime/src/snapshot.rs
@@ -1,24 +1,24 @@
-//! The state of the membership that the fleet actor publishes to the rest of the process.
+//! The snapshots of the membership that the fleet actor publishes to the rest of the process.
 
 use membership::{MemberRecord, MembershipView, PartitionStatus};
 
-/// What a member knows of its fleet at one moment.
+/// A member's view of its fleet at one point in time.
 #[derive(Clone, Debug)]
 pub struct MembershipSnapshot {
-    /// All known members by name, dead ones included.
+    /// All known members in the order of their names, including those that are dead or left.
     pub members: Vec<MemberRecord>,
-    /// Whether this member is in contact with a majority of the fleet.
+    /// How much of the fleet this member can see.
     pub partition_status: PartitionStatus,
-    /// A digest of the members; equal where two views are equal.
+    /// A digest of the members. Equal views have equal digests.
     pub digest: u64,
-    /// Members that are alive or suspect.
+    /// Number of members that are present (alive or suspect), including this one.
     pub present: usize,
-    /// Members that died without leaving.
+    /// Number of members that were declared dead without having left.
     pub lost: usize,
 }
 
 impl MembershipSnapshot {
-    /// The member of this name.
+    /// Returns the member of this name, if it is known.
     pub fn member(&self, name: &str) -> Option<&MemberRecord> {
         let index = self
             .members
@@ -27,7 +27,7 @@
         self.members.get(index)
     }
 
-    /// The present state of a view.
+    /// Captures the current state of a view.
     pub(crate) fn capture(view: &MembershipView) -> MembershipSnapshot {
         MembershipSnapshot {
             members: view.members().cloned().collect(),
--- a/crates/fleet-runtime/tests/config.rs
+++ b/crates/fleet-runtime/tests/config.rs
@@ -34,7 +34,7 @@
         (
             "version: 1",
             "version: 2",
-            "fleet.json5:2: version: 2 is not known here: 1 is",
+            "fleet.json5:2: version: 2 is not supported, expected 1",
         ),
         (
             "\"padana\"",
@@ -44,12 +44,12 @@
         (
             "127.0.0.1:7946",
             "0.0.0.0:7946",
-            "fleet.json5:5: listen: names no address, so advertise has to",
+            "fleet.json5:5: listen: is the unspecified address, so advertise is required",
         ),
         (
             "127.0.0.1:7947",
             "127.0.0.1:0",
-            "fleet.json5:6: seeds: 127.0.0.1:0 is nowhere to send to",
+            "fleet.json5:6: seeds: 127.0.0.1:0 is not a valid destination",
         ),
         (
             "version: 1,",
@@ -67,7 +67,7 @@
         assert_eq!(error.to_string(), expected);
     }
     let error = Config::parse("fleet.json5", &VALID.replace("site:", "sight:"))
-        .expect_err("unknown")
+        .expect_err("an unknown field")
         .to_string();
     assert!(
         error.starts_with("fleet.json5:") && error.contains("sight"),
@@ -75,6 +75,6 @@
     );
     assert!(
         Config::parse("fleet.json5", &VALID[..VALID.len() - 20]).is_err(),
-        "cut short"
+        "a truncated file is accepted"
     );
 }
--- a/crates/fleet-runtime/tests/golden.rs
+++ b/crates/fleet-runtime/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Golden bytes of the queries that tools send to a member, and of the answers: tools and members may be of different
-//! versions. The files under `golden/` never change.
+//! Golden bytes of the queries that tools send to a member, and of the replies, as tools and
+//! members may have different versions. The files under `golden/` never change.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::thread;
@@ -13,19 +13,19 @@
     SharedStateSnapshot,
 };
 
-const TIMEOUT: Duration = Duration::from_secs(20);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
-fn record(name: &str, life: u64) -> MemberRecord {
+fn record(name: &str, member_incarnation: u64) -> MemberRecord {
     MemberRecord {
         name: name.into(),
         site: "north".into(),
         address: SocketAddr::from(([192, 0, 2, 17], 7946)),
         client_address: None,
         state: MemberState {
-            incarnation: life,
+            incarnation: member_incarnation,
             version: 3,
             status: AdvertisedStatus::Up,
             liveness: Liveness::Alive,
@@ -33,15 +33,15 @@
         suspected_by: 0,
     }
 }
-fn answer(body: Body, news: Vec<MemberRecord>) -> Packet {
+fn reply_packet(body: Body, members: Vec<MemberRecord>) -> Packet {
     Packet {
         fleet: "billing".into(),
         sender: Some(record("me", 2)),
         body,
-        updates: news,
+        updates: members,
     }
 }
-fn page(seq: u32, more: bool, member: &str) -> Packet {
+fn member_page(seq: u32, more_follow: bool, member: &str) -> Packet {
     let summary = ViewSummary {
         partition_status: "whole".into(),
         status_age_ms: 1,
@@ -51,10 +51,10 @@
         local_health: 5,
         dropped: 6,
     };
-    answer(
+    reply_packet(
         Body::QueryReply {
             seq,
-            has_more: more,
+            has_more: more_follow,
             summary,
         },
         vec![record(member, 9)],
@@ -91,22 +91,24 @@
 }
 fn member_socket() -> UdpSocket {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    socket.set_read_timeout(Some(TIMEOUT)).expect("a time");
+    socket
+        .set_read_timeout(Some(QUERY_TIMEOUT))
+        .expect("a read timeout");
     socket
 }
 
-/// A page is requested by the last name of the page before. A query may be repeated under a later number, so only the first
-/// is compared as bytes, and each is answered.
+/// A page is requested by the last name of the previous page. A query may be repeated with a later
+/// sequence number, so only the first query is compared byte by byte, and each query is answered.
 #[test]
 fn member_query_is_stable() {
     let socket = member_socket();
     let at = socket.local_addr().expect("an address");
-    let tool = thread::spawn(move || query_members(at, "billing", TIMEOUT));
+    let tool = thread::spawn(move || query_members(at, "billing", QUERY_TIMEOUT));
     let mut bytes = [0; 1400];
     let mut first = None;
     socket
         .set_read_timeout(Some(Duration::from_millis(20)))
-        .expect("a time");
+        .expect("a read timeout");
     while !tool.is_finished() {
         let Ok((n, from)) = socket.recv_from(&mut bytes) else {
             continue;
@@ -116,15 +118,18 @@
         let Body::Query { seq, after } = query.body else {
             panic!("not a query")
         };
-        let more = after.is_empty();
-        let answer = page(seq, more, if more { "n1" } else { "n2" });
-        socket.send_to(&answer.encode(), from).expect("sent");
+        let more_follow = after.is_empty();
+        let reply = member_page(seq, more_follow, if more_follow { "n1" } else { "n2" });
+        socket.send_to(&reply.encode(), from).expect("sent");
     }
     assert_eq!(
         first.as_deref(),
         Some(include_str!("golden/query.txt").trim())
     );
-    let reply = tool.join().expect("the tool").expect("an answer");
+    let reply = tool
+        .join()
+        .expect("the tool's thread ends")
+        .expect("a reply");
     assert_eq!(reply.members, [record("n1", 9), record("n2", 9)]);
     assert_eq!(reply.responder, record("me", 2));
 }
@@ -133,18 +138,21 @@
 fn shared_state_query_is_stable() {
     let socket = member_socket();
     let at = socket.local_addr().expect("an address");
-    let tool = thread::spawn(move || query_shared_state(at, "billing", TIMEOUT));
+    let tool = thread::spawn(move || query_shared_state(at, "billing", QUERY_TIMEOUT));
     let mut bytes = [0; 1400];
     let (n, from) = socket.recv_from(&mut bytes).expect("a query");
     assert_eq!(hex(&bytes[..n]), include_str!("golden/look.txt").trim());
-    let reply_bytes = answer(
+    let reply_bytes = reply_packet(
         Body::ApplicationMessage(Message::SnapshotReply(1, shared_state()).encode()),
         vec![],
     )
     .encode();
     assert_eq!(hex(&reply_bytes), include_str!("golden/looked.txt").trim());
     socket.send_to(&reply_bytes, from).expect("sent");
-    let reply = tool.join().expect("the tool").expect("an answer");
+    let reply = tool
+        .join()
+        .expect("the tool's thread ends")
+        .expect("a reply");
     assert_eq!(
         (reply.responder, reply.state),
         (record("me", 2), shared_state())
