--- a/crates/json5-errors/src/error.rs
+++ b/crates/json5-errors/src/error.rs
@@ -4,21 +4,24 @@
 
 use crate::positions::FieldPositions;
 
-/// Why a configuration file can't be used. Displayed as one line: `FILE:LINE: FIELD: MESSAGE`.
+/// The reason why a configuration file can't be used.
+///
+/// Displayed as one line: `FILE:LINE: FIELD: MESSAGE`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct ConfigFileError {
     /// The file, as the caller named it.
     pub file: String,
-    /// The line, counted from 1; `None` where the position is not known.
+    /// The line, counted from 1. `None` if the position is not known.
     pub line: Option<usize>,
-    /// The path of the field, its names joined by dots; empty where the error belongs to no field.
+    /// The path of the field, with its names joined by dots. Empty if the error concerns no field.
     pub field: String,
-    /// What is wrong.
+    /// The description of the error.
     pub message: String,
 }
 
 impl ConfigFileError {
-    /// The error for text that `json5` can't parse. The message of `json5` includes the position.
+    /// Creates the error for text that `json5` can't parse. The message of `json5` includes the
+    /// position.
     pub fn from_json5(file: &str, error: &json5::Error) -> ConfigFileError {
         ConfigFileError {
             file: file.to_string(),
@@ -28,8 +31,9 @@
         }
     }
 
-    /// The error for text that `json5` can't parse, with the field that `positions` has on that line and without the
-    /// position at the end of the message.
+    /// Creates the error for text that `json5` can't parse. The field is the last one that
+    /// `positions` has on or before the line of the error. The position at the end of the message
+    /// is removed.
     pub fn from_json5_with_field(
         file: &str,
         error: &json5::Error,
@@ -62,7 +66,7 @@
     error.position().map(|position| position.line + 1)
 }
 
-/// The message of a parse error without ` at line L column C` at its end.
+/// Returns the message of a parse error without ` at line L column C` at its end.
 fn message_without_position(error: &json5::Error) -> String {
     let message = error.to_string();
     let end = message.find(" at line ").unwrap_or(message.len());
--- a/crates/json5-errors/src/lib.rs
+++ b/crates/json5-errors/src/lib.rs
@@ -1,7 +1,7 @@
-//! Errors in JSON5 configuration files, reported with the file, the line and the field they belong to.
+//! Errors in JSON5 configuration files, with the file, the line and the field that they concern.
 //!
-//! `serde` and `json5` report a position only for text they can't parse. [`FieldPositions`] and [`line_starting_with`]
-//! find the line of a field whose value was parsed and then rejected.
+//! `serde` and `json5` report a position only for text that they can't parse. [`FieldPositions`]
+//! and [`line_starting_with`] find the line of a field whose value was parsed and then rejected.
 
 mod error;
 mod positions;
--- a/crates/json5-errors/src/positions.rs
+++ b/crates/json5-errors/src/positions.rs
@@ -1,13 +1,13 @@
-//! The lines of the fields in a JSON5 text.
+//! Finds the lines of the fields in a JSON5 text.
 
 use std::collections::BTreeMap;
 use std::iter::Peekable;
 use std::str::Chars;
 
-/// The lines of the fields of a JSON5 text, by their path.
+/// The lines of the fields of a JSON5 text, by the path of the field.
 ///
-/// The scan looks at names, brackets, strings and comments alone; whether the text is valid JSON5 is for the parser to
-/// decide.
+/// The scan reads only names, brackets, strings and comments. It does not check that the text is
+/// valid JSON5; the parser does.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FieldPositions {
     lines: BTreeMap<String, usize>,
@@ -17,7 +17,7 @@
 /// A field that occurs twice in the same object. `json5` silently keeps the later value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DuplicateField {
-    /// The path of the field, its names joined by dots.
+    /// The path of the field, with its names joined by dots.
     pub field: String,
     /// The line of the second occurrence, counted from 1.
     pub line: usize,
@@ -29,7 +29,7 @@
         Scanner::new(text).run()
     }
 
-    /// The line of a field, or of the nearest object around it that has a line.
+    /// Returns the line of a field, or of the innermost enclosing object that has a known line.
     pub fn line(&self, path: &[&str]) -> Option<usize> {
         (1..=path.len())
             .rev()
@@ -37,7 +37,8 @@
             .copied()
     }
 
-    /// The path of the last field that begins on this line or before it; empty where there is none.
+    /// Returns the path of the last field that begins on or before this line. Empty if there is
+    /// none.
     pub fn field_before(&self, line: usize) -> String {
         self.lines
             .iter()
@@ -46,14 +47,14 @@
             .map_or_else(String::new, |(field, _)| field.clone())
     }
 
-    /// The first field that occurs twice in its object.
+    /// Returns the first field that occurs twice in its object.
     pub fn duplicate(&self) -> Option<&DuplicateField> {
         self.duplicate.as_ref()
     }
 }
 
-/// The first line that begins with the name of a field, quoted or not. Enough for files without nested objects that
-/// have one field a line.
+/// Returns the first line that begins with the name of a field, quoted or not. Sufficient for files
+/// with one field per line and without nested objects.
 pub fn line_starting_with(text: &str, field: &str) -> Option<usize> {
     let starts_with_field =
         |line: &str| line.trim_start().trim_start_matches('"').starts_with(field);
@@ -62,14 +63,16 @@
         .map(|index| index + 1)
 }
 
-/// One pass over a text that collects [`FieldPositions`].
+/// A scanner that collects [`FieldPositions`] in one pass over a text.
 struct Scanner<'a> {
     chars: Peekable<Chars<'a>>,
     line: usize,
-    /// The names of the objects that are open; lists have none.
+    /// The names of the open objects and lists, outermost first. Objects without a name have an empty
+    /// one. A top-level list has `None`.
     path: Vec<Option<String>>,
-    /// The name or literal that was read last, and its line.
+    /// The name or literal that was read last.
     name: String,
+    /// The line of `name`.
     name_line: usize,
     positions: FieldPositions,
 }
@@ -109,7 +112,7 @@
     }
 
     fn skip_block_comment(&mut self) {
-        // The star of the opening mark does not end the comment.
+        // Skip the star of the opening `/*`, so that `/*/` does not end the comment.
         self.chars.next();
         let mut previous = ' ';
         for c in self.chars.by_ref() {
--- a/crates/json5-errors/src/read.rs
+++ b/crates/json5-errors/src/read.rs
@@ -3,13 +3,13 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A file that can't be read. Displayed as `FILE: REASON`.
+/// The error for a file that can't be read. Displayed as `FILE: REASON`.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", .path.display())]
 pub struct UnreadableFile {
     /// The file.
     pub path: PathBuf,
-    /// The error of the operating system, or that of text that is not UTF-8.
+    /// The error of the operating system, or the error for text that is not UTF-8.
     pub source: io::Error,
 }
 
--- a/crates/json5-errors/tests/positions.rs
+++ b/crates/json5-errors/tests/positions.rs
@@ -1,4 +1,4 @@
-//! The lines that errors in JSON5 files name.
+//! The lines and fields that errors in JSON5 files report.
 
 use json5_errors::{line_starting_with, ConfigFileError, DuplicateField, FieldPositions};
 
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn errors_are_one_line_with_what_is_known_of_the_place() {
+fn errors_are_displayed_as_one_line_without_unknown_parts() {
     let mut error = ConfigFileError {
         file: "f.json5".into(),
         line: Some(3),
