--- a/crates/fleet-cli/src/args.rs
+++ b/crates/fleet-cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line of `protocol-gateway fleet`. The documentation of the types is the help text.
+//! The command line of `protocol-gateway fleet`. The doc comments of the types are the help text.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -25,7 +25,8 @@
         #[arg(long)]
         json: bool,
     },
-    /// Show the shared state that a member knows: its quotas, the counts of the other nodes, the health of the ledger.
+    /// Show the shared state that a member knows: its quotas, the counts of the other nodes, the
+    /// health of the ledger.
     State {
         /// The member that is queried.
         #[command(flatten)]
@@ -66,7 +67,7 @@
     wait_ms: u64,
 }
 
-/// The member that is queried, with the name of its fleet.
+/// The address of the member to query, the name of its fleet, and the time limit of a query.
 pub(crate) struct Target {
     pub(crate) address: SocketAddr,
     pub(crate) fleet: Name,
@@ -74,7 +75,8 @@
 }
 
 impl TargetArgs {
-    /// Reads the fleet file for the fleet's name and the address of its member.
+    /// Reads the fleet file for the fleet's name, and for the member's address unless one was
+    /// given.
     pub(crate) fn resolve(&self) -> Result<Target, ConfigError> {
         let config = Config::read(&self.file.path)?;
         Ok(Target {
--- a/crates/fleet-cli/src/comparison.rs
+++ b/crates/fleet-cli/src/comparison.rs
@@ -1,4 +1,4 @@
-//! Querying all members of a fleet, and comparing their views.
+//! Queries all members of a fleet, and compares their views.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,16 +10,16 @@
 
 use crate::report::{FleetReport, MemberReport, ViewReport};
 
-/// What is shown for a member that a view holds to be dead, or has forgotten.
-const GONE: &str = "gone";
+/// The printed state of a member that is dead, or that a view no longer contains.
+const ABSENT_STATE: &str = "gone";
 
 type Views = BTreeMap<String, Option<ViewReport>>;
 
-/// Queries the member at `address` and, at the same time, all members that it knows to be present; each query takes at
-/// most `timeout`.
+/// Queries the member at `address`, then concurrently all members that it knows to be present. Each
+/// query takes at most `timeout`.
 ///
 /// # Errors
-/// The first member did not answer. Others that don't answer have no view in the report.
+/// The first member did not answer. Other members that do not answer have no view in the report.
 pub fn query_all_members(
     address: SocketAddr,
     fleet: &str,
@@ -85,11 +85,12 @@
     }
 }
 
-/// A member's state with its versions. A member that one view has forgotten and another not yet is gone in both.
+/// Formats a member's state with its incarnation and version. Members that left, are dead or are
+/// missing from a view count as equal, as views remove such members at different times.
 fn describe_state(member: Option<&MemberReport>) -> String {
     match member {
-        None => GONE.into(),
-        Some(member) if matches!(member.state, "left" | GONE) => GONE.into(),
+        None => ABSENT_STATE.into(),
+        Some(member) if matches!(member.state, "left" | ABSENT_STATE) => ABSENT_STATE.into(),
         Some(member) => format!(
             "{}, life {}, incarnation {}",
             member.state, member.incarnation, member.version
--- a/crates/fleet-cli/src/lib.rs
+++ b/crates/fleet-cli/src/lib.rs
@@ -1,5 +1,5 @@
-//! `protocol-gateway fleet`: checks a fleet file, and shows what the members of a fleet know of each other and of the
-//! state they share.
+//! `protocol-gateway fleet`: checks a fleet file, and shows what the members of a fleet know of
+//! each other and of their shared state.
 
 mod args;
 mod comparison;
@@ -18,7 +18,7 @@
 
 use args::Target;
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetCommandError {
     /// The fleet file can't be used.
@@ -29,10 +29,11 @@
     Query(#[from] QueryError),
 }
 
-/// Runs a command and returns what it prints. `watch` prints by itself, until its output is closed.
+/// Runs a command and returns its output. `watch` prints its output itself until standard output is
+/// closed.
 ///
 /// # Errors
-/// [`FleetCommandError`] where the file can't be used, or the member that is asked does not answer.
+/// [`FleetCommandError`] if the file can't be used, or the queried member does not answer.
 pub fn run(command: &FleetCommand) -> Result<String, FleetCommandError> {
     match command {
         FleetCommand::Check(file) => {
--- a/crates/fleet-cli/src/report.rs
+++ b/crates/fleet-cli/src/report.rs
@@ -1,4 +1,5 @@
-//! What commands print, as data. The field names of the JSON are a frozen format; some differ from the names here.
+//! The output of commands as data. The field names of the JSON are a stable format; some differ
+//! from the names here.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,11 +11,11 @@
 /// A member of the fleet as another member knows it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct MemberReport {
-    /// The state's name, see [`state_name`].
+    /// The name of the member's state, see [`state_name`].
     pub state: &'static str,
-    /// The site.
+    /// The name of the member's site.
     pub site: String,
-    /// The run of the member's process; higher with each start.
+    /// The incarnation of the member, which is higher with each start of its process.
     #[serde(rename = "life")]
     pub incarnation: u64,
     /// The version of the member's state within its incarnation.
@@ -23,7 +24,7 @@
     /// The UDP address of the member.
     #[serde(rename = "at")]
     pub address: SocketAddr,
-    /// Where clients connect; `None` for a member that serves none.
+    /// The address to which clients connect. `None` for a member that serves no clients.
     #[serde(rename = "serves")]
     pub client_address: Option<SocketAddr>,
 }
@@ -31,42 +32,44 @@
 /// One member's view of the fleet.
 #[derive(Debug, Serialize)]
 pub struct ViewReport {
-    /// The member whose view it is.
+    /// The name of the member whose view it is.
     #[serde(rename = "seen_by")]
     pub observer: String,
-    /// `whole`, `part` or `alone`: whether the member is in contact with a majority, a minority, or nobody.
+    /// `whole`, `part` or `alone`: the member sees a majority of the fleet, at most half of it, or
+    /// no other member.
     #[serde(rename = "conclusion")]
     pub partition_status: String,
-    /// For how many milliseconds the partition status has held.
+    /// Time since the partition status last changed, in milliseconds.
     pub for_ms: u64,
-    /// A digest of the view in hexadecimal; equal where two views are equal.
+    /// A digest of the view in hexadecimal. Equal views have equal digests.
     pub digest: String,
-    /// Members that are alive or suspect.
+    /// Number of members that are present (alive or suspect).
     pub present: u32,
-    /// Members that died without leaving.
+    /// Number of members that were declared dead without having left.
     pub lost: u32,
-    /// The member's doubt of its own health, in points from 0.
+    /// The member's local health score; 0 for a healthy member.
     pub health: u32,
-    /// Datagrams that were dropped since its start.
+    /// Number of datagrams that it has dropped since its start.
     pub dropped: u64,
-    /// The members by name.
+    /// The members that it knows, by name.
     pub members: BTreeMap<String, MemberReport>,
 }
 
 /// The views of all members, and where they differ.
 #[derive(Debug, Serialize)]
 pub struct FleetReport {
-    /// The view of each member by name; `None` for a member that did not answer.
+    /// The view of each member, by name. `None` for a member that did not answer.
     pub views: BTreeMap<String, Option<ViewReport>>,
-    /// Whether all views are equal.
+    /// True if all views are equal.
     #[serde(rename = "same")]
     pub is_consistent: bool,
-    /// For each member that is seen in different states: by state, the members that see it so.
+    /// For each member that is seen in different states: the members that see it in each state.
     #[serde(rename = "differ")]
     pub differences: BTreeMap<String, BTreeMap<String, Vec<String>>>,
 }
 
-/// The name of a member's state: `suspected`, `gone`, `left`, or the status that it advertises.
+/// Returns the name of a member's state: `suspected`, `gone` (dead), `left`, or the status that it
+/// advertises.
 pub fn state_name(record: &MemberRecord) -> &'static str {
     match (record.state.liveness, record.state.status) {
         (_, AdvertisedStatus::Left) => "left",
--- a/crates/fleet-cli/src/text.rs
+++ b/crates/fleet-cli/src/text.rs
@@ -1,4 +1,4 @@
-//! What commands print without `--json`.
+//! The output of commands without `--json`.
 
 use std::fmt::Write as _;
 
@@ -13,12 +13,12 @@
     };
 }
 
-/// One member's view of the fleet.
+/// Formats one member's view of the fleet.
 pub(crate) fn format_view(view: &ViewReport) -> String {
     let mut text = String::new();
     push_line!(
         text,
-        "{} sees {} present, {} lost; it concludes: {} for {:.1} s; digest {}, health {}, dropped {}",
+        "{} sees {} present, {} lost; partition status: {} for {:.1} s; digest {}, health {}, dropped {}",
         view.observer,
         view.present,
         view.lost,
@@ -51,7 +51,7 @@
     text
 }
 
-/// The views of all members.
+/// Formats the views of all members, and their differences.
 pub(crate) fn format_comparison(report: &FleetReport) -> String {
     let mut text = String::new();
     push_line!(
@@ -77,7 +77,7 @@
         );
     }
     if report.is_consistent {
-        push_line!(text, "all that answered see the same");
+        push_line!(text, "all members that answered have the same view");
     }
     for (name, observers_by_state) in &report.differences {
         for (state, observers) in observers_by_state {
@@ -87,12 +87,12 @@
     text
 }
 
-/// The shared state that the member called `name` knows.
+/// Formats the shared state that the member called `name` knows.
 pub(crate) fn format_shared_state(name: &str, state: &SharedStateSnapshot) -> String {
     let mut text = String::new();
     if !state.budgets.is_empty() {
         let leader = state.leader.as_deref().unwrap_or("nobody");
-        push_line!(text, "{name} knows as granter: {leader}");
+        push_line!(text, "{name} knows as leader: {leader}");
     }
     for budget in &state.budgets {
         push_budget(&mut text, budget);
@@ -108,17 +108,17 @@
     let note = if budget.guaranteed.is_available {
         "may be spent"
     } else {
-        "not yet, calls of an earlier process may be in hand"
+        "not yet: calls of an earlier process may be in flight"
     };
     push_line!(
         text,
-        "{}: total {} by this member's file",
+        "{}: total {} according to this member's file",
         budget.name,
         budget.total
     );
     push_line!(
         text,
-        "  its own {} ({note}); leased {} for {} ms more",
+        "  guaranteed {} ({note}); leased {} for {} ms more",
         budget.guaranteed.units,
         budget.leased.units,
         budget.leased.remaining_ms
@@ -130,12 +130,16 @@
         budget.usage.demand
     );
     if !budget.holders.is_empty() {
-        push_line!(text, "  it grants; counted for all: {}", budget.reserved);
+        push_line!(
+            text,
+            "  it is the leader; reserved for all holders: {}",
+            budget.reserved
+        );
     }
     for holder in &budget.holders {
         push_line!(
             text,
-            "    {:<16} counted {:>6}, wants {:>6}",
+            "    {:<16} reserved {:>6}, wants {:>6}",
             holder.name,
             holder.reserved,
             holder.demand
@@ -148,7 +152,7 @@
         Some(aggregator) => {
             push_line!(
                 text,
-                "{name} knows what {} of {} nodes count, by {aggregator}, none older than {} ms; no tenant has more than {} in flight at the others",
+                "{name} knows the counts of {} of {} nodes from {aggregator}, none older than {} ms; no tenant has more than {} requests in flight at the others",
                 aggregate.coverage.covered,
                 aggregate.coverage.present,
                 aggregate.age_ms,
@@ -158,7 +162,7 @@
         None => {
             push_line!(
                 text,
-                "{name} goes by its own counts: nothing fresh is known of the others"
+                "{name} uses its own counts only: there are no recent counts of the others"
             );
         }
     }
@@ -169,7 +173,7 @@
 fn push_ledger_health(text: &mut String, aggregate: &AggregateSnapshot) {
     push_line!(
         text,
-        "ledger: {} for {:.1} s; {} own calls of late, {} failed",
+        "ledger: {} for {:.1} s; {} recent calls by this member, {} failed",
         aggregate.ledger.health.name(),
         seconds(aggregate.ledger.for_ms),
         aggregate.calls.total,
@@ -180,7 +184,7 @@
     let sites = aggregate.others.sites;
     push_line!(
         text,
-        "  others find: at this site {} sound, {} slow, {} failing; elsewhere {}, {}, {}; other sites {}, {}, {}",
+        "  other members observe: at this site {} sound, {} slow, {} failing; elsewhere {}, {}, {}; other sites {}, {}, {}",
         here.sound,
         here.slow,
         here.failing,
--- a/crates/fleet-cli/src/watch.rs
+++ b/crates/fleet-cli/src/watch.rs
@@ -10,12 +10,12 @@
 use crate::args::Target;
 use crate::report::{MemberReport, ViewReport};
 
-/// Queries a member again and again, and prints each change, until standard output is closed.
+/// Queries a member at an interval, and prints each change until standard output is closed.
 pub(crate) fn watch(target: &Target, interval_ms: u64) {
     let mut printed = PrintedView::default();
     let mut out = io::stdout();
     loop {
-        // A member that does not answer now may answer later.
+        // No answer: the member may answer later.
         let Ok(reply) = query_members(target.address, &target.fleet, target.timeout) else {
             continue;
         };
@@ -28,7 +28,7 @@
     }
 }
 
-/// What has been printed so far.
+/// The state that was printed last.
 #[derive(Default)]
 struct PrintedView {
     partition_status: String,
@@ -36,12 +36,12 @@
 }
 
 impl PrintedView {
-    /// Takes over a view, and returns the lines that tell its changes.
+    /// Replaces the printed view, and returns lines that describe the changes.
     fn update(&mut self, view: ViewReport) -> Vec<String> {
         let mut lines = Vec::new();
         if view.partition_status != self.partition_status {
             lines.push(format!(
-                "{} concludes: {}, {} present",
+                "{} has partition status {}, {} present",
                 view.observer, view.partition_status, view.present
             ));
             self.partition_status = view.partition_status;
--- a/tests/fleet_membership.rs
+++ b/tests/fleet_membership.rs
@@ -295,11 +295,11 @@
         .expect("it is informed");
     let text = status(&testbed, &[]);
     assert!(
-        text.starts_with("n0 sees 4 present, 0 lost; it concludes: whole"),
+        text.starts_with("n0 sees 4 present, 0 lost; partition status: whole"),
         "{text}"
     );
     testbed.wait_until_converged(SETTLE_TIMEOUT);
-    assert!(status(&testbed, &["--all"]).contains("all that answered see the same"));
+    assert!(status(&testbed, &["--all"]).contains("all members that answered have the same view"));
     testbed.kill("n2");
     testbed.wait_until_converged(SETTLE_TIMEOUT);
     let all: serde_json::Value =
