--- a/crates/fault-testbed/src/connection_owner.rs
+++ b/crates/fault-testbed/src/connection_owner.rs
@@ -1,8 +1,8 @@
-//! Finds the process at the other end of a loopback connection, so that each directed pair of processes has a link of its own
-//! although all of them connect from the same address.
+//! Finds the process at the other end of a loopback connection, so that each directed pair of
+//! processes has its own link although all processes connect from the same address.
 //!
-//! The kernel is asked for the one connection by its addresses (`sock_diag`). Reading `/proc/net/tcp` instead misses sockets
-//! while others come and go.
+//! Queries the kernel for the connection by its addresses (`sock_diag`). Reading `/proc/net/tcp`
+//! instead would miss sockets while others are opened and closed.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,48 +14,48 @@
 use netlink_sys::protocols::NETLINK_SOCK_DIAG;
 use thiserror::Error;
 
-/// Room for the kernel's answer about one connection, in bytes.
-const ANSWER_BYTES: usize = 4096;
+/// Size of the buffer for the kernel's reply about one connection, in bytes.
+const REPLY_BUFFER_BYTES: usize = 4096;
 
-/// Asks for a socket by its addresses alone (the kernel's `INET_DIAG_NOCOOKIE`).
+/// Cookie that matches a socket by its addresses only (the kernel's `INET_DIAG_NOCOOKIE`).
 const ANY_COOKIE: [u8; 8] = [0xff; 8];
 
-/// A process that the testbed knows.
+/// A process that is registered in the testbed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownProcess {
-    /// The name that its links have.
+    /// Its name on links.
     pub name: String,
     /// Its process id.
     pub pid: u32,
 }
 
-/// Who has the socket at the other end of a connection.
+/// The owner of the socket at the other end of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Owner {
     /// The known process of this name.
     Process(String),
-    /// Nobody any more: the other end has been closed.
+    /// The other end has been closed, so that no process owns it.
     Closed,
 }
 
-/// Why the owner of a connection could not be determined.
+/// The reason why the owner of a connection could not be determined.
 #[derive(Debug, Error)]
 pub enum OwnerError {
-    /// The kernel could not be asked.
-    #[error("asking the kernel for a connection: {0}")]
+    /// The query to the kernel failed.
+    #[error("querying the kernel for a connection: {0}")]
     Query(#[from] io::Error),
-    /// The kernel's answer has another form than expected.
-    #[error("the kernel's answer about a connection: {0}")]
-    Answer(String),
-    /// The socket is open, and none of the known processes has it.
+    /// The kernel's reply has an unexpected form.
+    #[error("unexpected reply from the kernel about a connection: {0}")]
+    UnexpectedReply(String),
+    /// The socket is open, and none of the known processes owns it.
     #[error("the connection from {0} belongs to no known process")]
     UnknownProcess(SocketAddr),
 }
 
-/// Returns who has the socket with the local address `local` that is connected to `remote`.
+/// Returns the owner of the socket with the local address `local` that is connected to `remote`.
 ///
 /// # Errors
-/// [`OwnerError`] where the kernel can't be asked, or the socket is open and belongs to no known process.
+/// [`OwnerError`] if the query fails, or the socket is open and belongs to no known process.
 pub fn find_owner(
     local: SocketAddr,
     remote: SocketAddr,
@@ -71,7 +71,7 @@
         .ok_or(OwnerError::UnknownProcess(local))
 }
 
-/// Whether the process has a descriptor for the socket with this inode.
+/// Returns true if the process has a descriptor for the socket with this inode.
 fn has_socket(pid: u32, inode: u32) -> bool {
     let wanted = format!("socket:[{inode}]");
     let Ok(descriptors) = std::fs::read_dir(format!("/proc/{pid}/fd")) else {
@@ -83,18 +83,18 @@
         .any(|target| target.to_string_lossy() == wanted)
 }
 
-/// Asks the kernel for the inode of a connected socket; none where the socket is closed.
+/// Queries the kernel for the inode of a connected socket. `None` if the socket is closed.
 fn query_inode(local: SocketAddr, remote: SocketAddr) -> Result<Option<u32>, OwnerError> {
     let mut socket = netlink_sys::Socket::new(NETLINK_SOCK_DIAG)?;
     socket.bind_auto()?;
     socket.connect(&netlink_sys::SocketAddr::new(0, 0))?;
     socket.send(&encode_query(local, remote), 0)?;
-    let mut answer = Vec::with_capacity(ANSWER_BYTES);
-    socket.recv(&mut answer, 0)?;
-    decode_inode(&answer)
+    let mut reply = Vec::with_capacity(REPLY_BUFFER_BYTES);
+    socket.recv(&mut reply, 0)?;
+    decode_inode(&reply)
 }
 
-/// Encodes the question for one connection.
+/// Encodes the query for one connection.
 fn encode_query(local: SocketAddr, remote: SocketAddr) -> Vec<u8> {
     let mut socket_id = SocketId::new_v4();
     socket_id.source_address = local.ip();
@@ -118,10 +118,11 @@
     bytes
 }
 
-/// The inode in the kernel's answer; none where it knows no such connection, or one that no process has any more.
-fn decode_inode(answer: &[u8]) -> Result<Option<u32>, OwnerError> {
-    let message = NetlinkMessage::<SockDiagMessage>::deserialize(answer)
-        .map_err(|error| OwnerError::Answer(error.to_string()))?;
+/// Decodes the inode in the kernel's reply. `None` if there is no such connection, or no process
+/// owns it any more.
+fn decode_inode(reply: &[u8]) -> Result<Option<u32>, OwnerError> {
+    let message = NetlinkMessage::<SockDiagMessage>::deserialize(reply)
+        .map_err(|error| OwnerError::UnexpectedReply(error.to_string()))?;
     match message.payload {
         NetlinkPayload::InnerMessage(SockDiagMessage::InetResponse(response)) => {
             Ok(Some(response.header.inode).filter(|inode| *inode != 0))
@@ -133,6 +134,6 @@
             }
             Err(OwnerError::Query(error))
         }
-        other => Err(OwnerError::Answer(format!("{other:?}"))),
+        other => Err(OwnerError::UnexpectedReply(format!("{other:?}"))),
     }
 }
--- a/crates/fault-testbed/src/demo/load.rs
+++ b/crates/fault-testbed/src/demo/load.rs
@@ -1,4 +1,4 @@
-//! The steady load of requests on the demo's router.
+//! Sends requests to the demo's router at a steady pace.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -8,15 +8,15 @@
 
 use test_doubles::{TestClient, TestDoubleError};
 
-/// The time between an answer and the next request.
+/// Pause between an answer and the next request.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The numbers of answers since the start.
+/// Numbers of answers since the start.
 #[derive(Clone, Copy, Default)]
 pub(super) struct RequestCounts {
-    /// Answers with a result.
+    /// Number of answers with a result.
     pub served: u64,
-    /// Answers with an error.
+    /// Number of answers with an error.
     pub failed: u64,
 }
 
@@ -27,14 +27,14 @@
     is_stopped: AtomicBool,
 }
 
-/// A thread that sends one request after the other.
+/// A thread that sends requests, one after the other.
 pub(super) struct Load {
     counts: Arc<SharedCounts>,
     thread: Option<JoinHandle<Result<(), TestDoubleError>>>,
 }
 
 impl Load {
-    /// Starts to send requests to a router.
+    /// Starts a thread that sends requests to a router.
     pub(super) fn start(router: SocketAddr) -> Load {
         let counts = Arc::new(SharedCounts::default());
         let shared = counts.clone();
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The numbers of answers so far.
+    /// Returns the numbers of answers so far.
     pub(super) fn counts(&self) -> RequestCounts {
         RequestCounts {
             served: self.counts.served.load(Relaxed),
@@ -53,12 +53,13 @@
         }
     }
 
-    /// Whether the load has ended by itself, because a request could not be sent or its answer not be read.
+    /// Returns true if the load has ended by itself, because a request could not be sent or its
+    /// answer could not be read.
     pub(super) fn has_ended(&self) -> bool {
         self.thread.as_ref().is_none_or(JoinHandle::is_finished)
     }
 
-    /// Ends the load.
+    /// Ends the load, and waits for its thread.
     ///
     /// # Errors
     /// [`TestDoubleError`] if it had ended by itself.
--- a/crates/fault-testbed/src/demo/mod.rs
+++ b/crates/fault-testbed/src/demo/mod.rs
@@ -1,5 +1,5 @@
-//! `protocol-gateway demo`: a router, a few nodes with test doubles, a steady load of requests, and a table that follows what
-//! happens.
+//! `protocol-gateway demo`: runs a router, a few nodes with test doubles and a steady load of
+//! requests, and shows their state in a table.
 
 mod load;
 mod table;
@@ -18,18 +18,19 @@
 use table::MemberTable;
 
 /// The router's name.
-const ROUTER: &str = "r1";
+const ROUTER_NAME: &str = "r1";
 /// The seeds of the fleet.
 const SEEDS: [&str; 2] = ["n1", "n2"];
-/// The seed that faults are drawn from; the demo's faults need no draws.
+/// The seed that faults are drawn from. Without effect, as the demo's faults are not random.
 const FAULT_SEED: u64 = 1;
-/// When faults begin, counted from the start.
-const FAULTS_BEGIN: Duration = Duration::from_secs(5);
-/// When faults end, counted from the start.
-const FAULTS_END: Duration = Duration::from_secs(20);
-/// The time between two checks whether the demo has been stopped.
+/// Time after the start at which faults begin.
+const FAULTS_BEGIN_AFTER: Duration = Duration::from_secs(5);
+/// Time after the start at which faults end.
+const FAULTS_END_AFTER: Duration = Duration::from_secs(20);
+/// Interval between two checks whether the demo has been stopped.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long after the router's end a signal to stop may come: a signal to the process group ends the router as well.
+/// Maximum time between the router's exit and the signal that stops the demo. A signal to the
+/// process group ends the router as well.
 const STOP_GRACE: Duration = Duration::from_secs(2);
 
 /// The options of the demo.
@@ -49,7 +50,7 @@
     seconds: u64,
 }
 
-/// Why the demo can't be run, or failed.
+/// The reason why the demo can't be run, or failed.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
     /// No node has this name.
@@ -58,18 +59,19 @@
     /// The testbed failed.
     #[error("{0}")]
     Testbed(#[from] TestbedError),
-    /// A request could not be sent, or its answer not be read.
-    #[error("the load of requests ended: {0}")]
+    /// A request could not be sent, or its answer could not be read.
+    #[error("a request failed: {0}")]
     Load(#[from] TestDoubleError),
     /// The table can't be written.
     #[error("{0}")]
     Output(#[from] io::Error),
 }
 
-/// Runs the demo until its time is over or `is_stopped` has once returned true. It ends with a last table.
+/// Runs the demo until its duration has elapsed or `is_stopped` has returned true once. Prints a
+/// last table before it returns.
 ///
 /// # Errors
-/// [`DemoError`] for an unknown node, or where the testbed, the requests or the output fail.
+/// [`DemoError`] if a node is unknown, or the testbed, a request or the output fails.
 pub fn run(options: &DemoOptions, is_stopped: impl Fn() -> bool) -> Result<(), DemoError> {
     let nodes: Vec<String> = (1..=options.nodes).map(|n| format!("n{n}")).collect();
     let mut named_nodes = options.kill.iter().chain(&options.cut);
@@ -78,18 +80,20 @@
     }
     let mut testbed = start_processes(&nodes)?;
     print_addresses(&testbed)?;
-    let mut load = Load::start(testbed.try_node(ROUTER)?.address);
+    let mut load = Load::start(testbed.try_node(ROUTER_NAME)?.address);
     let stop = StopCondition::new(is_stopped);
     run_rounds(options, nodes, &mut testbed, &load, &stop)?;
     let result = load.finish();
-    // Whatever stopped the demo may have stopped the router as well.
+    // The signal that stopped the demo may have stopped the router as well, which makes the load
+    // fail.
     if stop.is_met() {
         return Ok(());
     }
     Ok(result?)
 }
 
-/// Prints a table each second until the demo is stopped, its time is over, or its load has ended.
+/// Prints a table each second until the demo is stopped, its duration has elapsed, or its load has
+/// ended.
 fn run_rounds(
     options: &DemoOptions,
     nodes: Vec<String>,
@@ -113,7 +117,7 @@
         let served = counts.served - previous.served;
         let failed = counts.failed - previous.failed;
         previous = counts;
-        let line = format!("{second:>3} s: {served} served, {failed} not in the last second");
+        let line = format!("{second:>3} s: {served} served, {failed} failed in the last second");
         print_table(&(line + &table.format(testbed)?))?;
         if options.seconds > 0 && second >= options.seconds {
             break;
@@ -135,14 +139,14 @@
         })?;
     }
     testbed.add_process(ProcessPlan {
-        name: ROUTER.into(),
+        name: ROUTER_NAME.into(),
         ..ProcessPlan::node(0)
     })?;
     testbed.set_seeds(&SEEDS);
     for name in nodes {
         testbed.try_start(name)?;
     }
-    testbed.try_start_router(ROUTER, true)?;
+    testbed.try_start_router(ROUTER_NAME, true)?;
     let names = testbed.names();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     testbed.try_wait_until_up(&names)?;
@@ -152,10 +156,10 @@
 /// Prints the router's address, and the command that shows the fleet's status for each process.
 fn print_addresses(testbed: &Testbed) -> Result<(), DemoError> {
     let mut out = io::stdout();
-    let router = testbed.try_node(ROUTER)?.address;
+    let router = testbed.try_node(ROUTER_NAME)?.address;
     writeln!(
         out,
-        "router at {router}; `protocol-gateway fleet status` asks any of these:"
+        "router at {router}; `protocol-gateway fleet status` queries any of these:"
     )?;
     for name in testbed.names() {
         let Some(address) = testbed.try_node(&name)?.logged_address("fleet") else {
@@ -173,7 +177,7 @@
 
 fn print_table(text: &str) -> io::Result<()> {
     let mut out = io::stdout();
-    // On a terminal the table stays in its place.
+    // On a terminal, each table replaces the previous one.
     let clear = if out.is_terminal() {
         "\x1b[H\x1b[2J"
     } else {
@@ -182,7 +186,7 @@
     writeln!(out, "{clear}{text}")
 }
 
-/// Remembers that the demo has been stopped: a signal is reported only once.
+/// Remembers that the demo has been stopped, as `is_stopped` reports a signal only once.
 struct StopCondition<F> {
     is_stopped: F,
     was_stopped: Cell<bool>,
@@ -203,7 +207,7 @@
         self.was_stopped.get()
     }
 
-    /// Waits until the condition is met, but not after the deadline.
+    /// Waits until the condition is met or the deadline has passed.
     fn wait_until(&self, deadline: Instant) {
         while !self.is_met() && Instant::now() < deadline {
             thread::sleep(POLL_INTERVAL);
@@ -211,7 +215,7 @@
     }
 }
 
-/// Which faults of the demo have been applied.
+/// Records whether the faults of the demo have begun and ended.
 #[derive(Default)]
 struct FaultSchedule {
     have_begun: bool,
@@ -226,11 +230,11 @@
         options: &DemoOptions,
         elapsed: Duration,
     ) -> Result<(), TestbedError> {
-        if elapsed >= FAULTS_BEGIN && !self.have_begun {
+        if elapsed >= FAULTS_BEGIN_AFTER && !self.have_begun {
             self.have_begun = true;
             begin_faults(testbed, options)?;
         }
-        if elapsed >= FAULTS_END && self.have_begun && !self.have_ended {
+        if elapsed >= FAULTS_END_AFTER && self.have_begun && !self.have_ended {
             self.have_ended = true;
             end_faults(testbed, options)?;
         }
--- a/crates/fault-testbed/src/demo/table.rs
+++ b/crates/fault-testbed/src/demo/table.rs
@@ -1,4 +1,5 @@
-//! The table of the demo: what each member has served, and how it sees the others.
+//! The table of the demo: the requests that each member has served, and the states in which it sees
+//! the others.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -9,7 +10,7 @@
 use crate::error::TestbedError;
 use crate::testbed::Testbed;
 
-/// The table, which shows numbers since it was formatted last.
+/// The table. Its numbers of requests are those since it was last formatted.
 pub(super) struct MemberTable {
     nodes: Vec<String>,
     /// The number of runs of each node at the last table.
@@ -17,7 +18,7 @@
 }
 
 impl MemberTable {
-    /// The table of these nodes; other processes are routers.
+    /// Creates the table of these nodes. Other processes of the testbed are routers.
     pub(super) fn new(nodes: Vec<String>) -> MemberTable {
         MemberTable {
             nodes,
@@ -28,7 +29,7 @@
     /// Queries all processes, and formats the table.
     ///
     /// # Errors
-    /// [`TestbedError`] if a node broke the protocol of its executor.
+    /// [`TestbedError`] if a node violated the protocol of its executor.
     pub(super) fn format(&mut self, testbed: &Testbed) -> Result<String, TestbedError> {
         let names = testbed.names();
         let mut text = format!("\n{:<8} {:>8}  {:<8} sees:", "member", "served/s", "says");
--- a/crates/fault-testbed/src/error.rs
+++ b/crates/fault-testbed/src/error.rs
@@ -1,4 +1,4 @@
-//! The error type of the testbed, and its locks.
+//! The error type of the testbed, and helpers for results and locks.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -6,10 +6,10 @@
 
 use test_doubles::TestDoubleError;
 
-/// Why the testbed could not do what was asked of it.
+/// The reason why an operation of the testbed failed.
 #[derive(Debug, thiserror::Error)]
 pub enum TestbedError {
-    /// The operating system refused a socket or a thread.
+    /// A system call failed, for example to create a socket or a thread.
     #[error("{0}")]
     System(#[from] io::Error),
     /// A file of a process can't be written.
@@ -17,7 +17,7 @@
     File {
         /// The file.
         path: PathBuf,
-        /// The cause.
+        /// The error that caused it.
         source: io::Error,
     },
     /// A test double or a process failed.
@@ -25,22 +25,22 @@
     Process {
         /// The name of the process.
         process: String,
-        /// The cause.
+        /// The error that caused it.
         source: TestDoubleError,
     },
     /// A test double that all processes share failed.
     #[error("{0}")]
     TestDouble(#[from] TestDoubleError),
     /// No process of this name was added.
-    #[error("no process is called {0}")]
+    #[error("there is no process {0}")]
     UnknownProcess(String),
-    /// The process of this name does not run.
-    #[error("{0} does not run")]
+    /// The process of this name is not running.
+    #[error("{0} is not running")]
     NotRunning(String),
 }
 
 impl TestbedError {
-    /// Returns a function for `map_err` that names the process of a failure.
+    /// Returns a function for `map_err` that adds the name of the process to an error.
     pub(crate) fn process(name: &str) -> impl FnOnce(TestDoubleError) -> TestbedError + '_ {
         move |source| TestbedError::Process {
             process: name.to_string(),
@@ -57,13 +57,13 @@
     }
 }
 
-/// The value of a result; panics with the error, which fails the test that runs.
+/// Returns the value of a result. Panics with the error, which fails the running test.
 #[track_caller]
 pub(crate) fn expect_ok<T, E: std::error::Error>(result: Result<T, E>) -> T {
     result.unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// Locks state, also after a panic of a test's closure that held it.
+/// Locks a mutex, even if a test's closure panicked while it held the lock.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/fault-testbed/src/lib.rs
+++ b/crates/fault-testbed/src/lib.rs
@@ -1,10 +1,12 @@
-//! Many processes of the program on loopback, with faults injected between them.
+//! Runs many processes of the program on loopback, and injects faults into the traffic between
+//! them.
 //!
-//! - [`links`]: the faults of each link and what they do to its datagrams and streams: pure, drawn from a seed.
-//! - [`NetworkProxy`]: the sockets between the processes, which carry the faults out.
-//! - [`Testbed`]: the processes with their test doubles, and waiting for what they reach.
-//! - [`scenario`]: a run of a testbed from a file.
-//! - [`demo`]: a run to watch.
+//! - [`links`]: the faults of each link and their effects on its datagrams and streams. Does no
+//!   I/O; random values are drawn from a seed.
+//! - [`NetworkProxy`]: the sockets between the processes, which apply the faults.
+//! - [`Testbed`]: the processes with their test doubles, and functions that wait for a state.
+//! - [`scenario`]: runs of a testbed that are described by a file.
+//! - [`demo`]: a run that is displayed in a terminal.
 
 pub mod connection_owner;
 pub mod demo;
--- a/crates/fault-testbed/src/links.rs
+++ b/crates/fault-testbed/src/links.rs
@@ -1,5 +1,6 @@
-//! The links between processes, one for each directed pair, and what each does to the traffic over it. Nothing here acts or
-//! reads a clock; each link draws from a random stream of its own, so that a fault on one does not change another's draws.
+//! The links between processes, one for each directed pair, and their effects on traffic. This
+//! module does no I/O and reads no clock. Each link has its own random stream, so that a fault on
+//! one link does not change the random values of another.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,45 +12,45 @@
 /// The faults of a link. The default has none.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LinkFaults {
-    /// The fraction of datagrams that is lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// The fraction of datagrams that arrives twice.
+    /// Fraction of datagrams that are delivered twice.
     pub duplication: f64,
-    /// The fraction of datagrams of which one byte is changed on the way.
+    /// Fraction of datagrams in which one byte is changed.
     pub corruption: f64,
-    /// The shortest and the longest time on the way, drawn uniformly between them: datagrams overtake each other, bytes of a
-    /// stream do not.
+    /// Minimum and maximum delay; each delay is drawn uniformly between them. Datagrams can be
+    /// reordered by it, bytes of a stream can't.
     pub delay: (Duration, Duration),
-    /// Nothing passes, and no end is notified: datagrams are lost, streams stall.
+    /// True if the link is blocked: datagrams are lost, and streams stall without being closed.
     pub is_blocked: bool,
-    /// Streams stall, datagrams pass.
+    /// True if streams stall. Datagrams are still delivered.
     pub stalls_streams: bool,
 }
 
-/// One copy of a datagram that arrives.
+/// One delivered copy of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DatagramCopy {
-    /// The time on the way.
+    /// The delay before it is delivered.
     pub delay: Duration,
-    /// The change of one byte, if any.
+    /// The corruption of one byte, if any.
     pub corruption: Option<Corruption>,
 }
 
-/// The change of one byte of a datagram.
+/// The corruption of one byte of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Corruption {
     /// The position of the byte, modulo the datagram's length.
     pub position: usize,
-    /// The bits that are flipped; not 0.
+    /// The bits that are flipped. Not 0.
     pub mask: u8,
 }
 
-/// What happens to the next bytes of a stream.
+/// How the next bytes of a stream are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamAction {
-    /// They are forwarded after this time.
+    /// The bytes are forwarded after this delay.
     Forward(Duration),
-    /// They wait; ask again.
+    /// The bytes are held back. The caller must ask again.
     Stall,
     /// The stream is closed.
     Close,
@@ -58,7 +59,8 @@
 struct LinkState {
     faults: LinkFaults,
     rng: ChaCha8Rng,
-    /// How often the streams of this link were cut; streams that were opened before the last cut are closed.
+    /// Number of times that the streams of this link were cut. Streams that were opened before the
+    /// last cut are closed.
     cuts: u64,
 }
 
@@ -71,7 +73,7 @@
 }
 
 impl Links {
-    /// Links without faults, with draws from this seed.
+    /// Creates links without faults. Random values are drawn from this seed.
     pub fn new(seed: u64) -> Links {
         Links {
             seed,
@@ -99,7 +101,7 @@
         change(&mut self.state(from, to).faults);
     }
 
-    /// Changes the faults of all links, also of those that are not used yet.
+    /// Changes the faults of all links, including those that are not used yet.
     pub fn change_all(&mut self, change: impl Fn(&mut LinkFaults)) {
         change(&mut self.default_faults);
         for state in self.states.values_mut() {
@@ -107,22 +109,24 @@
         }
     }
 
-    /// Closes the streams that are open over a link; later ones pass.
+    /// Closes the streams that are open over a link. Streams that are opened later are not
+    /// affected.
     pub fn cut_streams(&mut self, from: &str, to: &str) {
         self.state(from, to).cuts += 1;
     }
 
-    /// Whether anything passes over a link.
+    /// Returns true if the link is not blocked.
     pub fn is_open(&self, from: &str, to: &str) -> bool {
         let state = self.states.get(&(from.to_string(), to.to_string()));
         let faults = state.map_or(&self.default_faults, |state| &state.faults);
         !faults.is_blocked
     }
 
-    /// Returns the copies of a datagram that arrive.
+    /// Returns the copies of a datagram that are delivered.
     pub fn transmit_datagram(&mut self, from: &str, to: &str) -> Vec<DatagramCopy> {
         let LinkState { faults, rng, .. } = self.state(from, to);
-        // All is drawn whether it is used or not: the next draws of a link do not depend on the faults of this datagram.
+        // All random values are drawn whether they are used or not, so that the next datagrams of a
+        // link do not depend on the faults of this one.
         let is_lost = rng.random::<f64>() < faults.loss;
         let is_duplicated = rng.random::<f64>() < faults.duplication;
         let copies = [draw_copy(faults, rng), draw_copy(faults, rng)];
@@ -136,12 +140,13 @@
         }
     }
 
-    /// Opens a stream, and returns the number of cuts so far, which [`Links::transmit_bytes`] needs.
+    /// Returns the number of cuts so far, which [`Links::transmit_bytes`] needs for a stream that
+    /// is opened now.
     pub fn open_stream(&mut self, from: &str, to: &str) -> u64 {
         self.state(from, to).cuts
     }
 
-    /// What happens to the next bytes of a stream that was opened after `cuts_at_open` cuts.
+    /// Returns how to handle the next bytes of a stream that was opened after `cuts_at_open` cuts.
     pub fn transmit_bytes(&mut self, from: &str, to: &str, cuts_at_open: u64) -> StreamAction {
         let LinkState { faults, rng, cuts } = self.state(from, to);
         if *cuts > cuts_at_open {
--- a/crates/fault-testbed/src/network_proxy/datagrams.rs
+++ b/crates/fault-testbed/src/network_proxy/datagrams.rs
@@ -1,4 +1,4 @@
-//! Forwards datagrams, at once or after a delay.
+//! Forwards datagrams, immediately or after a delay.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -11,13 +11,13 @@
 use crate::error::lock;
 use crate::links::DatagramCopy;
 
-/// The longest datagram, in bytes.
+/// Maximum length of a datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// A datagram that is delivered later.
+/// A datagram that is delivered after a delay.
 struct DelayedDatagram {
     due_at: Instant,
-    /// Its number, which orders datagrams that are due at the same time.
+    /// Sequence number, which orders datagrams that are due at the same time.
     sequence: u64,
     to: String,
     bytes: Vec<u8>,
@@ -43,7 +43,8 @@
     }
 }
 
-/// The datagrams that are delivered later, and the wake-up of the thread that delivers them.
+/// The queue of delayed datagrams, and the condition variable that wakes the thread that delivers
+/// them.
 #[derive(Default)]
 pub(super) struct DelayedDatagrams {
     queue: Mutex<DelayQueue>,
@@ -57,7 +58,7 @@
 }
 
 impl DelayQueue {
-    /// Takes out the first datagram if it is due.
+    /// Removes and returns the first datagram if it is due.
     fn pop_due(&mut self, now: Instant) -> Option<DelayedDatagram> {
         let Reverse(first) = self.datagrams.peek()?;
         if first.due_at > now {
@@ -66,7 +67,8 @@
         self.datagrams.pop().map(|Reverse(datagram)| datagram)
     }
 
-    /// The time until the first datagram is due, or the time between two checks whether the proxy has ended.
+    /// Returns the time until the first datagram is due. If there is none, returns the interval at
+    /// which the thread checks whether the proxy has ended.
     fn wait_time(&self, now: Instant) -> Duration {
         let first = self.datagrams.peek();
         first.map_or(RECEIVE_TIMEOUT, |Reverse(first)| {
@@ -89,21 +91,22 @@
         self.changed.notify_one();
     }
 
-    /// Wakes the thread that delivers.
+    /// Wakes the thread that delivers the datagrams.
     pub(super) fn wake(&self) {
         self.changed.notify_all();
     }
 }
 
 impl ProxyState {
-    /// Forwards the datagrams that arrive at the socket before a process.
+    /// Forwards the datagrams that are received by the proxy's socket of the process `to`.
     pub(super) fn forward_datagrams(&self, socket: &UdpSocket, to: &str) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         while !self.has_ended.load(SeqCst) {
             let Ok((length, source)) = socket.recv_from(&mut buffer) else {
                 continue;
             };
-            // An unknown source is a process that has only started: its address is not registered yet.
+            // An unknown source is a process that has just started and whose address is not
+            // registered yet.
             let Some(from) = self.find_sender(source, to) else {
                 continue;
             };
@@ -138,8 +141,8 @@
     fn deliver(&self, to: &str, bytes: &[u8]) {
         let target = lock(&self.processes).datagram_targets.get(to).copied();
         if let Some(target) = target {
-            // Where nobody receives it is lost, as on a real network.
-            let _ = self.out.send_to(bytes, target);
+            // If no process receives it, it is lost, as on a real network.
+            let _ = self.outgoing_socket.send_to(bytes, target);
         }
     }
 
--- a/crates/fault-testbed/src/network_proxy/mod.rs
+++ b/crates/fault-testbed/src/network_proxy/mod.rs
@@ -1,5 +1,5 @@
-//! The sockets between the processes: before each process one for datagrams and one for streams, over which all others
-//! reach it.
+//! The sockets between the processes. Each process has one for datagrams and one for streams, by
+//! which all other processes reach it.
 
 mod datagrams;
 mod streams;
@@ -16,64 +16,67 @@
 use crate::links::Links;
 use datagrams::DelayedDatagrams;
 
-/// The stack of a thread that forwards traffic, in bytes.
-const STACK_BYTES: usize = 128 * 1024;
-/// The time between two checks of a thread whether the proxy has ended, and of a stalled stream whether it may go on.
+/// Stack size of a thread that forwards traffic, in bytes.
+const THREAD_STACK_BYTES: usize = 128 * 1024;
+/// Interval at which a thread checks whether the proxy has ended, and whether a stalled stream may
+/// continue.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest that a receiving thread blocks.
+/// Maximum time that a receiving thread blocks.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(100);
-/// The name on links of whatever is not a process of the testbed.
+/// The name on links of senders and clients that are not processes of the testbed.
 const OUTSIDE: &str = "outside";
 
-/// The addresses before a process.
+/// The addresses by which the proxy makes a process reachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProxyAddresses {
-    /// Where others send it datagrams.
+    /// The address to which others send datagrams for it.
     pub datagrams: SocketAddr,
-    /// Where others connect to it.
+    /// The address to which others connect.
     pub streams: SocketAddr,
 }
 
-/// The processes as the proxy knows them, by name.
+/// The addresses and process ids that are registered with the proxy.
 #[derive(Default)]
 struct Processes {
-    /// The processes by the address that their datagrams come from.
+    /// The names of processes, by the address from which they send datagrams.
     senders: BTreeMap<SocketAddr, String>,
-    /// Where the datagrams for a process go.
+    /// The address at which each process receives datagrams.
     datagram_targets: BTreeMap<String, SocketAddr>,
-    /// Where the streams to a process go.
+    /// The address at which each process accepts connections.
     stream_targets: BTreeMap<String, SocketAddr>,
-    /// Process ids.
+    /// The process ids.
     pids: BTreeMap<String, u32>,
-    /// Processes that take datagrams from unknown addresses.
+    /// Processes that accept datagrams from unknown addresses.
     accept_unknown_senders: BTreeSet<String>,
 }
 
-/// What the threads of a proxy share.
+/// The state that the threads of a proxy share.
 struct ProxyState {
     links: Mutex<Links>,
     processes: Mutex<Processes>,
     delayed: DelayedDatagrams,
-    out: UdpSocket,
+    /// The socket from which datagrams are forwarded.
+    outgoing_socket: UdpSocket,
     has_ended: AtomicBool,
-    /// Errors of the testbed itself.
+    /// Errors of the proxy itself, because of which a fault could not be applied.
     errors: Mutex<Vec<String>>,
 }
 
-/// Forwards all traffic between the processes of a testbed, with the faults of its links. Its threads end with the value.
+/// Forwards all traffic between the processes of a testbed, with the faults of its links. Its
+/// threads end after it is dropped.
 pub struct NetworkProxy(Arc<ProxyState>);
 
 impl NetworkProxy {
-    /// A proxy without processes, its faults drawn from this seed.
+    /// Creates a proxy without processes. Faults are drawn from this seed.
     ///
     /// # Errors
-    /// The system's, where it provides no socket or thread.
+    /// A socket or a thread can't be created.
     pub fn new(seed: u64) -> io::Result<NetworkProxy> {
         let state = Arc::new(ProxyState {
             links: Mutex::new(Links::new(seed)),
             processes: Mutex::default(),
             delayed: DelayedDatagrams::default(),
-            out: UdpSocket::bind("127.0.0.1:0")?,
+            outgoing_socket: UdpSocket::bind("127.0.0.1:0")?,
             has_ended: AtomicBool::new(false),
             errors: Mutex::default(),
         });
@@ -82,21 +85,21 @@
         Ok(NetworkProxy(state))
     }
 
-    /// Calls `change` with the links, to change their faults.
+    /// Calls `change` with the links and returns its result.
     pub fn with_links<T>(&self, change: impl FnOnce(&mut Links) -> T) -> T {
         change(&mut lock(&self.0.links))
     }
 
-    /// Errors of the testbed itself so far, such as a connection whose process is not known: a fault on its link could not be
-    /// applied.
+    /// Returns the errors of the proxy itself so far, such as a connection whose process is not
+    /// known. The faults of its link could then not be applied.
     pub fn errors(&self) -> Vec<String> {
         lock(&self.0.errors).clone()
     }
 
-    /// Opens the addresses before a process.
+    /// Adds a process, and opens the addresses by which others reach it.
     ///
     /// # Errors
-    /// The system's, where it provides no socket or thread.
+    /// A socket or a thread can't be created.
     pub fn add_process(&self, name: &str) -> io::Result<ProxyAddresses> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         socket.set_read_timeout(Some(RECEIVE_TIMEOUT))?;
@@ -113,18 +116,19 @@
         Ok(addresses)
     }
 
-    /// Lets a process take datagrams from addresses that the proxy does not know.
+    /// Allows a process to receive datagrams from addresses that are not registered.
     pub fn accept_unknown_senders(&self, name: &str) {
         let mut processes = lock(&self.0.processes);
         processes.accept_unknown_senders.insert(name.into());
     }
 
-    /// Sets the id under which a process runs.
+    /// Sets the process id of a process.
     pub fn set_pid(&self, name: &str, pid: u32) {
         lock(&self.0.processes).pids.insert(name.into(), pid);
     }
 
-    /// Sets where the process itself receives datagrams, which is the address it sends from as well.
+    /// Sets the address at which the process itself receives datagrams. It sends from the same
+    /// address.
     ///
     /// # Errors
     /// [`ErrorKind::InvalidInput`] for an address that is not on loopback.
@@ -137,7 +141,7 @@
         Ok(())
     }
 
-    /// Sets where the process itself accepts connections.
+    /// Sets the address at which the process itself accepts connections.
     ///
     /// # Errors
     /// [`ErrorKind::InvalidInput`] for an address that is not on loopback.
@@ -159,7 +163,7 @@
 fn spawn_thread(name: &str, body: impl FnOnce() + Send + 'static) -> io::Result<()> {
     thread::Builder::new()
         .name(name.into())
-        .stack_size(STACK_BYTES)
+        .stack_size(THREAD_STACK_BYTES)
         .spawn(body)
         .map(drop)
 }
--- a/crates/fault-testbed/src/network_proxy/streams.rs
+++ b/crates/fault-testbed/src/network_proxy/streams.rs
@@ -1,4 +1,4 @@
-//! Forwards the streams of connections.
+//! Forwards connections as two streams, one per direction.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -12,39 +12,40 @@
 use crate::error::lock;
 use crate::links::StreamAction;
 
-/// The time between two looks for new connections.
+/// Interval at which a listener is polled for new connections.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(2);
-/// How long a connection may wait until the process that made it is registered.
+/// Maximum time until the process that opened a connection is registered.
 const OWNER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long connecting to a process may take.
+/// Time limit for connecting to a process.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// The most bytes that are forwarded at once.
-const CHUNK_BYTES: usize = 16 * 1024;
+/// Maximum number of bytes that are forwarded at once.
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
 
-/// One direction of a connection: which link it uses, and how often that link had been cut when it was opened.
+/// One direction of a connection.
 struct StreamDirection {
     from: String,
     to: String,
+    /// Number of cuts of the link when the connection was opened.
     cuts_at_open: u64,
 }
 
 /// How a direction of a connection ends.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StreamEnd {
-    /// The sender has closed it: the other direction goes on.
+    /// The sender has closed it. The other direction continues.
     EndOfStream,
     /// Both directions are closed.
     Closed,
 }
 
 impl ProxyState {
-    /// Accepts the connections to a process.
+    /// Accepts the connections to a process until the proxy ends.
     pub(super) fn accept_streams(self: &Arc<Self>, listener: &TcpListener, to: &str) {
         while !self.has_ended.load(SeqCst) {
             match listener.accept() {
                 Ok((stream, _)) => {
                     let (state, to) = (self.clone(), to.to_string());
-                    // Without a thread it can't be forwarded: it is closed.
+                    // If no thread can be created, the connection is closed.
                     let _ = spawn_thread("stream", move || state.forward_connection(stream, &to));
                 }
                 Err(_) => thread::sleep(ACCEPT_INTERVAL),
@@ -64,19 +65,26 @@
             return;
         };
         let _ = (client.set_nodelay(true), server.set_nodelay(true));
-        let (Ok(answers_from), Ok(answers_to)) = (server.try_clone(), client.try_clone()) else {
+        let (Ok(response_source), Ok(response_destination)) =
+            (server.try_clone(), client.try_clone())
+        else {
             return;
         };
         let state = self.clone();
-        let (answering, asking) = (to.to_string(), from.clone());
+        let (server_name, client_name) = (to.to_string(), from.clone());
         let _ = spawn_thread("stream", move || {
-            state.forward_stream(answers_from, answers_to, answering, asking);
+            state.forward_stream(
+                response_source,
+                response_destination,
+                server_name,
+                client_name,
+            );
         });
         self.forward_stream(client, server, from, to.to_string());
     }
 
-    /// Waits until the links in both directions are open, as a connection over a blocked link is never made; whether they
-    /// are before the proxy ends.
+    /// Waits until the links in both directions are open, as no connection can be established over
+    /// a blocked link. Returns false if the proxy ends before that.
     fn wait_until_reachable(&self, from: &str, to: &str) -> bool {
         while !lock(&self.links).is_open(from, to) || !lock(&self.links).is_open(to, from) {
             if self.has_ended.load(SeqCst) {
@@ -92,8 +100,8 @@
         TcpStream::connect_timeout(&target, CONNECT_TIMEOUT).ok()
     }
 
-    /// The name of the process that made a connection. A connection that is closed already has none; one of a process that
-    /// stays unknown is recorded as an error of the testbed.
+    /// Returns the name of the process that opened a connection. `None` if the connection has been
+    /// closed already. A process that remains unknown is recorded as an error of the testbed.
     fn wait_for_owner(&self, client: &TcpStream) -> Option<String> {
         let (Ok(peer), Ok(local)) = (client.peer_addr(), client.local_addr()) else {
             return None;
@@ -103,7 +111,7 @@
             match find_owner(peer, local, &self.known_processes()) {
                 Ok(Owner::Process(name)) => return Some(name),
                 Ok(Owner::Closed) => return None,
-                // A process that has only started may connect before its id is registered.
+                // A process that has just started may connect before its id is registered.
                 Err(OwnerError::UnknownProcess(_)) if Instant::now() < deadline => {
                     thread::sleep(POLL_INTERVAL);
                 }
@@ -115,7 +123,8 @@
         }
     }
 
-    /// The registered processes, and last this process itself, whose connections are those from outside the testbed.
+    /// Returns the registered processes, and last this process itself, whose connections are those
+    /// from outside the testbed.
     fn known_processes(&self) -> Vec<KnownProcess> {
         let outside = KnownProcess {
             name: OUTSIDE.into(),
@@ -132,7 +141,7 @@
             .collect()
     }
 
-    /// Forwards one direction of a connection until its end.
+    /// Forwards one direction of a connection until it ends.
     fn forward_stream(&self, mut from: TcpStream, mut to: TcpStream, name: String, peer: String) {
         let cuts_at_open = lock(&self.links).open_stream(&name, &peer);
         let direction = StreamDirection {
@@ -155,7 +164,7 @@
         to: &mut TcpStream,
         direction: &StreamDirection,
     ) -> StreamEnd {
-        let mut buffer = vec![0; CHUNK_BYTES];
+        let mut buffer = vec![0; MAX_CHUNK_BYTES];
         while !self.has_ended.load(SeqCst) {
             let length = match from.read(&mut buffer) {
                 Ok(0) => return StreamEnd::EndOfStream,
@@ -179,7 +188,8 @@
         lock(&self.links).transmit_bytes(&direction.from, &direction.to, direction.cuts_at_open)
     }
 
-    /// Waits while the link stalls streams and for its delay; whether the bytes are forwarded then.
+    /// Waits while the link stalls streams, and for its delay. Returns true if the bytes may then
+    /// be forwarded.
     fn wait_until_forwarded(&self, direction: &StreamDirection) -> bool {
         loop {
             match self.next_action(direction) {
@@ -198,7 +208,7 @@
     }
 }
 
-/// Whether a read may be tried again.
+/// Returns true if a read may be retried after this error.
 fn is_temporary(kind: ErrorKind) -> bool {
     matches!(
         kind,
--- a/crates/fault-testbed/src/scenario/error.rs
+++ b/crates/fault-testbed/src/scenario/error.rs
@@ -1,4 +1,4 @@
-//! Why a scenario failed.
+//! The errors of scenarios.
 
 use std::path::PathBuf;
 
@@ -6,7 +6,7 @@
 
 use crate::error::TestbedError;
 
-/// Why a scenario can't be run, or failed.
+/// The reason why a scenario can't be run, or failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// The file can't be read.
@@ -14,10 +14,10 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// The cause.
+        /// The error that caused it.
         source: std::io::Error,
     },
-    /// The file's content can't be used.
+    /// The file's content is invalid.
     #[error(transparent)]
     File(#[from] ConfigFileError),
     /// The testbed can't be set up.
@@ -28,21 +28,21 @@
     Step {
         /// The position of the step, from 0.
         index: usize,
-        /// The cause.
+        /// The error that caused it.
         source: StepError,
     },
-    /// The testbed itself failed, so that the faults asked for were not all applied.
+    /// The testbed itself failed, so that not all requested faults were applied.
     #[error("testbed: {}", .0.join("; "))]
     Testbed(Vec<String>),
 }
 
-/// Why a step failed.
+/// The reason why a step failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StepError {
-    /// What was waited for did not happen.
+    /// The expected state or result was not reached.
     #[error("not reached: {0}")]
     NotReached(String),
-    /// The testbed could not carry it out.
+    /// The testbed could not carry out the step.
     #[error("{0}")]
     Testbed(#[from] TestbedError),
 }
--- a/crates/fault-testbed/src/scenario/parsing.rs
+++ b/crates/fault-testbed/src/scenario/parsing.rs
@@ -4,18 +4,18 @@
 
 use json5_errors::ConfigFileError;
 
-use super::{Scenario, ScenarioError, ScenarioStep, ALL, MAX_NODES, ROUTER};
+use super::{Scenario, ScenarioError, ScenarioStep, ALL_PROCESSES, MAX_NODES, ROUTER_NAME};
 
-/// The version of the file's format.
-const VERSION: u32 = 1;
-/// The longest delay of a link, in milliseconds.
+/// The supported version of the file format.
+const FORMAT_VERSION: u32 = 1;
+/// Maximum delay of a link, in milliseconds.
 const MAX_DELAY_MS: u64 = 60_000;
 
 impl Scenario {
     /// Reads a scenario.
     ///
     /// # Errors
-    /// [`ScenarioError`] for a file that can't be read or used.
+    /// [`ScenarioError`] if the file can't be read or is invalid.
     pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
         let text = std::fs::read_to_string(path).map_err(|source| ScenarioError::Unreadable {
             path: path.to_path_buf(),
@@ -24,7 +24,7 @@
         Ok(Scenario::parse(&path.display().to_string(), &text)?)
     }
 
-    /// Parses the text of a scenario file, which errors call `file`.
+    /// Parses the text of a scenario file. `file` is the file's name in errors.
     ///
     /// # Errors
     /// The first error, with its line or field.
@@ -43,8 +43,11 @@
     }
 
     fn check(&self) -> Result<(), InvalidField> {
-        if self.version != VERSION {
-            let message = format!("{} is not known here: {VERSION} is", self.version);
+        if self.version != FORMAT_VERSION {
+            let message = format!(
+                "{} is not supported, expected {FORMAT_VERSION}",
+                self.version
+            );
             return Err(InvalidField::new("version", message));
         }
         if !(1..=MAX_NODES).contains(&self.nodes) {
@@ -67,27 +70,27 @@
                 delay_ms,
             } => check_links([*loss, *duplication, *corruption], *delay_ms)?,
             ScenarioStep::SendRequests { .. } if !self.has_router => {
-                return Err("asks a router, and the play has none".into());
+                return Err("sends requests to a router, but the scenario has none".into());
             }
             _ => {}
         }
         let names = step.process_names();
         match names.into_iter().find(|name| !self.has_process(name)) {
-            Some(name) => Err(format!("{name} is no node of this play")),
+            Some(name) => Err(format!("{name} is not a process of this scenario")),
             None => Ok(()),
         }
     }
 
-    /// Whether a name in a step stands for a process or for all.
+    /// Returns true if a name in a step is that of a process or the wildcard for all.
     fn has_process(&self, name: &str) -> bool {
-        name == ALL
-            || (self.has_router && name == ROUTER)
+        name == ALL_PROCESSES
+            || (self.has_router && name == ROUTER_NAME)
             || (0..self.nodes).any(|number| name == format!("n{number}"))
     }
 }
 
 impl ScenarioStep {
-    /// The names of processes in a step.
+    /// Returns the names of processes in a step.
     fn process_names(&self) -> Vec<&String> {
         match self {
             ScenarioStep::Start(names)
@@ -111,7 +114,7 @@
     }
 }
 
-/// A field whose value can't be used.
+/// A field with an invalid value.
 struct InvalidField {
     field: String,
     message: String,
@@ -128,12 +131,12 @@
 
 fn check_links(fractions: [f64; 3], delay_ms: (u64, u64)) -> Result<(), String> {
     if fractions.iter().any(|f| !(0.0..=1.0).contains(f)) {
-        return Err("a part is not from 0 to 1".into());
+        return Err("a fraction of loss, double or garble is not from 0 to 1".into());
     }
     let (min_ms, max_ms) = delay_ms;
     if min_ms > max_ms || max_ms > MAX_DELAY_MS {
         return Err(format!(
-            "delay_ms is not two times, the lesser first, up to {MAX_DELAY_MS}"
+            "delay_ms is not a minimum and a maximum, in this order, of at most {MAX_DELAY_MS}"
         ));
     }
     Ok(())
--- a/crates/fault-testbed/src/scenario/running.rs
+++ b/crates/fault-testbed/src/scenario/running.rs
@@ -5,16 +5,16 @@
 
 use serde_json::{json, Value};
 
-use super::{Scenario, ScenarioError, ScenarioStep, StepError, ALL, ROUTER};
+use super::{Scenario, ScenarioError, ScenarioStep, StepError, ALL_PROCESSES, ROUTER_NAME};
 use crate::error::TestbedError;
 use crate::testbed::{ProcessPlan, Testbed};
 
 impl Scenario {
-    /// Runs the scenario with processes of the program, and prints its timeline as lines of JSON if `prints_events`. Returns
-    /// the testbed at its end.
+    /// Runs the scenario with processes of the program. If `prints_events` is true, prints the
+    /// events as lines of JSON. Returns the testbed in its final state.
     ///
     /// # Errors
-    /// [`ScenarioError`] for the step that failed, or where the testbed itself failed.
+    /// [`ScenarioError`] if a step or the testbed itself failed.
     pub fn run(&self, prints_events: bool) -> Result<Testbed, ScenarioError> {
         let mut testbed = self.set_up()?;
         if prints_events {
@@ -37,7 +37,7 @@
         }
         if self.has_router {
             testbed.add_process(ProcessPlan {
-                name: ROUTER.into(),
+                name: ROUTER_NAME.into(),
                 ..ProcessPlan::node(0)
             })?;
         }
@@ -49,22 +49,22 @@
 
 fn run_step(testbed: &mut Testbed, step: &ScenarioStep) -> Result<(), StepError> {
     match step {
-        ScenarioStep::Start(names) => start(testbed, &expand(testbed, names))?,
-        ScenarioStep::Kill(names) => for_each(testbed, names, Testbed::try_kill)?,
-        ScenarioStep::ShutDown(names) => for_each(testbed, names, Testbed::try_shut_down)?,
-        ScenarioStep::Pause(names) => for_each(testbed, names, Testbed::try_pause)?,
-        ScenarioStep::Unpause(names) => for_each(testbed, names, Testbed::try_unpause)?,
+        ScenarioStep::Start(names) => start_processes(testbed, &expand_names(testbed, names))?,
+        ScenarioStep::Kill(names) => for_each_process(testbed, names, Testbed::try_kill)?,
+        ScenarioStep::ShutDown(names) => for_each_process(testbed, names, Testbed::try_shut_down)?,
+        ScenarioStep::Pause(names) => for_each_process(testbed, names, Testbed::try_pause)?,
+        ScenarioStep::Unpause(names) => for_each_process(testbed, names, Testbed::try_unpause)?,
         ScenarioStep::Quiesce(names) => call_admin(testbed, names, "quiesce")?,
         ScenarioStep::Resume(names) => call_admin(testbed, names, "resume")?,
         ScenarioStep::Partition(parts) => testbed.partition(parts),
         ScenarioStep::Block(from, to) => {
-            testbed.block(&expand(testbed, from), &expand(testbed, to));
+            testbed.block(&expand_names(testbed, from), &expand_names(testbed, to));
         }
         ScenarioStep::StallStreams(from, to) => {
-            testbed.stall_streams(&expand(testbed, from), &expand(testbed, to));
+            testbed.stall_streams(&expand_names(testbed, from), &expand_names(testbed, to));
         }
         ScenarioStep::CutStreams(from, to) => {
-            testbed.cut_streams(&expand(testbed, from), &expand(testbed, to));
+            testbed.cut_streams(&expand_names(testbed, from), &expand_names(testbed, to));
         }
         ScenarioStep::Links {
             loss,
@@ -89,39 +89,39 @@
     Ok(())
 }
 
-/// The names of a step, with all processes in place of `*`.
-fn expand(testbed: &Testbed, names: &[String]) -> Vec<String> {
-    if names.iter().any(|name| name == ALL) {
+/// Returns the names of a step, or those of all processes if they contain `*`.
+fn expand_names(testbed: &Testbed, names: &[String]) -> Vec<String> {
+    if names.iter().any(|name| name == ALL_PROCESSES) {
         testbed.names()
     } else {
         names.to_vec()
     }
 }
 
-fn for_each(
+fn for_each_process(
     testbed: &mut Testbed,
     names: &[String],
     action: impl Fn(&mut Testbed, &str) -> Result<(), TestbedError>,
 ) -> Result<(), TestbedError> {
-    for name in expand(testbed, names) {
+    for name in expand_names(testbed, names) {
         action(testbed, &name)?;
     }
     Ok(())
 }
 
 fn call_admin(testbed: &mut Testbed, names: &[String], command: &str) -> Result<(), TestbedError> {
-    for_each(testbed, names, |testbed, name| {
+    for_each_process(testbed, names, |testbed, name| {
         testbed.try_call_admin(name, command).map(drop)
     })
 }
 
-fn start(testbed: &mut Testbed, names: &[String]) -> Result<(), TestbedError> {
-    // The router's file names the nodes, so it starts last.
-    for name in names.iter().filter(|name| *name != ROUTER) {
+fn start_processes(testbed: &mut Testbed, names: &[String]) -> Result<(), TestbedError> {
+    // The router's file contains the nodes, so it is started last.
+    for name in names.iter().filter(|name| *name != ROUTER_NAME) {
         testbed.try_start(name)?;
     }
-    if names.iter().any(|name| name == ROUTER) {
-        testbed.try_start_router(ROUTER, true)?;
+    if names.iter().any(|name| name == ROUTER_NAME) {
+        testbed.try_start_router(ROUTER_NAME, true)?;
     }
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     testbed.try_wait_until_up(&names)
@@ -144,7 +144,9 @@
     let timeout = Duration::from_millis(timeout_ms);
     match testbed.wait_for("settled", timeout, Testbed::has_converged) {
         Some(_) => Ok(()),
-        None => Err(StepError::NotReached(format!("settled in {timeout_ms} ms"))),
+        None => Err(StepError::NotReached(format!(
+            "agreement of the members in {timeout_ms} ms"
+        ))),
     }
 }
 
@@ -178,13 +180,13 @@
     max_failures: usize,
     timeout_ms: u64,
 ) -> Result<(), StepError> {
-    let mut client = testbed.try_connect(ROUTER)?;
+    let mut client = testbed.try_connect(ROUTER_NAME)?;
     let mut failures: Vec<Value> = Vec::new();
     for _ in 0..count {
         let started_at = Instant::now();
         let answer = client
             .try_request("statement-read", "serve:play")
-            .map_err(TestbedError::process(ROUTER))?;
+            .map_err(TestbedError::process(ROUTER_NAME))?;
         let is_late = started_at.elapsed() > Duration::from_millis(timeout_ms);
         if !answer["result"].is_object() || is_late {
             failures.push(answer["error"]["message"].clone());
@@ -193,7 +195,7 @@
     testbed.record_event("served", json!({"asked": count, "failed": failures.len()}));
     if failures.len() > max_failures {
         return Err(StepError::NotReached(format!(
-            "{} of {count} failed, {max_failures} may: {}",
+            "{} of {count} requests failed, at most {max_failures} may: {}",
             failures.len(),
             json!(failures)
         )));
--- a/crates/fault-testbed/src/testbed/faults.rs
+++ b/crates/fault-testbed/src/testbed/faults.rs
@@ -1,4 +1,4 @@
-//! Puts faults on the links between processes.
+//! Sets the faults of the links between processes.
 
 use serde_json::{json, Value};
 
@@ -6,7 +6,8 @@
 use crate::links::{LinkFaults, Links};
 
 impl Testbed {
-    /// Partitions the network into parts between which nothing passes; a process in none of them is in the first.
+    /// Partitions the network into parts, between which all traffic is blocked. A process that is
+    /// in none of them is in the first.
     pub fn partition(&mut self, parts: &[Vec<String>]) {
         self.record_event("partition", json!(parts));
         let part_of = |name: &String| {
@@ -27,26 +28,27 @@
         });
     }
 
-    /// Blocks the links from these to those processes, in this direction only.
+    /// Blocks the links from the processes `from` to the processes `to`, in this direction only.
     pub fn block(&mut self, from: &[String], to: &[String]) {
         self.change_links_between("silence", from, to, |links, from, to| {
             links.change_link(from, to, |faults| faults.is_blocked = true);
         });
     }
 
-    /// Stalls the streams from these to those processes without closing them; datagrams pass.
+    /// Stalls the streams from the processes `from` to the processes `to` without closing them.
+    /// Datagrams are still delivered.
     pub fn stall_streams(&mut self, from: &[String], to: &[String]) {
         self.change_links_between("stall", from, to, |links, from, to| {
             links.change_link(from, to, |faults| faults.stalls_streams = true);
         });
     }
 
-    /// Closes the open streams from these to those processes.
+    /// Closes the open streams from the processes `from` to the processes `to`.
     pub fn cut_streams(&mut self, from: &[String], to: &[String]) {
         self.change_links_between("cut", from, to, Links::cut_streams);
     }
 
-    /// Changes the faults of all links; `what` describes that on the timeline.
+    /// Changes the faults of all links. `what` describes the change on the timeline.
     pub fn change_all_links(&mut self, what: Value, change: impl Fn(&mut LinkFaults)) {
         self.record_event("links", what);
         self.proxy.with_links(|links| links.change_all(change));
@@ -62,7 +64,7 @@
             .with_links(|links| links.change_all(|faults| *faults = LinkFaults::default()));
     }
 
-    /// Changes each link from these to those processes, in this direction only.
+    /// Changes each link from the processes `from` to the processes `to`, in this direction only.
     fn change_links_between(
         &self,
         event: &str,
--- a/crates/fault-testbed/src/testbed/files.rs
+++ b/crates/fault-testbed/src/testbed/files.rs
@@ -1,4 +1,4 @@
-//! The configuration files of processes.
+//! Writes the configuration files of processes.
 
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -7,11 +7,11 @@
 use serde_json::{json, Value};
 use test_doubles::{node_config, FakeExecutor};
 
-use super::{path_text, Testbed, FLEET};
+use super::{path_text, Testbed, FLEET_NAME};
 use crate::error::TestbedError;
 
 impl Testbed {
-    /// The path of the fleet file of a process.
+    /// Returns the path of the fleet file of a process.
     pub(crate) fn try_fleet_file_path(&self, name: &str) -> Result<PathBuf, TestbedError> {
         Ok(self.try_slot(name)?.file_path("fleet.json5"))
     }
@@ -29,7 +29,7 @@
             .map(|seed| format!("\"{seed}\""))
             .collect();
         let mut text = format!(
-            "{{ version: 1, fleet: \"{FLEET}\", name: \"{name}\", site: \"{}\", listen: \"{listen}\", seeds: [{}], {}",
+            "{{ version: 1, fleet: \"{FLEET_NAME}\", name: \"{name}\", site: \"{}\", listen: \"{listen}\", seeds: [{}], {}",
             slot.plan.site,
             seeds.join(", "),
             slot.plan.fleet_fields
@@ -48,7 +48,7 @@
         Ok(path)
     }
 
-    /// The configuration of a node.
+    /// Returns the configuration of a node.
     pub(super) fn node_settings(
         &self,
         name: &str,
@@ -61,7 +61,8 @@
         settings
     }
 
-    /// Writes the file of a router, and that of the cells that it refers to: all other processes as nodes of one cell.
+    /// Writes the configuration file of a router and the cells file that it refers to, with all
+    /// other processes as nodes of one cell.
     pub(super) fn write_router_file(
         &self,
         name: &str,
--- a/crates/fault-testbed/src/testbed/launching.rs
+++ b/crates/fault-testbed/src/testbed/launching.rs
@@ -6,20 +6,21 @@
 use serde_json::json;
 use test_doubles::{try_node_command, try_wait_until, FakeExecutor, Node, ScratchFile};
 
-use super::{Testbed, ANY_PORT};
+use super::{Testbed, LOOPBACK_ANY_PORT};
 use crate::error::TestbedError;
 
 impl Testbed {
-    /// Starts a node, also one that ran before, and does not wait for it.
+    /// Starts a node, which may have run before, without waiting until it is up.
     ///
     /// # Errors
-    /// [`TestbedError`] for an unknown name, or where the system refuses a file or the process.
+    /// [`TestbedError`] if the name is unknown, or a file can't be written or the process not
+    /// started.
     pub fn try_start(&mut self, name: &str) -> Result<(), TestbedError> {
         let slot = self.try_slot(name)?;
         let database = self.proxied_database.unwrap_or(self.database.address);
         let settings = self.node_settings(name, &slot.executor, database);
         TestbedError::write_file(slot.config.path(), &settings.to_string())?;
-        let fleet_file = self.write_fleet_file(name, ANY_PORT.into())?;
+        let fleet_file = self.write_fleet_file(name, LOOPBACK_ANY_PORT.into())?;
         let mut command = try_node_command(&slot.config)?;
         command.arg("--fleet").arg(fleet_file);
         self.launch(name, command)?;
@@ -27,17 +28,19 @@
         Ok(())
     }
 
-    /// Starts a router in front of all other processes, as nodes of one cell, and does not wait for it. With
-    /// `uses_membership` it takes the nodes from the fleet's membership, else it queries each of them.
+    /// Starts a router in front of all other processes, which are the nodes of one cell, without
+    /// waiting until it is up. If `uses_membership` is true, it takes the nodes from the fleet's
+    /// membership; otherwise it queries each of them.
     ///
     /// # Errors
-    /// [`TestbedError`] for an unknown name, or where the system refuses a file or the process.
+    /// [`TestbedError`] if the name is unknown, or a file can't be written or the process not
+    /// started.
     pub fn try_start_router(
         &mut self,
         name: &str,
         uses_membership: bool,
     ) -> Result<(), TestbedError> {
-        let fleet_file = self.write_fleet_file(name, ANY_PORT.into())?;
+        let fleet_file = self.write_fleet_file(name, LOOPBACK_ANY_PORT.into())?;
         let router_file = self.write_router_file(name, uses_membership.then_some(fleet_file))?;
         let mut command = try_node_command(&self.try_slot(name)?.config)?;
         command.arg("route").arg(router_file);
@@ -49,9 +52,10 @@
     /// Starts the process of a slot.
     fn launch(&mut self, name: &str, command: Command) -> Result<(), TestbedError> {
         let peers = self.peers(&self.try_slot(name)?.executor);
-        // The process reads the file of the slot: this one only fills the place in its value.
-        let spare_file = ScratchFile::try_new(&format!("{name}.spare"), "")?;
-        let node = Node::try_spawn_command(command, peers, spare_file)
+        // The process reads the slot's configuration file, which is reused at the next start. `Node`
+        // must own a file as well, and gets an empty one.
+        let unused_file = ScratchFile::try_new(&format!("{name}.spare"), "")?;
+        let node = Node::try_spawn_command(command, peers, unused_file)
             .map_err(TestbedError::process(name))?;
         self.proxy.set_pid(name, node.process.id());
         self.record_event("start", json!(name));
@@ -62,7 +66,7 @@
     /// Waits until these processes are up, and connects the proxy to them.
     ///
     /// # Errors
-    /// [`TestbedError`] if one does not run or is not up in time.
+    /// [`TestbedError`] if one is not running or not up in time.
     pub fn try_wait_until_up(&mut self, names: &[&str]) -> Result<(), TestbedError> {
         for name in names {
             let is_fleet_member = self.try_slot(name)?.is_fleet_member;
@@ -94,10 +98,12 @@
         address.ok_or_else(|| TestbedError::NotRunning(name.into()))
     }
 
-    /// Starts a second process of a node that runs, beside it, which receives the fleet's datagrams at `listen`.
+    /// Starts a second process of a running node concurrently with the first one. It receives the
+    /// fleet's datagrams at `listen`.
     ///
     /// # Errors
-    /// [`TestbedError`] if the node does not run, or where the system refuses a file or the process.
+    /// [`TestbedError`] if the node is not running, or a file can't be written or the process not
+    /// started.
     pub fn try_start_replacement(
         &self,
         name: &str,
--- a/crates/fault-testbed/src/testbed/mod.rs
+++ b/crates/fault-testbed/src/testbed/mod.rs
@@ -22,33 +22,33 @@
 use timeline::Timeline;
 
 /// The name of a testbed's fleet.
-pub(crate) const FLEET: &str = "rig";
+pub(crate) const FLEET_NAME: &str = "rig";
 /// The database's name on links.
-const DATABASE: &str = "ledger";
-/// How long one query to a process may take.
+const DATABASE_NAME: &str = "ledger";
+/// Time limit of one query to a process.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(400);
-/// Where the datagrams for a seed that does not run go: the discard port of loopback.
-const NO_PROCESS: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
-/// A port of loopback that the system chooses.
-const ANY_PORT: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
-/// The sites of processes, in turn by their number.
+/// Address of a seed that is down: the discard port of loopback.
+const DOWN_SEED_ADDRESS: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
+/// Loopback address with a port that the system chooses.
+const LOOPBACK_ANY_PORT: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
+/// The sites of processes, assigned in turn by their number.
 const SITES: [&str; 3] = ["milano-lambrate", "bergamo-est", "brescia-sud"];
 
-/// A process of a testbed before it is started.
+/// The description of a process of a testbed.
 #[derive(Clone, Debug)]
 pub struct ProcessPlan {
     /// Its name.
     pub name: String,
     /// Its site.
     pub site: String,
-    /// Further fields of its fleet file, each with a comma after it.
+    /// Additional fields of its fleet file, each followed by a comma.
     pub fleet_fields: String,
-    /// Whether its own addresses are advertised to the others, not those of the proxy before it.
+    /// True if it advertises its own addresses to the others instead of those of the proxy.
     pub bypasses_proxy: bool,
 }
 
 impl ProcessPlan {
-    /// A node, at one of three sites by its number.
+    /// Returns the plan of a node, at one of three sites by its number.
     pub fn node(number: usize) -> ProcessPlan {
         ProcessPlan {
             name: format!("n{number}"),
@@ -59,39 +59,43 @@
     }
 }
 
-/// The state of a process that was added.
+/// The state of an added process.
 struct ProcessSlot {
     plan: ProcessPlan,
     proxy_addresses: ProxyAddresses,
+    /// `None` while it is not running.
     process: Option<Node>,
     is_fleet_member: bool,
     is_paused: bool,
-    /// The part of the network it is in while that is partitioned.
+    /// The index of the part of the network that it is in. 0 while the network is not partitioned.
     partition: usize,
-    /// Its configuration; its other files are beside it.
+    /// Its configuration file. Its other files are in the same directory.
     config: ScratchFile,
     executor: FakeExecutor,
 }
 
-/// Many processes of the program, and the network between them.
+/// Processes of the program, and the network between them.
 ///
-/// Methods named `try_...` return errors and are for programs; those without the prefix panic, which keeps tests short.
+/// Methods named `try_...` return errors, for use in programs. Those without the prefix panic,
+/// which keeps tests short.
 pub struct Testbed {
     proxy: NetworkProxy,
     slots: BTreeMap<String, ProcessSlot>,
     seeds: Vec<SocketAddr>,
     database: FakeDatabase,
-    /// Where nodes connect to the database, if that goes through the proxy.
+    /// The address of the proxy to which nodes connect for the database. `None` if they connect to
+    /// it directly.
     proxied_database: Option<SocketAddr>,
     endpoint_list: FakeEndpointList,
     timeline: Timeline,
 }
 
 impl Testbed {
-    /// A testbed without processes, its faults drawn from this seed.
+    /// Creates a testbed without processes. Faults are drawn from this seed.
     ///
     /// # Errors
-    /// [`TestbedError::System`] or [`TestbedError::TestDouble`] where the system provides no socket or thread.
+    /// [`TestbedError::System`] or [`TestbedError::TestDouble`] if a socket or a thread can't be
+    /// created.
     pub fn new(seed: u64) -> Result<Testbed, TestbedError> {
         Ok(Testbed {
             proxy: NetworkProxy::new(seed)?,
@@ -104,7 +108,7 @@
         })
     }
 
-    /// Prints events to standard output as they happen, as lines of JSON.
+    /// Prints the following events to standard output as they happen, as lines of JSON.
     pub fn print_events(&mut self) {
         self.timeline.print_events();
     }
@@ -114,17 +118,18 @@
         self.timeline.record(event, what);
     }
 
-    /// The events so far, a line of JSON each.
+    /// Returns the events so far, as one line of JSON each.
     pub fn timeline(&self) -> String {
         self.timeline.to_string()
     }
 
-    /// The proxy, to change the faults of its links.
+    /// Returns the proxy, for example to change the faults of its links.
     pub fn proxy(&self) -> &NetworkProxy {
         &self.proxy
     }
 
-    /// Errors of the testbed itself so far, each of which means that a run did not test what it was to test.
+    /// Returns the errors of the testbed itself so far. If there is any, the run did not test what
+    /// it was meant to test.
     pub fn errors(&self) -> Vec<String> {
         let mut errors = self.proxy.errors();
         errors.extend(self.timeline.print_error());
@@ -137,27 +142,28 @@
         errors
     }
 
-    /// The database that all nodes call.
+    /// Returns the database that all nodes call.
     pub fn database(&self) -> &FakeDatabase {
         &self.database
     }
 
-    /// Makes nodes that start from now on reach the database over links of their own, to `ledger`.
+    /// Makes nodes that are started later reach the database through the proxy, over links to the
+    /// name `ledger`.
     ///
     /// # Errors
-    /// The system's, where it provides no socket or thread.
+    /// A socket or a thread can't be created.
     pub fn proxy_database(&mut self) -> io::Result<()> {
-        let addresses = self.proxy.add_process(DATABASE)?;
+        let addresses = self.proxy.add_process(DATABASE_NAME)?;
         self.proxy
-            .set_stream_target(DATABASE, self.database.address)?;
+            .set_stream_target(DATABASE_NAME, self.database.address)?;
         self.proxied_database = Some(addresses.streams);
         Ok(())
     }
 
-    /// Adds a process, which is not started yet.
+    /// Adds a process without starting it.
     ///
     /// # Errors
-    /// [`TestbedError`] where the system provides no socket, thread or file.
+    /// [`TestbedError`] if a socket, a thread or a file can't be created.
     pub fn add_process(&mut self, plan: ProcessPlan) -> Result<(), TestbedError> {
         let proxy_addresses = self.proxy.add_process(&plan.name)?;
         if plan.bypasses_proxy {
@@ -177,16 +183,19 @@
         Ok(())
     }
 
-    /// Sets the seeds of all processes that start from now on; a name that was not added stands for a seed that is down.
+    /// Sets the seeds of all processes that are started later. A name that was not added stands for
+    /// a seed that is down.
     pub fn set_seeds(&mut self, names: &[&str]) {
         let address = |name: &&str| {
             let slot = self.slots.get(*name);
-            slot.map_or(NO_PROCESS.into(), |slot| slot.proxy_addresses.datagrams)
+            slot.map_or(DOWN_SEED_ADDRESS.into(), |slot| {
+                slot.proxy_addresses.datagrams
+            })
         };
         self.seeds = names.iter().map(address).collect();
     }
 
-    /// The names of all processes that were added.
+    /// Returns the names of all added processes.
     pub fn names(&self) -> Vec<String> {
         self.slots.keys().cloned().collect()
     }
@@ -213,13 +222,13 @@
 }
 
 impl ProcessSlot {
-    /// The path of another file of this process, with this extension.
+    /// Returns the path of another file of this process, with this extension.
     fn file_path(&self, extension: &str) -> std::path::PathBuf {
         self.config.path().with_extension(extension)
     }
 }
 
-/// A path as text, for a configuration file.
+/// Returns a path as text, for a configuration file.
 fn path_text(path: &Path) -> String {
     path.display().to_string()
 }
--- a/crates/fault-testbed/src/testbed/observation.rs
+++ b/crates/fault-testbed/src/testbed/observation.rs
@@ -1,4 +1,4 @@
-//! Queries processes, and waits for what they reach.
+//! Queries processes, and waits until they reach a state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::thread;
@@ -8,37 +8,40 @@
 use serde_json::json;
 use shared_state::SharedStateSnapshot;
 
-use super::{Testbed, FLEET, QUERY_TIMEOUT};
+use super::{Testbed, FLEET_NAME, QUERY_TIMEOUT};
 use crate::error::TestbedError;
 
-/// The time between two checks of a condition.
+/// Interval between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Testbed {
-    /// The members that a process sees, queried past the proxy; none without an answer in time.
+    /// Queries the members that a process sees, bypassing the proxy. `None` without an answer in
+    /// time.
     ///
     /// # Errors
-    /// [`TestbedError`] if it does not run.
+    /// [`TestbedError`] if it is not running.
     pub fn try_query_members(&self, name: &str) -> Result<Option<QueryReply>, TestbedError> {
         let address = self.try_node(name)?.logged_address("fleet");
-        Ok(address.and_then(|address| query_members(address, FLEET, QUERY_TIMEOUT).ok()))
+        Ok(address.and_then(|address| query_members(address, FLEET_NAME, QUERY_TIMEOUT).ok()))
     }
 
-    /// The shared state of a process, queried past the proxy; none without an answer in time.
+    /// Queries the shared state of a process, bypassing the proxy. `None` without an answer in
+    /// time.
     ///
     /// # Errors
-    /// [`TestbedError`] if it does not run.
+    /// [`TestbedError`] if it is not running.
     pub fn try_query_shared_state(
         &self,
         name: &str,
     ) -> Result<Option<SharedStateSnapshot>, TestbedError> {
         let address = self.try_node(name)?.logged_address("fleet");
         let reply =
-            address.and_then(|address| query_shared_state(address, FLEET, QUERY_TIMEOUT).ok());
+            address.and_then(|address| query_shared_state(address, FLEET_NAME, QUERY_TIMEOUT).ok());
         Ok(reply.map(|reply| reply.state))
     }
 
-    /// Whether all running members of each part of the network see exactly each other, in the same states.
+    /// Returns true if the running members of each part of the network see exactly each other, in
+    /// the same states.
     pub fn has_converged(&self) -> bool {
         let mut parts: BTreeMap<usize, Vec<&str>> = BTreeMap::new();
         for (name, slot) in &self.slots {
@@ -67,7 +70,8 @@
         })
     }
 
-    /// Waits until a condition holds, and returns how long that took; none if it did not within `timeout`.
+    /// Waits until a condition is true, and returns the time that this took. `None` if it was not
+    /// within `timeout`. `what` describes the condition on the timeline.
     pub fn wait_for(
         &self,
         what: &str,
@@ -91,22 +95,22 @@
         }
     }
 
-    /// Waits until the members agree, and returns how long that took.
+    /// Waits until the members agree, and returns the time that this took.
     ///
     /// # Panics
-    /// With what they see if they do not agree within `timeout`.
+    /// If they do not agree within `timeout`. Prints what they see before.
     pub fn wait_until_converged(&self, timeout: Duration) -> Duration {
         if let Some(elapsed) = self.wait_for("settled", timeout, Testbed::has_converged) {
             return elapsed;
         }
         self.print_members();
         panic!(
-            "the members did not agree within {timeout:?}; the events were:\n{}",
+            "the members did not agree within {timeout:?}; events:\n{}",
             self.timeline()
         )
     }
 
-    /// Prints what each process that runs sees to standard error.
+    /// Prints the members that each running process sees to standard error.
     fn print_members(&self) {
         for (name, slot) in &self.slots {
             if slot.process.is_none() || slot.is_paused {
--- a/crates/fault-testbed/src/testbed/panicking.rs
+++ b/crates/fault-testbed/src/testbed/panicking.rs
@@ -1,4 +1,4 @@
-//! The methods of a testbed that panic on errors, for tests.
+//! Methods of a testbed that panic on errors, for tests.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,12 +11,12 @@
 use crate::error::expect_ok;
 
 impl Testbed {
-    /// The executor of a node.
+    /// Returns the executor of a node.
     pub fn executor(&self, name: &str) -> &FakeExecutor {
         &expect_ok(self.try_slot(name)).executor
     }
 
-    /// The path of the fleet file of a process.
+    /// Returns the path of the fleet file of a process.
     pub fn fleet_file_path(&self, name: &str) -> PathBuf {
         expect_ok(self.try_fleet_file_path(name))
     }
@@ -41,27 +41,27 @@
         expect_ok(self.try_start_replacement(name, listen))
     }
 
-    /// The running process of this name.
+    /// Returns the running process of this name.
     pub fn node(&self, name: &str) -> &Node {
         expect_ok(self.try_node(name))
     }
 
-    /// Whether a process of this name runs.
+    /// Returns true if the process of this name is running.
     pub fn is_running(&self, name: &str) -> bool {
         expect_ok(self.try_is_running(name))
     }
 
-    /// A new client connection to a process, past the proxy.
+    /// Opens a client connection to a process, bypassing the proxy.
     pub fn connect(&self, name: &str) -> TestClient {
         expect_ok(self.try_connect(name))
     }
 
-    /// Kills a process with SIGKILL, if it runs.
+    /// Kills a process with SIGKILL, if it is running.
     pub fn kill(&mut self, name: &str) {
         expect_ok(self.try_kill(name));
     }
 
-    /// Shuts a process down with SIGTERM, if it runs, and waits for its end.
+    /// Shuts a process down with SIGTERM, if it is running, and waits until it has exited.
     pub fn shut_down(&mut self, name: &str) {
         expect_ok(self.try_shut_down(name));
     }
@@ -71,12 +71,12 @@
         expect_ok(self.try_pause(name));
     }
 
-    /// Lets a paused process continue.
+    /// Continues a paused process with SIGCONT.
     pub fn unpause(&mut self, name: &str) {
         expect_ok(self.try_unpause(name));
     }
 
-    /// Has a process read its files again, with SIGHUP.
+    /// Makes a process reload its files, with SIGHUP.
     pub fn reload(&mut self, name: &str) {
         expect_ok(self.try_reload(name));
     }
@@ -86,17 +86,18 @@
         expect_ok(self.try_call_admin(name, command))
     }
 
-    /// The members that a process sees; none without an answer in time.
+    /// Queries the members that a process sees. `None` without an answer in time.
     pub fn query_members(&self, name: &str) -> Option<QueryReply> {
         expect_ok(self.try_query_members(name))
     }
 
-    /// The shared state of a process; none without an answer in time.
+    /// Queries the shared state of a process. `None` without an answer in time.
     pub fn query_shared_state(&self, name: &str) -> Option<SharedStateSnapshot> {
         expect_ok(self.try_query_shared_state(name))
     }
 
-    /// The leader that a process knows.
+    /// Queries the name of the leader that a process knows. `None` if there is none, or without an
+    /// answer in time.
     pub fn leader(&self, name: &str) -> Option<String> {
         let leader = self.query_shared_state(name)?.leader;
         leader.map(|name| name.to_string())
--- a/crates/fault-testbed/src/testbed/processes.rs
+++ b/crates/fault-testbed/src/testbed/processes.rs
@@ -1,4 +1,4 @@
-//! Controls processes that run.
+//! Controls running processes.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -10,7 +10,7 @@
 use crate::error::TestbedError;
 
 impl Testbed {
-    /// The running process of this name.
+    /// Returns the running process of this name.
     ///
     /// # Errors
     /// [`TestbedError::UnknownProcess`] or [`TestbedError::NotRunning`] if there is none.
@@ -21,7 +21,7 @@
             .ok_or_else(|| TestbedError::NotRunning(name.into()))
     }
 
-    /// Whether a process of this name runs.
+    /// Returns true if the process of this name is running.
     ///
     /// # Errors
     /// [`TestbedError::UnknownProcess`] if none was added.
@@ -29,10 +29,10 @@
         Ok(self.try_slot(name)?.process.is_some())
     }
 
-    /// How many requests the executor of a node has run.
+    /// Returns the number of requests that the executor of a node has run.
     ///
     /// # Errors
-    /// [`TestbedError`] for an unknown name, or if the node broke the executor's protocol.
+    /// [`TestbedError`] if the name is unknown, or the node violated the executor's protocol.
     pub fn try_total_runs(&self, name: &str) -> Result<usize, TestbedError> {
         let executor = &self.try_slot(name)?.executor;
         executor
@@ -40,18 +40,18 @@
             .map_err(TestbedError::process(name))
     }
 
-    /// A new client connection to a process, past the proxy.
+    /// Opens a client connection to a process, bypassing the proxy.
     ///
     /// # Errors
-    /// [`TestbedError`] if it does not run or does not listen.
+    /// [`TestbedError`] if it is not running or does not listen.
     pub fn try_connect(&self, name: &str) -> Result<TestClient, TestbedError> {
         TestClient::try_connect(self.try_node(name)?.address).map_err(TestbedError::process(name))
     }
 
-    /// Kills a process with SIGKILL, if it runs.
+    /// Kills a process with SIGKILL, if it is running.
     ///
     /// # Errors
-    /// [`TestbedError`] for an unknown name, or where the system refuses.
+    /// [`TestbedError`] if the name is unknown, or the process can't be killed.
     pub fn try_kill(&mut self, name: &str) -> Result<(), TestbedError> {
         self.record_event("kill", json!(name));
         let Some(mut node) = self.try_slot_mut(name)?.process.take() else {
@@ -60,10 +60,10 @@
         node.try_kill().map_err(TestbedError::process(name))
     }
 
-    /// Shuts a process down with SIGTERM, if it runs, and waits for its end.
+    /// Shuts a process down with SIGTERM, if it is running, and waits until it has exited.
     ///
     /// # Errors
-    /// [`TestbedError`] for an unknown name, or if it does not end in time.
+    /// [`TestbedError`] if the name is unknown, or the process does not exit in time.
     pub fn try_shut_down(&mut self, name: &str) -> Result<(), TestbedError> {
         self.record_event("end", json!(name));
         let Some(mut node) = self.try_slot_mut(name)?.process.take() else {
@@ -78,7 +78,7 @@
     /// Pauses a process with SIGSTOP.
     ///
     /// # Errors
-    /// [`TestbedError`] if it does not run.
+    /// [`TestbedError`] if it is not running.
     pub fn try_pause(&mut self, name: &str) -> Result<(), TestbedError> {
         self.record_event("stop", json!(name));
         self.send_signal(name, "STOP")?;
@@ -86,10 +86,10 @@
         Ok(())
     }
 
-    /// Lets a paused process continue.
+    /// Continues a paused process with SIGCONT.
     ///
     /// # Errors
-    /// [`TestbedError`] if it does not run.
+    /// [`TestbedError`] if it is not running.
     pub fn try_unpause(&mut self, name: &str) -> Result<(), TestbedError> {
         self.record_event("continue", json!(name));
         self.send_signal(name, "CONT")?;
@@ -97,10 +97,10 @@
         Ok(())
     }
 
-    /// Has a process read its files again, with SIGHUP.
+    /// Makes a process reload its files, with SIGHUP.
     ///
     /// # Errors
-    /// [`TestbedError`] if it does not run.
+    /// [`TestbedError`] if it is not running.
     pub fn try_reload(&mut self, name: &str) -> Result<(), TestbedError> {
         self.record_event("reload", json!(name));
         self.send_signal(name, "HUP")
@@ -115,7 +115,7 @@
     /// Sends a command to a node's admin server, and returns the answer's first line.
     ///
     /// # Errors
-    /// [`TestbedError`] if it does not run, or where the connection fails.
+    /// [`TestbedError`] if it is not running, or the connection fails.
     pub fn try_call_admin(&self, name: &str, command: &str) -> Result<String, TestbedError> {
         let address = self
             .try_node(name)?
--- a/crates/fault-testbed/src/testbed/timeline.rs
+++ b/crates/fault-testbed/src/testbed/timeline.rs
@@ -1,4 +1,4 @@
-//! The events of a run.
+//! Records the events of a run.
 
 use std::fmt;
 use std::io::Write;
@@ -9,7 +9,7 @@
 
 use crate::error::lock;
 
-/// The events of a run, with the milliseconds since its start.
+/// The events of a run, each with the time since its start in milliseconds.
 pub(super) struct Timeline {
     started_at: Instant,
     events: Mutex<Vec<Value>>,
@@ -43,7 +43,7 @@
         lock(&self.events).push(line);
     }
 
-    /// Why events could not be printed, if they could not.
+    /// Returns the first error that occurred while events were printed, if any.
     pub(super) fn print_error(&self) -> Option<String> {
         lock(&self.print_error).clone()
     }
--- a/crates/fault-testbed/tests/links.rs
+++ b/crates/fault-testbed/tests/links.rs
@@ -7,13 +7,14 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Traffic on one link does not change the faults of another, and equal seeds have equal faults.
+    /// Traffic on one link does not change the faults of another, and equal seeds give equal
+    /// faults.
     #[test]
     fn each_link_draws_its_faults_independently(seed in any::<u64>(), other_datagrams in 0usize..20) {
-        let lossy = |links: &mut Links| links.change_all(|faults| (faults.loss, faults.duplication) = (0.3, 0.3));
+        let make_lossy = |links: &mut Links| links.change_all(|faults| (faults.loss, faults.duplication) = (0.3, 0.3));
         let (mut one, mut two) = (Links::new(seed), Links::new(seed));
-        lossy(&mut one);
-        lossy(&mut two);
+        make_lossy(&mut one);
+        make_lossy(&mut two);
         for _ in 0..other_datagrams {
             two.transmit_datagram("c", "a");
         }
@@ -23,12 +24,12 @@
     }
 
     #[test]
-    fn delays_stay_within_their_bounds(least in 0u64..50, more in 0u64..50) {
+    fn delays_stay_within_their_bounds(min_ms in 0u64..50, extra_ms in 0u64..50) {
         let mut links = Links::new(1);
-        let (least, most) = (Duration::from_millis(least), Duration::from_millis(least + more));
-        links.change_link("a", "b", |faults| faults.delay = (least, most));
+        let (min, max) = (Duration::from_millis(min_ms), Duration::from_millis(min_ms + extra_ms));
+        links.change_link("a", "b", |faults| faults.delay = (min, max));
         for copy in (0..50).flat_map(|_| links.transmit_datagram("a", "b")) {
-            prop_assert!((least..=most).contains(&copy.delay));
+            prop_assert!((min..=max).contains(&copy.delay));
         }
     }
 }
--- a/crates/fault-testbed/tests/network_proxy.rs
+++ b/crates/fault-testbed/tests/network_proxy.rs
@@ -7,12 +7,13 @@
 
 use fault_testbed::NetworkProxy;
 
-/// The longest that a test waits for bytes.
+/// Maximum time that a test waits for bytes.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a stalled stream is watched for bytes that should not come.
-const STALL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time for which a stalled stream must not deliver bytes.
+const STALL_READ_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Starts a server that echoes all bytes as the process `server` of the proxy; returns where it is reached.
+/// Starts a server that echoes all bytes, as the process `server` of the proxy. Returns the address
+/// at which the proxy makes it reachable.
 fn start_echo_server(proxy: &NetworkProxy) -> SocketAddr {
     let addresses = proxy.add_process("server").expect("sockets");
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
@@ -43,7 +44,9 @@
 }
 
 fn set_read_timeout(stream: &TcpStream, timeout: Duration) {
-    stream.set_read_timeout(Some(timeout)).expect("an option");
+    stream
+        .set_read_timeout(Some(timeout))
+        .expect("the timeout is valid");
 }
 
 /// Sends four bytes and reads four back.
@@ -71,7 +74,8 @@
         .is_ok());
 }
 
-/// Streams over the proxy stall in one direction without a close and continue; a cut closes open streams only.
+/// Streams over the proxy stall in one direction without being closed, and continue later. A cut
+/// closes open streams only.
 #[test]
 fn streams_stall_continue_and_are_cut() {
     let proxy = NetworkProxy::new(1).expect("sockets");
@@ -85,21 +89,22 @@
     let stream = connect(server);
     assert_eq!(exchange(&stream, *b"one.").expect("an echo"), *b"one.");
     set_stalled(true);
-    set_read_timeout(&stream, STALL_TIMEOUT);
-    let error = exchange(&stream, *b"two.").expect_err("nothing comes back, and nothing is closed");
+    set_read_timeout(&stream, STALL_READ_TIMEOUT);
+    let error = exchange(&stream, *b"two.")
+        .expect_err("no bytes are received, and the stream is not closed");
     assert!(
         matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut),
         "{error}"
     );
     set_stalled(false);
     set_read_timeout(&stream, READ_TIMEOUT);
-    let continued = read_four(&stream).expect("it continues where it stopped");
+    let continued = read_four(&stream).expect("the stream continues where it stalled");
     assert_eq!(continued, *b"two.");
     proxy.with_links(|links| links.cut_streams("client", "server"));
-    assert!(exchange(&stream, *b"last").is_err(), "cut");
+    assert!(exchange(&stream, *b"last").is_err(), "the stream was cut");
     let reopened = connect(server);
     assert_eq!(
-        exchange(&reopened, *b"new.").expect("later ones pass"),
+        exchange(&reopened, *b"new.").expect("a stream that is opened later is not cut"),
         *b"new."
     );
 }
--- a/crates/fault-testbed/tests/scenario.rs
+++ b/crates/fault-testbed/tests/scenario.rs
@@ -5,10 +5,10 @@
 
 #[test]
 fn errors_in_a_scenario_file_name_their_field_or_line() {
-    let good = "{ version: 1, nodes: 2, steps: [{ start: [\"*\"] }, { settled: 1000 }, \"heal\", { links: { loss: 0.5 } }] }";
+    let valid = "{ version: 1, nodes: 2, steps: [{ start: [\"*\"] }, { settled: 1000 }, \"heal\", { links: { loss: 0.5 } }] }";
     assert_eq!(
-        Scenario::parse("f", good)
-            .expect("it can be used")
+        Scenario::parse("f", valid)
+            .expect("a valid scenario")
             .steps
             .len(),
         4
@@ -17,30 +17,30 @@
         (
             "version: 1",
             "version: 3",
-            "f: version: 3 is not known here: 1 is",
+            "f: version: 3 is not supported, expected 1",
         ),
         ("nodes: 2", "nodes: 1000", "f: nodes: is not from 1 to 64"),
         (
             "[\"*\"]",
             "[\"n2\"]",
-            "f: steps[0]: n2 is no node of this play",
+            "f: steps[0]: n2 is not a process of this scenario",
         ),
         (
             "loss: 0.5",
             "loss: 5",
-            "f: steps[3]: a part is not from 0 to 1",
+            "f: steps[3]: a fraction of loss, double or garble is not from 0 to 1",
         ),
     ];
     for (from, to, message) in cases {
         assert_eq!(
-            Scenario::parse("f", &good.replace(from, to))
+            Scenario::parse("f", &valid.replace(from, to))
                 .expect_err(to)
                 .to_string(),
             message
         );
     }
-    let error = Scenario::parse("f", &good.replace("start", "begin"))
-        .expect_err("unknown")
+    let error = Scenario::parse("f", &valid.replace("start", "begin"))
+        .expect_err("an unknown step")
         .to_string();
     assert!(
         error.starts_with("f:1:") && error.contains("begin"),
@@ -48,9 +48,9 @@
     );
 }
 
-/// Guards `protocol-gateway faults`: a step that can't be carried out is an error and not a panic.
+/// Guards `protocol-gateway faults` against panics: a step that can't be carried out is an error.
 #[test]
-fn a_step_on_a_process_that_does_not_run_is_an_error() {
+fn a_step_on_a_process_that_is_not_running_is_an_error() {
     let steps = [
         "{ stop: [\"n0\"] }",
         "{ continue: [\"n0\"] }",
@@ -60,7 +60,7 @@
     ];
     for step in steps {
         let text = format!("{{ version: 1, nodes: 1, router: true, steps: [{step}] }}");
-        let scenario = Scenario::parse("f", &text).expect("it is valid");
+        let scenario = Scenario::parse("f", &text).expect("a valid scenario");
         let Err(error) = scenario.run(false) else {
             panic!("{step} succeeded");
         };
