--- a/crates/json5-errors/src/positions.rs
+++ b/crates/json5-errors/src/positions.rs
@@ -67,8 +67,8 @@
 struct Scanner<'a> {
     chars: Peekable<Chars<'a>>,
     line: usize,
-    /// The names of the open objects and lists, outermost first. Objects without a name have an empty
-    /// one. A top-level list has `None`.
+    /// The names of the open objects and lists, outermost first. Empty for an object without a
+    /// name, `None` for a top-level list.
     path: Vec<Option<String>>,
     /// The name or literal that was read last.
     name: String,
