--- a/crates/fleet-simulation/src/aggregation/checks.rs
+++ b/crates/fleet-simulation/src/aggregation/checks.rs
@@ -1,4 +1,4 @@
-//! Comparison of what the nodes estimate and conclude with what is true.
+//! Comparison of the estimates and the health conclusions of the nodes with the true state.
 
 use std::time::Duration;
 
@@ -8,21 +8,23 @@
 use super::simulation::{AggregationSimulation, Node, SITE_COUNT, TENANT_COUNT};
 use super::LedgerOutage;
 
-/// How long after an outage everywhere begins a node may conclude that it alone can't reach the ledger.
+/// Duration after the start of an outage at all nodes during which a node may still conclude that
+/// it alone can't reach the ledger.
 const OUTAGE_RECOGNITION_TIME: Duration = Duration::from_secs(2);
 
-/// The least that a node had in flight for a tenant since then.
-fn least_in_flight_since(node: &Node, tenant: usize, since: Duration) -> u32 {
+/// Returns the minimum number of requests of a tenant that a node has had in flight since a
+/// simulated time.
+fn min_in_flight_since(node: &Node, tenant: usize, since: Duration) -> u32 {
     let current = node.in_flight[tenant];
     node.history[tenant]
         .iter()
-        .filter(|past| past.held_until >= since)
+        .filter(|past| past.replaced_at >= since)
         .map(|past| past.count)
         .fold(current, u32::min)
 }
 
 impl AggregationSimulation {
-    /// Checks the estimate of a random tenant and the conclusion on the ledger of a node.
+    /// Checks a node's estimate for a random tenant and its conclusion on the ledger's health.
     pub(super) fn check(&mut self, id: usize) {
         let clock = self.clock(id);
         let Some(aggregation) = &self.nodes[id].aggregation else {
@@ -35,7 +37,7 @@
             Some(estimate) => {
                 let mut age = clock - aggregate.as_of;
                 if self.checks_estimates() {
-                    // By the simulated time.
+                    // Converts the age from the node's clock to simulated time.
                     age = age.mul_f64(1.0 / self.nodes[id].clock_rate);
                     self.check_estimate(id, tenant as usize, estimate, age, &aggregate);
                 }
@@ -65,23 +67,23 @@
             .sum_contributors
             .get(&aggregate.sum_version)
             .map_or(&[][..], Vec::as_slice);
-        let least: u32 = contributors
+        let min_in_flight: u32 = contributors
             .iter()
             .filter(|other| **other != id)
-            .map(|other| least_in_flight_since(&self.nodes[*other], tenant, as_of))
+            .map(|other| min_in_flight_since(&self.nodes[*other], tenant, as_of))
             .sum();
-        self.report.too_low += u64::from(estimate < least);
+        self.report.too_low += u64::from(estimate < min_in_flight);
         let visible: Vec<usize> = (0..self.nodes.len())
             .filter(|other| self.is_visible(id, *other))
             .collect();
         if contributors.len() == visible.len() {
-            let counted: u32 = visible
+            let actual_in_flight: u32 = visible
                 .iter()
                 .filter(|other| **other != id)
                 .map(|other| self.nodes[*other].in_flight[tenant])
                 .sum();
-            self.report.excess += u64::from(estimate.saturating_sub(counted));
-            self.report.counted += u64::from(counted);
+            self.report.excess += u64::from(estimate.saturating_sub(actual_in_flight));
+            self.report.actual_in_flight += u64::from(actual_in_flight);
         }
     }
 
@@ -107,8 +109,8 @@
         }
     }
 
-    /// Whether a conclusion is wrong. One that was right during the outage stays for a while after its end; that is measured
-    /// and not counted as wrong.
+    /// Returns true if a conclusion is wrong. A conclusion that was right during the outage remains
+    /// for a while after its end. That delay is measured and not counted as wrong.
     fn is_wrong_conclusion(&self, id: usize, health: DependencyHealth) -> bool {
         let since_outage_start = self.elapsed().saturating_sub(self.outage_start());
         let has_outage_begun =
--- a/crates/fleet-simulation/src/aggregation/delivery.rs
+++ b/crates/fleet-simulation/src/aggregation/delivery.rs
@@ -1,4 +1,4 @@
-//! The nodes' timers and messages.
+//! Timers and messages of the simulated nodes.
 
 use std::time::Duration;
 
@@ -8,28 +8,29 @@
     AggregationMessage, Message, Outgoing, ReportingMember, ServiceObservation, LEDGER,
 };
 
-use super::simulation::{name, node_named, site, AggregationSimulation};
+use super::simulation::{node_id, node_name, site_name, AggregationSimulation};
 use crate::network::UDP_HEADER_BYTES;
 
-/// In larger fleets it is not recorded which nodes are in a sum, and estimates are not compared with the truth.
+/// Maximum size of a fleet whose estimates are compared with the true counts. In larger fleets the
+/// nodes that contributed to a sum are not recorded.
 const MAX_CHECKED_NODES: usize = 64;
 
-/// A message on its way.
-pub(super) struct Transit {
+/// A message that has been sent and not yet delivered.
+pub(super) struct InTransitMessage {
     from: usize,
     to: usize,
     bytes: Vec<u8>,
 }
 
 impl AggregationSimulation {
-    /// Whether the estimates of this fleet are compared with the truth.
+    /// Returns true if the estimates of this fleet are compared with the true counts.
     pub(super) fn checks_estimates(&self) -> bool {
         self.nodes.len() <= MAX_CHECKED_NODES
     }
 
     fn send(&mut self, from: usize, outgoing: Vec<Outgoing<AggregationMessage>>) {
         for Outgoing { to, message } in outgoing {
-            let Some(to) = node_named(&to) else {
+            let Some(to) = node_id(&to) else {
                 continue;
             };
             let bytes = Message::Aggregation(message).encode();
@@ -45,7 +46,7 @@
                 let delay = Duration::from_millis(self.rng.random_range(0..max_delay_ms));
                 let bytes = bytes.clone();
                 self.in_transit
-                    .push(self.now + delay, Transit { from, to, bytes });
+                    .push(self.now + delay, InTransitMessage { from, to, bytes });
             }
         }
     }
@@ -53,7 +54,7 @@
     /// Delivers the messages that have arrived by now.
     pub(super) fn deliver_due(&mut self) {
         while let Some(scheduled) = self.in_transit.pop_until(self.now) {
-            let Transit { from, to, bytes } = scheduled.event;
+            let InTransitMessage { from, to, bytes } = scheduled.event;
             if self.nodes[from].partition == self.nodes[to].partition {
                 self.deliver(from, to, &bytes);
             }
@@ -69,12 +70,12 @@
             return;
         };
         let mut outgoing = Vec::new();
-        aggregation.handle_message(&name(from), message, clock, &mut outgoing);
+        aggregation.handle_message(&node_name(from), message, clock, &mut outgoing);
         self.record_contributors(to);
         self.send(to, outgoing);
     }
 
-    /// Records which nodes' counts are in the sum that a node has now.
+    /// Records the nodes whose counts are included in the current sum of a node.
     fn record_contributors(&mut self, id: usize) {
         let Some(aggregation) = &self.nodes[id].aggregation else {
             return;
@@ -82,12 +83,12 @@
         if self.checks_estimates() {
             let version = aggregation.own_sum_version();
             let names = aggregation.nodes_in_own_sum();
-            let contributors = names.filter_map(|name| node_named(name)).collect();
+            let contributors = names.filter_map(|name| node_id(name)).collect();
             self.sum_contributors.insert(version, contributors);
         }
     }
 
-    /// Does what is due on a node.
+    /// Applies the membership views and handles the timers of a node that are due.
     pub(super) fn handle_timers(&mut self, id: usize) {
         if self.nodes[id].aggregation.is_none() {
             return;
@@ -118,7 +119,7 @@
         self.send(id, outgoing);
     }
 
-    /// Applies the membership views that have taken effect by now.
+    /// Applies the membership views whose delay has elapsed.
     fn apply_pending_views(&mut self, id: usize) {
         let now = self.now;
         let node = &mut self.nodes[id];
@@ -133,7 +134,7 @@
             let members: Vec<(Name, Name)> = view
                 .members
                 .iter()
-                .map(|member| (name(*member), site(*member)))
+                .map(|member| (node_name(*member), site_name(*member)))
                 .collect();
             if let Some(aggregation) = &mut node.aggregation {
                 let reporting = members
--- a/crates/fleet-simulation/src/aggregation/mod.rs
+++ b/crates/fleet-simulation/src/aggregation/mod.rs
@@ -1,6 +1,7 @@
-//! Aggregation of counts and of a dependency's health in a simulated fleet: clocks that drift, messages that are lost,
-//! duplicated and late, membership views that lag behind, and a ledger that some nodes can't reach. What the nodes estimate
-//! and conclude is checked against what is true.
+//! Aggregation of counts and of a dependency's health in a simulated fleet. Clocks drift, messages
+//! are lost, duplicated and late, membership views lag behind, and some nodes can't reach a
+//! dependency, the ledger. The estimates and conclusions of the nodes are checked against the true
+//! state.
 
 mod checks;
 mod delivery;
@@ -10,74 +11,81 @@
 
 pub use simulation::AggregationSimulation;
 
-/// Which nodes can't reach the ledger.
+/// The nodes that can't reach the ledger during an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LedgerOutage {
-    /// All can.
+    /// All nodes can reach it.
     None,
-    /// One node can't.
+    /// One node can't reach it.
     OneNode,
-    /// No node of one site can.
+    /// The nodes of one site can't reach it.
     OneSite,
-    /// No node can.
+    /// No node can reach it.
     Everywhere,
 }
 
-/// What is simulated.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct AggregationScenario {
-    /// How many nodes the fleet has.
+    /// Number of nodes in the fleet.
     pub node_count: usize,
-    /// How long it runs. An outage of the ledger lasts from a third of this to two thirds.
+    /// Simulated duration. An outage of the ledger begins after a third of it and ends after two
+    /// thirds.
     pub duration: Duration,
-    /// The fraction of messages that is lost. Where there is loss, a tenth is duplicated, and some take up to a second.
+    /// Fraction of messages that are lost. If it is above zero, a tenth of the others are
+    /// duplicated, and some messages take up to a second.
     pub loss: f64,
-    /// Whether nodes are killed and restarted and the network is divided.
+    /// True if nodes are killed and restarted and the network is partitioned.
     pub has_faults: bool,
-    /// Whether estimates are checked as if they were true of the moment at which they are read, to show that the check
-    /// finds something.
+    /// True if estimates are checked as if their age were zero, to show that the check detects
+    /// estimates that are too low.
     pub ignores_age: bool,
-    /// Which nodes can't reach the ledger in the middle third.
+    /// The nodes that can't reach the ledger in the middle third of the simulation.
     pub outage: LedgerOutage,
 }
 
-/// When the first and the last of some nodes did something.
+/// Times until the first and the last node reacted to an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FirstAndLast {
-    /// When the first did.
+pub struct ReactionTimes {
+    /// Duration until the first node reacted.
     pub first: Duration,
-    /// When the last did.
+    /// Duration until the last node reacted.
     pub last: Duration,
 }
 
-/// What came of a simulation.
+/// Results of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct AggregationReport {
-    /// How many estimates were checked.
+    /// Number of estimates that were checked.
     pub estimates: u64,
-    /// How often there was no current estimate.
+    /// Number of checks at which there was no current estimate.
     pub missing: u64,
-    /// How many estimates were lower than what the nodes counted in them had at least since the stated time.
+    /// Number of estimates that were lower than the sum of the minimum counts that the contributing
+    /// nodes have had since the stated time.
     pub too_low: u64,
-    /// By how much estimates were too high, in all, where they covered all nodes.
+    /// Sum of the amounts by which estimates that covered all nodes were too high.
     pub excess: u64,
-    /// What the other nodes really had in flight, in all, where estimates covered all nodes.
-    pub counted: u64,
-    /// The ages of the estimates, in milliseconds.
+    /// Sum of the requests that the other nodes actually had in flight, over the estimates that
+    /// covered all nodes.
+    pub actual_in_flight: u64,
+    /// Ages of the estimates, in milliseconds.
     pub ages_ms: Vec<u64>,
-    /// How many conclusions on the ledger's health were wrong: down while some node could reach it, only here while this
-    /// node could or, for two seconds and more, while nobody could.
+    /// Number of wrong conclusions on the ledger's health: `Down` while some node could reach it,
+    /// or `OnlyHere` while this node could reach it or more than two seconds after an outage at all
+    /// nodes began.
     pub wrong_conclusions: u64,
-    /// How many conclusions were checked.
+    /// Number of conclusions that were checked.
     pub conclusions: u64,
-    /// How long after the outage began the nodes that it concerns limited their calls; none if no node did.
-    pub limited_after: Option<FirstAndLast>,
-    /// How long after the outage ended the last of them lifted the limit; none if not all did.
+    /// Durations from the start of the outage until the first and the last of the nodes that
+    /// limited their calls did so; `None` if no node did.
+    pub limited_after: Option<ReactionTimes>,
+    /// Duration from the end of the outage until the last of these nodes lifted the limit; `None`
+    /// if not all did.
     pub resumed_after: Option<Duration>,
-    /// Bytes that the node sent that sent the most, including the headers of UDP and IP.
+    /// Maximum number of bytes that a node sent, including the headers of UDP and IP.
     pub max_sent_bytes: u64,
-    /// Bytes that all nodes sent, including the headers of UDP and IP.
+    /// Number of bytes that all nodes sent, including the headers of UDP and IP.
     pub total_sent_bytes: u64,
-    /// Bytes of memory of the node that needed the most.
+    /// Maximum memory that a node used, in bytes.
     pub max_memory_bytes: usize,
 }
--- a/crates/fleet-simulation/src/aggregation/simulation.rs
+++ b/crates/fleet-simulation/src/aggregation/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulated nodes, their requests, their calls and their faults.
+//! The simulated nodes with their requests, calls and faults.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,36 +11,36 @@
     SumVersion,
 };
 
-use super::delivery::Transit;
-use super::{AggregationReport, AggregationScenario, FirstAndLast, LedgerOutage};
+use super::delivery::InTransitMessage;
+use super::{AggregationReport, AggregationScenario, LedgerOutage, ReactionTimes};
 use crate::event_queue::EventQueue;
 
-/// One step of the simulated time.
+/// Step of the simulated time.
 const STEP: Duration = Duration::from_millis(10);
-/// Each node is checked once in so many steps.
+/// Number of steps between two checks of a node.
 const STEPS_PER_CHECK: usize = 5;
 /// The simulated time at which a simulation begins.
 pub(super) const START_TIME: Duration = Duration::from_secs(10);
-/// How many tenants there are; they are numbered.
+/// Number of tenants. Tenants are identified by their index.
 pub(super) const TENANT_COUNT: u64 = 40;
-/// How long membership views lag behind.
+/// Delay until a change shows in the membership views.
 const VIEW_LAG: Duration = Duration::from_secs(4);
-/// How many sites the fleet has.
+/// Number of sites of the fleet.
 pub(super) const SITE_COUNT: usize = 3;
-/// How long earlier counts are kept for checks.
-const HISTORY: Duration = Duration::from_secs(20);
-/// By which fraction the rates of clocks differ from the simulated time, at most.
+/// Duration for which earlier counts are kept for checks.
+const HISTORY_RETENTION: Duration = Duration::from_secs(20);
+/// Maximum deviation of a clock's rate from the simulated time, as a fraction.
 const MAX_DRIFT: f64 = 0.005;
-/// How long a successful call takes.
+/// Duration of a successful call.
 const CALL_DURATION: Duration = Duration::from_millis(8);
-/// The node and the site that an outage of one concerns.
+/// Index of the node or site that is affected by an outage of one node or one site.
 const FAILING_INDEX: usize = 1;
-/// Incarnations of one node's processes differ by this.
+/// Difference between the incarnations of two successive processes of a node.
 const INCARNATIONS_PER_START: u64 = 1_000_000;
 
-/// An earlier number of requests in flight.
+/// An earlier number of requests in flight, and when another one replaced it.
 pub(super) struct PastCount {
-    pub held_until: Duration,
+    pub replaced_at: Duration,
     pub count: u32,
 }
 
@@ -54,9 +54,9 @@
     pub aggregation: Option<AggregationNode>,
     start_count: u64,
     pub counters: AtomicSketchCounters,
-    /// Requests in flight by tenant.
+    /// Number of requests in flight by tenant.
     pub in_flight: Vec<u32>,
-    /// Earlier numbers by tenant.
+    /// Earlier numbers of requests in flight by tenant.
     pub history: Vec<VecDeque<PastCount>>,
     pub window: AttemptWindow,
     pub evaluator: HealthEvaluator,
@@ -65,9 +65,9 @@
     pub partition: u8,
     pub pending_views: VecDeque<PendingView>,
     pub sent_bytes: u64,
-    /// When it first limited its calls.
+    /// Time at which the node first limited its calls.
     pub limited_at: Option<Duration>,
-    /// When it last lifted the limit.
+    /// Time at which the node last lifted the limit.
     pub resumed_at: Option<Duration>,
 }
 
@@ -75,28 +75,28 @@
 pub struct AggregationSimulation {
     pub(super) scenario: AggregationScenario,
     pub(super) nodes: Vec<Node>,
-    pub(super) in_transit: EventQueue<Transit>,
+    pub(super) in_transit: EventQueue<InTransitMessage>,
     pub(super) now: Duration,
     pub(super) rng: ChaCha8Rng,
-    /// The nodes whose counts are in each sum.
+    /// The nodes whose counts are included in each sum.
     pub(super) sum_contributors: BTreeMap<SumVersion, Vec<usize>>,
     pub(super) report: AggregationReport,
 }
 
-pub(super) fn name(id: usize) -> Name {
+pub(super) fn node_name(id: usize) -> Name {
     format!("n{id}").as_str().into()
 }
 
-pub(super) fn node_named(name: &str) -> Option<usize> {
+pub(super) fn node_id(name: &str) -> Option<usize> {
     name[1..].parse().ok()
 }
 
-pub(super) fn site(id: usize) -> Name {
+pub(super) fn site_name(id: usize) -> Name {
     format!("site-{}", id % SITE_COUNT).as_str().into()
 }
 
 impl AggregationSimulation {
-    /// A fleet at its start.
+    /// Creates a fleet and starts all its nodes.
     pub fn new(scenario: AggregationScenario, seed: u64) -> AggregationSimulation {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let nodes = (0..scenario.node_count)
@@ -133,7 +133,7 @@
         simulation
     }
 
-    /// What a node's clock shows.
+    /// Returns the time of a node's clock.
     pub(super) fn clock(&self, id: usize) -> Duration {
         let node = &self.nodes[id];
         node.clock_offset + self.now.mul_f64(node.clock_rate)
@@ -143,12 +143,12 @@
         self.now - START_TIME
     }
 
-    /// When an outage of the ledger begins, since the start.
+    /// Returns the duration from the start of the simulation until an outage of the ledger begins.
     pub(super) fn outage_start(&self) -> Duration {
         self.scenario.duration / 3
     }
 
-    /// Starts a node's process. Its clock begins with it.
+    /// Starts a node's process. Each process has a random clock offset of its own.
     fn start(&mut self, id: usize) {
         self.nodes[id].clock_offset = Duration::from_secs(self.rng.random_range(0..100_000));
         let clock = self.clock(id);
@@ -157,8 +157,8 @@
         let incarnation = node.start_count * INCARNATIONS_PER_START + id as u64 + 1;
         node.aggregation = Some(AggregationNode::new(
             ReportingSettings::default(),
-            name(id),
-            site(id),
+            node_name(id),
+            site_name(id),
             incarnation,
             clock,
         ));
@@ -167,13 +167,13 @@
         node.evaluator = HealthEvaluator::default();
     }
 
-    /// Whether a node runs and can be reached from another one.
+    /// Returns true if the node `other` is running and can be reached from the node `from`.
     pub(super) fn is_visible(&self, from: usize, other: usize) -> bool {
         let node = &self.nodes[other];
         node.aggregation.is_some() && node.partition == self.nodes[from].partition
     }
 
-    /// Updates the membership views of all nodes to the present state, after a lag.
+    /// Updates the membership views of all nodes to the current state, after the delay `lag`.
     fn update_views(&mut self, lag: Duration) {
         let effective_at = self.now + lag;
         for id in 0..self.nodes.len() {
@@ -187,26 +187,26 @@
         }
     }
 
-    /// Whether a node can reach the ledger.
+    /// Returns true if a node can reach the ledger.
     pub(super) fn can_reach_ledger(&self, id: usize) -> bool {
         let outage_start = self.outage_start();
         let has_outage = self.elapsed() >= outage_start && self.elapsed() < outage_start * 2;
-        let is_concerned = match self.scenario.outage {
+        let is_affected = match self.scenario.outage {
             LedgerOutage::None => false,
             LedgerOutage::OneNode => id == FAILING_INDEX,
             LedgerOutage::OneSite => id % SITE_COUNT == FAILING_INDEX,
             LedgerOutage::Everywhere => true,
         };
-        !(has_outage && is_concerned)
+        !(has_outage && is_affected)
     }
 
-    /// Runs the simulation to its end.
+    /// Runs the simulation until its end.
     pub fn run(mut self) -> AggregationReport {
         let end = self.now + self.scenario.duration;
         while self.now < end {
             self.now += STEP;
             self.inject_faults();
-            self.work();
+            self.run_workload();
             self.deliver_due();
             for id in 0..self.nodes.len() {
                 self.handle_timers(id);
@@ -221,19 +221,19 @@
         self.report
     }
 
-    /// Reports how fast the nodes reacted to the outage and to its end.
+    /// Reports how quickly the nodes reacted to the outage and to its end.
     fn report_reactions(&mut self) {
         let outage_start = START_TIME + self.outage_start();
         let outage_end = START_TIME + self.outage_start() * 2;
-        let concerned = || self.nodes.iter().filter(|node| node.limited_at.is_some());
-        let first = concerned().filter_map(|node| node.limited_at).min();
-        let last = concerned().filter_map(|node| node.limited_at).max();
+        let affected = || self.nodes.iter().filter(|node| node.limited_at.is_some());
+        let first = affected().filter_map(|node| node.limited_at).min();
+        let last = affected().filter_map(|node| node.limited_at).max();
         let Some((first, last)) = first.zip(last) else {
             return;
         };
-        let have_all_resumed = concerned().all(|node| node.resumed_at.is_some());
-        let last_resumed_at = concerned().filter_map(|node| node.resumed_at).max();
-        self.report.limited_after = Some(FirstAndLast {
+        let have_all_resumed = affected().all(|node| node.resumed_at.is_some());
+        let last_resumed_at = affected().filter_map(|node| node.resumed_at).max();
+        self.report.limited_after = Some(ReactionTimes {
             first: first.saturating_sub(outage_start),
             last: last.saturating_sub(outage_start),
         });
@@ -255,7 +255,7 @@
             .unwrap_or(0);
     }
 
-    /// Injects random faults: a node is killed or restarted, the network is divided or heals.
+    /// Injects random faults: kills or restarts a node, or partitions or heals the network.
     fn inject_faults(&mut self) {
         if !self.scenario.has_faults {
             return;
@@ -299,12 +299,12 @@
         let before = std::mem::replace(&mut node.in_flight[tenant], count);
         let history = &mut node.history[tenant];
         history.push_back(PastCount {
-            held_until: now,
+            replaced_at: now,
             count: before,
         });
         while history
             .front()
-            .is_some_and(|past| past.held_until + HISTORY < now)
+            .is_some_and(|past| past.replaced_at + HISTORY_RETENTION < now)
         {
             history.pop_front();
         }
@@ -316,8 +316,9 @@
         }
     }
 
-    /// On all running nodes requests arrive and are answered, and calls are made to the ledger.
-    fn work(&mut self) {
+    /// Simulates requests that arrive and are answered, and calls to the ledger, on all running
+    /// nodes.
+    fn run_workload(&mut self) {
         for id in 0..self.nodes.len() {
             if self.nodes[id].aggregation.is_none() {
                 continue;
@@ -333,7 +334,8 @@
         }
     }
 
-    /// A request of a random tenant arrives or is answered; a few tenants have most of the requests.
+    /// Simulates that a request of a random tenant arrives or is answered. A few tenants have most
+    /// of the requests.
     fn change_in_flight(&mut self, id: usize) {
         let tenant = (TENANT_COUNT as f64 * self.rng.random::<f64>().powi(3)) as usize;
         let count = self.nodes[id].in_flight[tenant];
--- a/crates/fleet-simulation/src/tables/aggregation.rs
+++ b/crates/fleet-simulation/src/tables/aggregation.rs
@@ -1,4 +1,5 @@
-//! Tables of aggregated counts and health: estimates against the truth, conclusions during outages, traffic by size.
+//! Tables of aggregated counts and health: accuracy of estimates, conclusions during outages,
+//! traffic by fleet size.
 
 use std::time::Duration;
 
@@ -9,9 +10,9 @@
 use crate::parallel::run_seeds;
 use crate::statistics::{format_median_and_99th, format_seconds, TimeSummary};
 
-/// The fraction of messages that is lost in scenarios with faults.
-const LOSS: f64 = 0.2;
-/// The scenarios: whether there are random faults, and the ledger's outage.
+/// Fraction of messages that are lost in scenarios with faults.
+const LOSS_FRACTION: f64 = 0.2;
+/// The scenarios: true if there are random faults, and the outage of the ledger.
 const SCENARIOS: [(bool, LedgerOutage); 8] = [
     (false, LedgerOutage::None),
     (true, LedgerOutage::None),
@@ -23,7 +24,7 @@
     (false, LedgerOutage::Everywhere),
 ];
 
-/// Prints for each scenario how good estimates and conclusions are.
+/// Prints the accuracy of estimates and conclusions for each scenario.
 pub(crate) fn print_scenarios(nodes: usize, runs: u64) {
     println!(
         "| scenario | estimates | too low | missing | excess, fraction | age ms, median / 99th | wrong conclusions |"
@@ -33,7 +34,7 @@
         let scenario = AggregationScenario {
             node_count: nodes,
             duration: Duration::from_secs(60),
-            loss: if has_faults { LOSS } else { 0.0 },
+            loss: if has_faults { LOSS_FRACTION } else { 0.0 },
             has_faults,
             ignores_age: false,
             outage,
@@ -52,7 +53,7 @@
     let sum = |value: fn(&AggregationReport) -> u64| reports.iter().map(value).sum::<u64>();
     let ages = reports.iter().flat_map(|r| r.ages_ms.iter().copied());
     let excess = sum(|report| report.excess) as f64;
-    let counted = sum(|report| report.counted).max(1) as f64;
+    let actual_in_flight = sum(|report| report.actual_in_flight).max(1) as f64;
     println!(
         "| {:?}, faults {} | {} | {} | {} | {:.3} | {} | {} of {} |",
         scenario.outage,
@@ -60,14 +61,14 @@
         sum(|report| report.estimates),
         sum(|report| report.too_low),
         sum(|report| report.missing),
-        excess / counted,
+        excess / actual_in_flight,
         format_median_and_99th(ages.collect()),
         sum(|report| report.wrong_conclusions),
         sum(|report| report.conclusions)
     );
 }
 
-/// Prints how fast the nodes reacted to an outage and to its end.
+/// Prints how quickly the nodes reacted to an outage and to its end.
 fn print_reactions(reports: &[AggregationReport]) {
     let format = |value: fn(&AggregationReport) -> Option<Duration>| {
         let times = TimeSummary::new(reports.iter().filter_map(value));
--- a/crates/fleet-simulation/tests/aggregation.rs
+++ b/crates/fleet-simulation/tests/aggregation.rs
@@ -1,4 +1,5 @@
-//! Aggregated counts and health in simulated fleets: a fixed small set. `fleet-simulation` runs more, and other sizes.
+//! Aggregated counts and health in simulated fleets, for a small fixed set of seeds. The program
+//! `fleet-simulation` runs more of them, and other sizes.
 
 use std::time::Duration;
 
@@ -21,31 +22,33 @@
     AggregationSimulation::new(scenario.clone(), seed).run()
 }
 
-/// Guards the stated age: under kills with restarts, partitions, loss, duplicates, messages up to a second late and clocks
-/// that drift, no estimate is lower than what the nodes in it had in flight at least since then. Without faults it is
-/// hardly ever missing, and half a second old at most.
+/// Guards against estimates that are older than the age they state. Under kills with restarts,
+/// partitions, loss, duplicates, messages up to a second late and clocks that drift, no estimate is
+/// lower than the sum of the minimum counts that the contributing nodes have had since the stated
+/// time. Without faults, estimates are rarely missing, and 99% are less than 600 ms old.
 #[test]
 fn estimates_are_never_lower_than_what_was_in_flight_since_their_age() {
     for seed in 1..=8 {
-        let faulty = run(&scenario(true, LedgerOutage::None), seed);
-        assert_eq!(faulty.too_low, 0, "seed {seed}");
-        let estimates = faulty.estimates;
+        let with_faults = run(&scenario(true, LedgerOutage::None), seed);
+        assert_eq!(with_faults.too_low, 0, "seed {seed}");
+        let estimates = with_faults.estimates;
         assert!(estimates > 2000, "seed {seed}: {estimates} estimates");
-        let mut calm = run(&scenario(false, LedgerOutage::None), seed);
-        calm.ages_ms.sort_unstable();
-        assert_eq!(calm.too_low, 0, "seed {seed}");
+        let mut without_faults = run(&scenario(false, LedgerOutage::None), seed);
+        without_faults.ages_ms.sort_unstable();
+        assert_eq!(without_faults.too_low, 0, "seed {seed}");
         assert!(
-            calm.missing * 50 < calm.estimates,
-            "seed {seed}: {} missing beside {}",
-            calm.missing,
-            calm.estimates
+            without_faults.missing * 50 < without_faults.estimates,
+            "seed {seed}: {} estimates missing, {} present",
+            without_faults.missing,
+            without_faults.estimates
         );
-        let percentile_99 = calm.ages_ms[calm.ages_ms.len() * 99 / 100];
+        let percentile_99 = without_faults.ages_ms[without_faults.ages_ms.len() * 99 / 100];
         assert!(percentile_99 < 600, "seed {seed}: {percentile_99} ms");
     }
 }
 
-/// Guards the check: taken as current, the same estimates are found to be too low.
+/// Guards against a check that finds nothing: if the same estimates are treated as current, some
+/// are found to be too low.
 #[test]
 fn estimates_without_their_age_are_found_too_low() {
     let scenario = AggregationScenario {
@@ -56,8 +59,9 @@
     assert!(too_low > 0);
 }
 
-/// Guards the conclusions: an outage at one node, at one site or everywhere is recognized as what it is, with and without
-/// other faults. The nodes that it concerns limit their calls within three seconds, and resume within three.
+/// Guards against wrong conclusions: the extent of an outage at one node, one site or all nodes is
+/// recognized with and without other faults. Without other faults, the affected nodes limit their
+/// calls within three seconds of its start and resume within three seconds of its end.
 #[test]
 fn the_extent_of_an_outage_is_recognized() {
     let max_reaction = Duration::from_secs(3);
@@ -67,17 +71,23 @@
         LedgerOutage::Everywhere,
     ] {
         for seed in 1..=4 {
-            let faulty = run(&scenario(true, outage), seed);
-            assert_eq!(faulty.wrong_conclusions, 0, "{outage:?}, seed {seed}");
-            let calm = run(&scenario(false, outage), seed);
-            assert_eq!(calm.wrong_conclusions, 0, "{outage:?}, seed {seed}");
+            let with_faults = run(&scenario(true, outage), seed);
+            assert_eq!(with_faults.wrong_conclusions, 0, "{outage:?}, seed {seed}");
+            let without_faults = run(&scenario(false, outage), seed);
+            assert_eq!(
+                without_faults.wrong_conclusions, 0,
+                "{outage:?}, seed {seed}"
+            );
             assert!(
-                calm.limited_after
+                without_faults
+                    .limited_after
                     .is_some_and(|after| after.last < max_reaction),
-                "{outage:?}, seed {seed}: {calm:?}"
+                "{outage:?}, seed {seed}: {without_faults:?}"
             );
             assert!(
-                calm.resumed_after.is_some_and(|after| after < max_reaction),
+                without_faults
+                    .resumed_after
+                    .is_some_and(|after| after < max_reaction),
                 "{outage:?}, seed {seed}"
             );
         }
