--- a/crates/fleet-simulation/src/budgets/calls.rs
+++ b/crates/fleet-simulation/src/budgets/calls.rs
@@ -1,4 +1,4 @@
-//! The nodes' calls, and the ledger that counts them.
+//! The nodes' calls, and the check of the number of calls at the ledger.
 
 use std::time::Duration;
 
@@ -8,11 +8,12 @@
 use super::simulation::{BudgetSimulation, Event};
 use super::SharingStrategy;
 
-/// How often a node tells the others what it has in flight, where estimates are used.
+/// Interval at which a node reports its number of calls in flight to the others, for
+/// [`SharingStrategy::Estimates`].
 const ESTIMATE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl BudgetSimulation {
-    /// How many calls a node may have in flight.
+    /// Returns the number of calls that a node may have in flight.
     fn limit(&self, id: usize) -> u64 {
         let node = &self.nodes[id];
         let Some(budgets) = &node.budgets else {
@@ -28,8 +29,8 @@
         }
     }
 
-    /// All nodes begin calls, up to their demand and their limits.
-    pub(super) fn work(&mut self) {
+    /// Starts calls on all running nodes, up to their demand and their limits.
+    pub(super) fn start_calls(&mut self) {
         for id in 0..self.nodes.len() {
             let node = &self.nodes[id];
             if node.budgets.is_none() || node.paused_until > self.now {
@@ -39,7 +40,7 @@
             self.report_usage(id, demand);
             self.handle_timers(id);
             while self.nodes[id].in_flight < demand.min(self.limit(id)) {
-                self.begin_call(id);
+                self.start_call(id);
             }
             if self.strategy == SharingStrategy::Estimates
                 && self.now >= self.nodes[id].next_estimate_at
@@ -61,12 +62,12 @@
         }
     }
 
-    fn begin_call(&mut self, id: usize) {
+    fn start_call(&mut self, id: usize) {
         let node = &mut self.nodes[id];
         node.in_flight += 1;
         let start_count = node.start_count;
         self.in_flight += 1;
-        // Calls last up to the longest time that the lease timings allow for.
+        // Calls take up to the maximum duration that the lease timings allow for.
         let duration = Duration::from_micros(self.rng.random_range(20_000..1_450_000));
         let end = Event::CallEnds {
             node: id,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Compares what is in flight, and what could be, with the total.
+    /// Compares the number of calls in flight, and the sum of the limits, with the total.
     fn check_ledger(&mut self) {
         let is_in_grace = self
             .halving_grace_ends_at
--- a/crates/fleet-simulation/src/budgets/faults.rs
+++ b/crates/fleet-simulation/src/budgets/faults.rs
@@ -1,4 +1,4 @@
-//! Random faults of the nodes that share a budget, and of the network between them.
+//! Random faults of the nodes that share a budget and of the network between them.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 
 use super::simulation::{BudgetSimulation, Event};
 
-/// How long a paused process is paused.
-const PAUSE: Duration = Duration::from_secs(10);
-/// How long a leader that was killed stays down.
+/// Duration of a pause of a process.
+const PAUSE_DURATION: Duration = Duration::from_secs(10);
+/// Duration until a killed leader restarts.
 const LEADER_DOWNTIME: Duration = Duration::from_millis(800);
 
 impl BudgetSimulation {
-    /// Injects a random fault, or ends the partition, and schedules the next fault.
+    /// Injects a random fault or heals the network, and schedules the next fault.
     pub(super) fn inject_fault(&mut self) {
         let id = self.rng.random_range(0..self.nodes.len());
         match self.rng.random_range(0..6) {
@@ -25,8 +25,8 @@
                     self.kill(leader, LEADER_DOWNTIME);
                 }
             }
-            2 => self.nodes[id].paused_until = self.now + PAUSE,
-            3 => self.divide_network(),
+            2 => self.nodes[id].paused_until = self.now + PAUSE_DURATION,
+            3 => self.partition_network(),
             _ => self.heal_network(),
         }
         let delay = Duration::from_millis(self.rng.random_range(200..6000));
@@ -38,7 +38,7 @@
         self.schedule(downtime, Event::Restart(id));
     }
 
-    /// The first node that grants leases.
+    /// Returns the first node that grants leases.
     fn leader(&self) -> Option<usize> {
         (0..self.nodes.len()).find(|id| {
             let budgets = self.nodes[*id].budgets.as_ref();
@@ -46,7 +46,7 @@
         })
     }
 
-    fn divide_network(&mut self) {
+    fn partition_network(&mut self) {
         let partition_count = self.rng.random_range(2..4);
         for node in &mut self.nodes {
             node.partition = self.rng.random_range(0..partition_count);
--- a/crates/fleet-simulation/src/budgets/mod.rs
+++ b/crates/fleet-simulation/src/budgets/mod.rs
@@ -1,5 +1,6 @@
-//! Sharing of a budget of concurrent calls in a simulated fleet: the shipped leases and two baselines, under kills, pauses,
-//! partitions, lost messages and clocks that drift. A ledger counts what is really in flight.
+//! Sharing of a budget of concurrent calls in a simulated fleet: the shipped leases and two
+//! baselines, under kills, pauses, partitions, lost messages and clocks that drift. The ledger,
+//! which receives the calls, counts those that are actually in flight.
 
 mod calls;
 mod faults;
@@ -11,44 +12,46 @@
 
 pub use simulation::BudgetSimulation;
 
-/// How the nodes share a budget.
+/// Strategies by which the nodes share a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SharingStrategy {
-    /// The shipped one: a leader leases quotas.
+    /// The shipped strategy: a leader leases quotas to the nodes.
     Leases,
     /// Each node has an equal quota that never changes.
     Static,
-    /// Each node begins a call while the sum of what the others last reported is below the total.
+    /// The limit of a node is the total minus the numbers of calls that the others last reported.
     Estimates,
 }
 
-/// What is simulated.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct BudgetScenario {
-    /// How many nodes share the budget.
+    /// Number of nodes that share the budget.
     pub node_count: usize,
-    /// The total: how many calls may be in flight at once.
+    /// Total of the budget: number of calls that may be in flight at once.
     pub total: u64,
-    /// The part of the total that each node has guaranteed.
+    /// Part of the total that is guaranteed to each node.
     pub guaranteed: u64,
-    /// The fraction of messages that is lost; half as many are duplicated.
+    /// Fraction of messages that are lost. Half as many are duplicated.
     pub loss: f64,
-    /// Whether nodes are killed and paused and the network is divided.
+    /// True if nodes are killed and paused and the network is partitioned.
     pub has_faults: bool,
-    /// How long it runs.
+    /// Simulated duration.
     pub duration: Duration,
-    /// How many calls a node would have in flight if it could, by its index and the time.
+    /// Returns the number of calls that a node would have in flight without limits, given its index
+    /// and the simulated time.
     pub demand: fn(usize, Duration) -> u64,
-    /// When the total is halved, if it is.
+    /// Simulated time at which the total is halved, if it is.
     pub total_halved_at: Option<Duration>,
-    /// The timings that the nodes use.
+    /// Lease timings of the nodes.
     pub timings: LeaseTimings,
-    /// By which fraction the rates of the nodes' clocks really differ, at most.
+    /// Maximum actual difference between the rates of the nodes' clocks, as a fraction.
     pub max_drift: f64,
 }
 
 impl Default for BudgetScenario {
-    /// Six nodes that each want half of 120, with all faults, for a minute and a half.
+    /// Returns a scenario of six nodes that each demand half of a total of 120 calls, with all
+    /// faults, for 90 s.
     fn default() -> BudgetScenario {
         BudgetScenario {
             node_count: 6,
@@ -65,19 +68,19 @@
     }
 }
 
-/// What came of a simulation.
+/// Results of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct BudgetReport {
-    /// How often the ledger was checked.
+    /// Number of checks of the calls in flight.
     pub checks: u64,
-    /// At how many checks more than the total was in flight.
+    /// Number of checks at which more calls than the total were in flight.
     pub exceeded: u64,
-    /// The most that was in flight above the total.
+    /// Maximum number of calls in flight above the total.
     pub max_excess: u64,
-    /// At how many checks the sum of what could be spent was above the total.
+    /// Number of checks at which the sum of the nodes' limits was above the total.
     pub limits_exceeded: u64,
-    /// The fraction of the total that was in flight, at each tenth of a second.
+    /// Fraction of the total that was in flight, sampled every 100 ms.
     pub utilization: Vec<f64>,
-    /// How many messages all nodes sent.
+    /// Number of messages that all nodes sent.
     pub messages: u64,
 }
--- a/crates/fleet-simulation/src/budgets/simulation.rs
+++ b/crates/fleet-simulation/src/budgets/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulated nodes, their messages and their calls. Each node has a clock of its own.
+//! The simulated nodes with their messages and calls. Each node has a clock of its own.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,20 +11,20 @@
 use super::{BudgetReport, BudgetScenario, SharingStrategy};
 use crate::event_queue::{EventQueue, ScheduledEvent};
 
-/// How often nodes begin calls.
-const WORK_INTERVAL: Duration = Duration::from_millis(10);
-/// How often a node's timers are handled.
+/// Interval at which nodes start calls.
+const CALL_START_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which the timers of a node are handled.
 const TIMER_INTERVAL: Duration = Duration::from_millis(5);
-/// How often the utilization is recorded.
+/// Interval at which the utilization is recorded.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// When the first fault happens.
+/// Simulated time of the first fault.
 const FIRST_FAULT_AT: Duration = Duration::from_secs(8);
-/// How long after the total is halved what was granted before may be in flight.
+/// Duration after the total is halved during which calls under earlier grants may be in flight.
 const HALVING_GRACE: Duration = Duration::from_secs(8);
-/// How many nodes elect the leader.
+/// Number of nodes that elect the leader.
 const VOTER_COUNT: usize = 3;
-/// The fraction of messages that is very late.
-const VERY_LATE: f64 = 0.02;
+/// Fraction of messages that are delayed by up to 4 s.
+const VERY_LATE_FRACTION: f64 = 0.02;
 
 pub(super) enum Event {
     Deliver {
@@ -36,7 +36,7 @@
         node: usize,
         start_count: u64,
     },
-    /// A call of this run of a node's process ends at the ledger.
+    /// A call of the node's process with this start count ends at the ledger.
     CallEnds {
         node: usize,
         start_count: u64,
@@ -48,16 +48,17 @@
     },
     Fault,
     Restart(usize),
-    Work,
+    StartCalls,
 }
 
 impl Event {
-    /// The node whose process handles the event; an event for a paused process waits.
+    /// Returns the node whose process handles the event, if any. Events for a paused process are
+    /// postponed.
     fn handling_node(&self) -> Option<usize> {
         match self {
             Event::Deliver { to, .. } | Event::EstimateArrives { to, .. } => Some(*to),
             Event::Timer { node, .. } => Some(*node),
-            Event::CallEnds { .. } | Event::Fault | Event::Restart(_) | Event::Work => None,
+            Event::CallEnds { .. } | Event::Fault | Event::Restart(_) | Event::StartCalls => None,
         }
     }
 }
@@ -65,19 +66,20 @@
 pub(super) struct Node {
     pub budgets: Option<Budgets>,
     pub start_count: u64,
-    /// What its clock shows at the simulated time 0.
+    /// Time of the node's clock at the simulated time 0.
     clock_offset: Duration,
     clock_rate: f64,
     pub paused_until: Duration,
     pub partition: usize,
-    /// Calls in flight of this run of its process.
+    /// Number of calls in flight that the node's current process started.
     pub in_flight: u64,
-    /// What the others last reported to have in flight, for estimates.
+    /// Numbers of calls in flight that the other nodes last reported, for
+    /// [`SharingStrategy::Estimates`].
     pub others_in_flight: BTreeMap<usize, u64>,
     pub next_estimate_at: Duration,
 }
 
-/// Nodes that share a budget.
+/// A simulated fleet whose nodes share a budget.
 pub struct BudgetSimulation {
     pub(super) scenario: BudgetScenario,
     pub(super) strategy: SharingStrategy,
@@ -85,24 +87,24 @@
     events: EventQueue<Event>,
     pub(super) now: Duration,
     pub(super) rng: ChaCha8Rng,
-    /// Calls in flight at the ledger.
+    /// Number of calls in flight at the ledger.
     pub(super) in_flight: u64,
     pub(super) total: u64,
-    /// Until then what was granted under the larger total may be in flight.
+    /// Simulated time until which calls under grants from before the halving may be in flight.
     pub(super) halving_grace_ends_at: Option<Duration>,
     pub(super) report: BudgetReport,
 }
 
-fn name(id: usize) -> Name {
+fn node_name(id: usize) -> Name {
     format!("n{id}").into()
 }
 
-fn node_named(name: &str) -> Option<usize> {
+fn node_id(name: &str) -> Option<usize> {
     name[1..].parse().ok()
 }
 
 impl BudgetSimulation {
-    /// Nodes that start at once; the first three elect the leader.
+    /// Creates the nodes and starts them all at once. The first three elect the leader.
     pub fn new(scenario: BudgetScenario, strategy: SharingStrategy, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let nodes = (0..scenario.node_count)
@@ -133,14 +135,14 @@
         for id in 0..simulation.nodes.len() {
             simulation.start(id);
         }
-        simulation.schedule(WORK_INTERVAL, Event::Work);
+        simulation.schedule(CALL_START_INTERVAL, Event::StartCalls);
         if simulation.scenario.has_faults {
             simulation.schedule(FIRST_FAULT_AT, Event::Fault);
         }
         simulation
     }
 
-    /// What a node's clock shows.
+    /// Returns the time of a node's clock.
     pub(super) fn clock(&self, id: usize) -> Duration {
         let node = &self.nodes[id];
         node.clock_offset + self.now.mul_f64(node.clock_rate)
@@ -152,7 +154,7 @@
 
     fn quota_config(&self) -> QuotaConfig {
         let guaranteed = (0..self.scenario.node_count)
-            .map(|id| (name(id), self.scenario.guaranteed))
+            .map(|id| (node_name(id), self.scenario.guaranteed))
             .collect();
         QuotaConfig {
             name: "ledger".into(),
@@ -164,7 +166,7 @@
     fn start(&mut self, id: usize) {
         let clock = self.clock(id);
         let voters = (0..VOTER_COUNT.min(self.scenario.node_count))
-            .map(name)
+            .map(node_name)
             .collect();
         let timings = self.scenario.timings.clone();
         let quotas = vec![self.quota_config()];
@@ -174,7 +176,7 @@
         let start_count = node.start_count;
         node.budgets = Some(Budgets::new(
             timings,
-            name(id),
+            node_name(id),
             start_count,
             voters,
             quotas,
@@ -189,7 +191,7 @@
 
     fn send(&mut self, from: usize, outgoing: Vec<Outgoing>) {
         for Outgoing { to, message } in outgoing {
-            let Some(to) = node_named(&to) else {
+            let Some(to) = node_id(&to) else {
                 continue;
             };
             self.report.messages += 1;
@@ -201,7 +203,7 @@
     }
 
     fn transmit(&mut self, from: usize, to: usize, message: &Message) {
-        let max_delay_ms = if self.rng.random::<f64>() < VERY_LATE {
+        let max_delay_ms = if self.rng.random::<f64>() < VERY_LATE_FRACTION {
             4000
         } else {
             5
@@ -217,7 +219,7 @@
     pub(super) fn handle_timers(&mut self, id: usize) {
         let clock = self.clock(id);
         let random = self.rng.random::<f64>();
-        let names: Vec<Name> = (0..self.nodes.len()).map(name).collect();
+        let names: Vec<Name> = (0..self.nodes.len()).map(node_name).collect();
         let Some(budgets) = self.nodes[id].budgets.as_mut() else {
             return;
         };
@@ -228,12 +230,12 @@
         self.send(id, outgoing);
     }
 
-    /// Runs the simulation to its end.
+    /// Runs the simulation until its end.
     pub fn run(mut self) -> BudgetReport {
         let mut next_sample_at = Duration::ZERO;
         while let Some(scheduled) = self.events.pop_until(self.scenario.duration) {
             self.now = scheduled.at;
-            if let Some(resumes_at) = self.pause_of(&scheduled) {
+            if let Some(resumes_at) = self.end_of_pause(&scheduled) {
                 self.events.postpone(scheduled, resumes_at);
                 continue;
             }
@@ -248,8 +250,8 @@
         self.report
     }
 
-    /// Until when the process that handles an event is paused, if it is.
-    fn pause_of(&self, scheduled: &ScheduledEvent<Event>) -> Option<Duration> {
+    /// Returns the time until which the process that handles an event is paused, if it is.
+    fn end_of_pause(&self, scheduled: &ScheduledEvent<Event>) -> Option<Duration> {
         let node = scheduled.event.handling_node()?;
         let paused_until = self.nodes[node].paused_until;
         (paused_until > scheduled.at).then_some(paused_until)
@@ -279,19 +281,20 @@
                     self.start(id);
                 }
             }
-            Event::Work => {
-                self.work();
-                self.schedule(WORK_INTERVAL, Event::Work);
+            Event::StartCalls => {
+                self.start_calls();
+                self.schedule(CALL_START_INTERVAL, Event::StartCalls);
             }
         }
     }
 
-    /// Delivers a message; one that was sent to an earlier run of a process may reach a later one.
+    /// Delivers a message. A message that was sent to an earlier process of a node may reach a
+    /// later one.
     fn deliver(&mut self, from: usize, to: usize, message: Message) {
         let clock = self.clock(to);
         let mut outgoing = Vec::new();
         if let Some(budgets) = self.nodes[to].budgets.as_mut() {
-            budgets.handle_message(&name(from), message, clock, &mut outgoing);
+            budgets.handle_message(&node_name(from), message, clock, &mut outgoing);
         }
         self.send(to, outgoing);
     }
--- a/crates/fleet-simulation/src/tables/budgets.rs
+++ b/crates/fleet-simulation/src/tables/budgets.rs
@@ -1,4 +1,5 @@
-//! Tables of a shared budget: whether its total holds under faults, and how fast quotas follow the demand.
+//! Tables of a shared budget: how often its total is exceeded under faults, and how quickly quotas
+//! follow the demand.
 
 use std::time::Duration;
 
@@ -7,7 +8,7 @@
 use crate::parallel::run_seeds;
 use crate::statistics::mean;
 
-/// The scenarios without random faults need fewer runs.
+/// Maximum number of runs of a scenario without random faults, which needs fewer runs.
 const MAX_RUNS_WITHOUT_FAULTS: u64 = 20;
 
 fn run(scenario: &BudgetScenario, strategy: SharingStrategy, runs: u64) -> Vec<BudgetReport> {
@@ -16,7 +17,7 @@
     })
 }
 
-/// Prints for each strategy how often the total was exceeded under faults.
+/// Prints how often the total was exceeded under faults, for each strategy.
 pub(crate) fn print_strategies(nodes: usize, runs: u64) {
     let scenario = BudgetScenario {
         node_count: nodes,
@@ -44,7 +45,8 @@
     }
 }
 
-/// Twenty calls on each node for 20 s; then one node wants most of the total.
+/// Returns a demand of 20 calls on each node for 20 s. After that, one node demands most of the
+/// total.
 fn skewed_demand(node: usize, now: Duration) -> u64 {
     if now < Duration::from_secs(20) {
         20
@@ -55,7 +57,7 @@
     }
 }
 
-/// Prints how fast the quotas follow when one node wants most of the total.
+/// Prints how quickly the quotas follow when one node demands most of the total.
 pub(crate) fn print_skewed_demand(nodes: usize, runs: u64) {
     let scenario = BudgetScenario {
         node_count: nodes,
@@ -70,7 +72,7 @@
     println!("| --- | --- | --- | --- | --- |");
     for strategy in [SharingStrategy::Leases, SharingStrategy::Static] {
         let reports = run(&scenario, strategy, runs.min(MAX_RUNS_WITHOUT_FAULTS));
-        // Samples are a tenth of a second apart.
+        // Samples are 100 ms apart.
         let mean_utilization = |first_sample: usize, end: usize| {
             reports
                 .iter()
@@ -88,7 +90,7 @@
     }
 }
 
-/// Prints whether a total holds that is halved while it is fully used.
+/// Prints how often the total is exceeded after it is halved under full use.
 pub(crate) fn print_halved_total(nodes: usize, runs: u64) {
     let scenario = BudgetScenario {
         node_count: nodes,
--- a/crates/fleet-simulation/tests/budgets.rs
+++ b/crates/fleet-simulation/tests/budgets.rs
@@ -1,4 +1,5 @@
-//! Budgets in simulated fleets: a fixed small set. `fleet-simulation budgets` runs more, beside the baselines.
+//! Budgets in simulated fleets, for a small fixed set of seeds. `fleet-simulation budgets` runs
+//! more of them, and compares them with the baselines.
 
 use std::time::Duration;
 
@@ -12,8 +13,9 @@
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// Guards the total: under kills, pauses, partitions, loss, duplicates, late messages and clocks that drift, the ledger never
-/// has more in flight, and what could be spent never adds up to more.
+/// Guards against exceeding the total: under kills, pauses, partitions, loss, duplicates, late
+/// messages and clocks that drift, neither the number of calls in flight at the ledger nor the sum
+/// of the nodes' limits is ever above the total.
 #[test]
 fn the_total_is_never_exceeded() {
     let scenario = BudgetScenario::default();
@@ -29,7 +31,9 @@
     }
 }
 
-/// Guards the check: clocks whose rates differ by far more than the timings allow for are found.
+/// Guards against a check that finds nothing: if the rates of the clocks differ by far more than
+/// the lease timings allow for, quotas are granted again while they are in use, and the total is
+/// exceeded.
 #[test]
 fn clocks_beyond_the_stated_drift_exceed_the_total() {
     let scenario = BudgetScenario {
@@ -41,11 +45,11 @@
         .collect();
     assert!(
         reports.iter().any(|r| r.exceeded + r.limits_exceeded > 0),
-        "quotas are granted again while they are spent"
+        "no run exceeded the total"
     );
 }
 
-/// Guards the check: estimates exceed the total in the same scenarios.
+/// Guards against a check that finds nothing: estimates exceed the total in the same scenario.
 #[test]
 fn estimates_exceed_the_total() {
     let scenario = BudgetScenario::default();
@@ -55,7 +59,8 @@
     assert!(exceeded > 0);
 }
 
-/// Twenty calls on each node for 20 s; then one node wants the whole total.
+/// Returns a demand of 20 calls on each node for 20 s. After that, one node demands the whole
+/// total.
 fn skewed_demand(node: usize, now: Duration) -> u64 {
     if now < Duration::from_secs(20) {
         20
