--- a/crates/fleet-simulation/src/baselines/foca.rs
+++ b/crates/fleet-simulation/src/baselines/foca.rs
@@ -1,4 +1,4 @@
-//! The library `foca`, with probes, suspicions and gossip as often as those of the shipped view.
+//! The library `foca`, with probe, suspicion and gossip timings like those of the shipped view.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -16,12 +16,13 @@
 use super::hash_process;
 use crate::{NodeId, Outgoing, Peer, PeerStart};
 
-/// Time between two attempts to reach a seed while no other member is known.
+/// Interval between attempts to reach a seed while no other member is known.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
-/// Low bits of an incarnation that `foca` raises when a member refutes its own death.
-const RENEWAL_BITS: u32 = 32;
+/// Number of low bits of an incarnation in which `foca` counts a member's refutations of its own
+/// death.
+const REFUTATION_BITS: u32 = 32;
 
-/// A member as `foca` identifies it: its node, and a number that it raises to come back.
+/// Identity of a member for `foca`: its node, and a number that increases when the member rejoins.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct MemberIdentity {
     id: u32,
@@ -53,7 +54,8 @@
     }
 }
 
-/// When a timer is due; of those due at the same time the one scheduled last comes first.
+/// Time at which a timer is due, and its number. Of timers due at the same time, the one scheduled
+/// last comes first.
 type TimerKey = (Duration, Reverse<u64>);
 
 /// A node that runs the library `foca`.
@@ -68,7 +70,7 @@
 }
 
 impl FocaPeer {
-    /// Carries out what the library wants done.
+    /// Collects the datagrams, timers and notifications that the library has queued.
     fn drain_runtime(&mut self, now: Duration, sent: &mut Vec<Outgoing<Vec<u8>>>) {
         while let Some((to, bytes)) = self.runtime.to_send() {
             sent.push(Outgoing {
@@ -99,13 +101,13 @@
                 id: self.seeds[rng.random_range(0..self.seeds.len())],
                 incarnation: 0,
             };
-            // An announcement that fails is repeated.
+            // A failed announcement is repeated after the interval.
             let _ = self.foca.announce(seed, &mut self.runtime);
         }
     }
 }
 
-/// The library's settings, chosen to be like those of the shipped view.
+/// Returns settings of the library that are similar to those of the shipped view.
 fn config(fleet_size: usize) -> Config {
     let member_count = NonZeroU32::new(fleet_size.max(2) as u32).unwrap_or(NonZeroU32::MIN);
     let mut config = Config::new_lan(member_count);
@@ -133,7 +135,7 @@
         let own_rng = ChaCha8Rng::seed_from_u64(rng.random());
         let identity = MemberIdentity {
             id: start.id as u32,
-            incarnation: start.start_count << RENEWAL_BITS,
+            incarnation: start.start_count << REFUTATION_BITS,
         };
         FocaPeer {
             foca: Foca::new(identity, config(start.fleet_size), own_rng, PostcardCodec),
@@ -153,7 +155,7 @@
         _: &mut ChaCha8Rng,
         sent: &mut Vec<Outgoing<Vec<u8>>>,
     ) {
-        // The library drops what it can't use, and reports it by an error.
+        // The library drops datagrams that it can't process, and returns an error for them.
         let _ = self.foca.handle_data(&bytes, &mut self.runtime);
         self.drain_runtime(now, sent);
     }
@@ -169,7 +171,7 @@
             if entry.key().0 > now {
                 break;
             }
-            // A timer that is outdated by now is reported by an error.
+            // The library returns an error for a timer that is outdated.
             let _ = self.foca.handle_timer(entry.remove(), &mut self.runtime);
         }
         self.drain_runtime(now, sent);
--- a/crates/fleet-simulation/src/baselines/heartbeats.rs
+++ b/crates/fleet-simulation/src/baselines/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats: each node tells each other twice a second that it runs, and a node that is silent for 2.5 s is dead. All
-//! addresses are known from the start.
+//! Heartbeats: each node sends a heartbeat to every other node twice a second, and a node that is
+//! silent for 2.5 s is declared dead. All addresses are known from the start.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,20 +12,21 @@
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Magic bytes, version, fleet, name, incarnation and checksum.
+/// Length of a heartbeat in bytes: magic bytes, version, fleet, name, incarnation and checksum.
 const HEARTBEAT_LEN: usize = 32;
 
-/// A heartbeat, and the sender's last one as others keep it.
+/// A heartbeat datagram.
 #[derive(Clone, Copy, Debug)]
 pub struct Heartbeat {
     from: NodeId,
     start_count: u64,
 }
 
+/// The last heartbeat that was received from a node.
 #[derive(Clone, Copy, Debug)]
-struct LastHeard {
+struct LastHeartbeat {
     start_count: u64,
-    at: Duration,
+    received_at: Duration,
 }
 
 /// A node that exchanges heartbeats with all others.
@@ -33,7 +34,7 @@
     id: NodeId,
     start_count: u64,
     fleet_size: usize,
-    last_heard: BTreeMap<NodeId, LastHeard>,
+    last_heartbeats: BTreeMap<NodeId, LastHeartbeat>,
     declared_dead: Vec<NodeId>,
     next_heartbeat_at: Duration,
 }
@@ -50,13 +51,13 @@
 
     fn expire_silent_nodes(&mut self, now: Duration) {
         let silent: Vec<NodeId> = self
-            .last_heard
+            .last_heartbeats
             .iter()
-            .filter(|(_, last)| now - last.at >= SILENCE_TIMEOUT)
+            .filter(|(_, last)| now - last.received_at >= SILENCE_TIMEOUT)
             .map(|(id, _)| *id)
             .collect();
         for id in silent {
-            self.last_heard.remove(&id);
+            self.last_heartbeats.remove(&id);
             self.declared_dead.push(id);
         }
     }
@@ -71,7 +72,7 @@
             id: start.id,
             start_count: start.start_count,
             fleet_size: start.fleet_size,
-            last_heard: BTreeMap::new(),
+            last_heartbeats: BTreeMap::new(),
             declared_dead: Vec::new(),
             next_heartbeat_at: start.now + HEARTBEAT_INTERVAL.mul_f64(rng.random::<f64>()),
         }
@@ -84,13 +85,16 @@
         _: &mut ChaCha8Rng,
         _: &mut Vec<Outgoing<Heartbeat>>,
     ) {
-        let heard = LastHeard {
+        let received = LastHeartbeat {
             start_count: heartbeat.start_count,
-            at: now,
+            received_at: now,
         };
-        let last = self.last_heard.entry(heartbeat.from).or_insert(heard);
-        if heard.start_count >= last.start_count {
-            *last = heard;
+        let last = self
+            .last_heartbeats
+            .entry(heartbeat.from)
+            .or_insert(received);
+        if received.start_count >= last.start_count {
+            *last = received;
         }
     }
 
@@ -116,16 +120,16 @@
     }
 
     fn considers_present(&self, id: NodeId) -> bool {
-        id == self.id || self.last_heard.contains_key(&id)
+        id == self.id || self.last_heartbeats.contains_key(&id)
     }
 
     fn present_count(&self) -> usize {
-        self.last_heard.len() + 1
+        self.last_heartbeats.len() + 1
     }
 
     fn digest(&self) -> u64 {
         let own = hash_process(self.id as u64, self.start_count);
-        self.last_heard.iter().fold(own, |digest, (id, last)| {
+        self.last_heartbeats.iter().fold(own, |digest, (id, last)| {
             digest ^ hash_process(*id as u64, last.start_count)
         })
     }
--- a/crates/fleet-simulation/src/fleet/mod.rs
+++ b/crates/fleet-simulation/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet of one membership protocol: its nodes, its network and its clock.
+//! A simulated fleet whose nodes run one membership protocol: its nodes, network and clock.
 
 mod settlement;
 
@@ -11,24 +11,25 @@
 use crate::network::{Network, Traffic, UDP_HEADER_BYTES};
 use crate::peer::{NodeId, Outgoing, Peer, PeerStart};
 
-/// The simulated time at which a fleet begins.
+/// Simulated time at which a simulation begins.
 const START_TIME: Duration = Duration::from_secs(1);
 
-/// A node, and the faults that it is under.
+/// A node and the faults that are injected into it.
 #[derive(Clone, Debug)]
 struct Node<P> {
     peer: Option<P>,
     start_count: u64,
-    /// The process is paused until then; what arrives meanwhile waits.
+    /// Time until which the process is paused. Datagrams that arrive during the pause are processed
+    /// after it.
     paused_until: Option<Duration>,
-    /// The node does everything late, by a random time up to this.
+    /// Maximum of the random durations by which all processing of the node is delayed.
     max_lateness: Duration,
-    /// Datagrams between different partitions are lost.
+    /// Partition that the node belongs to. Datagrams between different partitions are lost.
     partition: u8,
-    is_deaf: bool,
-    is_mute: bool,
+    drops_inbound: bool,
+    drops_outbound: bool,
     traffic: Traffic,
-    /// The number of the timer that counts; earlier ones in the queue are outdated.
+    /// Number of the current timer. Timers with lower numbers in the queue are outdated.
     timer_number: u64,
     timer_due: Duration,
 }
@@ -41,8 +42,8 @@
             paused_until: None,
             max_lateness: Duration::ZERO,
             partition: 0,
-            is_deaf: false,
-            is_mute: false,
+            drops_inbound: false,
+            drops_outbound: false,
             traffic: Traffic::default(),
             timer_number: 0,
             timer_due: Duration::ZERO,
@@ -63,31 +64,31 @@
 /// A member that another one declared dead.
 #[derive(Clone, Copy, Debug)]
 pub struct DeathReport {
-    /// When.
+    /// Simulated time of the declaration.
     pub at: Duration,
-    /// The node that declared it.
+    /// The node that declared the other one dead.
     pub by: NodeId,
     /// The node that was declared dead.
     pub subject: NodeId,
 }
 
-/// A simulated fleet of one membership protocol.
+/// A simulated fleet whose nodes run one membership protocol.
 pub struct FleetSimulation<P: Peer> {
     nodes: Vec<Node<P>>,
     events: EventQueue<Event<P::Packet>>,
     seeds: Vec<NodeId>,
     now: Duration,
     rng: ChaCha8Rng,
-    /// The network; it may be changed at any time.
+    /// The network. It may be changed at any time.
     pub network: Network,
-    /// Members that were declared dead although they ran and could be reached.
+    /// Reports on members that were running, not paused, and reachable in both directions.
     pub false_deaths: Vec<DeathReport>,
-    /// Members that were declared dead rightly.
+    /// Reports on all other members that were declared dead.
     pub true_deaths: Vec<DeathReport>,
 }
 
 impl<P: Peer> FleetSimulation<P> {
-    /// A fleet of `size` nodes, none of which has been started.
+    /// Creates a fleet of `size` nodes, none of which is started.
     pub fn new(size: usize, seeds: Vec<NodeId>, network: Network, seed: u64) -> Self {
         FleetSimulation {
             nodes: (0..size).map(|_| Node::new()).collect(),
@@ -101,12 +102,12 @@
         }
     }
 
-    /// The simulated time.
+    /// Returns the simulated time.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// A random index below this bound, for choices of a scenario.
+    /// Returns a random index below `bound`, for random choices in a scenario.
     pub fn random_index(&mut self, bound: usize) -> usize {
         self.rng.random_range(0..bound.max(1))
     }
@@ -135,48 +136,48 @@
         }
     }
 
-    /// Ends a node's process without a goodbye.
+    /// Kills a node's process without announcing that the node leaves.
     pub fn kill(&mut self, id: NodeId) {
         self.nodes[id].peer = None;
     }
 
-    /// Pauses a node's process; it processes afterwards what arrives meanwhile.
+    /// Pauses a node's process. Datagrams that arrive during the pause are processed after it.
     pub fn pause(&mut self, id: NodeId, duration: Duration) {
         self.nodes[id].paused_until = Some(self.now + duration);
     }
 
-    /// Has a node do everything late, by a random time up to this.
+    /// Delays all processing of a node by random durations of up to `max_lateness`.
     pub fn slow_down(&mut self, id: NodeId, max_lateness: Duration) {
         self.nodes[id].max_lateness = max_lateness;
     }
 
-    /// Divides the network: datagrams between nodes of different partitions are lost.
+    /// Partitions the network. Datagrams between nodes of different partitions are lost.
     pub fn partition(&mut self, partition_of: impl Fn(NodeId) -> u8) {
         for (id, node) in self.nodes.iter_mut().enumerate() {
             node.partition = partition_of(id);
         }
     }
 
-    /// Loses all datagrams to a node.
-    pub fn deafen(&mut self, id: NodeId) {
-        self.nodes[id].is_deaf = true;
+    /// Drops all datagrams to a node.
+    pub fn drop_inbound(&mut self, id: NodeId) {
+        self.nodes[id].drops_inbound = true;
     }
 
-    /// Loses all datagrams from a node.
-    pub fn mute(&mut self, id: NodeId) {
-        self.nodes[id].is_mute = true;
+    /// Drops all datagrams from a node.
+    pub fn drop_outbound(&mut self, id: NodeId) {
+        self.nodes[id].drops_outbound = true;
     }
 
-    /// Ends all partitions, and the faults of single nodes' connections.
+    /// Ends all partitions, and no longer drops the datagrams to or from single nodes.
     pub fn heal(&mut self) {
         for node in &mut self.nodes {
             node.partition = 0;
-            node.is_deaf = false;
-            node.is_mute = false;
+            node.drops_inbound = false;
+            node.drops_outbound = false;
         }
     }
 
-    /// The nodes whose processes run.
+    /// Returns the nodes whose processes are running.
     fn running(&self) -> Vec<NodeId> {
         (0..self.nodes.len())
             .filter(|id| self.nodes[*id].peer.is_some())
@@ -187,12 +188,12 @@
         self.nodes[id].peer.as_ref()
     }
 
-    /// What a node has sent so far.
+    /// Returns the traffic that a node has sent so far.
     pub fn traffic(&self, id: NodeId) -> Traffic {
         self.nodes[id].traffic
     }
 
-    /// What all nodes together have sent so far.
+    /// Returns the traffic that all nodes together have sent so far.
     pub fn total_traffic(&self) -> Traffic {
         let mut total = Traffic::default();
         for node in &self.nodes {
@@ -205,7 +206,7 @@
     fn is_reachable(&self, from: NodeId, to: NodeId) -> bool {
         let sender = &self.nodes[from];
         let receiver = &self.nodes[to];
-        sender.partition == receiver.partition && !sender.is_mute && !receiver.is_deaf
+        sender.partition == receiver.partition && !sender.drops_outbound && !receiver.drops_inbound
     }
 
     fn schedule_timer(&mut self, id: NodeId) {
@@ -268,7 +269,7 @@
         self.events.push(self.now + delay + lateness, event);
     }
 
-    /// Lets the next event happen. Returns false once there is none until `end`.
+    /// Processes the next event. Returns false if there is none up to `end`.
     fn step(&mut self, end: Duration) -> bool {
         let Some(scheduled) = self.events.pop_until(end) else {
             self.now = end;
@@ -335,14 +336,14 @@
         });
     }
 
-    /// Runs the fleet for this long.
+    /// Runs the fleet for a simulated duration.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.step(end) {}
     }
 
-    /// Runs the fleet until a condition holds, which is tested once an interval. Returns how long that took; none if it did
-    /// not hold in time.
+    /// Runs the fleet until a condition holds, which is tested once per `interval`. Returns the
+    /// duration until then, or `None` if the condition does not hold within `timeout`.
     pub fn run_until(
         &mut self,
         timeout: Duration,
--- a/crates/fleet-simulation/src/fleet/settlement.rs
+++ b/crates/fleet-simulation/src/fleet/settlement.rs
@@ -1,20 +1,20 @@
-//! Whether the views of a fleet's nodes agree with each other and with what is true.
+//! Checks whether the views of a fleet's nodes agree with each other and with the true state.
 
 use std::collections::BTreeMap;
 
 use super::FleetSimulation;
 use crate::peer::{NodeId, Peer};
 
-/// What the members of one partition hold, as far as it has been seen.
+/// The common view of the members of one partition that have been examined so far.
 struct PartitionView {
     digest: u64,
     member_count: usize,
-    /// Any one of its members.
-    sample: NodeId,
+    /// An arbitrary member of the partition.
+    representative: NodeId,
 }
 
 impl<P: Peer> FleetSimulation<P> {
-    /// Whether all running nodes of each partition consider exactly each other present.
+    /// Returns true if all running nodes of each partition consider exactly each other present.
     pub fn is_settled(&self) -> bool {
         let Some(partitions) = self.agreed_partition_views() else {
             return false;
@@ -24,7 +24,7 @@
             .all(|(partition, view)| self.is_view_complete(*partition, view))
     }
 
-    /// The view of each partition; none if the members of one disagree.
+    /// Returns the view of each partition, or `None` if the members of a partition disagree.
     fn agreed_partition_views(&self) -> Option<BTreeMap<u8, PartitionView>> {
         let mut partitions: BTreeMap<u8, PartitionView> = BTreeMap::new();
         for id in self.running() {
@@ -34,7 +34,7 @@
                 .or_insert(PartitionView {
                     digest,
                     member_count: 0,
-                    sample: id,
+                    representative: id,
                 });
             if view.digest != digest {
                 return None;
@@ -44,9 +44,10 @@
         Some(partitions)
     }
 
-    /// Whether the view of a partition holds exactly its members. Its members agree, so that one of them is enough to test.
+    /// Returns true if the view of a partition contains exactly its members. The members agree, so
+    /// that it suffices to check one of them.
     fn is_view_complete(&self, partition: u8, view: &PartitionView) -> bool {
-        let Some(peer) = self.peer(view.sample) else {
+        let Some(peer) = self.peer(view.representative) else {
             return false;
         };
         let running = self.running();
@@ -56,7 +57,7 @@
         peer.present_count() == view.member_count && members.all(|id| peer.considers_present(*id))
     }
 
-    /// Whether no other running node considers this one present.
+    /// Returns true if no other running node considers this one present.
     pub fn is_absent_everywhere(&self, id: NodeId) -> bool {
         self.running().iter().all(|other| {
             let peer = self.peer(*other);
--- a/crates/fleet-simulation/src/lib.rs
+++ b/crates/fleet-simulation/src/lib.rs
@@ -1,9 +1,11 @@
-//! Simulation of a fleet: many nodes in one process over a simulated network and clock, the same for the same seed. The
-//! nodes run the shipped decisions; baselines to measure against run beside them.
+//! Deterministic simulation of a fleet: many nodes in one process over a simulated network and
+//! clock. Simulations with the same seed are equal. The nodes run the shipped decision code, which
+//! is compared with baselines.
 //!
-//! - [`FleetSimulation`], [`scenarios`], [`measurements`]: membership under faults, and how it scales.
-//! - [`budgets`]: the sharing of a budget under faults.
-//! - [`aggregation`]: counts and health of a dependency, collected over the fleet.
+//! - [`FleetSimulation`], [`scenarios`], [`measurements`]: membership under faults and by fleet
+//!   size.
+//! - [`budgets`]: sharing of a budget under faults.
+//! - [`aggregation`]: counts and health of a dependency, aggregated over the fleet.
 
 pub mod aggregation;
 mod baselines;
--- a/crates/fleet-simulation/src/main.rs
+++ b/crates/fleet-simulation/src/main.rs
@@ -1,4 +1,5 @@
-//! Measurements of simulated fleets, printed as tables: `cargo run --release -p fleet-simulation -- help`.
+//! Measurements of simulated fleets, printed as tables:
+//! `cargo run --release -p fleet-simulation -- help`.
 
 mod parallel;
 mod statistics;
--- a/crates/fleet-simulation/src/measurements.rs
+++ b/crates/fleet-simulation/src/measurements.rs
@@ -1,47 +1,50 @@
-//! Measurements of a fleet: how it scales, and how often members are declared dead by mistake.
+//! Measurements of a fleet: the effect of its size, and how often members are declared dead by
+//! mistake.
 
 use std::time::Duration;
 
-use crate::scenarios::{settled_fleet, SETTLE_TIMEOUT, TEST_INTERVAL};
+use crate::scenarios::{settled_fleet, POLL_INTERVAL, SETTLE_TIMEOUT};
 use crate::{FleetSimulation, Network, Peer, Traffic};
 
-/// By when the updates that the start left behind have been spread.
-const QUIET_TIME: Duration = Duration::from_secs(60);
-/// How long traffic is measured, in seconds.
+/// Time in which the updates from the start of the fleet are disseminated.
+const DISSEMINATION_TIME: Duration = Duration::from_secs(60);
+/// Duration for which traffic is measured, in seconds.
 const TRAFFIC_SECONDS: u64 = 10;
 
-/// How long a failure took to be detected.
+/// Times until a failure was detected.
 #[derive(Clone, Copy, Debug)]
 pub struct DetectionTimes {
-    /// Until the first of the other nodes declared the node dead.
+    /// Duration until the first of the other nodes declared the node dead.
     pub first: Duration,
-    /// Until the last of them did.
+    /// Duration until the last of the other nodes declared the node dead.
     pub last: Duration,
 }
 
-/// What was measured in a fleet of one size.
+/// Measurements of a fleet of one size.
 #[derive(Clone, Copy, Debug)]
 pub struct SizeMeasurement {
-    /// How long the others took to detect that a node was killed; none if nobody did.
+    /// Times until the other nodes detected that a node was killed; `None` if no node did.
     pub detection: Option<DetectionTimes>,
-    /// How long it took from a node's start until all others considered it present.
+    /// Duration from the restart of the killed node until all views had settled; `None` if they had
+    /// not within the time limit.
     pub join_time: Option<Duration>,
-    /// Datagrams that a node sent in a second without any changes.
+    /// Mean number of datagrams that a node sent per second without any changes of the membership.
     pub datagrams_per_second: f64,
-    /// Bytes that a node sent in a second without any changes.
+    /// Mean number of bytes that a node sent per second without any changes of the membership.
     pub bytes_per_second: f64,
 }
 
-/// Measures a fleet of this size: its traffic, a node that is killed, and one that is started again.
+/// Measures the traffic of a fleet, the detection of a killed node, and the time until that node
+/// has rejoined after a restart. Returns `None` if the fleet does not settle first.
 pub fn measure_size<P: Peer>(size: usize, seed: u64) -> Option<SizeMeasurement> {
     let mut fleet = settled_fleet::<P>(size, Network::default(), seed)?;
     let traffic = measure_traffic(&mut fleet);
-    let per_node_second = |count: u64| count as f64 / TRAFFIC_SECONDS as f64 / size as f64;
-    // The first two are seeds.
+    let per_node_and_second = |count: u64| count as f64 / TRAFFIC_SECONDS as f64 / size as f64;
+    // The first two nodes are seeds.
     let killed = 2 + fleet.random_index(size - 2);
     fleet.kill(killed);
     let killed_at = fleet.now();
-    fleet.run_until(SETTLE_TIMEOUT, TEST_INTERVAL, |fleet| {
+    fleet.run_until(SETTLE_TIMEOUT, POLL_INTERVAL, |fleet| {
         fleet.is_absent_everywhere(killed)
     });
     let times: Vec<Duration> = fleet
@@ -56,18 +59,18 @@
         .zip(last)
         .map(|(first, last)| DetectionTimes { first, last });
     fleet.start(killed);
-    let join_time = fleet.run_until(SETTLE_TIMEOUT, TEST_INTERVAL, FleetSimulation::is_settled);
+    let join_time = fleet.run_until(SETTLE_TIMEOUT, POLL_INTERVAL, FleetSimulation::is_settled);
     Some(SizeMeasurement {
         detection,
         join_time,
-        datagrams_per_second: per_node_second(traffic.datagrams),
-        bytes_per_second: per_node_second(traffic.bytes),
+        datagrams_per_second: per_node_and_second(traffic.datagrams),
+        bytes_per_second: per_node_and_second(traffic.bytes),
     })
 }
 
-/// What all nodes send in [`TRAFFIC_SECONDS`] without any changes.
+/// Returns the traffic of all nodes in [`TRAFFIC_SECONDS`] without any changes of the membership.
 fn measure_traffic<P: Peer>(fleet: &mut FleetSimulation<P>) -> Traffic {
-    fleet.run(QUIET_TIME);
+    fleet.run(DISSEMINATION_TIME);
     let before = fleet.total_traffic();
     fleet.run(Duration::from_secs(TRAFFIC_SECONDS));
     let after = fleet.total_traffic();
@@ -77,20 +80,21 @@
     }
 }
 
-/// Under which faults false deaths are counted.
+/// Conditions under which false deaths are counted.
 #[derive(Clone, Copy, Debug)]
 pub struct FalseDeathConditions {
-    /// How many nodes the fleet has.
+    /// Number of nodes in the fleet.
     pub size: usize,
-    /// The fraction of datagrams that is lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// One node does everything late by up to this time; zero for none.
+    /// Maximum delay of all processing of one node; zero for no slow node.
     pub max_lateness: Duration,
-    /// How long deaths are counted.
+    /// Duration for which false deaths are counted.
     pub duration: Duration,
 }
 
-/// Counts how often a member is declared dead by mistake. None if the fleet does not settle first.
+/// Counts how often a member is declared dead by mistake. Returns `None` if the fleet does not
+/// settle first.
 pub fn count_false_deaths<P: Peer>(conditions: &FalseDeathConditions, seed: u64) -> Option<usize> {
     let mut fleet = settled_fleet::<P>(conditions.size, Network::default(), seed)?;
     fleet.network.loss = conditions.loss;
--- a/crates/fleet-simulation/src/network.rs
+++ b/crates/fleet-simulation/src/network.rs
@@ -5,16 +5,16 @@
 /// Length of the headers of UDP and IP, in bytes.
 pub const UDP_HEADER_BYTES: u64 = 28;
 
-/// What the network does to datagrams.
+/// Faults and delays of datagrams in the network.
 #[derive(Clone, Debug)]
 pub struct Network {
-    /// The fraction of datagrams that is lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// The fraction of datagrams that is duplicated.
+    /// Fraction of datagrams that are duplicated.
     pub duplication: f64,
-    /// The shortest transmission time.
+    /// Minimum transmission time.
     pub min_delay: Duration,
-    /// The longest transmission time; the times are distributed evenly.
+    /// Maximum transmission time. The times are distributed uniformly.
     pub max_delay: Duration,
 }
 
@@ -29,11 +29,11 @@
     }
 }
 
-/// What a node has sent.
+/// Traffic that a node has sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// How many datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// How many bytes, including the headers of UDP and IP.
+    /// Number of bytes, including the headers of UDP and IP.
     pub bytes: u64,
 }
--- a/crates/fleet-simulation/src/parallel.rs
+++ b/crates/fleet-simulation/src/parallel.rs
@@ -3,15 +3,15 @@
 use std::num::NonZero;
 use std::thread;
 
-/// Runs a simulation with the seeds 1, 2, 3, ... and returns the results in the order of the seeds. Each run is determined by
-/// its seed, so that the order of execution does not matter.
+/// Runs a simulation with the seeds 1, 2, 3, ... and returns the results in the order of the seeds.
+/// Each run is determined by its seed, so that the order of execution does not matter.
 pub(crate) fn run_seeds<T: Send>(runs: u64, simulate: impl Fn(u64) -> T + Sync) -> Vec<T> {
-    let threads = thread::available_parallelism().map_or(1, NonZero::get) as u64;
+    let thread_count = thread::available_parallelism().map_or(1, NonZero::get) as u64;
     let simulate = &simulate;
     let mut results: Vec<(u64, T)> = thread::scope(|scope| {
-        let workers: Vec<_> = (1..=threads.min(runs))
+        let workers: Vec<_> = (1..=thread_count.min(runs))
             .map(|first_seed| {
-                let seeds = (first_seed..=runs).step_by(threads as usize);
+                let seeds = (first_seed..=runs).step_by(thread_count as usize);
                 scope.spawn(move || seeds.map(|seed| (seed, simulate(seed))).collect::<Vec<_>>())
             })
             .collect();
--- a/crates/fleet-simulation/src/peer.rs
+++ b/crates/fleet-simulation/src/peer.rs
@@ -1,29 +1,29 @@
-//! What the simulation requires of a membership protocol.
+//! The interface that a membership protocol implements for the simulation.
 
 use std::time::Duration;
 
 use rand_chacha::ChaCha8Rng;
 
-/// The index of a node in the simulated fleet.
+/// Index of a node in the simulated fleet.
 pub type NodeId = usize;
 
-/// What a process knows when it starts.
+/// Data that a process has when it starts.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerStart<'a> {
-    /// Its node.
+    /// The node of the process.
     pub id: NodeId,
-    /// How often the node has been started, this time included.
+    /// Number of starts of the node, including this one.
     pub start_count: u64,
-    /// How many nodes the fleet has.
+    /// Number of nodes in the fleet.
     pub fleet_size: usize,
-    /// The nodes to contact first.
+    /// Nodes to contact first.
     pub seeds: &'a [NodeId],
-    /// The simulated time.
+    /// Simulated time of the start.
     pub now: Duration,
 }
 
 impl PeerStart<'_> {
-    /// The seeds without the node itself.
+    /// Returns the seeds without the node itself.
     pub(crate) fn other_seeds(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.seeds.iter().copied().filter(|seed| *seed != self.id)
     }
@@ -32,17 +32,17 @@
 /// A datagram to be sent.
 #[derive(Clone, Debug)]
 pub struct Outgoing<P> {
-    /// Its destination.
+    /// Destination of the datagram.
     pub to: NodeId,
     /// The datagram.
     pub packet: P,
 }
 
-/// A node's process in a simulated fleet, by one membership protocol.
+/// A node's process in a simulated fleet, which runs one membership protocol.
 pub trait Peer: Sized {
-    /// The protocol's datagrams.
+    /// Datagram of the protocol.
     type Packet: Clone;
-    /// The protocol's name in tables.
+    /// Name of the protocol in tables.
     const NAME: &'static str;
 
     /// Starts a process.
@@ -57,7 +57,7 @@
         sent: &mut Vec<Outgoing<Self::Packet>>,
     );
 
-    /// Does what is due.
+    /// Handles the timers that are due.
     fn handle_timers(
         &mut self,
         now: Duration,
@@ -65,21 +65,21 @@
         sent: &mut Vec<Outgoing<Self::Packet>>,
     );
 
-    /// When something is due next.
+    /// Returns the time at which the next timer is due.
     fn next_deadline(&self) -> Duration;
 
-    /// The length of a datagram in bytes, without the headers of the network.
+    /// Returns the length of a datagram in bytes, without the headers of UDP and IP.
     fn packet_len(packet: &Self::Packet) -> usize;
 
-    /// Whether it considers a member present.
+    /// Returns true if the process considers a member present.
     fn considers_present(&self, id: NodeId) -> bool;
 
-    /// How many members it considers present, itself included.
+    /// Returns the number of members that the process considers present, including itself.
     fn present_count(&self) -> usize;
 
-    /// Equal where two processes agree on all members.
+    /// Returns a digest of the view, which is equal for two processes that agree on all members.
     fn digest(&self) -> u64;
 
-    /// Takes the members that it has declared dead since the last call.
+    /// Removes and returns the members that the process has declared dead since the previous call.
     fn take_declared_dead(&mut self) -> Vec<NodeId>;
 }
--- a/crates/fleet-simulation/src/scenarios.rs
+++ b/crates/fleet-simulation/src/scenarios.rs
@@ -1,10 +1,10 @@
-//! Faults that a fleet must recover from, as `docs/fleet.md` describes them.
+//! Faults that a fleet must recover from, as described in `docs/fleet.md`.
 
 use std::time::Duration;
 
 use crate::{FleetSimulation, Network, NodeId, Peer};
 
-/// Faults, and how they end.
+/// A fault or a sequence of faults, and how they end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
     /// All nodes start at once, with one seed.
@@ -13,27 +13,27 @@
     SeedDown,
     /// A third of the nodes is killed at once.
     ThirdKilled,
-    /// The network is divided in halves for a minute.
+    /// The network is partitioned into halves for a minute.
     Halves,
-    /// The network is divided two to one for a minute.
+    /// The network is partitioned two to one for a minute.
     TwoToOne,
-    /// The network is divided in three for a minute.
+    /// The network is partitioned into thirds for a minute.
     InThree,
-    /// One node is cut off for a minute.
+    /// One node is isolated from all others for a minute.
     OneIsolated,
     /// One node receives nothing for a minute.
     OneDeaf,
-    /// Nobody receives anything from one node for a minute.
+    /// Nothing that one node sends is received for a minute.
     OneMute,
-    /// The network is divided in halves; two nodes on each side restart before it heals.
+    /// The network is partitioned into halves. Two nodes on each side restart before it heals.
     RestartsWhileDivided,
-    /// For a minute a fifth of all datagrams is lost, and the others take up to 100 ms.
+    /// A fifth of all datagrams are lost for a minute, and the others take up to 100 ms.
     HeavyLoss,
     /// One node is paused for 5 s.
     Paused,
-    /// One node restarts in less time than a suspicion lasts.
+    /// One node restarts in less time than the duration of a suspicion.
     QuickRestart,
-    /// All nodes restart one after the other, a second apart.
+    /// All nodes restart one after the other, at intervals of 1 s.
     RollingRestart,
 }
 
@@ -56,7 +56,7 @@
         Scenario::RollingRestart,
     ];
 
-    /// Whether the scenario is a fault of the network that ends after a minute.
+    /// Returns true if the scenario is a network fault that ends after a minute.
     fn is_network_fault(self) -> bool {
         matches!(
             self,
@@ -72,26 +72,26 @@
     }
 }
 
-/// What came of a scenario.
+/// Result of a scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
-    /// How long it took until all views of each partition had settled: from the end of the last fault, or from its beginning
-    /// where it does not end. None if they had not within two minutes.
+    /// Duration until all views of each partition had settled, from the end of the last fault, or
+    /// from its beginning if it does not end. `None` if they had not settled within two minutes.
     pub settled_after: Option<Duration>,
-    /// How often a member was declared dead that ran and could be reached.
+    /// Number of times that a running, reachable member was declared dead.
     pub false_death_count: usize,
 }
 
-/// How often a condition is tested.
-pub(crate) const TEST_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a fleet may take to settle.
+/// Interval at which a condition is tested.
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum duration until a fleet has settled.
 pub(crate) const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// How long a fault of the network lasts.
+/// Duration of a network fault.
 const FAULT_DURATION: Duration = Duration::from_secs(60);
-/// How long a paused node is paused.
-const PAUSE: Duration = Duration::from_secs(5);
+/// Duration of a pause of a node.
+const PAUSE_DURATION: Duration = Duration::from_secs(5);
 
-/// A fleet that has started and settled; none if it does not settle.
+/// Returns a fleet that has started and settled, or `None` if it does not settle.
 pub fn settled_fleet<P: Peer>(
     size: usize,
     network: Network,
@@ -99,23 +99,23 @@
 ) -> Option<FleetSimulation<P>> {
     let mut fleet: FleetSimulation<P> = FleetSimulation::new(size, vec![0, 1], network, seed);
     fleet.start_all();
-    await_settled(&mut fleet)?;
+    run_until_settled(&mut fleet)?;
     fleet.run(Duration::from_secs(5));
-    await_settled(&mut fleet)?;
+    run_until_settled(&mut fleet)?;
     fleet.false_deaths.clear();
     fleet.true_deaths.clear();
     Some(fleet)
 }
 
-fn await_settled<P: Peer>(fleet: &mut FleetSimulation<P>) -> Option<Duration> {
-    fleet.run_until(SETTLE_TIMEOUT, TEST_INTERVAL, FleetSimulation::is_settled)
+fn run_until_settled<P: Peer>(fleet: &mut FleetSimulation<P>) -> Option<Duration> {
+    fleet.run_until(SETTLE_TIMEOUT, POLL_INTERVAL, FleetSimulation::is_settled)
 }
 
 /// Runs a scenario in a fleet of this size.
 pub fn run_scenario<P: Peer>(scenario: Scenario, size: usize, seed: u64) -> Outcome {
     match scenario {
         Scenario::Start => run_start::<P>(size, vec![0], seed),
-        // No node of the fleet has this index, so that this seed does not answer.
+        // No node of the fleet has the index `size`, so that the second seed does not answer.
         Scenario::SeedDown => run_start::<P>(size, vec![0, size], seed),
         _ => run_fault::<P>(scenario, size, seed),
     }
@@ -124,7 +124,7 @@
 fn run_start<P: Peer>(size: usize, seeds: Vec<NodeId>, seed: u64) -> Outcome {
     let mut fleet: FleetSimulation<P> = FleetSimulation::new(size, seeds, Network::default(), seed);
     fleet.start_all();
-    wait_until_settled(&mut fleet)
+    measure_settlement(&mut fleet)
 }
 
 fn run_fault<P: Peer>(scenario: Scenario, size: usize, seed: u64) -> Outcome {
@@ -141,20 +141,20 @@
         fleet.network = Network::default();
     }
     if scenario == Scenario::Paused {
-        fleet.run(PAUSE);
+        fleet.run(PAUSE_DURATION);
     }
-    wait_until_settled(&mut fleet)
+    measure_settlement(&mut fleet)
 }
 
-fn wait_until_settled<P: Peer>(fleet: &mut FleetSimulation<P>) -> Outcome {
+fn measure_settlement<P: Peer>(fleet: &mut FleetSimulation<P>) -> Outcome {
     Outcome {
-        settled_after: await_settled(fleet),
+        settled_after: run_until_settled(fleet),
         false_death_count: fleet.false_deaths.len(),
     }
 }
 
 fn inject_fault<P: Peer>(fleet: &mut FleetSimulation<P>, scenario: Scenario, size: usize) {
-    let one = fleet.random_index(size);
+    let target = fleet.random_index(size);
     match scenario {
         Scenario::Start | Scenario::SeedDown => {}
         Scenario::ThirdKilled => {
@@ -165,9 +165,9 @@
         Scenario::Halves => fleet.partition(|id| (id % 2) as u8),
         Scenario::TwoToOne => fleet.partition(|id| u8::from(id % 3 == 0)),
         Scenario::InThree => fleet.partition(|id| (id % 3) as u8),
-        Scenario::OneIsolated => fleet.partition(|id| u8::from(id == one)),
-        Scenario::OneDeaf => fleet.deafen(one),
-        Scenario::OneMute => fleet.mute(one),
+        Scenario::OneIsolated => fleet.partition(|id| u8::from(id == target)),
+        Scenario::OneDeaf => fleet.drop_inbound(target),
+        Scenario::OneMute => fleet.drop_outbound(target),
         Scenario::RestartsWhileDivided => {
             fleet.partition(|id| (id % 2) as u8);
             fleet.run(FAULT_DURATION / 2);
@@ -183,8 +183,8 @@
                 max_delay: Duration::from_millis(100),
             };
         }
-        Scenario::Paused => fleet.pause(one, PAUSE),
-        Scenario::QuickRestart => restart(fleet, one, Duration::from_millis(800)),
+        Scenario::Paused => fleet.pause(target, PAUSE_DURATION),
+        Scenario::QuickRestart => restart(fleet, target, Duration::from_millis(800)),
         Scenario::RollingRestart => {
             for id in 0..size {
                 restart(fleet, id, Duration::from_millis(300));
@@ -194,7 +194,7 @@
     }
 }
 
-/// Kills a node and starts it again after this time.
+/// Kills a node and starts it again after `downtime`.
 fn restart<P: Peer>(fleet: &mut FleetSimulation<P>, id: NodeId, downtime: Duration) {
     fleet.kill(id);
     fleet.run(downtime);
--- a/crates/fleet-simulation/src/tables/membership.rs
+++ b/crates/fleet-simulation/src/tables/membership.rs
@@ -1,4 +1,4 @@
-//! Tables of membership protocols: recovery from faults, the effect of size, false deaths.
+//! Tables of membership protocols: recovery from faults, effect of the fleet's size, false deaths.
 
 use fleet_simulation::measurements::{
     count_false_deaths, measure_size, FalseDeathConditions, SizeMeasurement,
@@ -10,18 +10,18 @@
 use crate::parallel::run_seeds;
 use crate::statistics::{format_seconds, TimeSummary};
 
-/// Which protocols are measured.
+/// The protocols that are measured.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Protocols {
-    /// The shipped view alone.
+    /// Only the shipped view.
     ViewOnly,
-    /// The shipped view and all baselines but the library foca.
+    /// The shipped view and all baselines except the library foca.
     WithoutFoca,
     /// The shipped view and all baselines.
     All,
 }
 
-/// Prints how each protocol recovers from each scenario.
+/// Prints the recovery of each protocol from each scenario.
 pub(crate) fn print_scenarios(nodes: usize, runs: u64) {
     println!("| scenario | | settled, median s | worst s | false deaths |");
     println!("| --- | --- | --- | --- | --- |");
@@ -47,7 +47,7 @@
     );
 }
 
-/// Prints how each protocol behaves in fleets of these sizes.
+/// Prints failure detection, joining and traffic of each protocol in fleets of the given sizes.
 pub(crate) fn print_sizes(sizes: &[usize], runs: u64, protocols: Protocols) {
     println!("| nodes | | first detects, s | all, median / worst s | joined, median / worst s | datagrams/s | bytes/s | runs |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
@@ -91,7 +91,7 @@
     );
 }
 
-/// Prints how often each protocol declares members dead by mistake.
+/// Prints how often each protocol declared members dead by mistake.
 pub(crate) fn print_false_deaths(
     conditions: &FalseDeathConditions,
     runs: u64,
--- a/crates/fleet-simulation/src/view_peer.rs
+++ b/crates/fleet-simulation/src/view_peer.rs
@@ -1,4 +1,5 @@
-//! The shipped membership view as a node of a simulated fleet, and the same without what it adds to SWIM.
+//! The shipped membership view as a node of a simulated fleet, with and without its extensions of
+//! SWIM.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -12,25 +13,26 @@
 
 use crate::{NodeId, Outgoing, Peer, PeerStart};
 
-/// The address of node 0; the others follow.
+/// IPv4 address of node 0. The addresses of the other nodes follow in the order of their indexes.
 const FIRST_ADDRESS: u32 = 0x7f10_0000;
 const PORT: u16 = 7946;
 const SITES: [&str; 3] = ["milano-lambrate", "bergamo-est", "brescia-sud"];
-/// Time between two starts of a node, for its incarnation.
+/// Difference in milliseconds between the simulated Unix times of two successive starts of a node.
+/// The incarnation of a process is derived from the time of its start.
 const MILLIS_PER_START: u64 = 1000;
 
-fn address(id: NodeId) -> SocketAddr {
+fn node_address(id: NodeId) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::from(FIRST_ADDRESS + id as u32), PORT))
 }
 
-fn node_at(address: SocketAddr) -> NodeId {
+fn node_id(address: SocketAddr) -> NodeId {
     match address {
         SocketAddr::V4(address) => (u32::from(*address.ip()) - FIRST_ADDRESS) as usize,
         SocketAddr::V6(_) => usize::MAX,
     }
 }
 
-fn name(id: NodeId) -> Name {
+fn node_name(id: NodeId) -> Name {
     format!("n{id}").into()
 }
 
@@ -44,10 +46,10 @@
     fn with_settings(settings: Settings, start: &PeerStart, rng: &mut ChaCha8Rng) -> ViewPeer {
         let unix_ms = start.start_count * MILLIS_PER_START;
         let own = MemberRecord {
-            name: name(start.id),
+            name: node_name(start.id),
             site: SITES[start.id % SITES.len()].into(),
-            address: address(start.id),
-            client_address: Some(address(start.id)),
+            address: node_address(start.id),
+            client_address: Some(node_address(start.id)),
             state: MemberState {
                 incarnation: member_state::new_incarnation(unix_ms, rng.random()),
                 version: 0,
@@ -56,7 +58,7 @@
             },
             suspected_by: 0,
         };
-        let seeds = start.other_seeds().map(address).collect();
+        let seeds = start.other_seeds().map(node_address).collect();
         let mut view = MembershipView::new(settings, "fleet".into(), own, seeds, start.now);
         view.advertise_status(AdvertisedStatus::Up, start.now);
         ViewPeer {
@@ -69,7 +71,7 @@
         for effect in effects {
             match effect {
                 Effect::Send { to, packet } => sent.push(Outgoing {
-                    to: node_at(to),
+                    to: node_id(to),
                     packet,
                 }),
                 Effect::MemberChanged(record) => {
@@ -103,7 +105,7 @@
         let source = packet
             .sender
             .as_ref()
-            .map_or(address(0), |record| record.address);
+            .map_or(node_address(0), |record| record.address);
         let mut random = |bound| rng.random_range(0..bound);
         self.view
             .handle_packet(packet, source, now, &mut random, &mut effects);
@@ -132,7 +134,7 @@
 
     fn considers_present(&self, id: NodeId) -> bool {
         self.view
-            .member(&name(id))
+            .member(&node_name(id))
             .is_some_and(|record| record.state.is_present())
     }
 
@@ -149,7 +151,7 @@
     }
 }
 
-/// A node that runs the shipped view without what it adds to SWIM with suspicion.
+/// A node that runs the shipped view without its extensions of SWIM with suspicion.
 pub struct PlainSwimPeer(ViewPeer);
 
 impl Peer for PlainSwimPeer {
--- a/crates/fleet-simulation/tests/scenarios.rs
+++ b/crates/fleet-simulation/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Recovery of simulated fleets of the shipped view: a fixed small set. `fleet-simulation hard` runs more, beside the
-//! baselines.
+//! Recovery of simulated fleets of the shipped view, for a small fixed set of seeds.
+//! `fleet-simulation hard` runs more of them, and compares them with the baselines.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
             let outcome = run_scenario::<ViewPeer>(scenario, 24, seed);
             let settled_after = outcome
                 .settled_after
-                .unwrap_or_else(|| panic!("{scenario:?} with seed {seed} never settles"));
+                .unwrap_or_else(|| panic!("{scenario:?} with seed {seed} does not settle"));
             assert!(
                 settled_after < Duration::from_secs(20),
                 "{scenario:?} with seed {seed}: {settled_after:?}"
@@ -27,7 +27,8 @@
     }
 }
 
-/// Guards the scenarios themselves: without what the view adds, sides that declared each other dead never meet again.
+/// Guards against a scenario that tests nothing: without the extensions of the view, the sides of a
+/// partition that declared each other dead do not rejoin.
 #[test]
 fn plain_swim_does_not_recover_from_a_partition() {
     let outcome = run_scenario::<PlainSwimPeer>(Scenario::Halves, 12, 1);
@@ -42,7 +43,7 @@
             ..Network::default()
         };
         let mut fleet: FleetSimulation<ViewPeer> =
-            settled_fleet(16, network, seed).expect("it settles");
+            settled_fleet(16, network, seed).expect("the fleet settles");
         fleet.run(Duration::from_secs(20));
         (0..16)
             .map(|id| fleet.traffic(id).bytes)
@@ -54,8 +55,8 @@
 
 #[test]
 fn traffic_per_node_does_not_grow_with_the_fleet() {
-    let small = measure_size::<ViewPeer>(16, 1).expect("it settles");
-    let large = measure_size::<ViewPeer>(96, 1).expect("it settles");
+    let small = measure_size::<ViewPeer>(16, 1).expect("the fleet settles");
+    let large = measure_size::<ViewPeer>(96, 1).expect("the fleet settles");
     assert!(
         large.bytes_per_second < small.bytes_per_second * 1.3,
         "{small:?} {large:?}"
