--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,4 +1,5 @@
-//! Embeds the policy without any network: one server receives one request and prints the actions that follow.
+//! Embeds the policy without any network: one server receives one request and prints the actions
+//! that follow.
 
 use protocol_gateway::{
     CallerId, CapacityHint, Class, ClassId, Dependency, Event, Idempotency, Policy, Preemption,
--- a/examples/repeat.rs
+++ b/examples/repeat.rs
@@ -1,11 +1,12 @@
-//! A node with a class that runs by idempotency key, among test doubles on loopback: a request, its repeat on another
-//! connection, and the same key with another body. Build the program first: `cargo build && cargo run --example repeat`.
+//! Runs a node and its test doubles on loopback, with a class whose requests are idempotent by key.
+//! Sends a request, its repeat on another connection, and the same key with another body. Build the
+//! program first: `cargo build && cargo run --example repeat`.
 
 use serde_json::{json, Value};
 use test_doubles::{decode_base64, Node};
 
 /// The idempotency key of all three requests.
-const TOKEN: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+const IDEMPOTENCY_KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
 fn main() {
     let node = Node::start_with(None, |config| {
@@ -13,7 +14,7 @@
         settings["lanes"][1]["name"] = json!("version-submit");
         settings["lanes"][1]["effect"] = json!("by_key");
         settings["lanes"][1]["window"] = json!(30_000.0);
-        // The memory that a key is counted with: small enough for many of them.
+        // Memory that is reserved per key, in kB: small enough for many keys.
         settings["specifics"]["keyKb"] = json!(1.0);
     });
     println!("a node listens at {}", node.address);
@@ -23,7 +24,7 @@
         ("other body", "serve:scan 8"),
     ] {
         let mut client = node.connect();
-        client.send_with_fields("version-submit", body, &json!({"token": TOKEN}));
+        client.send_with_fields("version-submit", body, &json!({"token": IDEMPOTENCY_KEY}));
         println!("{label}: {}", describe(&client.read_answer()));
     }
     println!("the executor ran {} of them", node.executor.total_runs());
--- a/src/actors.rs
+++ b/src/actors.rs
@@ -18,7 +18,7 @@
 
 use crate::startup::StartError;
 
-/// What every actor is started with.
+/// The configuration and handles with which every actor is started.
 pub(crate) struct ActorContext<'a> {
     pub(crate) config: &'a Config,
     pub(crate) limits: &'a Limits,
@@ -34,17 +34,18 @@
     pub(crate) json_rpc: JsonRpcServer,
     pub(crate) amqp: AmqpConsumers,
     pub(crate) fleet: FleetLinks,
-    /// The database's address, which may change.
+    /// The database's address, which a reload may change.
     pub(crate) database: Arc<PeerAddress>,
-    /// New addresses for the executor's actor.
+    /// Sends changes of the executor's address to its actor.
     pub(crate) executor_addresses: Sender<SocketAddr>,
-    /// Reports for the endpoint list's actor.
+    /// The mailbox of the endpoint list's actor.
     pub(crate) endpoint_list_reports: Sender<endpoint_list::EndpointListMessage>,
-    /// Disconnected when the policy's thread ends, however it ends: without the policy the node is of no use.
+    /// Disconnected when the policy's thread ends, whether it returns or panics: the node can't
+    /// work without the policy.
     pub(crate) policy_ended: Receiver<()>,
     /// Receives a message after each change of the process's state by an admin command.
     pub(crate) state_changes: Receiver<()>,
-    /// Keeps `state_changes` connected where there is no admin listener.
+    /// Keeps `state_changes` connected if there is no admin listener.
     _state_change_sender: Sender<()>,
 }
 
@@ -86,21 +87,23 @@
     }
 }
 
-/// The connection between the fleet's shared counts and quotas and this node's actors.
+/// The handles through which this node's actors use the counts, quotas and database health that the
+/// fleet shares.
 pub(crate) struct FleetLinks {
-    /// Keeps the database's calls within the fleet's quota and to what the fleet knows of the database's health.
-    pub(crate) call_guard: Option<database::SharedCallBudget>,
+    /// Limits database calls to the fleet's quota and by the database health that the fleet
+    /// reports. `None` if the fleet shares neither.
+    pub(crate) call_budget: Option<database::SharedCallBudget>,
     /// Counters that the members of the fleet share.
     pub(crate) counters: Option<fleet::SharedCounters>,
     shares_tenant_counts: bool,
 }
 
 impl FleetLinks {
-    /// What this configuration of the fleet asks for; nothing without one.
+    /// Creates the handles that this fleet configuration requires, none without a configuration.
     pub(crate) fn new(config: Option<&fleet::Config>) -> FleetLinks {
         let Some(config) = config else {
             return FleetLinks {
-                call_guard: None,
+                call_budget: None,
                 counters: None,
                 shares_tenant_counts: false,
             };
@@ -112,21 +115,21 @@
         let counters = (config.shares_counts || config.shares_ledger_health)
             .then(fleet::SharedCounters::default);
         let health_counters = counters.clone().filter(|_| config.shares_ledger_health);
-        let is_guarded = has_call_quota || health_counters.is_some();
-        let call_guard = is_guarded.then(|| {
+        let has_call_budget = has_call_quota || health_counters.is_some();
+        let call_budget = has_call_budget.then(|| {
             database::SharedCallBudget::new(database::CallBudget::new(
                 has_call_quota,
                 health_counters,
             ))
         });
         FleetLinks {
-            call_guard,
+            call_budget,
             counters,
             shares_tenant_counts: config.shares_counts,
         }
     }
 
-    /// The counts of requests in flight by tenant, where the fleet shares them.
+    /// Returns the counters of requests in flight by tenant if the fleet shares them.
     fn tenant_counters(&self) -> Option<FleetCounters> {
         let counters = self
             .counters
@@ -140,7 +143,7 @@
 }
 
 impl<'a> ActorContext<'a> {
-    /// A context with the policy's mailbox and a status of its own.
+    /// Creates a context with a new mailbox for the policy and a new node status.
     pub(crate) fn new(config: &'a Config, limits: &'a Limits, log: &'a Logger) -> ActorContext<'a> {
         let (policy, policy_inbox) = bounded(limits.policy.mailbox);
         ActorContext {
@@ -166,7 +169,7 @@
         let log = self.log_for("database");
         database::start(
             address,
-            fleet.call_guard.clone(),
+            fleet.call_budget.clone(),
             self.limits,
             &self.policy,
             &log,
@@ -183,7 +186,7 @@
         cells: Option<CellGuard>,
     ) -> Result<Receiver<()>, StartError> {
         let report_waiting = fleet
-            .call_guard
+            .call_budget
             .clone()
             .map(|guard| Box::new(move |requests| guard.set_waiting_requests(requests)) as Box<_>);
         let database_calls = Arc::new(database_calls);
@@ -213,9 +216,9 @@
         let log = self.log_for("policy");
         let actor = PolicyActor::new(policy_config, peers, self.status.clone(), log);
         let inbox = self.policy_inbox.clone();
-        let (alive, ended) = bounded::<()>(0);
+        let (ended_sender, ended) = bounded::<()>(0);
         spawn("policy", self.limits.policy.stack_bytes, move || {
-            let _alive = alive;
+            let _ended_sender = ended_sender;
             actor.run(&inbox);
         })
         .map_err(StartError::system("threads"))?;
@@ -274,7 +277,7 @@
         .map_err(StartError::system("threads"))
     }
 
-    /// Starts the JSON-RPC server, which listens to no socket yet.
+    /// Starts the JSON-RPC server, which does not listen on a socket yet.
     fn start_json_rpc(&self) -> Result<JsonRpcServer, StartError> {
         let site = self.config.site.clone();
         let log = self.log_for("front");
--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,5 +1,5 @@
-//! Runs instances of the policy for the simulator, which sends events on standard input and reads actions from
-//! standard output.
+//! Runs instances of the policy for the simulator, which sends events on standard input and reads
+//! actions from standard output.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -17,8 +17,8 @@
             .and_then(|line| host.handle_line(&line));
         let written = match reply {
             Ok(reply) => writeln!(out, "{reply}").and_then(|()| out.flush()),
-            Err(what) => {
-                eprintln!("line {}: {}", number + 1, what.replace('\n', " "));
+            Err(error) => {
+                eprintln!("line {}: {}", number + 1, error.replace('\n', " "));
                 return ExitCode::FAILURE;
             }
         };
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -6,7 +6,8 @@
 use clap::{Parser, Subcommand};
 use fleet_cli::FleetCommand;
 
-/// A billing node, or with a command one of its tools. `PROXY_CONFIG` names the node's configuration.
+/// A billing node, or with a command one of its tools. `PROXY_CONFIG` names the node's
+/// configuration.
 #[derive(Parser)]
 #[command(
     name = "protocol-gateway",
@@ -35,13 +36,15 @@
     /// Show how the members of a fleet see each other.
     #[command(subcommand)]
     Fleet(FleetCommand),
-    /// Run nodes with test doubles on loopback, inject faults between them, and print what happens as lines of JSON.
+    /// Run nodes with test doubles on loopback, inject faults between them, and print what happens
+    /// as lines of JSON.
     Faults {
         /// The scenario, in JSON5.
         #[arg(value_name = "FILE")]
         file: PathBuf,
     },
-    /// Run a router and a few nodes with test doubles on loopback, and print how they see each other.
+    /// Run a router and a few nodes with test doubles on loopback, and print how they see each
+    /// other.
     Demo(fault_testbed::demo::DemoOptions),
     /// Forward requests to the nodes of each tenant's cell. SIGHUP reloads the file of cells.
     Route {
--- a/src/client_socket.rs
+++ b/src/client_socket.rs
@@ -1,4 +1,5 @@
-//! The socket that clients connect to: bound at the start, and listening once the node can serve them.
+//! The socket that clients connect to: bound when the node starts, listening once it can serve
+//! them.
 
 use std::net::{SocketAddr, TcpListener};
 
@@ -10,7 +11,7 @@
 
 /// The socket for clients, which listens once they can be served.
 pub(crate) struct ClientSocket {
-    /// The bound socket, until it listens.
+    /// The bound socket; `None` once it listens.
     socket: Option<Socket>,
     backlog: i32,
     address: Option<SocketAddr>,
@@ -18,7 +19,8 @@
 }
 
 impl ClientSocket {
-    /// Wraps a bound socket that does not listen yet. `backlog` is the number of connections that may wait to be accepted.
+    /// Wraps a bound socket that does not listen yet. `backlog` is the number of connections that
+    /// may wait to be accepted.
     pub(crate) fn new(socket: Socket, backlog: i32, log: &Logger) -> ClientSocket {
         ClientSocket {
             socket: Some(socket),
@@ -28,15 +30,15 @@
         }
     }
 
-    /// Where clients connect; `None` until the socket listens.
+    /// Returns the address that clients connect to, or `None` until the socket listens.
     pub(crate) fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// Listens, unless it does so already, and hands the connections to the server.
+    /// Starts to listen, unless the socket listens already, and passes the listener to the server.
     ///
     /// # Errors
-    /// The system refuses to listen.
+    /// The system refuses to listen on the socket.
     pub(crate) fn open(&mut self, server: &JsonRpcServer) -> Result<(), StartError> {
         let Some(socket) = self.socket.take() else {
             return Ok(());
--- a/src/fleet_membership.rs
+++ b/src/fleet_membership.rs
@@ -1,5 +1,5 @@
-//! The node's membership in its fleet: joining it, advertising the state of the process, and leaving it. All methods
-//! are called by the main thread.
+//! The node's membership in its fleet: joining it, advertising the state of the process, and
+//! leaving it. All methods are called by the main thread.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,23 +14,25 @@
 
 use crate::net::database::SharedCallBudget;
 
-/// What a node needs to become a member of a fleet.
+/// The options of a node's membership in a fleet.
 pub struct FleetMembershipOptions {
     /// The fleet's configuration; `None` for a node that is in no fleet.
     pub config: Option<Config>,
-    /// The fleet file, for reloading it.
+    /// The path of the fleet file, for reloads.
     pub config_file: Option<PathBuf>,
     /// The node's name.
     pub node_name: String,
-    /// The stack of the fleet actor's thread, in bytes.
-    pub stack_size: usize,
-    /// The guard of ledger calls, where the fleet has a budget for them or shares what it observes of them.
-    pub ledger_guard: Option<SharedCallBudget>,
-    /// The node's counters, where the fleet shares them.
+    /// Stack size of the fleet actor's thread in bytes.
+    pub stack_bytes: usize,
+    /// Limits the node's database calls. `None` unless the fleet has a budget for them or shares
+    /// its observations of them.
+    pub call_budget: Option<SharedCallBudget>,
+    /// The node's counters, if the fleet shares them.
     pub shared_counters: Option<SharedCounters>,
 }
 
-/// The node's membership in its fleet. Without a fleet configuration it never joins one, and no thread is started.
+/// The node's membership in its fleet. Without a fleet configuration it never joins one, and no
+/// thread is started.
 pub struct FleetMembership {
     options: FleetMembershipOptions,
     /// `None` until the node has joined.
@@ -40,7 +42,7 @@
 }
 
 impl FleetMembership {
-    /// A node that has not joined its fleet yet.
+    /// Creates the membership of a node that has not joined its fleet yet.
     pub fn new(options: FleetMembershipOptions, log: &Logger) -> FleetMembership {
         FleetMembership {
             options,
@@ -50,10 +52,11 @@
         }
     }
 
-    /// Records whether another process of this node runs, so that its guaranteed quota is not spent by both. To be called
-    /// before the node joins, and at each change. Without budgets it has no effect.
+    /// Records whether another process of this node runs, so that the node's guaranteed quota is
+    /// not spent twice. To be called before the node joins and at each change. Has no effect
+    /// without a budget for calls.
     pub fn set_sibling_running(&mut self, is_running: bool) {
-        if self.options.ledger_guard.is_none() || self.is_sibling_running == is_running {
+        if self.options.call_budget.is_none() || self.is_sibling_running == is_running {
             return;
         }
         self.is_sibling_running = is_running;
@@ -62,12 +65,13 @@
         }
     }
 
-    /// Whether another process of this node runs, as last recorded.
+    /// Returns whether another process of this node runs, as last recorded.
     pub fn is_sibling_running(&self) -> bool {
         self.is_sibling_running
     }
 
-    /// Joins the fleet unless the node has done so, and advertises the state of the process and where clients connect.
+    /// Joins the fleet unless the node has joined already, and advertises the state of the process
+    /// and the address for clients.
     ///
     /// # Errors
     /// The fleet's socket can't be bound, or its thread can't be started.
@@ -94,16 +98,16 @@
             client_address: None,
             shared_counters: self.options.shared_counters.clone(),
         };
-        let guard = self.options.ledger_guard.clone();
+        let call_budget = self.options.call_budget.clone();
         let on_change = Box::new(move || {
-            if let Some(guard) = &guard {
-                guard.wake_actor();
+            if let Some(call_budget) = &call_budget {
+                call_budget.wake_actor();
             }
         });
         let handle = spawn_fleet_actor(
             config,
             member,
-            self.options.stack_size,
+            self.options.stack_bytes,
             on_change,
             &self.log,
         )?;
@@ -111,10 +115,10 @@
         if self.is_sibling_running {
             handle.set_sibling_running(true);
         }
-        if let (Some(guard), Some(quota)) =
-            (&self.options.ledger_guard, handle.quota(LEDGER_BUDGET))
+        if let (Some(call_budget), Some(quota)) =
+            (&self.options.call_budget, handle.quota(LEDGER_BUDGET))
         {
-            guard.set_quota(quota);
+            call_budget.set_quota(quota);
         }
         Ok(handle)
     }
@@ -139,14 +143,15 @@
         };
         match Config::read(file) {
             Ok(config) => {
-                info!(self.log, "fleet's file read again"; "seeds" => config.seeds.len());
+                info!(self.log, "fleet file read again"; "seeds" => config.seeds.len());
                 handle.reload(config);
             }
-            Err(e) => warn!(self.log, "the new fleet's file is not used"; "error" => %e),
+            Err(e) => warn!(self.log, "the new fleet file is not used"; "error" => %e),
         }
     }
 
-    /// Leaves the fleet; without an announcement if a successor process continues under the node's name.
+    /// Leaves the fleet. The departure is not announced if another process continues under the
+    /// node's name.
     pub fn leave(&self, is_replaced: bool) {
         let Some(handle) = &self.handle else {
             return;
--- a/src/held_work_file.rs
+++ b/src/held_work_file.rs
@@ -1,8 +1,11 @@
-//! The record of what a process holds as it ends, in a file beside the lock file of its instance.
+//! The record of the work that a process leaves running when it exits, in a file next to its
+//! instance file.
 //!
-//! The process removes what an earlier one left in its place as it acquires the lock, and writes its own record shortly before it ends.
-//! The other process of the node reads the record once it has seen the lock free. A process that was killed leaves none, and one of an
-//! earlier version writes none. The record is written to a second file and renamed, so that half a record is never seen.
+//! When a process acquires the lock of an instance file, it removes the record that an earlier
+//! process left there. It writes its own record shortly before it exits. The other process of the
+//! node reads the record once it finds the lock free. A process that is killed before it writes the
+//! record leaves none, and one of an earlier version writes none. The record is written to a second
+//! file, which is then renamed, so that a partial record is never read.
 
 use std::fs;
 use std::io::{self, ErrorKind};
@@ -16,20 +19,20 @@
 /// The version of the record's format.
 const FORMAT_VERSION: u32 = 1;
 
-/// Why a record can't be used.
+/// Why a record can't be read or written.
 #[derive(Debug, Error)]
 pub enum HeldWorkError {
-    /// The process has left no record.
+    /// The process left no record.
     #[error("there is no record")]
     Missing,
     /// The file system failed.
     #[error("the record can't be read or written: {0}")]
     System(#[source] io::Error),
-    /// The text is no record.
+    /// The content of the file is not a record.
     #[error("the record is malformed: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// The record has the format of another version.
-    #[error("the record has the format {0}")]
+    /// The record has an unknown format version.
+    #[error("the record has the unknown format version {0}")]
     UnknownVersion(u32),
 }
 
@@ -40,14 +43,14 @@
     work: HeldWork,
 }
 
-/// The file of one instance.
+/// The file with the record of one process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldWorkFile {
     path: PathBuf,
 }
 
 impl HeldWorkFile {
-    /// The file at this path, which need not exist.
+    /// Refers to the file at this path, which need not exist.
     pub fn new(path: PathBuf) -> HeldWorkFile {
         HeldWorkFile { path }
     }
@@ -66,7 +69,7 @@
     /// Replaces the record.
     ///
     /// # Errors
-    /// [`HeldWorkError::System`]: the former record is still there, if there was one.
+    /// [`HeldWorkError::System`]: a previous record is unchanged.
     pub fn write(&self, work: HeldWork) -> Result<(), HeldWorkError> {
         let record = Record {
             version: FORMAT_VERSION,
@@ -82,7 +85,7 @@
     /// Reads the record.
     ///
     /// # Errors
-    /// [`HeldWorkError`] where there is none that can be used.
+    /// [`HeldWorkError`] if there is no usable record.
     pub fn read(&self) -> Result<HeldWork, HeldWorkError> {
         let text = fs::read(&self.path).map_err(|error| match error.kind() {
             ErrorKind::NotFound => HeldWorkError::Missing,
--- a/src/instance_lock.rs
+++ b/src/instance_lock.rs
@@ -1,9 +1,10 @@
-//! Lock files by which two processes of one node see each other and divide its resources. They are in the platform's scratch
-//! folder, which the processes of a node share.
+//! Lock files by which two processes of one node detect each other and divide its resources. They
+//! are in the platform's scratch folder, which the processes of a node share.
 //!
-//! A process holds the lock of one of two instance files for as long as it lives, however it ends, and writes its status word
-//! there. A word counts while its file is locked and no longer, so that nothing left behind by a kill is believed. Names and
-//! content of the files are a stable format: in a replacement an old and a new version meet there.
+//! A process holds the lock of one of two instance files for its whole lifetime, however it ends,
+//! and writes its status word to that file. A status word is valid only while its file is locked,
+//! so that the word of a killed process is ignored. Names and content of the files are a stable
+//! format: during a replacement, an old and a new version use the same files.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Seek, Write};
@@ -17,18 +18,18 @@
 use crate::node::{HeldWork, RateLimitedLog};
 use crate::process_records::ProcessRecords;
 
-/// Processes of one node that can live at the same time.
-const INSTANCES: usize = 2;
+/// Maximum number of processes of one node that run at the same time.
+const MAX_PROCESSES: usize = 2;
 
-/// This process's lock among the processes of its node.
+/// The lock that registers this process among the processes of its node.
 pub enum InstanceLock {
-    /// There is none: the node has no admin address, so no second process, or the folder can't be used, and no second process
-    /// can be seen.
+    /// There is no lock. Either the node has no admin address and therefore no second process, or
+    /// the folder can't be used and a second process can't be detected.
     Unavailable,
-    /// Two other processes live: this one waits until one of them has ended.
+    /// Two other processes are running: this one waits until one of them has ended.
     Waiting {
         /// The instance files.
-        paths: [PathBuf; INSTANCES],
+        paths: [PathBuf; MAX_PROCESSES],
     },
     /// One of the two files is locked by this process.
     Held {
@@ -44,7 +45,7 @@
 }
 
 impl InstanceLock {
-    /// A lock that is not acquired yet, of the node with this name.
+    /// Creates a lock for the node with this name, without acquiring it yet.
     pub fn new(folder: &Path, node_name: &str) -> InstanceLock {
         let name = file_name_part(node_name);
         InstanceLock::Waiting {
@@ -52,12 +53,13 @@
         }
     }
 
-    /// Acquires the lock if it is not held and one of the files is free, and publishes the state there.
+    /// Acquires the lock if it is not held and one of the files is free, and publishes the state
+    /// there.
     pub fn try_acquire(&mut self, state: ProcessState, log: &Logger) {
         let InstanceLock::Waiting { paths } = self else {
             return;
         };
-        match lock_one(paths) {
+        match lock_instance_file(paths) {
             Ok(Some(held)) => *self = held,
             Ok(None) => return,
             Err(e) => {
@@ -69,8 +71,10 @@
         info!(log, "instance lock"; "sibling" => ?self.sibling());
     }
 
-    /// What an earlier process in the place of this one recorded before it ended, if the other process of the node has not read that: this
-    /// one took the place before it looked. It is told of once. Without another process the record is from before a restart, and nothing.
+    /// Returns the work that an earlier process with this instance file recorded before it ended,
+    /// if the other process of the node has not read the record: this process may have locked the
+    /// file before the other one checked it. The record is returned only once. Without another
+    /// process, the record dates from before a restart and is removed unread.
     pub fn take_earlier_work(&self, log: &Logger) -> Option<HeldWork> {
         let InstanceLock::Held { own_records, .. } = self else {
             return None;
@@ -79,12 +83,13 @@
             return own_records.take_held_work().ok();
         }
         if let Err(e) = own_records.remove_held_work() {
-            warn!(log, "the record of an earlier process stays"; "error" => %e);
+            warn!(log, "could not remove the work record of an earlier process"; "error" => %e);
         }
         None
     }
 
-    /// How many calls earlier processes of the node were killed with while the database did not respond. They are told of once.
+    /// Returns how many calls earlier processes of the node had at an unresponsive database when
+    /// they were killed. The records are removed, so that each is returned only once.
     pub fn take_earlier_calls(&self) -> u32 {
         let InstanceLock::Held {
             own_records,
@@ -102,25 +107,31 @@
         }
     }
 
-    /// Keeps the record of how many calls this process has at a database that does not respond, in case that it is killed. It is to be
-    /// called again and again: what fails is tried again the next time.
-    pub fn record_stuck_calls(&mut self, calls: u32, failures: &RateLimitedLog, log: &Logger) {
+    /// Updates the record of how many calls this process has at an unresponsive database, in case
+    /// it is killed. To be invoked periodically: an update that fails is retried the next time.
+    pub fn record_calls_at_unresponsive_database(
+        &mut self,
+        calls: u32,
+        failures: &RateLimitedLog,
+        log: &Logger,
+    ) {
         let InstanceLock::Held { own_records, .. } = self else {
             return;
         };
         match own_records.keep_calls(calls) {
             Ok(true) => {
-                info!(log, "calls at a database that does not respond"; "recorded" => calls);
+                info!(log, "calls at an unresponsive database"; "recorded" => calls);
             }
             Ok(false) => {}
             Err(e) => failures.log(|suppressed| {
-                warn!(log, "calls at a database that does not respond are not recorded"; "error" => %e,
+                warn!(log, "could not record the calls at an unresponsive database"; "error" => %e,
                     "suppressed" => suppressed);
             }),
         }
     }
 
-    /// How many calls the other process, which was killed, had at a database that did not respond.
+    /// Returns how many calls the other process, which was killed, had at an unresponsive database.
+    /// The record is removed.
     pub fn take_sibling_calls(&self) -> u32 {
         match self {
             InstanceLock::Held {
@@ -130,7 +141,7 @@
         }
     }
 
-    /// Records what this process holds as it ends, for the other process of the node.
+    /// Records the work that this process leaves running, for the other process of the node.
     pub fn record_held_work(&self, work: HeldWork, log: &Logger) {
         let InstanceLock::Held { own_records, .. } = self else {
             return;
@@ -142,7 +153,8 @@
         }
     }
 
-    /// What the other process has recorded before it ended, if it did.
+    /// Returns the work that the other process recorded before it ended, if it did. The record is
+    /// removed.
     pub fn take_sibling_work(&self, log: &Logger) -> Option<HeldWork> {
         let InstanceLock::Held {
             sibling_records, ..
@@ -152,17 +164,17 @@
         };
         sibling_records
             .take_held_work()
-            .inspect_err(|e| warn!(log, "work of the other process is not known"; "reason" => %e))
+            .inspect_err(|e| warn!(log, "could not read the work record of the other process"; "reason" => %e))
             .ok()
     }
 
-    /// Whether this process may accept clients.
+    /// Returns whether this process may accept clients.
     pub fn may_accept_clients(&self) -> bool {
         !matches!(self, InstanceLock::Waiting { .. })
     }
 
-    /// Writes the status word for the other process. If that fails, the other process assumes that this one accepts no
-    /// clients.
+    /// Writes the status word for the other process. If that fails, the other process assumes that
+    /// this one accepts no clients.
     pub fn publish(&mut self, state: ProcessState) {
         if let InstanceLock::Held { own, .. } = self {
             let _ = own
@@ -171,7 +183,7 @@
         }
     }
 
-    /// The status of the other process. Looking creates no file.
+    /// Returns the status of the other process. The check creates no file.
     pub fn sibling(&self) -> SiblingProcess {
         let InstanceLock::Held { sibling, .. } = self else {
             return SiblingProcess::Absent;
@@ -179,20 +191,22 @@
         let Ok(mut file) = File::open(sibling) else {
             return SiblingProcess::Absent;
         };
-        // A shared lock, released with the file: two processes that look at the same time do not see each other's.
+        // A shared lock, released when the file is closed: two processes that check at the same
+        // time don't block each other.
         let is_alive = matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock));
         let mut word = Vec::new();
-        // One byte more, to tell a longer text from a word.
+        // One byte more, to distinguish a longer text from a status word.
         let limit = STATUS_WORD_LEN as u64 + 1;
         let read = (&mut file).take(limit).read_to_end(&mut word);
         SiblingProcess::from_status(is_alive, if read.is_ok() { &word } else { b"" })
     }
 }
 
-/// The shares of the node's resources that this process holds, each by the lock of a file of its own.
+/// The shares of the node's resources that this process holds. Each share is held by locking a
+/// separate file.
 pub struct ResourceShareLocks {
     files: Vec<ShareFile>,
-    /// Set for a process that can see no other: it has all shares, without locks.
+    /// True for a process that can detect no other process: it has all shares, without locks.
     has_all: bool,
 }
 
@@ -203,7 +217,8 @@
 }
 
 impl ResourceShareLocks {
-    /// No shares are held yet, except by a process without an instance lock, which has all of them at once.
+    /// Creates the locks without acquiring any. A process without an instance lock has all shares
+    /// at once.
     pub fn new(folder: &Path, node_name: &str, instance: &InstanceLock) -> ResourceShareLocks {
         let name = file_name_part(node_name);
         let has_all = matches!(instance, InstanceLock::Unavailable);
@@ -219,7 +234,7 @@
         }
     }
 
-    /// How many shares are held.
+    /// Returns the number of shares held.
     pub fn held(&self) -> u32 {
         if self.has_all {
             return TOTAL_SHARES;
@@ -227,8 +242,8 @@
         self.files.iter().filter(|file| file.lock.is_some()).count() as u32
     }
 
-    /// Releases shares, or acquires free ones, so as to hold as many as this process should. Returns how many it holds if that
-    /// has changed.
+    /// Releases shares, or acquires free ones, to hold as many as this process should. Returns the
+    /// number held if it has changed.
     pub fn update(
         &mut self,
         own: ProcessState,
@@ -243,7 +258,8 @@
         let target = target_shares(before, in_use, own, sibling);
         self.release(before.saturating_sub(target));
         if let Err(e) = self.acquire(target.saturating_sub(before)) {
-            // Nothing can be divided where nothing can be locked: the instance lock logs the same of this folder.
+            // Resources can't be divided without locks. The instance lock logs the same error for
+            // this folder.
             warn!(log, "resource share locks unavailable"; "error" => %e);
             self.has_all = true;
         }
@@ -288,7 +304,8 @@
     }
 }
 
-/// A node's name as a part of a file name: the name comes from the platform and may contain anything.
+/// Converts a node's name to a part of a file name. The name comes from the platform and may
+/// contain any character.
 fn file_name_part(name: &str) -> String {
     name.chars()
         .map(|c| {
@@ -301,8 +318,8 @@
         .collect()
 }
 
-/// Locks one of the instance files; `None` if both are locked.
-fn lock_one(paths: &[PathBuf; INSTANCES]) -> io::Result<Option<InstanceLock>> {
+/// Locks one of the instance files. Returns `None` if both are locked.
+fn lock_instance_file(paths: &[PathBuf; MAX_PROCESSES]) -> io::Result<Option<InstanceLock>> {
     for (path, sibling) in [(&paths[0], &paths[1]), (&paths[1], &paths[0])] {
         let own = OpenOptions::new()
             .read(true)
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,13 @@
-//! A billing node: it accepts requests over JSON-RPC or from AMQP queues, decides what runs, and answers each once.
+//! A billing node: it accepts requests over JSON-RPC or from AMQP queues, decides what runs, and
+//! answers each once.
 //!
-//! [`Policy`] is a deterministic state machine. Feed it [`Event`]s with the present [`Time`]; it appends
-//! [`Action`]s. It reads no clock, starts no thread and draws no randomness beyond the seed handed to it.
-//! A `Policy` is `Send`; one server drives it through `&mut self`, while [`Sketch`] counts through `&self`
-//! and may be read from any thread.
+//! [`Policy`] is a deterministic state machine. Pass it [`Event`]s with the current [`Time`]; it
+//! appends the resulting [`Action`]s. It reads no clock, starts no thread and uses no randomness
+//! other than the seed that it is given. A `Policy` is `Send`; one server drives it through `&mut
+//! self`, while [`Sketch`] counts through `&self` and may be read from any thread.
 //!
-//! [`node`] drives it on real time and knows no wire protocol. [`net`] holds the platform's protocols, and [`amqp`]
-//! consumes from the queues that an [`inventory`] names.
+//! [`node`] drives it in real time, independent of any wire protocol. [`net`] implements the
+//! platform's protocols, and [`amqp`] consumes from the queues that an [`inventory`] lists.
 
 pub mod amqp;
 pub mod fleet_membership;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The program of the billing node: reads its arguments, runs the command, and ends with its exit code.
+//! Entry point of the billing node: parses the command line, runs the command and returns its exit
+//! code.
 
 mod actors;
 mod cli;
@@ -19,7 +20,7 @@
 use self::cli::{Cli, Command};
 use self::signals::Signals;
 
-/// Descriptors for the limits of commands that serve no clients.
+/// Descriptor limit of commands that serve no clients.
 const COMMAND_DESCRIPTORS: usize = 64;
 
 fn main() -> ExitCode {
--- a/src/process_records.rs
+++ b/src/process_records.rs
@@ -1,34 +1,35 @@
-//! The records that a process keeps beside its instance lock: what it leaves behind, for the process of its node that goes on or follows.
+//! The records that a process keeps next to its instance file: the work that it leaves running when
+//! it exits, for the other process of its node or a later one.
 
 use std::path::{Path, PathBuf};
 
 use crate::held_work_file::{HeldWorkError, HeldWorkFile};
 use crate::node::HeldWork;
 
-/// What is added to the name of an instance file for the record of what the process holds as it ends ...
-const HELD_WORK_EXTENSION: &str = ".held";
-/// ... and for the record of its calls at a database that does not respond.
-const CALLS_EXTENSION: &str = ".calls";
+/// Suffix of the instance file's name for the record of the work that the process leaves running.
+const HELD_WORK_SUFFIX: &str = ".held";
+/// Suffix of the instance file's name for the record of the calls at an unresponsive database.
+const CALLS_SUFFIX: &str = ".calls";
 
 /// The records of the process that has locked one of the instance files.
 pub struct ProcessRecords {
     held_work: HeldWorkFile,
     calls: HeldWorkFile,
-    /// The number of calls in the record; `None` while that is not known.
+    /// Number of calls in the record; `None` if unknown.
     recorded_calls: Option<u32>,
 }
 
 impl ProcessRecords {
-    /// The records beside this instance file, none of which need exist.
+    /// Refers to the records next to this instance file, none of which need exist.
     pub fn beside(instance_file: &Path) -> ProcessRecords {
         ProcessRecords {
-            held_work: file_with_extension(instance_file, HELD_WORK_EXTENSION),
-            calls: file_with_extension(instance_file, CALLS_EXTENSION),
+            held_work: file_with_suffix(instance_file, HELD_WORK_SUFFIX),
+            calls: file_with_suffix(instance_file, CALLS_SUFFIX),
             recorded_calls: None,
         }
     }
 
-    /// Removes the record of what an earlier process held as it ended.
+    /// Removes the record of the work that an earlier process left running.
     ///
     /// # Errors
     /// [`HeldWorkError::System`].
@@ -36,7 +37,7 @@
         self.held_work.remove()
     }
 
-    /// Records what this process holds as it ends.
+    /// Records the work that this process leaves running.
     ///
     /// # Errors
     /// [`HeldWorkError::System`].
@@ -44,18 +45,20 @@
         self.held_work.write(work)
     }
 
-    /// Reads what a process held as it ended, and removes the record: a later process in its place must not be taken to have left it.
+    /// Reads and removes the record of the work that a process left running. It is removed so that
+    /// it is not attributed to a later process with the same instance file.
     ///
     /// # Errors
-    /// [`HeldWorkError`] where there is no record that can be used.
+    /// [`HeldWorkError`] if there is no usable record.
     pub fn take_held_work(&self) -> Result<HeldWork, HeldWorkError> {
         let work = self.held_work.read();
         let _ = self.held_work.remove();
         work
     }
 
-    /// Keeps the record of how many calls this process has at a database that does not respond. One that could not be written or removed
-    /// is not up to date: the next call tries again. Returns whether there is a new number in it.
+    /// Updates the record of how many calls this process has at an unresponsive database. After a
+    /// failure, the next invocation tries again. Returns whether the number has changed; an unknown
+    /// previous number counts as 0.
     ///
     /// # Errors
     /// [`HeldWorkError::System`].
@@ -63,10 +66,10 @@
         if self.recorded_calls == Some(calls) {
             return Ok(false);
         }
-        let former = self.recorded_calls.take();
+        let previous = self.recorded_calls.take();
         self.write_calls(calls)?;
         self.recorded_calls = Some(calls);
-        Ok(former.unwrap_or(0) != calls)
+        Ok(previous.unwrap_or(0) != calls)
     }
 
     fn write_calls(&self, calls: u32) -> Result<(), HeldWorkError> {
@@ -79,7 +82,8 @@
         })
     }
 
-    /// Reads how many calls a process had at a database that did not respond, and removes the record; 0 without one that can be used.
+    /// Reads and removes the record of how many calls a process had at an unresponsive database.
+    /// Returns 0 if there is no usable record.
     pub fn take_calls(&self) -> u32 {
         let calls = self.calls.read().map_or(0, |work| work.calls);
         let _ = self.calls.remove();
@@ -87,8 +91,8 @@
     }
 }
 
-fn file_with_extension(instance_file: &Path, extension: &str) -> HeldWorkFile {
+fn file_with_suffix(instance_file: &Path, suffix: &str) -> HeldWorkFile {
     let mut path = instance_file.as_os_str().to_owned();
-    path.push(extension);
+    path.push(suffix);
     HeldWorkFile::new(PathBuf::from(path))
 }
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -42,12 +42,13 @@
         if config.name != self.name || config.listen != self.listen {
             warn!(
                 self.log,
-                "name and listening address change with a restart only"
+                "name and listening address not reloaded: changing them requires a restart"
             );
         }
         info!(self.log, "configuration read again"; "executor" => %config.executor,
             "database" => ?config.database, "endpoint_list" => %config.endpoint_list);
-        // The actors always read these mailboxes, so the sends end; if an actor is gone, the node is ending already.
+        // The actors always read these mailboxes, so the sends don't block for long. If an actor's
+        // thread has ended, the node is shutting down already.
         if self.executor != config.executor {
             self.executor = config.executor;
             let _ = self.executor_addresses.send(config.executor);
@@ -55,8 +56,8 @@
         self.database.set(config.database);
         if self.endpoint_list != config.endpoint_list {
             self.endpoint_list = config.endpoint_list;
-            let moved = endpoint_list::EndpointListMessage::AddressChanged(config.endpoint_list);
-            let _ = self.endpoint_list_reports.send(moved);
+            let message = endpoint_list::EndpointListMessage::AddressChanged(config.endpoint_list);
+            let _ = self.endpoint_list_reports.send(message);
         }
     }
 }
--- a/src/resource_divider.rs
+++ b/src/resource_divider.rs
@@ -8,32 +8,33 @@
 use protocol_gateway::node::{LeftWork, NodeStatus, PolicyMessage};
 use slog::Logger;
 
-/// Holds this process's resource shares and publishes how many they are.
+/// Holds this process's resource shares and publishes their number.
 pub(crate) struct ResourceDivider {
     pub(crate) locks: ResourceShareLocks,
     pub(crate) status: Arc<NodeStatus>,
     pub(crate) policy: Sender<PolicyMessage>,
-    /// Client connections that the whole node may have.
+    /// Maximum number of client connections of the whole node.
     pub(crate) max_connections: usize,
-    /// The shares that the actors were last told of.
+    /// Number of shares last sent to the policy; `None` before the first update.
     pub(crate) published: Option<u32>,
-    /// Whether another process of the node lived at the last update.
+    /// True if another process of the node was running at the last update.
     pub(crate) had_sibling: bool,
     pub(crate) log: Logger,
 }
 
 impl ResourceDivider {
-    /// Whether this process holds all shares, as there is no other.
+    /// Returns whether this process holds all shares.
     pub(crate) fn holds_all(&self) -> bool {
         self.locks.held() == TOTAL_SHARES
     }
 
-    /// Whether this process holds any share.
+    /// Returns whether this process holds any share.
     pub(crate) fn holds_any(&self) -> bool {
         self.locks.held() > 0
     }
 
-    /// Acquires or releases shares after a change of the other process, with this many client connections here.
+    /// Acquires or releases shares after a change of the other process. `connections` is the number
+    /// of this process's client connections.
     pub(crate) fn update(&mut self, instance_lock: &InstanceLock, connections: usize) {
         let scaled = connections * TOTAL_SHARES as usize;
         let shares_of_connections = scaled.div_ceil(self.max_connections.max(1)) as u32;
@@ -44,7 +45,7 @@
         let was_present = std::mem::replace(&mut self.had_sibling, has_sibling);
         let sibling_ended = was_present && !has_sibling;
         if has_sibling && !was_present {
-            // Before it gets a share, without which it accepts no clients.
+            // Sent before the other process gets a share, without which it accepts no clients.
             let _ = self.policy.send(PolicyMessage::SiblingSeen);
         }
         let before = self.locks.held();
@@ -55,16 +56,18 @@
         if sibling_ended {
             self.inherit_work(instance_lock, held.saturating_sub(before));
         }
-        // The actors take a process for the only one until they are told otherwise, also that it holds no share at all.
+        // The actors assume that this process is the only one until they receive a number of
+        // shares, so that 0 is published as well.
         if self.published.replace(held) == Some(held) {
             return;
         }
-        // The policy reads its mailbox at once; if it has ended, it ends the process.
+        // The policy reads its mailbox without delay. If its thread has ended, the process ends.
         let _ = self.policy.send(PolicyMessage::ResourceSharesChanged(held));
     }
 
-    /// Has the policy count the work of the other process, which has ended and freed this many shares. A process gives up the shares
-    /// that its work does not need, so that the work was within those.
+    /// Reports to the policy the work that the other process left running when it ended and freed
+    /// this many shares. A process releases the shares that its work does not need, so that the
+    /// freed shares bound that work.
     fn inherit_work(&self, instance_lock: &InstanceLock, freed_shares: u32) {
         let recorded = instance_lock.take_sibling_work(&self.log);
         let killed = LeftWork::Killed {
--- a/src/route.rs
+++ b/src/route.rs
@@ -1,4 +1,5 @@
-//! The command `route`: runs the router until a signal stops it and all accepted requests are answered.
+//! The command `route`: runs the router until a signal stops it and all accepted requests are
+//! answered.
 
 use std::io;
 use std::path::Path;
@@ -18,7 +19,7 @@
 pub(crate) fn run_router(file: &Path) -> Result<(), StartError> {
     let config = Config::read(file)?;
     let log = logger("router");
-    // Waiting for signals takes the same stack as in any node.
+    // The thread that waits for signals needs the same stack as in a node.
     let limits = Limits::new(config.max_clients);
     let signals = Signals::listen(limits.stack_bytes).map_err(StartError::system("signals"))?;
     let seed = UnixTime::now().0 as u64;
--- a/src/run_loop.rs
+++ b/src/run_loop.rs
@@ -1,4 +1,5 @@
-//! The main thread of a node: serves until the signal to shut down, then drains what is open and ends.
+//! The main thread of a node: serves until it receives the signal to shut down, then drains open
+//! work and exits.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -20,14 +21,16 @@
 use crate::signals::Signals;
 use crate::startup::StartError;
 
-/// The process ends a fourth of the stop margin before the platform kills it. The policy answers everything by the whole
-/// margin before that, so that three fourths are left to write the last answers.
+/// The process exits a quarter of the stop margin before the platform kills it. The policy has
+/// answered every request a whole stop margin before the kill, which leaves three quarters of the
+/// margin for writing the last answers.
 const EXIT_MARGIN_DIVISOR: u32 = 4;
 
-/// What a process leaves behind is recorded this many such fourths before the kill, so that a busy machine does not keep it from that.
+/// The work that the process leaves running is recorded this many quarters of the stop margin
+/// before the kill: early enough to be written even on a busy machine.
 const RECORD_MARGIN_FACTOR: u32 = 3;
 
-/// A node whose actors run.
+/// A node whose actors are running.
 pub(crate) struct Node {
     pub(crate) config: Config,
     pub(crate) limits: Limits,
@@ -39,7 +42,7 @@
     pub(crate) reloader: ConfigReloader,
     pub(crate) instance_lock: InstanceLock,
     pub(crate) divider: ResourceDivider,
-    /// Records of calls that could not be written.
+    /// Limits the rate of log records about calls that could not be recorded.
     pub(crate) unrecorded_calls: RateLimitedLog,
     pub(crate) member: FleetMembership,
     pub(crate) log: Logger,
@@ -47,22 +50,23 @@
 
 /// Why the node stopped serving.
 enum ServeEnd {
-    /// The signal to shut down has arrived.
+    /// The signal to shut down was received.
     ShutDown,
-    /// The policy's thread ended.
+    /// The policy's thread has ended.
     PolicyEnded,
 }
 
 /// A shutdown that has begun.
 struct Shutdown {
-    /// Another process of the node accepts clients.
+    /// True if another process of the node accepts clients.
     is_replaced: bool,
-    /// Time from the beginning until the platform kills the process.
+    /// Duration from the beginning of the shutdown until the platform kills the process.
     time_left: Duration,
 }
 
 impl Node {
-    /// Serves until the signal to shut down has arrived and everything is answered, or the time for that is over.
+    /// Serves until the signal to shut down is received and every request is answered, or the time
+    /// for answering has elapsed.
     pub(crate) fn run(mut self) -> Result<ExitCode, StartError> {
         self.inherit_earlier_work();
         let mut poll = self.next_poll();
@@ -72,8 +76,8 @@
         }
     }
 
-    /// Joins the fleet, unless another process of the node accepts clients: until this one takes over, the member of
-    /// this name is the other process.
+    /// Joins the fleet, unless another process of the node accepts clients: until this process
+    /// takes over, the other one is the member with the node's name.
     pub(crate) fn join_fleet_unless_replacing(&mut self) -> Result<(), StartError> {
         self.member.set_sibling_running(self.has_sibling());
         if self.instance_lock.sibling() != SiblingProcess::AcceptingClients {
@@ -88,13 +92,14 @@
             .map_err(StartError::system("fleet"))
     }
 
-    /// Whether another process of the node exists, or this one still waits for its instance lock.
+    /// Returns whether another process of the node exists or this one is still waiting for its
+    /// instance lock.
     fn has_sibling(&self) -> bool {
         !self.instance_lock.may_accept_clients()
             || self.instance_lock.sibling() != SiblingProcess::Absent
     }
 
-    /// Receives a message when the other process is to be checked again.
+    /// Returns a channel that receives a message when the other process is to be checked again.
     fn next_poll(&self) -> Receiver<Instant> {
         match self.config.admin {
             Some(_) if self.divider.holds_all() => {
@@ -136,8 +141,9 @@
         }
     }
 
-    /// Has the work counted that an earlier process in the place of this one left behind, and the calls that earlier processes were killed
-    /// with at a database that did not respond.
+    /// Reports to the policy the work that an earlier process with the same instance file left
+    /// running, and the calls that earlier processes had at an unresponsive database when they were
+    /// killed.
     fn inherit_earlier_work(&self) {
         if let Some(work) = self.instance_lock.take_earlier_work(&self.log) {
             let _ = self.policy.send(PolicyMessage::EarlierWorkFound(work));
@@ -148,22 +154,27 @@
         }
     }
 
-    /// Keeps the record of this process's calls at a database that does not respond. There are none as long as it responds.
-    fn record_stuck_calls(&mut self) {
+    /// Updates the record of this process's calls at an unresponsive database. The number is 0 as
+    /// long as the database responds.
+    fn record_calls_at_unresponsive_database(&mut self) {
         let calls = self.status.calls_at_unresponsive_database() as u32;
-        self.instance_lock
-            .record_stuck_calls(calls, &self.unrecorded_calls, &self.log);
+        self.instance_lock.record_calls_at_unresponsive_database(
+            calls,
+            &self.unrecorded_calls,
+            &self.log,
+        );
     }
 
-    /// Follows changes of the other process of the node.
+    /// Checks the other process of the node and adapts to its changes.
     fn check_sibling(&mut self) {
         if !self.instance_lock.may_accept_clients() {
             self.instance_lock
                 .try_acquire(self.status.process_state(), &self.log);
             self.inherit_earlier_work();
         }
-        self.record_stuck_calls();
-        // Of two processes the later one leaves the fleet's quotas to the earlier one.
+        self.record_calls_at_unresponsive_database();
+        // Only the later of two processes records that it has a sibling, which leaves the node's
+        // part of the fleet's quotas to the earlier one.
         if self.member.is_sibling_running() {
             self.member.set_sibling_running(self.has_sibling());
         }
@@ -177,7 +188,8 @@
 
     fn accept_clients(&mut self) -> Result<(), StartError> {
         self.client_socket.open(&self.actors.json_rpc)?;
-        // Published before the admin listener reports it: the platform ends the other process on that report.
+        // Published before the admin listener reports it: the platform ends the other process on
+        // that report.
         self.instance_lock.publish(ProcessState::Serving);
         let _ = self.status.apply_transition(Transition::AcceptClients);
         self.join_fleet()?;
@@ -185,16 +197,16 @@
         Ok(())
     }
 
-    /// Has the endpoint list's actor report the new state at once.
+    /// Makes the endpoint list's actor report the new state at once.
     fn report_state_change(&self) {
-        // A report that waits already will report the new state.
+        // If a message is already queued, it will report the new state.
         let _ = self
             .actors
             .endpoint_list_reports
             .try_send(endpoint_list::EndpointListMessage::StateChanged);
     }
 
-    /// Drains the node: what is open is answered, as far as time allows.
+    /// Drains the node: open requests are answered as far as the remaining time allows.
     fn shut_down(&mut self, poll: &mut Receiver<Instant>) -> ExitCode {
         let began_at = Instant::now();
         let Shutdown {
@@ -203,19 +215,21 @@
         } = self.begin_shutdown();
         let exit_margin = self.limits.stop_margin / EXIT_MARGIN_DIVISOR;
         let deadline = time_left.saturating_sub(exit_margin);
-        // By then the policy has answered everything, and starts nothing.
+        // By then the policy has answered every request and starts no more work.
         let recorded_by = time_left.saturating_sub(exit_margin * RECORD_MARGIN_FACTOR);
         let mut is_recorded = false;
         let mut is_closed = is_replaced;
         loop {
             let is_idle = self.is_idle();
-            // Clients that have not received the goodbye yet still send requests; early ones are served.
+            // Clients that have not received the close notice yet still send requests. Those that
+            // arrive within the drain grace are served.
             if !is_closed && is_idle && began_at.elapsed() > self.drain_grace() {
                 is_closed = true;
                 self.actors.json_rpc.stop_listening();
                 self.actors.json_rpc.say_goodbye();
             }
-            // The process that takes over counts the runs of this one as long as this one holds its share.
+            // The process that takes over accounts for the runs of this one as long as this one
+            // holds its resource shares.
             let has_runs = is_replaced && self.status.open_runs() > 0;
             let is_drained = is_closed && is_idle && !has_runs && self.has_no_clients();
             let is_ending = is_drained || began_at.elapsed() >= deadline;
@@ -232,7 +246,7 @@
             select! {
                 recv(after(self.limits.drain_poll_interval)) -> _ => {}
                 recv(poll) -> _ => {
-                    self.record_stuck_calls();
+                    self.record_calls_at_unresponsive_database();
                     self.update_shares();
                     *poll = self.next_poll();
                 }
@@ -242,8 +256,8 @@
         }
     }
 
-    /// Records what this process leaves behind, for another process of the node. One that is killed before the end leaves the record that
-    /// was written shortly before.
+    /// Records the work that this process leaves running, for another process of the node. If this
+    /// process is killed before it exits, the record that it wrote shortly before remains.
     fn record_held_work(&self) {
         let (sender, report) = bounded(1);
         let _ = self.policy.send(PolicyMessage::ReportHeldWork(sender));
@@ -264,7 +278,8 @@
                 "unanswered" => self.status.unanswered());
             (time_left, PolicyMessage::Replaced(time_left))
         } else {
-            // Where another process of the node takes over, the member stays in the fleet and nothing is advertised.
+            // Not advertised if another process of the node takes over, because the node then
+            // remains a member of the fleet.
             self.member.advertise_state(self.status.process_state());
             (self.config.shutdown_timeout, PolicyMessage::ShutDown)
         };
@@ -282,20 +297,21 @@
         }
     }
 
-    /// How long after the notice to shut down requests are still accepted.
+    /// Returns how long requests are still accepted after the notice to shut down.
     fn drain_grace(&self) -> Duration {
         let grace = self.config.site.settings.drain_grace;
         Duration::from_micros(grace.0.unsigned_abs())
     }
 
-    /// Whether every request is answered and every answer is written.
+    /// Returns whether every request is answered and every answer is written.
     fn is_idle(&self) -> bool {
         self.actors.json_rpc.unfinished_count() == 0
             && self.status.unanswered() == 0
             && self.actors.amqp.has_shut_down()
     }
 
-    /// Whether no client is connected or waits to be accepted by the listener, which closes with a delay.
+    /// Returns whether no client is connected or waiting to be accepted. The listener closes with a
+    /// delay, so it is checked as well.
     fn has_no_clients(&self) -> bool {
         !self.actors.json_rpc.is_listening() && self.actors.json_rpc.connection_count() == 0
     }
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -6,7 +6,8 @@
 use protocol_gateway::net::spawn;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-/// Receivers of the signals. Each signal is a state, not a count: one that waits stands for any that follow.
+/// Receivers of the signals. Signals are not counted: a pending message stands for all signals that
+/// follow it.
 pub(crate) struct Signals {
     /// SIGTERM and SIGINT: shut down.
     pub(crate) shut_down: Receiver<()>,
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a node: reads its files, opens its sockets, starts its actors.
+//! The start of a node: reads its files, opens its sockets and starts its actors.
 
 use std::io;
 use std::net::TcpListener;
@@ -37,20 +37,20 @@
     Router(#[from] router::ConfigError),
     #[error("{operation}: {source}")]
     System {
-        /// What the operating system refused.
+        /// The operation that the operating system refused.
         operation: &'static str,
         source: io::Error,
     },
 }
 
 impl StartError {
-    /// Makes the error of this operation from the system's error.
+    /// Returns a function that converts the system's error to the error of this operation.
     pub(crate) fn system(operation: &'static str) -> impl FnOnce(io::Error) -> StartError {
         move |source| StartError::System { operation, source }
     }
 }
 
-/// The log of the node of this name, on standard error.
+/// Creates the logger of the node with this name, which writes to standard error.
 pub(crate) fn logger(name: &str) -> Logger {
     let decorator = slog_term::PlainSyncDecorator::new(io::stderr());
     let drain = slog_term::FullFormat::new(decorator)
@@ -60,7 +60,7 @@
     Logger::root(drain, o!("node" => name.to_string()))
 }
 
-/// The contents of the node's files, checked.
+/// The validated contents of the node's files.
 struct NodeFiles {
     config: Config,
     fleet: Option<fleet::Config>,
@@ -85,7 +85,7 @@
             .as_deref()
             .map(|file| CellGuard::read(file, &config.name))
             .transpose()?;
-        // Connections to brokers take descriptors from those of clients.
+        // Connections to brokers, at most one per queue, use descriptors of client connections.
         limits.front.max_connections = limits.front.max_connections.saturating_sub(queues.len());
         Ok(NodeFiles {
             config,
@@ -97,7 +97,7 @@
     }
 }
 
-/// Starts a node, which serves once its executor is connected.
+/// Starts a node, which accepts clients once its executor is connected.
 pub(crate) fn start_node(cli: &Cli) -> Result<Node, StartError> {
     let NodeFiles {
         config,
@@ -125,7 +125,8 @@
         admin_listener,
     )?;
     let mut client_socket = ClientSocket::new(bound_socket, limits.listener.backlog, &log);
-    // Where another process may serve at this address, clients must not connect before they can be served.
+    // With an admin listener, another process may serve at this address: clients must not connect
+    // before this one can serve them.
     if config.admin.is_none() {
         client_socket.open(&actors.json_rpc)?;
     }
@@ -154,7 +155,8 @@
     Ok(node)
 }
 
-/// Prepares this node's membership of the fleet that `fleet` describes, if there is one. It does not join yet.
+/// Prepares this node's membership of the fleet that `fleet` describes, if there is one. It does
+/// not join yet.
 fn fleet_membership(
     context: &ActorContext<'_>,
     actors: &Actors,
@@ -165,8 +167,8 @@
         config: fleet,
         config_file: cli.fleet.clone(),
         node_name: context.config.name.clone(),
-        stack_size: context.limits.stack_bytes,
-        ledger_guard: actors.fleet.call_guard.clone(),
+        stack_bytes: context.limits.stack_bytes,
+        call_budget: actors.fleet.call_budget.clone(),
         shared_counters: actors.fleet.counters.clone(),
     };
     FleetMembership::new(options, context.log)
@@ -191,8 +193,8 @@
     }
 }
 
-/// Acquires the instance lock and this process's resource shares. Another process of the node can exist only where there
-/// is an admin listener.
+/// Acquires the instance lock and this process's resource shares. Another process of the node can
+/// exist only where there is an admin listener.
 fn divide_resources(
     context: &ActorContext<'_>,
     actors: &Actors,
