--- a/src/amqp/broker/connection.rs
+++ b/src/amqp/broker/connection.rs
@@ -25,11 +25,13 @@
 pub(super) struct Connection {
     stream: Arc<TcpStream>,
     pub(super) frames: Receiver<AMQPFrame>,
-    /// The interval at which heartbeats are sent, half the agreed one; `None` if there are no heartbeats.
+    /// The interval at which heartbeats are sent, half the agreed one; `None` if there are no
+    /// heartbeats.
     pub(super) heartbeat_interval: Option<Duration>,
-    /// The most bytes of a frame.
+    /// Maximum size of a frame in bytes.
     pub(super) max_frame_bytes: usize,
-    /// Set when an answer found the mailbox full: the connection is dropped, which gives everything back to the broker.
+    /// Set if the mailbox was full when an answer was sent. The connection is then dropped, so that
+    /// the broker delivers everything unsettled again.
     pub(super) has_lost_answers: Arc<AtomicBool>,
 }
 
@@ -54,7 +56,7 @@
         let stream = Arc::new(stream);
         let (sender, frames) = bounded(limits.amqp.frame_queue);
         let (read_stream, read_limits, log) = (stream.clone(), limits.clone(), log.clone());
-        // The codec is recursive in nested tables; the length of a frame bounds their depth.
+        // The codec recurses into nested tables. The length of a frame bounds their depth.
         spawn("amqp-read", limits.amqp.stack_bytes, move || {
             read_frames(&read_stream, &read_limits, &sender, &log);
         })?;
@@ -106,7 +108,7 @@
     }
 }
 
-/// Reads frames until the stream ends or nobody receives them.
+/// Reads frames until the stream ends or the receiver is dropped.
 fn read_frames(stream: &TcpStream, limits: &Limits, frames: &Sender<AMQPFrame>, log: &Logger) {
     let mut reader = io::BufReader::with_capacity(limits.read_bytes, stream);
     loop {
--- a/src/amqp/broker/handshake.rs
+++ b/src/amqp/broker/handshake.rs
@@ -1,4 +1,4 @@
-//! Agreeing on a connection with a broker.
+//! The handshake with a broker: authentication, limits and virtual host.
 
 use std::time::{Duration, Instant};
 
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-/// The smaller of two limits; zero of the broker's means none.
+/// Returns the smaller of two limits. An offered limit of 0 means unlimited.
 fn smaller_limit(offered: u32, own: u32) -> u32 {
     if offered == 0 {
         own
--- a/src/amqp/broker/mod.rs
+++ b/src/amqp/broker/mod.rs
@@ -1,5 +1,6 @@
-//! A broker's actor: it connects, agrees on the connection, and drives the consumers on it. After a lost connection it
-//! reconnects with jittered backoff; what was delivered on the old connection belongs to the broker again.
+//! A broker's actor: it connects, performs the handshake and drives the consumers on the
+//! connection. After a lost connection it reconnects with jittered backoff; the broker then
+//! delivers the unsettled messages again.
 
 mod connection;
 mod error;
@@ -49,11 +50,12 @@
     shared: Arc<SharedState>,
     mailbox: BrokerMailbox,
     log: Logger,
-    /// The state of the random generator.
-    random: u64,
-    /// Counts connections, so that an answer to a delivery of an earlier one is not taken for a later one's.
+    /// State of the random generator.
+    random_state: u64,
+    /// Number of the current connection, by which answers to deliveries of earlier ones are
+    /// recognized.
     generation: u64,
-    /// Deliveries that are not settled, as counted in the shared state.
+    /// Number of unsettled deliveries, as counted in the shared state.
     unsettled: usize,
 }
 
@@ -65,14 +67,14 @@
         mailbox: BrokerMailbox,
         log: Logger,
     ) -> BrokerActor {
-        let random = shared.seed ^ (number + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        let random_state = shared.seed ^ (number + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
         BrokerActor {
             number,
             queues,
             shared,
             mailbox,
             log,
-            random,
+            random_state,
             generation: 0,
             unsettled: 0,
         }
@@ -83,7 +85,7 @@
         let limits = self.shared.limits.clone();
         let mut backoff = Backoff::new(limits.reconnect_backoff, limits.amqp.backoff_max);
         while !self.is_shutting_down() {
-            // Nothing is consumed before the node can serve it.
+            // Nothing is consumed before the node can serve requests.
             if !self.shared.node_status.process_state().may_consume() {
                 self.pause(limits.reconnect_backoff);
                 continue;
@@ -94,7 +96,8 @@
                 Ok(()) => break,
                 Err(error) => {
                     warn!(self.log, "broker connection ended"; "error" => %error, "unsettled" => self.unsettled);
-                    // A broker that accepts connections and drops them at once is not asked again at once.
+                    // The backoff continues for a broker that accepts connections and drops them at
+                    // once.
                     if connected_at.elapsed() > limits.amqp.backoff_max {
                         backoff.reset();
                     }
@@ -108,7 +111,8 @@
         self.shared.open_brokers.fetch_sub(1, SeqCst);
     }
 
-    /// Connects and serves the connection; returns `Ok` once everything is settled and closed for the shutdown.
+    /// Connects and serves the connection. Returns `Ok` once every delivery is settled and the
+    /// connection is closed for the shutdown.
     fn run_connection(&mut self) -> Result<(), BrokerError> {
         let connection = self.connect()?;
         info!(self.log, "broker connected"; "queues" => self.queues.len());
@@ -119,7 +123,8 @@
         self.shared.is_shutting_down.load(SeqCst)
     }
 
-    /// Waits between connections. Answers that are received meanwhile belong to a connection that has ended.
+    /// Waits between connections. Answers received meanwhile belong to a connection that has ended,
+    /// and are dropped.
     fn pause(&self, duration: Duration) {
         let timeout = after(duration);
         while !self.is_shutting_down() {
@@ -130,21 +135,22 @@
         }
     }
 
-    /// A random fraction from 0.5 to 1, so that the consumers of a broker that restarts don't all reconnect at once.
+    /// Returns a random factor from 0.5 to 1, so that the consumers of a broker that restarts
+    /// don't all reconnect at once.
     fn next_jitter(&mut self) -> f64 {
         0.5 + (self.next_random() >> 11) as f64 / (1u64 << 54) as f64
     }
 
-    /// The next random number, by `SplitMix64`.
+    /// Returns the next random number of a `SplitMix64` generator.
     fn next_random(&mut self) -> u64 {
-        self.random = self.random.wrapping_add(0x9E37_79B9_7F4A_7C15);
-        let mut z = self.random;
+        self.random_state = self.random_state.wrapping_add(0x9E37_79B9_7F4A_7C15);
+        let mut z = self.random_state;
         z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
         z ^ (z >> 31)
     }
 
-    /// Sets the number of this broker's unsettled deliveries in the shared count.
+    /// Updates the shared count of unsettled deliveries with this broker's number.
     fn set_unsettled(&mut self, unsettled: usize) {
         self.shared.unsettled.fetch_add(unsettled, SeqCst);
         self.shared.unsettled.fetch_sub(self.unsettled, SeqCst);
--- a/src/amqp/broker/session.rs
+++ b/src/amqp/broker/session.rs
@@ -1,4 +1,5 @@
-//! Serving a connection: frames and answers go to the consumers, and what these want is done.
+//! Serves a connection: passes frames and answers to the consumers, and performs the effects that
+//! they return.
 
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
@@ -17,16 +18,18 @@
 use crate::node::{steady_now, Arrival, CellKey, Payload, PolicyMessage, RequestUid, Responder};
 use crate::CallerId;
 
-/// The ids of clients by JSON-RPC are small numbers; those of queues start here.
+/// The first caller id of queues. The caller ids of JSON-RPC clients are small numbers.
 const FIRST_CALLER_ID: u64 = 1 << 32;
 
-/// Bits of a caller's id for the number of the queue; the broker's number is above them.
+/// Number of low bits of a caller id for the queue's index. The broker's number is in the bits
+/// above.
 const QUEUE_BITS: u32 = 16;
 
-/// The heartbeat interval of a connection without heartbeats.
+/// The heartbeat interval if none was agreed with the broker.
 const NO_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(3600);
 
-/// A connection is dead when nothing was received in this many of the intervals at which heartbeats are sent.
+/// A connection is considered lost if nothing was received in this many of the intervals at which
+/// heartbeats are sent.
 const MAX_SILENT_INTERVALS: u32 = 4;
 
 /// The reply code of a regular close.
@@ -52,7 +55,7 @@
             .all(|consumer| consumer.channel_state() == ChannelState::Closed)
     }
 
-    /// The consumer of a channel and its index; channels are numbered from 1.
+    /// Returns the consumer of a channel and its index. Channels are numbered from 1.
     fn consumer_of_channel(&mut self, channel: u16) -> Option<(usize, &mut Consumer)> {
         let index = usize::from(channel).wrapping_sub(1);
         self.consumers
@@ -71,7 +74,7 @@
         loop {
             let heartbeat_due = at(session.last_sent_at + interval);
             let silence_limit = at(session.last_received_at + interval * MAX_SILENT_INTERVALS);
-            // Answers are sent before more is received.
+            // Answers have priority over received frames.
             select_biased! {
                 recv(self.mailbox.receiver) -> message => {
                     if let Ok(BrokerMessage::Answer(answer)) = message {
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Settles a delivery, unless it was made on an earlier connection.
+    /// Settles a delivery, unless it was received on an earlier connection.
     fn handle_answer(
         &mut self,
         connection: &Connection,
@@ -148,7 +151,7 @@
         };
         consumer.answer(answer.tag, &answer.answer, &mut effects);
         session.effects = effects;
-        self.perform_and_note_send(connection, session, index)
+        self.perform_and_record_send(connection, session, index)
     }
 
     fn handle_frame(
@@ -169,7 +172,7 @@
                 };
                 consumer.handle_frame(frame, &mut effects);
                 session.effects = effects;
-                self.perform_and_note_send(connection, session, index)
+                self.perform_and_record_send(connection, session, index)
             }
         }
     }
@@ -193,8 +196,8 @@
         }
     }
 
-    /// Performs the effects of a consumer, and notes the time if anything was sent.
-    fn perform_and_note_send(
+    /// Performs the effects of a consumer, and records the time if anything was sent.
+    fn perform_and_record_send(
         &mut self,
         connection: &Connection,
         session: &mut Session,
@@ -206,7 +209,7 @@
         Ok(())
     }
 
-    /// Performs the effects of the consumer of this queue; true if anything was sent.
+    /// Performs the effects of the consumer of this queue. Returns whether anything was sent.
     fn perform(
         &mut self,
         connection: &Connection,
@@ -237,7 +240,7 @@
         }
     }
 
-    /// Hands a delivery to the policy. Its arrival is the time at which it was read.
+    /// Sends a delivery to the policy. Its arrival time is the time at which it was read.
     fn deliver(
         &mut self,
         connection: &Connection,
@@ -265,7 +268,7 @@
             payload: Payload::from_bytes(&delivery.body),
             idempotency_key: delivery.message_id.map(String::into_boxed_str),
             may_have_run: delivery.is_redelivered,
-            is_handed_back: delivery.is_late,
+            is_handed_back: delivery.received_in_shutdown,
             responder,
         };
         self.shared
@@ -274,7 +277,8 @@
             .map_err(|_| BrokerError::PolicyEnded)
     }
 
-    /// A responder that sends the answer to this actor. The policy never waits for a broker.
+    /// Returns a responder that sends the answer to this actor without blocking, so that the policy
+    /// never waits for a broker.
     fn responder(&self, connection: &Connection, queue_index: usize, tag: u64) -> Responder {
         let generation = self.generation;
         let mailbox = self.mailbox.sender.clone();
@@ -292,7 +296,7 @@
         })
     }
 
-    /// Has every consumer stop consuming.
+    /// Makes every consumer stop consuming.
     fn begin_shutdown(
         &mut self,
         connection: &Connection,
@@ -322,7 +326,7 @@
     }
 }
 
-/// The number of the channel for a queue; 0 is the connection itself.
+/// Returns the number of the channel for a queue. Channel 0 is the connection itself.
 fn channel_number(queue_index: usize) -> u16 {
     queue_index as u16 + 1
 }
--- a/src/amqp/consumer/channel.rs
+++ b/src/amqp/consumer/channel.rs
@@ -1,4 +1,4 @@
-//! The life of a consumer's channel: opening, subscribing, cancelling and closing it.
+//! The lifecycle of a consumer's channel: opening, subscribing, cancelling and closing it.
 
 use amq_protocol::protocol::basic::{self, AMQPMethod as Basic};
 use amq_protocol::protocol::channel::{self, AMQPMethod as Channel};
@@ -49,7 +49,7 @@
         self.send(AMQPClass::Confirm(Confirm::Select(select)), effects);
     }
 
-    pub(super) fn limit_deliveries(&mut self, effects: &mut Vec<ConsumerEffect>) {
+    pub(super) fn set_prefetch(&mut self, effects: &mut Vec<ConsumerEffect>) {
         self.state = ChannelState::Limiting;
         let qos = basic::Qos {
             prefetch_count: self.settings.prefetch,
--- a/src/amqp/consumer/incoming.rs
+++ b/src/amqp/consumer/incoming.rs
@@ -1,4 +1,4 @@
-//! Messages that are received frame by frame: a method, a header, and bodies.
+//! Assembles messages from their frames: a method, a content header and content bodies.
 
 use amq_protocol::frame::AMQPContentHeader;
 use amq_protocol::protocol::basic::{self, AMQPMethod as Basic, AMQPProperties};
@@ -12,17 +12,17 @@
 pub(super) struct IncomingMessage {
     kind: IncomingKind,
     properties: AMQPProperties,
-    /// Bytes of the body that are not received yet; `None` before the header.
+    /// Number of body bytes not received yet; `None` before the header is received.
     remaining: Option<u64>,
     body: Vec<u8>,
-    /// Whether the message is too long to keep its body.
+    /// True if the message exceeds the size limit, so that its body is not kept.
     is_too_long: bool,
 }
 
 enum IncomingKind {
     /// A delivery from the queue.
     Delivery(basic::Deliver),
-    /// A publish of this consumer that the broker could not route.
+    /// A message published by this consumer that the broker could not route.
     Returned,
 }
 
@@ -90,11 +90,11 @@
                 let (tag, is_redelivered) = (deliver.delivery_tag, deliver.redelivered);
                 self.receive_delivery(tag, is_redelivered, message, effects);
             }
-            IncomingKind::Returned => self.note_returned(&message.properties),
+            IncomingKind::Returned => self.record_returned(&message.properties),
         }
     }
 
-    fn note_returned(&mut self, properties: &AMQPProperties) {
+    fn record_returned(&mut self, properties: &AMQPProperties) {
         if let Some(AMQPValue::LongLongInt(number)) = header(properties, COPY_NUMBER_HEADER) {
             self.returned.push(number.unsigned_abs());
         }
@@ -127,7 +127,7 @@
             tag,
             is_redelivered,
             message_id,
-            is_late: self.is_shutting_down,
+            received_in_shutdown: self.is_shutting_down,
             body: message.body,
         }));
     }
@@ -147,7 +147,7 @@
     }
 }
 
-/// The message's id, if there is one that is not empty.
+/// Returns the message's id, unless it is missing or empty.
 fn message_id(properties: &AMQPProperties) -> Option<String> {
     let id = properties.message_id().as_ref()?;
     Some(id.to_string()).filter(|id| !id.is_empty())
--- a/src/amqp/consumer/mod.rs
+++ b/src/amqp/consumer/mod.rs
@@ -1,6 +1,7 @@
-//! A consumer on a channel of its own, without a socket: it processes frames and answers, and returns the frames to send
-//! and the deliveries for the policy. It settles every delivery exactly once: a delivery is in the table of unsettled ones
-//! until its settlement is sent.
+//! The state machine of a consumer on its own channel. It does no I/O: it processes frames and
+//! answers, and returns the frames to send and the deliveries for the policy. Every delivery is
+//! settled exactly once: it stays in the table of unsettled deliveries until its settlement is
+//! sent.
 
 mod channel;
 mod incoming;
@@ -33,7 +34,7 @@
     Subscribing,
     /// Deliveries are received.
     Consuming,
-    /// `basic.cancel` was sent; deliveries on their way are still received.
+    /// `basic.cancel` was sent; deliveries in transit are still received.
     Cancelling,
     /// No more deliveries are received; some are not settled yet.
     Cancelled,
@@ -46,31 +47,31 @@
 /// The settings of a consumer.
 #[derive(Clone, Debug)]
 pub struct ConsumerSettings {
-    /// The number of its channel.
+    /// The number of the consumer's channel.
     pub channel: u16,
-    /// The name of its queue.
+    /// The name of the consumer's queue.
     pub queue: ShortString,
-    /// The most deliveries that may be unsettled at once.
+    /// Maximum number of unsettled deliveries.
     pub prefetch: u16,
-    /// Whether a message of this queue may run more than once.
+    /// True if a message of this queue may run more than once.
     pub is_idempotent: bool,
-    /// The most bytes of a message that is not rejected.
+    /// Maximum size of a message in bytes; longer messages are rejected.
     pub max_message_bytes: usize,
-    /// The most bytes of a frame, as agreed with the broker.
+    /// Maximum size of a frame in bytes, as agreed with the broker.
     pub max_frame_bytes: usize,
 }
 
 /// A delivery for the policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Delivery {
-    /// The tag by which it is settled.
+    /// The delivery tag, by which the delivery is settled.
     pub tag: u64,
-    /// Whether the broker has delivered it before.
+    /// True if the broker has delivered the message before.
     pub is_redelivered: bool,
     /// The message's id, which serves as idempotency key.
     pub message_id: Option<String>,
-    /// Whether it came after the cancel: it is handed back without a run.
-    pub is_late: bool,
+    /// True if the delivery was received in a shutdown, so that it is handed back without a run.
+    pub received_in_shutdown: bool,
     /// The message's body.
     pub body: Vec<u8>,
 }
@@ -78,18 +79,18 @@
 /// Why a message cannot be a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvalidMessage {
-    /// It is longer than a request may be.
+    /// The message is longer than a request may be.
     #[error("message too long")]
     TooLong,
-    /// It has no id, which a message that must not run twice needs.
-    #[error("no message_id on what must not run twice")]
+    /// The message has no id, which is required if it must not run twice.
+    #[error("no message_id on a message that must not run twice")]
     NoMessageId,
 }
 
 /// Why a channel failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChannelError {
-    /// The broker closed it.
+    /// The broker closed the channel.
     #[error("channel closed: {code} {text}")]
     ClosedByBroker {
         /// The broker's reply code.
@@ -97,30 +98,30 @@
         /// The broker's reply text.
         text: String,
     },
-    /// The broker ended the consumer, as when the queue is deleted.
+    /// The broker cancelled the consumer, for example because the queue was deleted.
     #[error("consumer cancelled by the broker")]
     CancelledByBroker,
-    /// The broker sent what is not allowed in this state.
+    /// The broker sent a method or frame that is not allowed in this state.
     #[error("unexpected {0}")]
     Unexpected(String),
-    /// A content header without its method.
-    #[error("a header out of place")]
+    /// A content header was received without its method.
+    #[error("content header without a method")]
     MisplacedHeader,
-    /// A content body without its header, or longer than it.
-    #[error("a body out of place")]
+    /// A content body was received without its header, or is longer than the header states.
+    #[error("content body without a header, or too long")]
     MisplacedBody,
 }
 
-/// What the owner of a consumer is to do.
+/// An effect that the owner of a consumer performs.
 #[derive(Debug, PartialEq)]
 pub enum ConsumerEffect {
-    /// Send this frame.
+    /// Send this frame to the broker.
     Send(Box<AMQPFrame>),
     /// Hand this delivery to the policy, which answers it exactly once.
     Deliver(Delivery),
     /// Log that a message was rejected for this reason.
     MessageRejected(InvalidMessage),
-    /// End the connection: the channel failed, and nothing on it can be settled any more.
+    /// Close the connection: the channel failed, and deliveries on it can't be settled any more.
     ChannelFailed(ChannelError),
 }
 
@@ -130,19 +131,19 @@
     state: ChannelState,
     /// The message whose frames are being received.
     incoming: Option<IncomingMessage>,
-    /// By delivery tag.
+    /// The unsettled deliveries by delivery tag.
     unsettled: HashMap<u64, UnsettledDelivery>,
-    /// Messages published on this channel, which number them.
+    /// Number of messages published on this channel, which is the publish number of the last one.
     published: u64,
-    /// What follows the broker's confirmation of a publish, by its number.
+    /// Actions that follow the broker's confirmations, by publish number.
     awaiting_confirm: BTreeMap<u64, ConfirmAction>,
-    /// Numbers of publishes that the broker returned as unroutable.
+    /// Publish numbers of messages that the broker returned as unroutable.
     returned: Vec<u64>,
     is_shutting_down: bool,
 }
 
 impl Consumer {
-    /// A consumer whose channel is being opened.
+    /// Creates a consumer, which begins to open its channel.
     pub fn new(settings: ConsumerSettings, effects: &mut Vec<ConsumerEffect>) -> Consumer {
         let consumer = Consumer {
             settings,
@@ -158,12 +159,12 @@
         consumer
     }
 
-    /// The state of the channel.
+    /// Returns the state of the channel.
     pub fn channel_state(&self) -> ChannelState {
         self.state
     }
 
-    /// The number of deliveries that are not settled.
+    /// Returns the number of unsettled deliveries.
     pub fn unsettled_count(&self) -> usize {
         self.unsettled.len()
     }
@@ -177,7 +178,7 @@
             AMQPFrame::Method(_, AMQPClass::Confirm(Confirm::SelectOk(_)))
                 if self.state == ChannelState::Confirming =>
             {
-                self.limit_deliveries(effects);
+                self.set_prefetch(effects);
             }
             AMQPFrame::Method(_, AMQPClass::Basic(method)) => {
                 self.handle_basic_method(method, effects);
@@ -218,7 +219,8 @@
         }
     }
 
-    /// Stops consuming. Unsettled deliveries are answered or handed back, and then the channel closes.
+    /// Stops consuming. The channel is closed once all unsettled deliveries are answered or handed
+    /// back.
     pub fn begin_shutdown(&mut self, effects: &mut Vec<ConsumerEffect>) {
         let was_shutting_down = std::mem::replace(&mut self.is_shutting_down, true);
         if !was_shutting_down && self.state == ChannelState::Consuming {
@@ -235,7 +237,7 @@
         self.send(AMQPClass::Basic(method), effects);
     }
 
-    /// Ends the channel. Nothing can be settled on it any more; the broker delivers everything again.
+    /// Fails the channel. Its deliveries can't be settled any more; the broker delivers them again.
     fn fail(&mut self, error: ChannelError, effects: &mut Vec<ConsumerEffect>) {
         if self.state == ChannelState::Closed {
             return;
@@ -255,7 +257,7 @@
     }
 }
 
-/// A short string of the protocol; empty if the text is too long for one.
+/// Converts a text to a short string of the protocol, an empty one if the text is too long.
 fn short_string(text: &str) -> ShortString {
     ShortString::try_new(text).unwrap_or_default()
 }
--- a/src/amqp/consumer/reply.rs
+++ b/src/amqp/consumer/reply.rs
@@ -1,4 +1,5 @@
-//! The properties of published messages: replies to answered deliveries, and copies of deliveries that are handed back.
+//! The properties of published messages: replies to answered deliveries, and copies of deliveries
+//! that are handed back.
 
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::{AMQPValue, FieldTable};
@@ -6,22 +7,24 @@
 use super::short_string;
 use crate::node::{Answer, Failure, Outcome};
 
-/// On a copy that was handed back without a run: how often that has happened to the message.
+/// On the copy of a message that is handed back: how often the message was handed back without a
+/// run.
 pub(super) const HANDED_BACK_HEADER: &str = "x-mothwinch-handed-back";
-/// The number of the publish of a copy, by which one that the broker returns as unroutable is recognised.
+/// On the copy of a message that is handed back: its publish number, which identifies a copy that
+/// the broker returns as unroutable.
 pub(super) const COPY_NUMBER_HEADER: &str = "x-mothwinch-copy";
 /// How the request ended: `served`, `refused` or `failed`.
 const STATUS_HEADER: &str = "x-mothwinch-status";
-/// Why it failed.
+/// Why the request failed.
 const REASON_HEADER: &str = "x-mothwinch-reason";
 /// Milliseconds to wait before the next attempt.
 const RETRY_AFTER_HEADER: &str = "x-mothwinch-retry-after-ms";
-/// Whether another attempt runs no risk of a second effect.
+/// True if another attempt can't take effect twice.
 const MAY_RETRY_HEADER: &str = "x-mothwinch-may-retry";
 /// The node's capacity hint.
 const CAPACITY_HINT_HEADER: &str = "x-mothwinch-hint";
 
-/// How a request ended, as the status header says it.
+/// The outcome of a request, as the status header reports it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReplyStatus {
     Served,
@@ -49,7 +52,8 @@
 }
 
 impl Reply {
-    /// The reply for this outcome. A result that cannot be decoded becomes an internal failure.
+    /// Creates the reply for this outcome. A result that can't be decoded becomes an internal
+    /// failure.
     pub(super) fn new(outcome: &Outcome) -> Reply {
         match outcome {
             Outcome::Served(payload) => payload.to_bytes().map_or_else(
@@ -87,12 +91,12 @@
         }
     }
 
-    /// Whether the request may have run, so that nobody may run the delivery again.
+    /// Returns whether the request may have run, so that the delivery must not run again.
     pub(super) fn may_have_run(&self) -> bool {
         self.failure == Some(Failure::MayHaveRun)
     }
 
-    /// The properties of the reply to a delivery with these properties.
+    /// Returns the properties of the reply to a delivery with the properties `delivery`.
     pub(super) fn properties(
         &self,
         answer: &Answer,
@@ -138,8 +142,9 @@
     }
 }
 
-/// The properties of a copy for the same queue, with these headers added. What a broker would act on once more is left
-/// out: another user's name closes the channel, and `CC` and `BCC` would route the message to other queues.
+/// Returns the properties of a copy for the same queue, with these headers added. Properties that
+/// the broker would act on again are left out: the name of another user would close the channel,
+/// and `CC` and `BCC` would route the message to other queues.
 pub(super) fn copy_properties(
     original: &AMQPProperties,
     added_headers: [(&str, i64); 2],
@@ -169,7 +174,7 @@
     copy
 }
 
-/// The value of a header.
+/// Returns the value of a header.
 pub(super) fn header<'a>(properties: &'a AMQPProperties, name: &str) -> Option<&'a AMQPValue> {
     properties
         .headers()
--- a/src/amqp/consumer/settlement.rs
+++ b/src/amqp/consumer/settlement.rs
@@ -1,4 +1,5 @@
-//! Settling deliveries: replies and copies are published, and what they are for is settled once the broker confirms.
+//! Settles deliveries: publishes replies and copies, and settles a delivery once the broker has
+//! confirmed the publish.
 
 use amq_protocol::frame::{AMQPContentHeader, AMQPFrame};
 use amq_protocol::protocol::basic::{self, AMQPMethod as Basic, AMQPProperties};
@@ -10,18 +11,18 @@
 use super::{Consumer, ConsumerEffect};
 use crate::node::{Answer, Outcome};
 
-/// The class of methods that carry content.
+/// The id of the class `basic`, whose methods carry content.
 const BASIC_CLASS: u16 = 60;
 
-/// Bytes of a frame around its payload.
+/// Number of bytes of a frame around its payload.
 const FRAME_OVERHEAD_BYTES: usize = 8;
 
 /// A delivery that is not settled.
 pub(super) struct UnsettledDelivery {
     properties: AMQPProperties,
-    /// The body for a copy, where the message must not run twice; else empty.
+    /// The body for a copy if the message must not run twice, otherwise empty.
     body: Vec<u8>,
-    /// Whether its settlement waits for the confirmation of a publish.
+    /// True if the settlement is waiting for the confirmation of a publish.
     is_settling: bool,
 }
 
@@ -34,28 +35,29 @@
         }
     }
 
-    /// The queue for the reply, if there is one.
+    /// Returns the queue for the reply, if there is one.
     fn reply_to(&self) -> Option<ShortString> {
         let reply_to = self.properties.reply_to().clone();
         reply_to.filter(|queue| !queue.as_str().is_empty())
     }
 }
 
-/// What to do with a delivery, by its tag, once a publish is confirmed.
+/// The action on the delivery with this tag once a publish is confirmed.
 #[derive(Clone, Copy)]
 pub(super) enum ConfirmAction {
-    /// It was answered: acknowledge it.
+    /// Acknowledge the delivery, which was answered.
     Ack(u64),
-    /// It was answered, and nobody may run it again: dead-letter it.
+    /// Dead-letter the delivery, which was answered and must not run again.
     DeadLetter(u64),
-    /// A copy of it was published: acknowledge it, or requeue it if the copy was returned or not accepted.
+    /// Acknowledge the delivery, of which a copy was published. Requeue it if the copy was returned
+    /// or not accepted.
     HandBack(u64),
 }
 
 /// A message to publish.
 struct OutgoingMessage<'a> {
     routing_key: ShortString,
-    /// Whether the broker is to return it if no queue takes it.
+    /// True if the broker is to return the message if it can't route it to a queue.
     is_mandatory: bool,
     properties: AMQPProperties,
     body: &'a [u8],
@@ -72,12 +74,12 @@
             Outcome::Rejected { .. } | Outcome::WrongCell { .. }
         );
         if never_ran && self.is_shutting_down {
-            // Another consumer may run it.
+            // Another consumer can run it.
             return self.hand_back(tag, effects);
         }
         let reply = Reply::new(&answer.outcome);
         let Some(reply_to) = delivery.reply_to() else {
-            // A result without a reply queue is dropped; an error that nobody would receive is dead-lettered.
+            // Without a reply queue, a result is dropped and an error is dead-lettered.
             return match reply.status {
                 ReplyStatus::Served => self.ack(tag, effects),
                 ReplyStatus::Rejected | ReplyStatus::Failed => self.reject(tag, false, effects),
@@ -99,9 +101,9 @@
         self.publish(message, action, effects);
     }
 
-    /// Gives a delivery that never ran back to its queue. Requeued, one that must not run twice would be marked as
-    /// redelivered, and then nobody may run it. A copy carries no such mark; the original is settled only once the
-    /// broker has the copy.
+    /// Returns a delivery that never ran to its queue. A message that must not run twice is
+    /// published as a copy: if it were requeued, it would be marked as redelivered, and no consumer
+    /// could run it. The original is settled only once the broker has the copy.
     fn hand_back(&mut self, tag: u64, effects: &mut Vec<ConsumerEffect>) {
         if self.settings.is_idempotent {
             return self.reject(tag, true, effects);
@@ -110,12 +112,12 @@
             return;
         };
         delivery.is_settling = true;
-        let times = match header(&delivery.properties, HANDED_BACK_HEADER) {
-            Some(AMQPValue::LongLongInt(times)) => *times,
+        let hand_back_count = match header(&delivery.properties, HANDED_BACK_HEADER) {
+            Some(AMQPValue::LongLongInt(hand_back_count)) => *hand_back_count,
             _ => 0,
         };
         let added_headers = [
-            (HANDED_BACK_HEADER, times + 1),
+            (HANDED_BACK_HEADER, hand_back_count + 1),
             (COPY_NUMBER_HEADER, self.published as i64 + 1),
         ];
         let body = std::mem::take(&mut delivery.body);
@@ -161,8 +163,8 @@
         }
     }
 
-    /// Processes the broker's confirmation that it has accepted publishes, or that it could not. With `is_multiple` it
-    /// stands for all up to this number.
+    /// Processes the broker's confirmation that it has accepted a publish, or that it could not
+    /// accept it. With `is_multiple`, the confirmation applies to all publishes up to this number.
     pub(super) fn handle_confirm(
         &mut self,
         number: u64,
@@ -182,7 +184,8 @@
                 continue;
             };
             match action {
-                // The reply counts as given; if the broker lost it, running the request again would be worse.
+                // The reply counts as sent even if the broker did not accept it: running the
+                // request again would be worse than a lost reply.
                 ConfirmAction::Ack(tag) => self.ack(tag, effects),
                 ConfirmAction::DeadLetter(tag) => self.reject(tag, false, effects),
                 ConfirmAction::HandBack(tag) if is_accepted && !was_returned => {
@@ -193,7 +196,8 @@
         }
     }
 
-    /// Whether the broker returned this publish, which is forgotten.
+    /// Removes this publish from those that the broker returned. Returns whether it was one of
+    /// them.
     fn remove_returned(&mut self, number: u64) -> bool {
         let position = self.returned.iter().position(|n| *n == number);
         position
--- a/src/amqp/mod.rs
+++ b/src/amqp/mod.rs
@@ -1,6 +1,7 @@
-//! Requests from queues, by AMQP 0-9-1. An inventory names the queues; each broker has one connection with an actor, and
-//! each queue a channel with a consumer on it. Deliveries are processed as requests by JSON-RPC are: with the same
-//! decisions, deadlines, ledger quota and idempotency.
+//! Consumes requests from queues over AMQP 0-9-1. An inventory lists the queues. Each broker has
+//! one connection with an actor, and each queue has a channel with a consumer on it. Deliveries are
+//! processed like JSON-RPC requests, with the same decisions, deadlines, database quota and
+//! idempotency.
 
 mod broker;
 pub mod codec;
@@ -24,7 +25,7 @@
     InvalidMessage,
 };
 
-/// What the actors of all brokers share.
+/// State shared by the actors of all brokers.
 struct SharedState {
     site: Arc<Site>,
     limits: Limits,
@@ -32,9 +33,9 @@
     policy: Sender<PolicyMessage>,
     seed: u64,
     is_shutting_down: AtomicBool,
-    /// Brokers whose connection is not closed for the shutdown.
+    /// Number of broker actors that have not ended.
     open_brokers: AtomicUsize,
-    /// Deliveries that are not settled.
+    /// Number of unsettled deliveries of all brokers.
     unsettled: AtomicUsize,
 }
 
@@ -45,11 +46,11 @@
 }
 
 impl AmqpConsumers {
-    /// Starts an actor for each broker, virtual host and user that the inventory names. `seed` is that of the random
-    /// request ids and of the jitter.
+    /// Starts an actor for each combination of broker, virtual host and user in `queues`. `seed` is
+    /// the seed of the random request uids and of the jitter.
     ///
     /// # Errors
-    /// Where no thread can be started.
+    /// A thread can't be started.
     pub fn start(
         queues: Vec<BrokerQueue>,
         site: Arc<Site>,
@@ -72,7 +73,8 @@
         });
         let mut mailboxes = Vec::new();
         for (number, queues) in groups.into_iter().enumerate() {
-            // Capacity for the answer to every delivery that the prefetches allow, and for the notice of the shutdown.
+            // Capacity for the answers to all deliveries that the prefetches allow, and for the
+            // message that begins the shutdown.
             let prefetch: usize = queues.iter().map(|q| usize::from(q.prefetch)).sum();
             let (sender, receiver) = bounded(prefetch + 1);
             mailboxes.push(sender.clone());
@@ -89,17 +91,18 @@
     pub fn begin_shutdown(&self) {
         self.shared.is_shutting_down.store(true, SeqCst);
         for mailbox in &self.mailboxes {
-            // Where the mailbox is full the actor checks the flag with each message in it.
+            // If the mailbox is full, the actor checks the flag after each message in it.
             let _ = mailbox.try_send(BrokerMessage::ShutDown);
         }
     }
 
-    /// Whether every delivery is settled and every connection closed after [`AmqpConsumers::begin_shutdown`].
+    /// Returns whether every delivery is settled and every connection closed after
+    /// [`AmqpConsumers::begin_shutdown`].
     pub fn has_shut_down(&self) -> bool {
         self.shared.open_brokers.load(SeqCst) == 0
     }
 
-    /// The number of deliveries that are not settled with their broker.
+    /// Returns the number of deliveries that are not settled with their broker.
     pub fn unsettled_count(&self) -> usize {
         self.shared.unsettled.load(SeqCst)
     }
