--- a/src/amqp/consumer/channel.rs
+++ b/src/amqp/consumer/channel.rs
@@ -50,7 +50,7 @@
     }
 
     pub(super) fn set_prefetch(&mut self, effects: &mut Vec<ConsumerEffect>) {
-        self.state = ChannelState::Limiting;
+        self.state = ChannelState::SettingPrefetch;
         let qos = basic::Qos {
             prefetch_count: self.settings.prefetch,
             global: false,
--- a/src/amqp/consumer/mod.rs
+++ b/src/amqp/consumer/mod.rs
@@ -29,7 +29,7 @@
     /// `confirm.select` was sent.
     Confirming,
     /// `basic.qos` was sent.
-    Limiting,
+    SettingPrefetch,
     /// `basic.consume` was sent.
     Subscribing,
     /// Deliveries are received.
@@ -108,7 +108,7 @@
     #[error("content header without a method")]
     MisplacedHeader,
     /// A content body was received without its header, or is longer than the header states.
-    #[error("content body without a header, or too long")]
+    #[error("content body without a header, or longer than announced")]
     MisplacedBody,
 }
 
@@ -191,7 +191,9 @@
 
     fn handle_basic_method(&mut self, method: Basic, effects: &mut Vec<ConsumerEffect>) {
         match method {
-            Basic::QosOk(_) if self.state == ChannelState::Limiting => self.subscribe(effects),
+            Basic::QosOk(_) if self.state == ChannelState::SettingPrefetch => {
+                self.subscribe(effects);
+            }
             Basic::ConsumeOk(_) if self.state == ChannelState::Subscribing => {
                 self.state = ChannelState::Consuming;
                 if self.is_shutting_down {
