--- a/src/inventory/csv.rs
+++ b/src/inventory/csv.rs
@@ -7,10 +7,10 @@
 use super::error::{ContentError, InventoryProblem};
 use super::record::{Record, Variable, Variables};
 
-/// The line of the header row in errors.
+/// The line number of the header row, for errors.
 const HEADER_LINE: usize = 1;
 
-/// The column that may hold the host's name.
+/// The optional column with the host's name.
 const HOST_NAME_COLUMN: &str = "inventory_hostname";
 
 /// Reads the records of an inventory in CSV. Lines that begin with `#` are comments.
@@ -41,7 +41,7 @@
     }
 }
 
-/// Makes the record of a row. An empty cell is a variable that is not set.
+/// Converts a row to a record. An empty cell is a variable that is not set.
 fn read_row(header: &StringRecord, row: &StringRecord) -> Record {
     let line = line_number(row.position());
     let mut variables = Variables::new();
@@ -67,7 +67,7 @@
     ContentError::new(line, "", InventoryProblem::MalformedCsv(error))
 }
 
-/// The line of a position, counted from 1; 0 if the position is not known.
+/// Returns the line of a position, counted from 1, or 0 if the position is not known.
 fn line_number(position: Option<&Position>) -> usize {
     position.map_or(0, |position| position.line() as usize)
 }
--- a/src/inventory/error.rs
+++ b/src/inventory/error.rs
@@ -1,4 +1,4 @@
-//! The errors of an inventory, with the place in the file.
+//! The errors of an inventory, with their location in the file.
 
 use std::fmt;
 use std::io;
@@ -13,14 +13,14 @@
 pub struct InventoryError {
     /// The inventory's file.
     pub file: PathBuf,
-    /// The place in the file.
+    /// The location in the file.
     pub location: Location,
-    /// What is wrong there.
+    /// The problem at this location.
     #[source]
     pub problem: InventoryProblem,
 }
 
-/// What is wrong with an inventory.
+/// A problem of an inventory.
 #[derive(Debug, Error)]
 pub enum InventoryProblem {
     /// The file can't be read.
@@ -39,18 +39,18 @@
     #[error("not a mapping")]
     NotAMapping,
     /// A key of a YAML mapping is not a string.
-    #[error("a name that is not a text; quote it")]
-    KeyNotText,
+    #[error("a name that is not a string; quote it")]
+    KeyNotString,
     /// A required variable is missing.
     #[error("missing")]
     Missing,
     /// A variable's value is not a string.
-    #[error("not a text; quote it")]
-    NotText,
-    /// A variable's value does not fit into a short string of AMQP.
+    #[error("not a string; quote it")]
+    NotString,
+    /// A variable's value does not fit into an AMQP short string.
     #[error("longer than {max_bytes} bytes")]
     TooLong {
-        /// The largest length in bytes.
+        /// Maximum length in bytes.
         max_bytes: usize,
     },
     /// A variable's value is not a positive 16-bit number.
@@ -72,24 +72,24 @@
     #[error("{0} is not set")]
     PasswordNotSet(String),
     /// A column, a host or a queue occurs twice.
-    #[error("there twice")]
+    #[error("occurs twice")]
     Duplicate,
     /// The file describes no queue.
     #[error("names no queue")]
     Empty,
 }
 
-/// A place in an inventory's file. It is displayed as the suffix of the file's name: `:LINE: FIELD`.
+/// A location in an inventory's file, displayed as a suffix of the file's name: `:LINE: FIELD`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Location {
-    /// The line, counted from 1; none if the file as a whole is meant.
+    /// The line, counted from 1; `None` for the file as a whole.
     pub line: Option<usize>,
-    /// The variable, column, group or host; none if the line as a whole is meant.
+    /// The variable, column, group or host; `None` for the line as a whole.
     pub field: Option<String>,
 }
 
 impl Location {
-    /// The place of a field; line 0 and an empty field stand for none.
+    /// Creates the location of a field. Line 0 and an empty field stand for `None`.
     pub(super) fn new(line: usize, field: &str) -> Location {
         Location {
             line: Some(line).filter(|line| *line > 0),
@@ -110,7 +110,7 @@
     }
 }
 
-/// An error in the content of an inventory whose file name is not known here.
+/// An error in the content of an inventory, without the file's name.
 #[derive(Debug)]
 pub(super) struct ContentError {
     location: Location,
@@ -118,7 +118,7 @@
 }
 
 impl ContentError {
-    /// An error at this line and field, with the line counted from 1.
+    /// Creates an error at this line and field, with the line counted from 1.
     pub(super) fn new(line: usize, field: &str, problem: InventoryProblem) -> ContentError {
         ContentError {
             location: Location::new(line, field),
@@ -126,7 +126,7 @@
         }
     }
 
-    /// An error that concerns the file as a whole.
+    /// Creates an error that concerns the file as a whole.
     pub(super) fn in_whole_file(problem: InventoryProblem) -> ContentError {
         ContentError {
             location: Location::default(),
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -1,9 +1,9 @@
 //! The inventory: the file that lists the broker queues which the node consumes from.
 //!
-//! It has the form that configuration tools use: YAML with groups, hosts and variables, or CSV with a header row.
-//! Each host or row describes one queue. Variables that the node does not know are ignored, so that one inventory
-//! can serve several tools; a variable that is missing, invalid or duplicated is an [`InventoryError`] with its
-//! file, line and field.
+//! It has the form that configuration tools use: YAML with groups, hosts and variables, or CSV with
+//! a header row. Each host or row describes one queue. Variables that the node does not know are
+//! ignored, so that one inventory can serve several tools; a variable that is missing, invalid or
+//! duplicated is an [`InventoryError`] with its file, line and field.
 
 mod csv;
 mod error;
@@ -25,13 +25,14 @@
 use crate::node::Limits;
 use crate::wire::Site;
 
-/// Reads the inventory at `path` and checks it against the classes and tenants of `site` and against `limits`.
+/// Reads the inventory at `path` and checks it against the classes and tenants of `site` and
+/// against `limits`.
 ///
 /// `env` looks up the environment variables that hold the brokers' passwords.
 ///
 /// # Errors
 ///
-/// The first problem of the file, in the order of its records.
+/// The first error in the file, in the order of its records.
 pub fn read(
     path: &Path,
     site: &Site,
@@ -44,7 +45,7 @@
         .map_err(|error| error.in_file(path))
 }
 
-/// Reads the records of a file, whose extension tells its format.
+/// Reads the records of a file, whose extension determines its format.
 fn read_records(path: &Path) -> Result<Vec<Record>, ContentError> {
     let text = fs::read_to_string(path)
         .map_err(|error| ContentError::in_whole_file(InventoryProblem::Unreadable(error)))?;
@@ -57,7 +58,7 @@
     Ok(records)
 }
 
-/// The reader for the format that the file's extension names.
+/// Returns the reader for the format that the file's extension names.
 fn reader_for(path: &Path) -> Option<RecordReader> {
     let extension = path.extension()?.to_str()?.to_ascii_lowercase();
     match extension.as_str() {
@@ -67,7 +68,7 @@
     }
 }
 
-/// Turns each record into a queue. No two records may describe the same queue of the same broker.
+/// Converts each record to a queue. No two records may describe the same queue of the same broker.
 fn validate_records<Env>(
     records: &[Record],
     validator: &RecordValidator<'_, Env>,
--- a/src/inventory/queue.rs
+++ b/src/inventory/queue.rs
@@ -1,10 +1,10 @@
-//! A broker queue as the inventory describes it.
+//! A broker queue as described by the inventory.
 
 use std::fmt;
 
 use crate::ClassId;
 
-/// One queue of a broker, with what is needed to consume from it.
+/// A queue of a broker, with the settings for consuming from it.
 #[derive(Clone, PartialEq)]
 pub struct BrokerQueue {
     /// The broker's host name or address.
@@ -17,21 +17,21 @@
     pub name: String,
     /// The class of all requests from the queue.
     pub class: ClassId,
-    /// Whether a request from the queue may run more than once.
+    /// True if a request from the queue may run more than once.
     pub is_idempotent: bool,
-    /// The tenant to which all requests from the queue are accounted.
+    /// The tenant of all requests from the queue.
     pub tenant: Option<String>,
-    /// The number of messages that the broker may push before earlier ones are settled.
+    /// Maximum number of unsettled messages.
     pub prefetch: u16,
-    /// The memory in kilobytes that is reserved for a message while it is queued.
+    /// Memory reserved for a message while it is queued, in kilobytes.
     pub queued_kb: f64,
-    /// The user name at the broker.
+    /// The user's name at the broker.
     pub username: String,
     /// The user's password.
     pub password: String,
 }
 
-/// What tells one queue from another.
+/// The fields that identify a queue among those of all brokers.
 #[derive(PartialEq, Eq, Hash)]
 pub(super) struct QueueIdentity {
     host: String,
@@ -41,7 +41,7 @@
 }
 
 impl BrokerQueue {
-    /// The queue's identity among the queues of all brokers.
+    /// Returns the queue's identity.
     pub(super) fn identity(&self) -> QueueIdentity {
         QueueIdentity {
             host: self.host.clone(),
@@ -53,7 +53,8 @@
 }
 
 impl fmt::Debug for BrokerQueue {
-    /// Writes the address, the name and the prefetch; credentials stay out of logs and test output.
+    /// Writes the address, the name and the prefetch. Credentials are left out of logs and test
+    /// output.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
--- a/src/inventory/record.rs
+++ b/src/inventory/record.rs
@@ -4,7 +4,7 @@
 
 use super::error::{ContentError, InventoryProblem};
 
-/// The length in bytes that a short string of AMQP can have.
+/// Maximum length of an AMQP short string in bytes.
 const MAX_SHORT_STRING_BYTES: usize = 255;
 
 /// The variables of a record by their names.
@@ -18,7 +18,7 @@
 pub(super) struct Variable {
     /// The line in the file, counted from 1.
     pub(super) line: usize,
-    /// The value; none if the file holds something that is neither a string nor an accepted number.
+    /// The value; `None` if it is neither a string nor an accepted number.
     pub(super) text: Option<String>,
 }
 
@@ -33,19 +33,21 @@
 }
 
 impl Record {
-    /// Makes an error at the line of this variable, or at the record's line if the variable is not set.
+    /// Creates an error at the line of this variable, or at the record's line if the variable is
+    /// not set.
     pub(super) fn error(&self, variable: &str, problem: InventoryProblem) -> ContentError {
         let line = self.variables.get(variable).map_or(self.line, |v| v.line);
         ContentError::new(line, variable, problem)
     }
 
-    /// The value of an optional variable, which must fit into a short string of AMQP. An empty value counts as none.
+    /// Returns the value of an optional variable, which must fit into an AMQP short string. An
+    /// empty value counts as `None`.
     pub(super) fn text(&self, variable: &str) -> Result<Option<String>, ContentError> {
         let Some(value) = self.variables.get(variable) else {
             return Ok(None);
         };
         let Some(text) = &value.text else {
-            return Err(self.error(variable, InventoryProblem::NotText));
+            return Err(self.error(variable, InventoryProblem::NotString));
         };
         if text.len() > MAX_SHORT_STRING_BYTES {
             let max_bytes = MAX_SHORT_STRING_BYTES;
@@ -54,13 +56,13 @@
         Ok(Some(text.clone()).filter(|text| !text.is_empty()))
     }
 
-    /// The value of a required variable, which must fit into a short string of AMQP.
+    /// Returns the value of a required variable, which must fit into an AMQP short string.
     pub(super) fn required_text(&self, variable: &str) -> Result<String, ContentError> {
         self.text(variable)?
             .ok_or_else(|| self.error(variable, InventoryProblem::Missing))
     }
 
-    /// The value of an optional variable that holds a number from 1 to 65535.
+    /// Returns the value of an optional variable that holds a number from 1 to 65535.
     pub(super) fn number(&self, variable: &str) -> Result<Option<u16>, ContentError> {
         let Some(text) = self.text(variable)? else {
             return Ok(None);
@@ -71,7 +73,7 @@
         }
     }
 
-    /// The value of a required variable that holds a number from 1 to 65535.
+    /// Returns the value of a required variable that holds a number from 1 to 65535.
     pub(super) fn required_number(&self, variable: &str) -> Result<u16, ContentError> {
         self.number(variable)?
             .ok_or_else(|| self.error(variable, InventoryProblem::Missing))
--- a/src/inventory/validation.rs
+++ b/src/inventory/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of records: each becomes a queue, with defaults for what the record leaves out.
+//! Validates records and converts each to a queue, with defaults for missing variables.
 
 use super::error::{ContentError, InventoryProblem};
 use super::queue::BrokerQueue;
@@ -13,12 +13,13 @@
 /// The default virtual host of AMQP brokers.
 const DEFAULT_VHOST: &str = "/";
 
-/// Kilobytes that are reserved for a queued message by default, about the middle of the sizes seen at the site.
+/// Default memory reserved for a queued message, in kilobytes: about the middle of the message
+/// sizes seen at the site.
 const DEFAULT_QUEUED_KB: f64 = 40.0;
 
 /// Validates records against the site, the node's limits and the environment.
 pub(super) struct RecordValidator<'a, Env> {
-    /// The site, which knows the classes and tenants.
+    /// The site, which lists the classes and tenants.
     pub(super) site: &'a Site,
     /// The node's limits.
     pub(super) limits: &'a Limits,
@@ -30,7 +31,8 @@
 where
     Env: Fn(&str) -> Option<String>,
 {
-    /// Turns a record into a queue. Of several errors, the one of the variable that stands first here is returned.
+    /// Converts a record to a queue. If several variables are invalid, returns the error of the one
+    /// that is checked first.
     pub(super) fn validate(&self, record: &Record) -> Result<BrokerQueue, ContentError> {
         let host = validate_host(record)?;
         let class = self.validate_class(record)?;
@@ -98,7 +100,8 @@
     }
 }
 
-/// The broker's host: `host`, else `ansible_host`, else the name of the record itself, as in configuration tools.
+/// Returns the broker's host: `host`, else `ansible_host`, else the record's host name, as in
+/// configuration tools.
 fn validate_host(record: &Record) -> Result<String, ContentError> {
     let host = record.text("host")?;
     let ansible_host = record.text("ansible_host")?;
--- a/src/inventory/yaml.rs
+++ b/src/inventory/yaml.rs
@@ -30,7 +30,8 @@
 }
 
 impl GroupReader {
-    /// Reads the hosts of a group and of its children. The group's own variables override those that it inherits.
+    /// Reads the hosts of a group and of its children. The group's own variables override those
+    /// that it inherits.
     fn read_group(
         &mut self,
         name: &str,
@@ -81,7 +82,7 @@
     }
 }
 
-/// Adds the variables of a mapping; one that is there already is replaced. Errors name `field`.
+/// Adds the variables of a mapping, replacing existing ones. Errors name `field`.
 fn add_variables(
     variables: &mut Variables,
     node: &MarkedYamlOwned,
@@ -97,7 +98,7 @@
     Ok(())
 }
 
-/// The text of a scalar: a string, or a number where the variable accepts one.
+/// Returns the text of a scalar: a string, or a number if the variable accepts one.
 fn scalar_text(variable: &str, value: &MarkedYamlOwned) -> Option<String> {
     let YamlDataOwned::Value(scalar) = &value.data else {
         return None;
@@ -111,7 +112,7 @@
     }
 }
 
-/// The keys and values of a mapping; an empty node has none. Errors name `field`.
+/// Returns the keys and values of a mapping; an empty node has none. Errors name `field`.
 fn mapping_entries<'a>(
     node: &'a MarkedYamlOwned,
     field: &str,
@@ -126,7 +127,7 @@
     let mut entries = Vec::with_capacity(mapping.len());
     for (key, value) in mapping {
         let YamlDataOwned::Value(ScalarOwned::String(name)) = &key.data else {
-            return Err(error(key, InventoryProblem::KeyNotText));
+            return Err(error(key, InventoryProblem::KeyNotString));
         };
         entries.push((name.clone(), value));
     }
@@ -138,7 +139,7 @@
     ContentError::new(line, "", InventoryProblem::MalformedYaml(error))
 }
 
-/// The line at which a node begins, counted from 1.
+/// Returns the line at which a node begins, counted from 1.
 fn line_number(node: &MarkedYamlOwned) -> usize {
     node.span.start.line()
 }
