--- a/src/wire/actions.rs
+++ b/src/wire/actions.rs
@@ -1,4 +1,4 @@
-//! The policy's actions as the simulator's messages.
+//! Converts the policy's actions to the simulator's messages.
 
 use policy::Action;
 use serde::Serialize;
@@ -68,7 +68,7 @@
     Debug {
         body_text: String,
     },
-    /// Not an action: the policy failed with this message.
+    /// Not an action: the policy panicked with this message.
     InternalError {
         body_text: String,
     },
--- a/src/wire/events.rs
+++ b/src/wire/events.rs
@@ -1,4 +1,4 @@
-//! The simulator's messages to a server, and the policy's events that they mean.
+//! The simulator's messages to a server, and their conversion to the policy's events.
 
 use policy::{
     CallOutcome, CallerId, ClassId, Event, Request, RequestId, RunOutcome, Span, TenantId,
@@ -9,7 +9,7 @@
 use super::settings::SettingsIn;
 use super::site::Site;
 
-/// All that happened at one time.
+/// All events at one time.
 #[derive(Deserialize)]
 pub(super) struct BatchIn {
     /// Simulated time in milliseconds.
@@ -17,7 +17,7 @@
     pub(super) backends: Vec<GroupIn>,
 }
 
-/// What happened to one server.
+/// The events of one server.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct GroupIn {
@@ -44,7 +44,7 @@
     },
 }
 
-/// A server starts.
+/// The start of a server.
 #[derive(Deserialize)]
 pub(super) struct SpawnIn {
     #[serde(rename = "nonce64")]
@@ -53,7 +53,7 @@
     pub(super) settings: Box<SettingsIn>,
 }
 
-/// A request that something happened to.
+/// The request that an event concerns.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct IdIn {
@@ -83,7 +83,7 @@
     Nop,
 }
 
-/// A request that a server read.
+/// A request read by a server.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct QueryIn {
@@ -103,7 +103,8 @@
 }
 
 impl EventIn {
-    /// The policy's event for this message, with classes, tenants and gauges as the site names them.
+    /// Converts this message to the policy's event. `site` resolves the names of classes, tenants
+    /// and gauges.
     pub(super) fn into_event(self, site: &Site) -> Result<Event, String> {
         Ok(match self {
             EventIn::Query(query) => Event::RequestRead(query.into_request(site)?),
@@ -119,7 +120,7 @@
             EventIn::Notice { time_left } => Event::ShutdownNotice(span_from_ms(time_left)?),
             EventIn::Reminder { pressure } => Event::Wake(site.gauges(&pressure)),
             EventIn::Spawn(_) | EventIn::Retire {} => {
-                return Err("start or stop out of place".into())
+                return Err("a server can't start or stop here".into())
             }
         })
     }
@@ -145,7 +146,8 @@
         })
     }
 
-    /// Its class; a name that the settings lack stands for a class past their last.
+    /// Returns the request's class. A name that the settings don't list maps to a class past the
+    /// last one.
     fn class(&self, site: &Site) -> ClassId {
         site.class(&self.r#type)
             .unwrap_or(ClassId(site.class_count()))
@@ -183,6 +185,6 @@
     if ms.is_finite() {
         Ok(Span::from_ms(ms))
     } else {
-        Err("a time is not a number".into())
+        Err("a time is not a finite number".into())
     }
 }
--- a/src/wire/host.rs
+++ b/src/wire/host.rs
@@ -26,24 +26,24 @@
 
     fn handle(&mut self, now: Time, events: &[Event]) -> Vec<ActionOut> {
         let mut actions = Vec::new();
-        // The simulator is notified of a panic of the policy, and this process goes on.
+        // A panic of the policy is reported to the simulator, and this process continues.
         let result = catch_unwind(AssertUnwindSafe(|| {
             self.policy.handle(now, events, &mut actions);
         }));
         match result {
             Ok(()) => actions.into_iter().map(ActionOut::from).collect(),
-            Err(cause) => vec![ActionOut::InternalError {
-                body_text: panic_message(&*cause),
+            Err(payload) => vec![ActionOut::InternalError {
+                body_text: panic_message(&*payload),
             }],
         }
     }
 }
 
-fn panic_message(cause: &(dyn Any + Send)) -> String {
-    if let Some(text) = cause.downcast_ref::<String>() {
+fn panic_message(payload: &(dyn Any + Send)) -> String {
+    if let Some(text) = payload.downcast_ref::<String>() {
         return text.clone();
     }
-    match cause.downcast_ref::<&str>() {
+    match payload.downcast_ref::<&str>() {
         Some(text) => (*text).to_string(),
         None => "panic".into(),
     }
@@ -59,12 +59,12 @@
     /// Answers one line of events with one line of actions.
     ///
     /// # Errors
-    /// One line that says what is wrong with the events, and for which server.
+    /// One line that states the error in the events, and the server concerned.
     pub fn handle_line(&mut self, line: &str) -> Result<String, String> {
         let batch: BatchIn = serde_json::from_str(line)
             .map_err(|e| format!("{}{e}", malformed_server_prefix(line)))?;
         if !batch.t.is_finite() {
-            return Err("the clock is not a number".into());
+            return Err("the time is not a finite number".into());
         }
         let now = Time((batch.t * 1e3).round() as i64);
         let mut out = BatchOut {
@@ -109,7 +109,8 @@
     }
 }
 
-/// Names the first server whose part of a malformed line is at fault, where that can be found out.
+/// Returns an error prefix with the first server whose part of the line is malformed, or an empty
+/// text if it can't be determined.
 fn malformed_server_prefix(line: &str) -> String {
     let Ok(value) = serde_json::from_str::<Value>(line) else {
         return String::new();
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,6 +1,8 @@
-//! The simulator's wire: JSON lines in, JSON lines out. It translates only; the policy decides.
+//! The simulator's protocol: JSON lines in both directions. This module only converts messages; the
+//! policy decides.
 //!
-//! A node's configuration holds the same settings object as the simulator's first message: [`Site`] reads both.
+//! A node's configuration holds the same settings object as the simulator's first message: [`Site`]
+//! reads both.
 
 mod actions;
 mod events;
--- a/src/wire/site.rs
+++ b/src/wire/site.rs
@@ -1,4 +1,4 @@
-//! The settings of a server together with the names of classes, tenants and gauges that requests use.
+//! The settings of a server, with the names of classes, tenants and gauges that requests use.
 
 use std::collections::BTreeMap;
 
@@ -10,11 +10,11 @@
 
 /// The settings of a server, and the names that its requests and gauges use.
 pub struct Site {
-    /// All that bears on decisions.
+    /// The policy's settings.
     pub settings: Settings,
-    /// Each request says how long its caller waits.
+    /// True if each request states how long its caller waits.
     pub passes_deadline: bool,
-    /// Callers report when they stop waiting.
+    /// True if callers report when they stop waiting.
     pub tells_gone: bool,
     classes: BTreeMap<String, usize>,
     tenants: BTreeMap<String, u64>,
@@ -25,7 +25,7 @@
     /// Reads the settings object of the simulator's first message or of a node's configuration.
     ///
     /// # Errors
-    /// Says what is malformed.
+    /// A description of what is malformed.
     pub fn from_json(value: &Value) -> Result<Site, String> {
         SettingsIn::deserialize(value)
             .map(|settings| Site::new(&settings))
@@ -49,17 +49,17 @@
         }
     }
 
-    /// The number of class names.
+    /// Returns the number of class names.
     pub(super) fn class_count(&self) -> usize {
         self.classes.len()
     }
 
-    /// The class of this name.
+    /// Returns the class with this name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.get(name).copied().map(ClassId)
     }
 
-    /// The name of a class, empty past the last.
+    /// Returns the name of a class, or an empty name past the last class.
     pub fn class_name(&self, id: ClassId) -> &str {
         self.classes
             .iter()
@@ -67,13 +67,15 @@
             .map_or("", |(name, _)| name)
     }
 
-    /// The tenant of this name; one that the settings lack gets a stable number past all that they list.
+    /// Returns the tenant with this name. A tenant that the settings don't list gets a stable
+    /// number past those of the listed tenants.
     pub fn tenant(&self, name: &str) -> TenantId {
         let listed = self.tenants.get(name).copied();
         TenantId(listed.unwrap_or_else(|| hash_name(name)))
     }
 
-    /// Keys of the listed tenants by their numbers, the same wherever the settings list them.
+    /// Returns the keys of the listed tenants in the order of their numbers. A tenant's key depends
+    /// only on its name, not on its position in the settings.
     pub fn tenant_keys(&self) -> Vec<u64> {
         let mut keys = vec![0; self.tenants.len()];
         for (name, number) in &self.tenants {
@@ -84,17 +86,18 @@
         keys
     }
 
-    /// Whether the settings list this tenant.
+    /// Returns whether the settings list this tenant.
     pub fn knows_tenant(&self, name: &str) -> bool {
         self.tenants.contains_key(name)
     }
 
-    /// Whether a request may name this tenant: any where the settings list none.
+    /// Returns whether a request may name this tenant. It may name any tenant if the settings list
+    /// none.
     pub fn may_name(&self, name: &str) -> bool {
         self.tenants.is_empty() || self.knows_tenant(name)
     }
 
-    /// Readings in the order of the settings, by their names.
+    /// Assigns readings, which are in the order of the settings, to their gauges.
     pub fn gauges(&self, values: &[f64]) -> Gauges {
         let read = |name: &str| {
             let index = self.gauges.iter().position(|gauge| gauge == name)?;
@@ -109,7 +112,8 @@
     }
 }
 
-/// A stable number, past all listed tenants, for a name: FNV-1a with the top bit set.
+/// Returns a stable number for a name, past those of all listed tenants: FNV-1a with the top bit
+/// set.
 fn hash_name(name: &str) -> u64 {
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
     for byte in name.bytes() {
