--- a/src/net/jsonrpc/handler.rs
+++ b/src/net/jsonrpc/handler.rs
@@ -68,7 +68,7 @@
             Responder::new(move |answer| mailbox.send(ServerCommand::Answer(handle, answer)));
         let site = &self.context.site;
         let arrival: Arrival = request.params.into_arrival(request.class, site, responder);
-        if site.tells_gone {
+        if site.callers_report_stopped_waiting {
             if let Some(open_requests) = clients.connection_data(handle.connection) {
                 open_requests.insert(handle.id, arrival.uid);
             }
--- a/src/wire/settings.rs
+++ b/src/wire/settings.rs
@@ -111,7 +111,8 @@
     #[serde(rename = "shareSpan")]
     call_quota_window: f64,
     pub(super) passes_deadline: bool,
-    pub(super) tells_gone: bool,
+    #[serde(rename = "tellsGone")]
+    pub(super) callers_report_stopped_waiting: bool,
 }
 
 impl SettingsIn {
--- a/src/wire/site.rs
+++ b/src/wire/site.rs
@@ -15,7 +15,7 @@
     /// True if each request states how long its caller waits.
     pub passes_deadline: bool,
     /// True if callers report when they stop waiting.
-    pub tells_gone: bool,
+    pub callers_report_stopped_waiting: bool,
     classes: BTreeMap<String, usize>,
     tenants: BTreeMap<String, u64>,
     gauges: Vec<String>,
@@ -38,7 +38,7 @@
         Site {
             settings: settings.to_settings(),
             passes_deadline: settings.specifics.passes_deadline,
-            tells_gone: settings.specifics.tells_gone,
+            callers_report_stopped_waiting: settings.specifics.callers_report_stopped_waiting,
             classes: classes
                 .map(|(index, class)| (class.name.clone(), index))
                 .collect(),
