--- a/src/instance_lock.rs
+++ b/src/instance_lock.rs
@@ -331,9 +331,9 @@
             Ok(()) => {
                 return Ok(Some(InstanceLock::Held {
                     own,
-                    own_records: ProcessRecords::beside(path),
+                    own_records: ProcessRecords::for_instance_file(path),
                     sibling: sibling.clone(),
-                    sibling_records: ProcessRecords::beside(sibling),
+                    sibling_records: ProcessRecords::for_instance_file(sibling),
                 }))
             }
             Err(TryLockError::WouldBlock) => {}
--- a/src/process_records.rs
+++ b/src/process_records.rs
@@ -21,7 +21,7 @@
 
 impl ProcessRecords {
     /// Refers to the records next to this instance file, none of which need exist.
-    pub fn beside(instance_file: &Path) -> ProcessRecords {
+    pub fn for_instance_file(instance_file: &Path) -> ProcessRecords {
         ProcessRecords {
             held_work: file_with_suffix(instance_file, HELD_WORK_SUFFIX),
             calls: file_with_suffix(instance_file, CALLS_SUFFIX),
--- a/tests/work_left_behind.rs
+++ b/tests/work_left_behind.rs
@@ -363,18 +363,24 @@
 fn record_of_calls_is_written_again_after_a_failure() {
     let instance_file = std::env::temp_dir().join(format!("call-record-{}", std::process::id()));
     let record = instance_file.with_extension("calls");
-    let mut own = ProcessRecords::beside(&instance_file);
+    let mut own = ProcessRecords::for_instance_file(&instance_file);
     // A folder in its place keeps the record from being written, and, as it is not empty, from being removed.
     std::fs::create_dir_all(record.join("full")).expect("a folder");
     let write_error = own.keep_calls(3).expect_err("no record can be written");
     assert!(matches!(write_error, HeldWorkError::System(_)));
     std::fs::remove_dir_all(&record).expect("removed");
     assert!(own.keep_calls(3).expect("the folder works again"));
-    assert_eq!(ProcessRecords::beside(&instance_file).take_calls(), 3);
+    assert_eq!(
+        ProcessRecords::for_instance_file(&instance_file).take_calls(),
+        3
+    );
     std::fs::create_dir_all(record.join("full")).expect("a folder");
     own.keep_calls(0).expect_err("no record can be removed");
     std::fs::remove_dir_all(&record).expect("removed");
     std::fs::write(&record, include_str!("golden/held_work.json")).expect("an old record");
     own.keep_calls(0).expect("the folder works again");
-    assert_eq!(ProcessRecords::beside(&instance_file).take_calls(), 0);
+    assert_eq!(
+        ProcessRecords::for_instance_file(&instance_file).take_calls(),
+        0
+    );
 }
