--- a/src/instance_lock.rs
+++ b/src/instance_lock.rs
@@ -118,7 +118,7 @@
         let InstanceLock::Held { own_records, .. } = self else {
             return;
         };
-        match own_records.keep_calls(calls) {
+        match own_records.record_calls(calls) {
             Ok(true) => {
                 info!(log, "calls at an unresponsive database"; "recorded" => calls);
             }
--- a/src/process_records.rs
+++ b/src/process_records.rs
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     /// [`HeldWorkError::System`].
-    pub fn keep_calls(&mut self, calls: u32) -> Result<bool, HeldWorkError> {
+    pub fn record_calls(&mut self, calls: u32) -> Result<bool, HeldWorkError> {
         if self.recorded_calls == Some(calls) {
             return Ok(false);
         }
--- a/tests/work_left_behind.rs
+++ b/tests/work_left_behind.rs
@@ -366,19 +366,19 @@
     let mut own = ProcessRecords::for_instance_file(&instance_file);
     // A folder in its place keeps the record from being written, and, as it is not empty, from being removed.
     std::fs::create_dir_all(record.join("full")).expect("a folder");
-    let write_error = own.keep_calls(3).expect_err("no record can be written");
+    let write_error = own.record_calls(3).expect_err("no record can be written");
     assert!(matches!(write_error, HeldWorkError::System(_)));
     std::fs::remove_dir_all(&record).expect("removed");
-    assert!(own.keep_calls(3).expect("the folder works again"));
+    assert!(own.record_calls(3).expect("the folder works again"));
     assert_eq!(
         ProcessRecords::for_instance_file(&instance_file).take_calls(),
         3
     );
     std::fs::create_dir_all(record.join("full")).expect("a folder");
-    own.keep_calls(0).expect_err("no record can be removed");
+    own.record_calls(0).expect_err("no record can be removed");
     std::fs::remove_dir_all(&record).expect("removed");
     std::fs::write(&record, include_str!("golden/held_work.json")).expect("an old record");
-    own.keep_calls(0).expect("the folder works again");
+    own.record_calls(0).expect("the folder works again");
     assert_eq!(
         ProcessRecords::for_instance_file(&instance_file).take_calls(),
         0
