--- a/src/actors.rs
+++ b/src/actors.rs
@@ -185,10 +185,9 @@
         fleet: &FleetLinks,
         cells: Option<CellGuard>,
     ) -> Result<Receiver<()>, StartError> {
-        let report_waiting = fleet
-            .call_budget
-            .clone()
-            .map(|guard| Box::new(move |requests| guard.set_waiting_requests(requests)) as Box<_>);
+        let report_waiting = fleet.call_budget.clone().map(|budget| {
+            Box::new(move |requests| budget.set_waiting_requests(requests)) as Box<_>
+        });
         let database_calls = Arc::new(database_calls);
         let ended_runs = database_calls.clone();
         let inherited_calls = database_calls.clone();
--- a/src/amqp/broker/mod.rs
+++ b/src/amqp/broker/mod.rs
@@ -52,8 +52,7 @@
     log: Logger,
     /// State of the random generator.
     random_state: u64,
-    /// Number of the current connection, by which answers to deliveries of earlier ones are
-    /// recognized.
+    /// Number of the current connection. Answers to deliveries of earlier connections are ignored.
     generation: u64,
     /// Number of unsettled deliveries, as counted in the shared state.
     unsettled: usize,
--- a/src/amqp/consumer/reply.rs
+++ b/src/amqp/consumer/reply.rs
@@ -19,7 +19,7 @@
 const REASON_HEADER: &str = "x-mothwinch-reason";
 /// Milliseconds to wait before the next attempt.
 const RETRY_AFTER_HEADER: &str = "x-mothwinch-retry-after-ms";
-/// True if another attempt can't take effect twice.
+/// True if another attempt can't cause a second effect.
 const MAY_RETRY_HEADER: &str = "x-mothwinch-may-retry";
 /// The node's capacity hint.
 const CAPACITY_HINT_HEADER: &str = "x-mothwinch-hint";
--- a/src/amqp/consumer/settlement.rs
+++ b/src/amqp/consumer/settlement.rs
@@ -79,7 +79,8 @@
         }
         let reply = Reply::new(&answer.outcome);
         let Some(reply_to) = delivery.reply_to() else {
-            // Without a reply queue, a result is dropped and an error is dead-lettered.
+            // Without a reply queue, a result is dropped. An error is dead-lettered, as no client
+            // would receive it.
             return match reply.status {
                 ReplyStatus::Served => self.ack(tag, effects),
                 ReplyStatus::Rejected | ReplyStatus::Failed => self.reject(tag, false, effects),
@@ -101,9 +102,10 @@
         self.publish(message, action, effects);
     }
 
-    /// Returns a delivery that never ran to its queue. A message that must not run twice is
-    /// published as a copy: if it were requeued, it would be marked as redelivered, and no consumer
-    /// could run it. The original is settled only once the broker has the copy.
+    /// Returns a delivery that never ran to its queue. A message that must not run twice is not
+    /// requeued but published as a copy: a requeued message is marked as redelivered, and then no
+    /// consumer may run it, while a copy has no such mark. The original is settled only once the
+    /// broker has the copy.
     fn hand_back(&mut self, tag: u64, effects: &mut Vec<ConsumerEffect>) {
         if self.settings.is_idempotent {
             return self.reject(tag, true, effects);
--- a/src/instance_lock.rs
+++ b/src/instance_lock.rs
@@ -164,7 +164,7 @@
         };
         sibling_records
             .take_held_work()
-            .inspect_err(|e| warn!(log, "could not read the work record of the other process"; "reason" => %e))
+            .inspect_err(|e| warn!(log, "other process left no usable record"; "reason" => %e))
             .ok()
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! [`Policy`] is a deterministic state machine. Pass it [`Event`]s with the current [`Time`]; it
 //! appends the resulting [`Action`]s. It reads no clock, starts no thread and uses no randomness
-//! other than the seed that it is given. A `Policy` is `Send`; one server drives it through `&mut
-//! self`, while [`Sketch`] counts through `&self` and may be read from any thread.
+//! other than the seed that it is given. A `Policy` is `Send`; one server drives it through
+//! `&mut self`, while [`Sketch`] counts through `&self` and may be read from any thread.
 //!
 //! [`node`] drives it in real time, independent of any wire protocol. [`net`] implements the
 //! platform's protocols, and [`amqp`] consumes from the queues that an [`inventory`] lists.
--- a/src/resource_divider.rs
+++ b/src/resource_divider.rs
@@ -23,7 +23,7 @@
 }
 
 impl ResourceDivider {
-    /// Returns whether this process holds all shares.
+    /// Returns whether this process holds all shares, as it does if there is no other.
     pub(crate) fn holds_all(&self) -> bool {
         self.locks.held() == TOTAL_SHARES
     }
