--- a/tests/work_left_behind.rs
+++ b/tests/work_left_behind.rs
@@ -401,19 +401,25 @@
 fn record_of_calls_is_written_again_after_a_failure() {
     let instance_file = std::env::temp_dir().join(format!("call-record-{}", std::process::id()));
     let record = instance_file.with_extension("calls");
-    let mut own = ProcessRecords::beside(&instance_file);
+    let mut own = ProcessRecords::for_instance_file(&instance_file);
     // A folder at the path of the record prevents it from being written. As the folder is not
     // empty, it also prevents the removal of the record.
     std::fs::create_dir_all(record.join("full")).expect("a folder");
-    let write_error = own.keep_calls(3).expect_err("no record can be written");
+    let write_error = own.record_calls(3).expect_err("no record can be written");
     assert!(matches!(write_error, HeldWorkError::System(_)));
     std::fs::remove_dir_all(&record).expect("removed");
-    assert!(own.keep_calls(3).expect("the folder works again"));
-    assert_eq!(ProcessRecords::beside(&instance_file).take_calls(), 3);
+    assert!(own.record_calls(3).expect("the folder works again"));
+    assert_eq!(
+        ProcessRecords::for_instance_file(&instance_file).take_calls(),
+        3
+    );
     std::fs::create_dir_all(record.join("full")).expect("a folder");
-    own.keep_calls(0).expect_err("no record can be removed");
+    own.record_calls(0).expect_err("no record can be removed");
     std::fs::remove_dir_all(&record).expect("removed");
     std::fs::write(&record, include_str!("golden/held_work.json")).expect("an old record");
-    own.keep_calls(0).expect("the folder works again");
-    assert_eq!(ProcessRecords::beside(&instance_file).take_calls(), 0);
+    own.record_calls(0).expect("the folder works again");
+    assert_eq!(
+        ProcessRecords::for_instance_file(&instance_file).take_calls(),
+        0
+    );
 }
