--- a/crates/fault-testbed/src/demo/mod.rs
+++ b/crates/fault-testbed/src/demo/mod.rs
@@ -117,7 +117,7 @@
         let served = counts.served - previous.served;
         let failed = counts.failed - previous.failed;
         previous = counts;
-        let line = format!("{second:>3} s: {served} served, {failed} failed in the last second");
+        let line = format!("{second:>3} s: {served} served, {failed} not in the last second");
         print_table(&(line + &table.format(testbed)?))?;
         if options.seconds > 0 && second >= options.seconds {
             break;
@@ -159,7 +159,7 @@
     let router = testbed.try_node(ROUTER_NAME)?.address;
     writeln!(
         out,
-        "router at {router}; `protocol-gateway fleet status` queries any of these:"
+        "router at {router}; `protocol-gateway fleet status` asks any of these:"
     )?;
     for name in testbed.names() {
         let Some(address) = testbed.try_node(&name)?.logged_address("fleet") else {
--- a/crates/fleet-cli/src/text.rs
+++ b/crates/fleet-cli/src/text.rs
@@ -18,7 +18,7 @@
     let mut text = String::new();
     push_line!(
         text,
-        "{} sees {} present, {} lost; partition status: {} for {:.1} s; digest {}, health {}, dropped {}",
+        "{} sees {} present, {} lost; it concludes: {} for {:.1} s; digest {}, health {}, dropped {}",
         view.observer,
         view.present,
         view.lost,
@@ -77,7 +77,7 @@
         );
     }
     if report.is_consistent {
-        push_line!(text, "all members that answered have the same view");
+        push_line!(text, "all that answered see the same");
     }
     for (name, observers_by_state) in &report.differences {
         for (state, observers) in observers_by_state {
@@ -92,7 +92,7 @@
     let mut text = String::new();
     if !state.budgets.is_empty() {
         let leader = state.leader.as_deref().unwrap_or("nobody");
-        push_line!(text, "{name} knows as leader: {leader}");
+        push_line!(text, "{name} knows as granter: {leader}");
     }
     for budget in &state.budgets {
         push_budget(&mut text, budget);
@@ -108,17 +108,17 @@
     let note = if budget.guaranteed.is_available {
         "may be spent"
     } else {
-        "not yet: calls of an earlier process may be in flight"
+        "not yet, calls of an earlier process may be in hand"
     };
     push_line!(
         text,
-        "{}: total {} according to this member's file",
+        "{}: total {} by this member's file",
         budget.name,
         budget.total
     );
     push_line!(
         text,
-        "  guaranteed {} ({note}); leased {} for {} ms more",
+        "  its own {} ({note}); leased {} for {} ms more",
         budget.guaranteed.units,
         budget.leased.units,
         budget.leased.remaining_ms
@@ -130,16 +130,12 @@
         budget.usage.demand
     );
     if !budget.holders.is_empty() {
-        push_line!(
-            text,
-            "  it is the leader; reserved for all holders: {}",
-            budget.reserved
-        );
+        push_line!(text, "  it grants; counted for all: {}", budget.reserved);
     }
     for holder in &budget.holders {
         push_line!(
             text,
-            "    {:<16} reserved {:>6}, wants {:>6}",
+            "    {:<16} counted {:>6}, wants {:>6}",
             holder.name,
             holder.reserved,
             holder.demand
@@ -152,7 +148,7 @@
         Some(aggregator) => {
             push_line!(
                 text,
-                "{name} knows the counts of {} of {} nodes from {aggregator}, none older than {} ms; no tenant has more than {} requests in flight at the others",
+                "{name} knows what {} of {} nodes count, by {aggregator}, none older than {} ms; no tenant has more than {} in flight at the others",
                 aggregate.coverage.covered,
                 aggregate.coverage.present,
                 aggregate.age_ms,
@@ -162,7 +158,7 @@
         None => {
             push_line!(
                 text,
-                "{name} uses its own counts only: there are no recent counts of the others"
+                "{name} goes by its own counts: nothing fresh is known of the others"
             );
         }
     }
@@ -173,7 +169,7 @@
 fn push_ledger_health(text: &mut String, aggregate: &AggregateSnapshot) {
     push_line!(
         text,
-        "ledger: {} for {:.1} s; {} recent calls by this member, {} failed",
+        "ledger: {} for {:.1} s; {} own calls of late, {} failed",
         aggregate.ledger.health.name(),
         seconds(aggregate.ledger.for_ms),
         aggregate.calls.total,
@@ -184,7 +180,7 @@
     let sites = aggregate.others.sites;
     push_line!(
         text,
-        "  other members observe: at this site {} sound, {} slow, {} failing; elsewhere {}, {}, {}; other sites {}, {}, {}",
+        "  others find: at this site {} sound, {} slow, {} failing; elsewhere {}, {}, {}; other sites {}, {}, {}",
         here.sound,
         here.slow,
         here.failing,
--- a/crates/fleet-cli/src/watch.rs
+++ b/crates/fleet-cli/src/watch.rs
@@ -41,7 +41,7 @@
         let mut lines = Vec::new();
         if view.partition_status != self.partition_status {
             lines.push(format!(
-                "{} has partition status {}, {} present",
+                "{} concludes: {}, {} present",
                 view.observer, view.partition_status, view.present
             ));
             self.partition_status = view.partition_status;
--- a/tests/fleet_membership.rs
+++ b/tests/fleet_membership.rs
@@ -307,11 +307,11 @@
         .expect("n0 shows it");
     let text = status(&testbed, &[]);
     assert!(
-        text.starts_with("n0 sees 4 present, 0 lost; partition status: whole"),
+        text.starts_with("n0 sees 4 present, 0 lost; it concludes: whole"),
         "{text}"
     );
     testbed.wait_until_converged(SETTLE_TIMEOUT);
-    assert!(status(&testbed, &["--all"]).contains("all members that answered have the same view"));
+    assert!(status(&testbed, &["--all"]).contains("all that answered see the same"));
     testbed.kill("n2");
     testbed.wait_until_converged(SETTLE_TIMEOUT);
     let all: serde_json::Value =
