--- a/crates/router/src/config/file.rs
+++ b/crates/router/src/config/file.rs
@@ -66,7 +66,10 @@
 
     fn check(&self) -> Result<(), InvalidField> {
         if self.version != FORMAT_VERSION {
-            let message = format!("{} is not known here: {FORMAT_VERSION} is", self.version);
+            let message = format!(
+                "{} is not supported, expected {FORMAT_VERSION}",
+                self.version
+            );
             return Err(InvalidField::new("version", message));
         }
         check_range("clients", &self.clients, &MAX_CLIENTS_RANGE)?;
--- a/crates/router/tests/config.rs
+++ b/crates/router/tests/config.rs
@@ -38,7 +38,7 @@
         (
             "version: 1",
             "version: 2",
-            "DIR/router.json5: version: 2 is not known here: 1 is",
+            "DIR/router.json5: version: 2 is not supported, expected 1",
         ),
         (
             "clients: 8",
--- a/src/fleet_membership.rs
+++ b/src/fleet_membership.rs
@@ -143,10 +143,10 @@
         };
         match Config::read(file) {
             Ok(config) => {
-                info!(self.log, "fleet file read again"; "seeds" => config.seeds.len());
+                info!(self.log, "fleet file reloaded"; "seeds" => config.seeds.len());
                 handle.reload(config);
             }
-            Err(e) => warn!(self.log, "the new fleet file is not used"; "error" => %e),
+            Err(e) => warn!(self.log, "fleet file rejected; previous one kept"; "error" => %e),
         }
     }
 
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -25,16 +25,18 @@
 }
 
 impl ConfigReloader {
-    /// Reads the cells and the configuration again. A file that can't be used changes nothing.
+    /// Reloads the cells file and the configuration. A file that can't be used changes nothing.
     pub(crate) fn reload(&mut self) {
         match self.cells.as_ref().map(CellGuard::reload) {
-            Some(Ok(epoch)) => info!(self.log, "cells read again"; "epoch" => epoch),
-            Some(Err(e)) => warn!(self.log, "the new cells are not used"; "error" => %e),
+            Some(Ok(epoch)) => info!(self.log, "cells file reloaded"; "epoch" => epoch),
+            Some(Err(e)) => {
+                warn!(self.log, "cells file rejected; previous layout kept"; "error" => %e);
+            }
             None => {}
         }
         match Config::from_env() {
             Ok(config) => self.apply(&config),
-            Err(e) => warn!(self.log, "the new configuration is not used"; "error" => %e),
+            Err(e) => warn!(self.log, "configuration rejected; previous one kept"; "error" => %e),
         }
     }
 
@@ -45,7 +47,7 @@
                 "name and listening address not reloaded: changing them requires a restart"
             );
         }
-        info!(self.log, "configuration read again"; "executor" => %config.executor,
+        info!(self.log, "configuration reloaded"; "executor" => %config.executor,
             "database" => ?config.database, "endpoint_list" => %config.endpoint_list);
         // The actors always read these mailboxes, so the sends don't block for long. If an actor's
         // thread has ended, the node is shutting down already.
--- a/tests/admin_commands.rs
+++ b/tests/admin_commands.rs
@@ -63,7 +63,7 @@
         .to_string(),
     );
     wait_until("the configuration is reloaded", || {
-        node.log().contains("configuration read again")
+        node.log().contains("configuration reloaded")
     });
     assert_eq!(client.query_alive()["result"]["ready"], false);
     // A run that hangs keeps the process alive until all commands are sent.
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -54,7 +54,8 @@
     );
     node.reload("{ not a configuration");
     wait_until("the file is rejected", || {
-        node.log().contains("the new configuration is not used")
+        node.log()
+            .contains("configuration rejected; previous one kept")
     });
     assert_eq!(
         result_body(&client.request(POST_CLASS, "call:ok#kept")),
--- a/tests/node_requests.rs
+++ b/tests/node_requests.rs
@@ -281,7 +281,8 @@
     std::fs::write(file.path(), &cells_file("a")[..60]).expect("a file");
     node.reload(&config.to_string());
     wait_until("the invalid file is rejected", || {
-        node.log().contains("the new cells are not used")
+        node.log()
+            .contains("cells file rejected; previous layout kept")
     });
     assert_eq!(
         error_code(&client.request(POST, "serve:elsewhere")),
@@ -291,7 +292,7 @@
     std::fs::write(file.path(), cells_file("a")).expect("a file");
     node.reload(&config.to_string());
     wait_until("the valid file is read", || {
-        node.log().contains("cells read again")
+        node.log().contains("cells file reloaded")
     });
     assert_eq!(
         error_code(&client.request(POST, "serve:elsewhere")),
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -133,7 +133,8 @@
     // Again, with an invalid file.
     node.reload("{\"name\":");
     wait_until("the invalid configuration is rejected", || {
-        node.log().contains("the new configuration is not used")
+        node.log()
+            .contains("configuration rejected; previous one kept")
     });
     node.executor.finish_run("hang:a");
     let answer = client.read_answer();
