--- a/crates/cells-model/tests/migration.rs
+++ b/crates/cells-model/tests/migration.rs
@@ -30,7 +30,7 @@
 fn no_settlement_runs_twice_and_none_acknowledged_is_lost() {
     let checker = model().checker().threads(4).spawn_bfs().join();
     println!(
-        "{} states, {} of them unique",
+        "{} states, {} unique",
         checker.state_count(),
         checker.unique_state_count()
     );
--- a/crates/cells/tests/health_and_spillover.rs
+++ b/crates/cells/tests/health_and_spillover.rs
@@ -30,8 +30,8 @@
     CellMap::from_layout(&layout).expect("a map")
 }
 
-/// An observer must tell a cell that lost its nodes from its own disconnection, and decide nothing
-/// in the second case.
+/// An observer must distinguish a cell that lost its nodes from its own disconnection, and decide
+/// nothing in the second case.
 #[test]
 fn degraded_cell_is_distinguished_from_an_isolated_observer() {
     let map = fleet();
--- a/crates/lifecycle/src/sibling_process.rs
+++ b/crates/lifecycle/src/sibling_process.rs
@@ -23,7 +23,7 @@
 /// The status of the other process of this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SiblingProcess {
-    /// No other process is running, even if an earlier one left its status word behind.
+    /// No other process is running, even if the status word of an earlier one remains.
     Absent,
     /// The process does not accept clients, or its status word is unknown.
     Idle,
--- a/crates/membership-model/tests/membership_model.rs
+++ b/crates/membership-model/tests/membership_model.rs
@@ -29,10 +29,7 @@
 fn assert_properties_hold(model: MembershipModel) -> usize {
     let checker = model.checker().threads(4).spawn_bfs().join();
     let unique_states = checker.unique_state_count();
-    println!(
-        "{} states, {unique_states} of them unique",
-        checker.state_count()
-    );
+    println!("{} states, {unique_states} unique", checker.state_count());
     checker.assert_properties();
     unique_states
 }
--- a/src/node/held_work.rs
+++ b/src/node/held_work.rs
@@ -36,7 +36,7 @@
 /// The capacity of a whole node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct NodeCapacity {
-    /// Number of concurrent runs on the cores that the machine survives.
+    /// Number of concurrent runs on the cores that the machine can sustain.
     pub(super) runs: f64,
     /// Memory in kilobytes.
     pub(super) memory_kb: f64,
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -257,10 +257,10 @@
     pub connections: usize,
     /// Time between checks for a free connection while calls wait for one.
     pub poll_interval: Duration,
-    /// Time between two observations that the database has not released calls that were given up.
+    /// Time between two observations that the database has not released abandoned calls.
     pub stuck_call_interval: Duration,
     /// Maximum time for which the database continues a call after it has learned that the call was
-    /// given up.
+    /// abandoned.
     pub linger: Duration,
     /// Time after `linger` within which the end of a call's connection still counts as the
     /// database's reaction to a close, and not as a connection that broke.
--- a/src/node/messages.rs
+++ b/src/node/messages.rs
@@ -59,7 +59,7 @@
         /// Duration of the call.
         elapsed: Duration,
     },
-    /// The number of calls that were given up but may still be in progress at the database has
+    /// The number of calls that were abandoned but may still be in progress at the database has
     /// changed to this number.
     UnconfirmedCallsChanged(usize),
     /// The node's quota of concurrent database calls has changed to this number.
--- a/src/node/policy_actor/mod.rs
+++ b/src/node/policy_actor/mod.rs
@@ -82,7 +82,7 @@
     last_run: RunNumber,
     /// Runs of earlier processes.
     inherited: InheritedRuns,
-    /// Number of calls that were given up but may still be in progress at the database.
+    /// Number of calls that were abandoned but may still be in progress at the database.
     unconfirmed_calls: usize,
     /// True if the executor started before this process and its first gauges have not been read
     /// yet.
--- a/src/node/policy_actor/quotas.rs
+++ b/src/node/policy_actor/quotas.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Publishes the number of resource shares that this process cannot give up.
+    /// Publishes the number of resource shares that this process cannot release.
     pub(super) fn publish_used_shares(&self) {
         self.status.set_used_shares(UsedShares {
             serving: self.shares_in_use(self.unconfirmed_calls),
--- a/src/node/request.rs
+++ b/src/node/request.rs
@@ -74,7 +74,7 @@
 pub enum Failure {
     /// The run of the request ended with an error.
     RunFailed,
-    /// The policy gave the request up.
+    /// The policy failed the request before its run reported a result; the request may have run.
     GivenUp,
     /// The request may have run before and must not run twice.
     MayHaveRun,
--- a/tests/golden_locks.rs
+++ b/tests/golden_locks.rs
@@ -177,7 +177,7 @@
         assert_eq!(
             new.sibling(),
             SiblingProcess::Absent,
-            "what is left behind counts for nothing"
+            "the status word of a process that has exited is ignored"
         );
     }
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -29,7 +29,7 @@
         node.endpoint_list.has_report("HB n3 OUT")
     });
     // A front end that has not been notified may still connect. It is served within the drain
-    // grace, and a health check tells it that the node is not ready.
+    // grace, and a health check reports to it that the node is not ready.
     let mut early = node.connect();
     early.send_received_at(READ, "serve:early", terminated_at);
     assert_eq!(result_body(&early.read_message()), "done serve:early");
--- a/tests/unconfirmed_calls.rs
+++ b/tests/unconfirmed_calls.rs
@@ -193,7 +193,7 @@
 }
 
 /// Guards the slot of a call at a database whose machine has become unreachable. It was occupied
-/// until the system gave up the connection, after some 15 minutes. The machine may become
+/// until the system timed out the connection, after some 15 minutes. The machine may become
 /// unreachable before or after it has acknowledged the close.
 #[test]
 fn abandoned_call_does_not_count_for_ever_once_the_database_is_unreachable() {
