--- a/crates/connections/src/idle_connections.rs
+++ b/crates/connections/src/idle_connections.rs
@@ -15,8 +15,8 @@
 pub enum Eviction {
     /// Close the connection once everything that has arrived on it is read and answered.
     Close(ConnectionId),
-    /// Send the close notice; the peer then has [`ConnectionLimits::close_notice_timeout`] to close the
-    /// connection.
+    /// Send the close notice; the peer then has [`ConnectionLimits::close_notice_timeout`] to close
+    /// the connection.
     SendCloseNotice(ConnectionId),
 }
 
--- a/crates/fault-soak/src/bin/fault-soak.rs
+++ b/crates/fault-soak/src/bin/fault-soak.rs
@@ -20,7 +20,8 @@
     /// How many are played at once.
     #[arg(long, default_value_t = 4)]
     jobs: usize,
-    /// Draw further conditions: several nodes, keys, scarce memory, series of signals, clients that hold on to connections.
+    /// Draw further conditions: several nodes, keys, scarce memory, series of signals, clients that
+    /// hold on to connections.
     #[arg(long)]
     conditions: bool,
     /// Print the logs of nodes that broke a rule.
--- a/crates/fault-soak/src/plan.rs
+++ b/crates/fault-soak/src/plan.rs
@@ -44,7 +44,7 @@
 /// Time until a cold machine has reached its full speed. See [`START_CAPACITY`].
 pub(crate) const WARM_UP: Duration = Duration::from_secs(6);
 
-/// Whether the site allows commands to stop runs.
+/// The site's handling of commands to stop runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stops {
     /// Commands to stop a run are carried out.
@@ -62,7 +62,7 @@
     pub runs_per_core: f64,
     /// The node's quota of the concurrent calls that the database can sustain.
     pub call_quota: f64,
-    /// Whether the site allows commands to stop runs.
+    /// The site's handling of commands to stop runs.
     pub stops: Stops,
     /// True if the machine starts cold.
     pub is_cold: bool,
--- a/crates/fault-soak/src/request_record.rs
+++ b/crates/fault-soak/src/request_record.rs
@@ -81,7 +81,7 @@
     pub(crate) reply: Option<String>,
 }
 
-/// Whether a command to run a request may start a run.
+/// The decision on a command to run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunPermit {
     /// A run is started.
--- a/crates/fault-testbed/src/links.rs
+++ b/crates/fault-testbed/src/links.rs
@@ -27,7 +27,7 @@
     pub stalls_streams: bool,
 }
 
-/// One delivered copy of a datagram.
+/// A delivered copy of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DatagramCopy {
     /// The delay before it is delivered.
--- a/crates/fault-testbed/src/network_proxy/streams.rs
+++ b/crates/fault-testbed/src/network_proxy/streams.rs
@@ -21,7 +21,7 @@
 /// Maximum number of bytes that are forwarded at once.
 const MAX_CHUNK_BYTES: usize = 16 * 1024;
 
-/// One direction of a connection.
+/// A direction of a connection.
 struct StreamDirection {
     from: String,
     to: String,
--- a/crates/fault-testbed/src/scenario/mod.rs
+++ b/crates/fault-testbed/src/scenario/mod.rs
@@ -41,7 +41,7 @@
     vec!["n0".into()]
 }
 
-/// One step. In its lists of process names, `*` stands for all processes.
+/// A step of a scenario. In its lists of process names, `*` stands for all processes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ScenarioStep {
--- a/crates/fault-testbed/src/testbed/launching.rs
+++ b/crates/fault-testbed/src/testbed/launching.rs
@@ -52,8 +52,8 @@
     /// Starts the process of a slot.
     fn launch(&mut self, name: &str, command: Command) -> Result<(), TestbedError> {
         let peers = self.peers(&self.try_slot(name)?.executor);
-        // The process reads the slot's configuration file, which is reused at the next start. `Node`
-        // must own a file as well, and gets an empty one.
+        // The process reads the slot's configuration file, which is reused at the next start.
+        // `Node` must own a file as well, and gets an empty one.
         let unused_file = ScratchFile::try_new(&format!("{name}.spare"), "")?;
         let node = Node::try_spawn_command(command, peers, unused_file)
             .map_err(TestbedError::process(name))?;
--- a/crates/fault-testbed/src/testbed/observation.rs
+++ b/crates/fault-testbed/src/testbed/observation.rs
@@ -98,7 +98,7 @@
     /// Waits until the members agree, and returns the time that this took.
     ///
     /// # Panics
-    /// If they do not agree within `timeout`. Prints what they see before.
+    /// Panics if they do not agree within `timeout`, after printing their views.
     pub fn wait_until_converged(&self, timeout: Duration) -> Duration {
         if let Some(elapsed) = self.wait_for("settled", timeout, Testbed::has_converged) {
             return elapsed;
--- a/crates/fleet-cli/src/report.rs
+++ b/crates/fleet-cli/src/report.rs
@@ -29,7 +29,7 @@
     pub client_address: Option<SocketAddr>,
 }
 
-/// One member's view of the fleet.
+/// A member's view of the fleet.
 #[derive(Debug, Serialize)]
 pub struct ViewReport {
     /// The name of the member whose view it is.
--- a/crates/fleet-cli/src/text.rs
+++ b/crates/fleet-cli/src/text.rs
@@ -13,7 +13,7 @@
     };
 }
 
-/// Formats one member's view of the fleet.
+/// Formats a member's view of the fleet.
 pub(crate) fn format_view(view: &ViewReport) -> String {
     let mut text = String::new();
     push_line!(
--- a/crates/fleet-runtime/src/query.rs
+++ b/crates/fleet-runtime/src/query.rs
@@ -119,7 +119,7 @@
     }
 }
 
-/// One page of a member's view.
+/// A page of a member's view.
 struct MemberPage {
     responder: MemberRecord,
     summary: ViewSummary,
--- a/crates/fleet-simulation/src/main.rs
+++ b/crates/fleet-simulation/src/main.rs
@@ -44,7 +44,8 @@
         #[arg(long)]
         view: bool,
     },
-    /// A budget of concurrent calls under random faults: how often more than the total was in flight.
+    /// A budget of concurrent calls under random faults: how often more than the total was in
+    /// flight.
     Budgets {
         /// Runs, with the seeds 1, 2, 3, ...
         #[arg(long = "plays", default_value_t = 200)]
@@ -53,8 +54,8 @@
         #[arg(long, default_value_t = 6)]
         nodes: usize,
     },
-    /// Aggregated counts and health: estimates compared with the truth, conclusions on a ledger that some nodes can't reach,
-    /// traffic.
+    /// Aggregated counts and health: estimates compared with the truth, conclusions on a ledger
+    /// that some nodes can't reach, traffic.
     #[command(name = "gather")]
     Aggregation {
         /// Runs of each scenario, with the seeds 1, 2, 3, ...
--- a/crates/membership/src/member_state.rs
+++ b/crates/membership/src/member_state.rs
@@ -181,7 +181,7 @@
     is_suspect.then_some(known.with_liveness(Liveness::Dead))
 }
 
-/// What is known about a member: its identity, its addresses and its state.
+/// The record of a member: its identity, its addresses and its state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// The member's name.
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -77,7 +77,7 @@
     /// Compares views by the checksums of their buckets. The receiver sends its records of the
     /// buckets that differ.
     CompareChecksums {
-        /// One checksum for each bucket of names.
+        /// The checksum of each bucket of names.
         checksums: Vec<u64>,
         /// True if this answers a comparison, so that no further answer is needed.
         is_reply: bool,
--- a/crates/membership/src/view/mod.rs
+++ b/crates/membership/src/view/mod.rs
@@ -1,4 +1,4 @@
-//! One node's view of its fleet: its state, and the queries by which other parts of the process
+//! A node's view of its fleet: its state, and the queries by which other parts of the process
 //! read it. Each submodule implements one part of the protocol.
 
 mod anti_entropy;
@@ -40,7 +40,7 @@
     MemberChanged(MemberRecord),
 }
 
-/// One node's view of its fleet.
+/// A node's view of its fleet.
 ///
 /// Times are durations since an arbitrary start that the caller chooses. They never decrease.
 #[derive(Clone, Debug)]
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -63,7 +63,7 @@
 pub enum Dependency {
     /// No dependency.
     None,
-    /// One dependency that the whole fleet shares.
+    /// A dependency that the whole fleet shares.
     Shared,
     /// A tier of servers, each of which limits its own load with this policy.
     Tier,
--- a/crates/shared-state/src/aggregation/node.rs
+++ b/crates/shared-state/src/aggregation/node.rs
@@ -1,4 +1,4 @@
-//! One node's part in aggregation: it reports to two aggregators, and acts as an aggregator if
+//! A node's part in aggregation: it reports to two aggregators, and acts as an aggregator if
 //! other nodes select it.
 
 use std::time::Duration;
@@ -41,7 +41,7 @@
     site: &'a Name,
 }
 
-/// One node's part in aggregation: a state machine of messages and times, without I/O.
+/// A node's part in aggregation: a state machine of messages and times, without I/O.
 ///
 /// All times are those of the node's monotonic clock.
 pub struct AggregationNode {
--- a/crates/shared-state/src/budgets/mod.rs
+++ b/crates/shared-state/src/budgets/mod.rs
@@ -29,7 +29,7 @@
     tables: Vec<LeaseTable>,
 }
 
-/// One node's budgets: a state machine of messages and times, without I/O.
+/// The budgets of a node: a state machine of messages and times, without I/O.
 ///
 /// All times are those of the node's monotonic clock.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
     incarnation: u64,
     configs: Vec<QuotaConfig>,
     election: Election,
-    /// One holder for each budget. All of them request together, so their sequence numbers are
+    /// The lease holder of each budget. All of them request together, so their sequence numbers are
     /// equal.
     holders: Vec<LeaseHolder>,
     /// Present while this node is the leader.
--- a/crates/shared-state/src/budgets/snapshot.rs
+++ b/crates/shared-state/src/budgets/snapshot.rs
@@ -29,7 +29,7 @@
     pub aggregate: Option<AggregateSnapshot>,
 }
 
-/// One budget as a node knows it.
+/// A budget as a node knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BudgetSnapshot {
     /// Name of the budget.
@@ -110,7 +110,7 @@
     remaining_ms: u64,
 });
 
-/// One holder as the leader knows it.
+/// A lease holder as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Name, Units, Units)", into = "(Name, Units, Units)")]
 pub struct HolderSnapshot {
--- a/crates/shared-state/src/election.rs
+++ b/crates/shared-state/src/election.rs
@@ -99,7 +99,7 @@
     observed_at: Duration,
 }
 
-/// One node's view of the election. Only voters take part in it.
+/// A node's view of the election. Only voters take part in it.
 #[derive(Clone, Debug)]
 pub struct Election {
     timings: LeaseTimings,
--- a/crates/shared-state/src/lease_holder.rs
+++ b/crates/shared-state/src/lease_holder.rs
@@ -40,7 +40,7 @@
     sent_at: Duration,
 }
 
-/// One node's lease on one budget, and its guaranteed quota.
+/// A node's lease on a budget, and its guaranteed quota.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     timings: LeaseTimings,
--- a/crates/test-doubles/src/database.rs
+++ b/crates/test-doubles/src/database.rs
@@ -135,7 +135,7 @@
     }
 }
 
-/// Whether a connection takes further calls after one.
+/// The handling of a connection after a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AfterCall {
     KeepOpen,
--- a/crates/test-doubles/src/executor/mod.rs
+++ b/crates/test-doubles/src/executor/mod.rs
@@ -131,7 +131,7 @@
     /// Finishes a hanging run successfully.
     ///
     /// # Panics
-    /// If no such run is in progress.
+    /// Panics if no such run is in progress.
     pub fn finish_run(&self, body: &str) {
         let finished = self.checked_state().finish_run(body);
         assert!(finished, "no run of {body} is in progress");
--- a/crates/test-doubles/src/node/mod.rs
+++ b/crates/test-doubles/src/node/mod.rs
@@ -110,7 +110,7 @@
     /// Replaces the configuration file, and has the node reload it.
     ///
     /// # Panics
-    /// If that fails.
+    /// Panics if the file can't be written or the signal can't be sent.
     pub fn reload(&self, config: &str) {
         std::fs::write(self.config.path(), config).expect("the configuration can be written");
         expect_ok(self.send_signal("HUP"));
--- a/crates/test-doubles/src/waiting.rs
+++ b/crates/test-doubles/src/waiting.rs
@@ -38,7 +38,7 @@
 /// Locks state that a test shares with a thread of a test double.
 ///
 /// # Panics
-/// If that thread panicked while it held the lock.
+/// Panics if that thread panicked while it held the lock.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("a thread of a test double panicked")
 }
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -1,9 +1,9 @@
 //! The inventory: the file that lists the broker queues which the node consumes from.
 //!
-//! It has the form that configuration tools use: YAML with groups, hosts and variables, or CSV with
-//! a header row. Each host or row describes one queue. Variables that the node does not know are
-//! ignored, so that one inventory can serve several tools; a variable that is missing, invalid or
-//! duplicated is an [`InventoryError`] with its file, line and field.
+//! The file has the form that configuration tools use: YAML with groups, hosts and variables, or
+//! CSV with a header row. Each host or row describes one queue. Variables that the node does not
+//! know are ignored, so that one inventory can serve several tools; a variable that is missing,
+//! invalid or duplicated is an [`InventoryError`] with its file, line and field.
 
 mod csv;
 mod error;
--- a/src/net/database/exchange.rs
+++ b/src/net/database/exchange.rs
@@ -1,4 +1,4 @@
-//! One database call on its own connection: connect, write the request, read the reply.
+//! A database call on its own connection: connect, write the request, read the reply.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::SocketAddr;
--- a/src/net/executor/connection.rs
+++ b/src/net/executor/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the executor, from the handshake until it ends.
+//! A connection to the executor, from the handshake until it ends.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpStream};
--- a/src/net/executor/notice_reader.rs
+++ b/src/net/executor/notice_reader.rs
@@ -107,7 +107,8 @@
 
     fn handle_welcome(&self, code: &str, wall_ms: f64) -> ControlFlow<()> {
         let age = Duration::try_from_secs_f64(wall_ms / 1e3).unwrap_or_default();
-        // Notifies the policy first: the actor sends the commands of the policy once it is notified.
+        // Notifies the policy first: the actor sends the commands of the policy once it is
+        // notified.
         self.notify_policy(PolicyMessage::ExecutorConnected {
             is_cold: code == COLD_START,
             age,
--- a/src/node/held_work.rs
+++ b/src/node/held_work.rs
@@ -18,7 +18,7 @@
     pub memory_kb: u64,
 }
 
-/// What is known of the work that a process left running when it ended.
+/// The known extent of the work that a process left running when it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RemainingWork {
     /// The process recorded it before it ended.
--- a/src/node/policy_actor/sibling_keys.rs
+++ b/src/node/policy_actor/sibling_keys.rs
@@ -5,7 +5,7 @@
 /// State of another process of the node that may have run requests under keys unknown to this one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum SiblingKeys {
-    /// No other process was seen.
+    /// No other process has been seen.
     #[default]
     None,
     /// Another process is running.
--- a/src/node/request_table.rs
+++ b/src/node/request_table.rs
@@ -75,7 +75,7 @@
     /// The request that this one repeats, which ran or may still run. This one is answered from
     /// that run or fails, and never runs.
     pub(super) repeats: Option<RequestId>,
-    /// What is known of the delivery of the command to run the request.
+    /// Known state of the delivery of the command to run the request.
     pub(super) delivery: RunDelivery,
     /// True if a database call was made for the request.
     pub(super) has_called: bool,
--- a/src/node/run_delivery.rs
+++ b/src/node/run_delivery.rs
@@ -22,7 +22,7 @@
 /// have then given the run the time of as many whole runs.
 pub(super) const GENERATIONS_IF_UNSTOPPABLE: u32 = 8;
 
-/// What is known of the delivery of the command to run a request.
+/// Known state of the delivery of the command to run a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) enum RunDelivery {
     /// The command was not sent.
@@ -46,7 +46,7 @@
         number: RunNumber,
         /// Why the command may have been lost.
         cause: DoubtCause,
-        /// What later runs have shown so far.
+        /// Evidence from later runs so far.
         evidence: Evidence,
     },
 }
@@ -60,7 +60,7 @@
     Rejected,
 }
 
-/// What later runs have shown about a run in doubt.
+/// Evidence from later runs about a run in doubt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Evidence {
     /// Number of generations of later runs that have ended.
--- a/src/wire/host.rs
+++ b/src/wire/host.rs
@@ -59,7 +59,7 @@
     /// Answers one line of events with one line of actions.
     ///
     /// # Errors
-    /// One line that states the error in the events, and the server concerned.
+    /// A line that states the error in the events, and the server concerned.
     pub fn handle_line(&mut self, line: &str) -> Result<String, String> {
         let batch: BatchIn = serde_json::from_str(line)
             .map_err(|e| format!("{}{e}", malformed_server_prefix(line)))?;
--- a/tests/doubles/broker/channel.rs
+++ b/tests/doubles/broker/channel.rs
@@ -1,4 +1,4 @@
-//! One channel of a connection to the fake broker: its consumer, its unsettled deliveries, and a
+//! A channel of a connection to the fake broker: its consumer, its unsettled deliveries, and a
 //! publish in progress.
 
 use std::collections::BTreeMap;
--- a/tests/doubles/broker/connection.rs
+++ b/tests/doubles/broker/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the fake broker: answers the client's frames and delivers messages.
+//! A connection to the fake broker: answers the client's frames and delivers messages.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::Read;
