--- a/src/node/held_work.rs
+++ b/src/node/held_work.rs
@@ -18,7 +18,7 @@
     pub memory_kb: u64,
 }
 
-/// What is known of the work that a process left running when it ended.
+/// The known extent of the work that a process left running when it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RemainingWork {
     /// The process recorded it before it ended.
@@ -36,7 +36,7 @@
 /// The capacity of a whole node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct NodeCapacity {
-    /// Number of concurrent runs on the cores that the machine survives.
+    /// Number of concurrent runs on the cores that the machine can sustain.
     pub(super) runs: f64,
     /// Memory in kilobytes.
     pub(super) memory_kb: f64,
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -29,7 +29,7 @@
         node.endpoint_list.has_report("HB n3 OUT")
     });
     // A front end that has not been notified may still connect. It is served within the drain
-    // grace, and a health check tells it that the node is not ready.
+    // grace, and a health check reports to it that the node is not ready.
     let mut early = node.connect();
     early.send_received_at(READ, "serve:early", terminated_at);
     assert_eq!(result_body(&early.read_message()), "done serve:early");
@@ -133,7 +133,8 @@
     // Again, with an invalid file.
     node.reload("{\"name\":");
     wait_until("the invalid configuration is rejected", || {
-        node.log().contains("the new configuration is not used")
+        node.log()
+            .contains("configuration rejected; previous one kept")
     });
     node.executor.finish_run("hang:a");
     let answer = client.read_answer();
