--- a/tests/aggregation.rs
+++ b/tests/aggregation.rs
@@ -212,7 +212,10 @@
     testbed.reload("n1");
     testbed
         .wait_for("the node has read the file", SETTLE_TIMEOUT, |testbed| {
-            testbed.node("n1").log().contains("with a restart only")
+            testbed
+                .node("n1")
+                .log()
+                .contains("counts or judgements in the fleet file take effect only after a restart")
         })
         .expect("reached before the timeout");
     testbed.heal();
